--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -43,6 +43,7 @@
     private boolean serving;
     private long accepted, invalid; // Files at SIGHUP.
     private Agreement agreement; // Null without a cluster.
+    private Reloader reloader;
 
     Service(Vertx vertx, DirectorConfig config, InheritedSocket inherited) {
         this.vertx = vertx;
@@ -146,7 +147,7 @@
     private final class Gate implements RequestHandler {
         @Override
         public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-            if (drain.step(director.clock().getAsLong()) == Drain.Step.REFUSE) {
+            if (refuses()) {
                 return turnedAway.handle(request, answer);
             }
             return warmup.handle(request, answer);
@@ -232,21 +233,49 @@
         write();
     }
 
-    /** SIGTERM: where the socket is inherited, another process takes the clients, and this one sends its own there. */
+    /**
+     * SIGTERM: where the socket is inherited, another process takes the clients, and this one sends its own there; else
+     * clients come for a while yet.
+     */
     void terminate() {
         if (agreement != null) {
             agreement.willing(false);
         }
         if (inherited != null) {
             inherited.accept(false);
-            drain.begin(Drain.Cause.HANDOVER, director.clock().getAsLong());
-            front.drain(drain);
         }
+        drain.begin(inherited != null ? Drain.Cause.HANDOVER : Drain.Cause.SHUTDOWN, director.clock().getAsLong());
+        front.drain(drain);
+    }
+
+    /** Whether what is read from now on is refused and never sent on. */
+    boolean refuses() {
+        return drain.step(director.clock().getAsLong()) == Drain.Step.REFUSE;
+    }
+
+    /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
+    boolean finished() {
+        return refuses() && director.open() == 0 && (agreement == null || agreement.handedOn());
+    }
+
+    /** Client connections whose last bytes may not have been read yet. */
+    int connections() {
+        return front.connections();
+    }
+
+    /** Answers as failed what is open: its time to be served is over. */
+    void giveUp() {
+        director.giveUp();
     }
 
-    /** Whether nothing is lost if it ends now. */
-    boolean empty() {
-        return director.open() == 0 && (agreement == null || agreement.handedOn()) && (inherited == null || front.connections() == 0);
+    void reloadsBy(Reloader to) {
+        reloader = to;
+    }
+
+    @Override
+    public Future<Verdict> reload() {
+        return vertx.executeBlocking(reloader::reload)
+                .map(refused -> refused.map(Verdict::refused).orElse(Verdict.DONE));
     }
 
     void reload(DirectorConfig to) {
--- a/src/main/java/pewtercourse/Timers.java
+++ b/src/main/java/pewtercourse/Timers.java
@@ -8,6 +8,11 @@
 
     void cancel(long timer);
 
+    /** Runs it after all that the sockets have at hand has been read. */
+    default void afterReads(Runnable then) {
+        then.run();
+    }
+
     /** A delay in microseconds as the library takes it: never early, at least a millisecond. */
     static long millis(long micros) {
         return Math.max(1, (micros + 999) / 1000);
@@ -24,6 +29,11 @@
             public void cancel(long timer) {
                 vertx.cancelTimer(timer);
             }
+
+            @Override
+            public void afterReads(Runnable then) {
+                vertx.runOnContext(v -> then.run());
+            }
         };
     }
 }
--- a/src/main/java/pewtercourse/admin/AdminApi.java
+++ b/src/main/java/pewtercourse/admin/AdminApi.java
@@ -18,7 +18,7 @@
         }
         String method = switch (call.path()) {
             case "/status", "/status/metrics" -> "GET";
-            case "/maintenance/enter", "/maintenance/exit", "/standby", "/active" -> "POST";
+            case "/maintenance/enter", "/maintenance/exit", "/standby", "/active", "/reload" -> "POST";
             default -> null;
         };
         if (method == null) {
@@ -35,6 +35,9 @@
                 return Future.succeededFuture(AdminReply.of(200, director.metrics()));
             case "/maintenance/enter", "/maintenance/exit":
                 return maintenance(call);
+            case "/reload":
+                return director.reload().map(v -> v.refused() == null ? AdminReply.of(200, "reloaded")
+                        : AdminReply.of(422, v.refused()));
             case "/standby":
                 director.standby();
                 return Future.succeededFuture(AdminReply.of(200, "standby"));
--- a/src/main/java/pewtercourse/admin/Operations.java
+++ b/src/main/java/pewtercourse/admin/Operations.java
@@ -25,6 +25,9 @@
     /** It may serve again, however often it was taken out. Never fails. */
     Future<Verdict> exitMaintenance(String target);
 
+    /** Reads the configuration again, as at SIGHUP: refused with the faulty key, and nothing has changed, or done. */
+    Future<Verdict> reload();
+
     /** The calls on the cluster of directors, if this one belongs to one. */
     default ClusterCalls cluster() {
         return null;
--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -1,5 +1,6 @@
 package pewtercourse.cache;
 
+import io.vertx.core.AsyncResult;
 import java.net.InetSocketAddress;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -12,6 +13,9 @@
  * which gives up the request.
  */
 public final class Attempt {
+    // A connection that comes up so long after its attempt was given up is kept for the next one.
+    private static final long LATE_MS = 100;
+
     private final CachePool pool;
     private final Timers timers;
     private final LongSupplier clock;
@@ -21,6 +25,7 @@
     private final long connectTimeout, until;
     private final BooleanSupplier stillRight;
     private final Consumer<CacheAnswer> done;
+    private Object generation;
     private CacheConnection connection;
     private long timer = -1;
     private boolean written, ended;
@@ -45,12 +50,13 @@
     }
 
     public void start() {
+        generation = pool.generation(cache);
         connection = pool.take(cache);
         if (connection != null) {
             write();
             return;
         }
-        var connecting = pool.connect(address);
+        var connecting = pool.connect(address, Timers.millis(connectTimeout) + LATE_MS);
         if (connecting == null) {
             end(CacheAnswer.of(End.NO_DESCRIPTOR));
             return;
@@ -58,27 +64,35 @@
         long left = until - clock.getAsLong();
         timer = timers.set(Timers.millis(Math.min(connectTimeout, left)),
                 () -> end(CacheAnswer.of(End.CONNECT_TIMEOUT)));
-        connecting.onComplete(c -> {
-            if (c.failed()) {
-                end(CacheAnswer.of(End.REFUSED));
-            } else if (ended) {
-                pool.keep(cache, c.result());
-            } else {
-                timers.cancel(timer);
-                connection = c.result();
-                write();
-            }
-        });
+        // After a late turn the client's close may stand unread behind the connection's coming up.
+        connecting.onComplete(c -> timers.afterReads(() -> connected(c)));
+    }
+
+    private void connected(AsyncResult<CacheConnection> c) {
+        if (c.failed()) {
+            end(CacheAnswer.of(End.REFUSED));
+        } else if (ended) {
+            pool.keep(cache, generation, c.result());
+        } else {
+            timers.cancel(timer);
+            connection = c.result();
+            write();
+        }
     }
 
     private void write() {
         long left = until - clock.getAsLong();
-        if (left <= 0 || !stillRight.getAsBoolean()) {
-            pool.keep(cache, connection);
+        boolean replaced = pool.generation(cache) != generation;
+        if (left <= 0 || replaced || !stillRight.getAsBoolean()) {
+            pool.keep(cache, generation, connection);
             connection = null;
             end(CacheAnswer.of(End.OVERTAKEN));
             return;
         }
+        if (!connection.isOpen()) {
+            end(CacheAnswer.of(End.REFUSED)); // Nothing was written, so nothing ran.
+            return;
+        }
         written = true;
         pool.wrote();
         timer = timers.set(Timers.millis(left), () -> end(CacheAnswer.of(End.TIMEOUT)));
@@ -100,7 +114,7 @@
         timers.cancel(timer);
         if (connection != null) {
             switch (answer.end()) {
-                case SERVED, NOT_MODIFIED, MISS, FULL, EXPIRED, ERROR -> pool.giveBack(cache, connection);
+                case SERVED, NOT_MODIFIED, MISS, FULL, EXPIRED, ERROR -> pool.giveBack(cache, generation, connection);
                 default -> connection.close();
             }
         }
--- a/src/main/java/pewtercourse/cache/CachePool.java
+++ b/src/main/java/pewtercourse/cache/CachePool.java
@@ -70,12 +70,12 @@
     }
 
     /** A new connection, or null if there are as many as may be and none is idle. */
-    Future<CacheConnection> connect(InetSocketAddress to) {
+    Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
         if (connections >= connectionsMost && !closeOneIdle()) {
             return null;
         }
         connections++;
-        return transport.connect(to).onComplete(done -> {
+        return transport.connect(to, timeoutMs).onComplete(done -> {
             if (done.succeeded()) {
                 done.result().onClose(() -> connections--);
             } else {
@@ -84,19 +84,27 @@
         });
     }
 
+    /**
+     * Which process of the cache its connections lead to: another value, or null, once it has been dropped for good. A
+     * connection that was dialled or used before that is of no use to the next process of the same name.
+     */
+    Object generation(long cache) {
+        return idle.get(cache);
+    }
+
     /** After an answer: it may be used again once nothing came behind that. */
-    void giveBack(long cache, CacheConnection c) {
+    void giveBack(long cache, Object generation, CacheConnection c) {
         if (!c.isOpen()) {
             c.close();
             return;
         }
-        timers.set(SETTLE_MS, () -> timers.set(SETTLE_AGAIN_MS, () -> keep(cache, c)));
+        timers.set(SETTLE_MS, () -> timers.set(SETTLE_AGAIN_MS, () -> keep(cache, generation, c)));
     }
 
     /** Nothing was asked on it since it came up, or since it was taken. */
-    void keep(long cache, CacheConnection c) {
+    void keep(long cache, Object generation, CacheConnection c) {
         Deque<Idle> of = idle.get(cache);
-        if (of == null || !c.isOpen()) {
+        if (of == null || of != generation || !c.isOpen()) {
             c.close();
             return;
         }
--- a/src/main/java/pewtercourse/cache/CacheRequest.java
+++ b/src/main/java/pewtercourse/cache/CacheRequest.java
@@ -1,6 +1,7 @@
 package pewtercourse.cache;
 
 import io.vertx.core.buffer.Buffer;
+import java.nio.charset.StandardCharsets;
 
 /**
  * One attempt as it goes out. {@code source} null: no fill; {@code maxAgeMs} 0: as long as copies are fresh;
@@ -8,9 +9,24 @@
  */
 public record CacheRequest(String id, String className, String object, int part, Buffer body, String source,
         int keep, long maxAgeMs, boolean join, boolean sourceHoldsOnly, boolean renew, String known) {
+    private static final String SEGMENT_MARKS = "-._~!$&'()*+,;=:@";
 
     String path() {
-        return "/o/" + className + '/' + object + '/' + part;
+        return "/o/" + segment(className) + '/' + object + '/' + part;
+    }
+
+    /** A path segment by RFC 3986: what it doesn't allow is percent-encoded, byte by byte. */
+    private static String segment(String text) {
+        StringBuilder encoded = new StringBuilder(text.length());
+        for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
+            boolean plain = b > ' ' && b < 127 && (Character.isLetterOrDigit(b) || SEGMENT_MARKS.indexOf(b) >= 0);
+            if (plain) {
+                encoded.append((char) b);
+            } else {
+                encoded.append(String.format("%%%02X", b));
+            }
+        }
+        return encoded.toString();
     }
 
     /** GET with a body too: caches answer 400 to any other method, whatever the client's was. */
--- a/src/main/java/pewtercourse/cache/CannedTransport.java
+++ b/src/main/java/pewtercourse/cache/CannedTransport.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public Future<CacheConnection> connect(InetSocketAddress to) {
+    public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
         return Future.succeededFuture(new Connection());
     }
 
--- a/src/main/java/pewtercourse/cache/End.java
+++ b/src/main/java/pewtercourse/cache/End.java
@@ -16,7 +16,7 @@
     ERROR,
     /** An answer that can't be read. */
     MALFORMED,
-    /** No connection: refused. Nothing was written. */
+    /** No connection: refused, or closed before its first use. Nothing was written. */
     REFUSED,
     /** No connection in time. Nothing was written. */
     CONNECT_TIMEOUT,
--- a/src/main/java/pewtercourse/cache/HttpTransport.java
+++ b/src/main/java/pewtercourse/cache/HttpTransport.java
@@ -4,6 +4,7 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.ConnectOptions;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
 import io.vertx.core.net.NetSocket;
@@ -17,16 +18,16 @@
 public final class HttpTransport implements Transport {
     private final NetClient client;
 
-    /** Connections not up after {@code connectTimeoutMs} are dropped by the library, whoever waits. */
-    public HttpTransport(Vertx vertx, int connectTimeoutMs) {
-        client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(connectTimeoutMs)
-                .setTcpNoDelay(true));
+    public HttpTransport(Vertx vertx) {
+        client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
     @Override
-    public Future<CacheConnection> connect(InetSocketAddress to) {
+    public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
         String host = to.getAddress().getHostAddress() + ':' + to.getPort();
-        return client.connect(SocketAddress.inetSocketAddress(to)).map(s -> new Connection(s, host));
+        ConnectOptions options = new ConnectOptions().setRemoteAddress(SocketAddress.inetSocketAddress(to))
+                .setTimeout((int) timeoutMs);
+        return client.connect(options).map(s -> new Connection(s, host));
     }
 
     private static final class Connection implements CacheConnection {
--- a/src/main/java/pewtercourse/cache/Transport.java
+++ b/src/main/java/pewtercourse/cache/Transport.java
@@ -5,5 +5,6 @@
 
 /** Opens connections to caches. */
 public interface Transport {
-    Future<CacheConnection> connect(InetSocketAddress to);
+    /** A connection that is not up after {@code timeoutMs} is dropped, whoever waits for it. */
+    Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs);
 }
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -29,6 +29,8 @@
         Path stateFolder, JsonObject source) {
 
     private static final int DEFAULT_SOCKETS = 1024, DEFAULT_MEMORY = 192;
+    // Of flattened lists: names may hold any character but control characters.
+    private static final String LIST_SEPARATOR = "\u001f";
     // What SIGHUP carries out at once, and what is new in each file and only counts at a start.
     private static final Set<String> NO_RESTART = Set.of("feed", "known", "seed", "settings");
 
@@ -72,7 +74,7 @@
         }
         String peerListen = string(json, "peer_listen", null);
         String feed = string(json, "feed", null);
-        SiteSettings site = SiteSettings.read(flat(settings));
+        SiteSettings site = SiteSettings.read(flat(settings), LIST_SEPARATOR);
         if (site.classes().isEmpty()) {
             throw new ConfigException("settings.Classes", "no class of requests");
         }
@@ -98,7 +100,7 @@
             if (!(c.getValue("Name") instanceof String name) || name.isEmpty()) {
                 throw new ConfigException(path + "Name", "missing");
             }
-            if (site.classes().getOrDefault(plain(name), -1) != i) {
+            if (site.classes().getOrDefault(name, -1) != i) {
                 throw new ConfigException(path + "Name", "'" + name + "' is there twice");
             }
             oneOf(c, path, "Effect", "pure", "token", "side_effect");
@@ -142,6 +144,11 @@
         return new FrontLimits(Math.max(8, sockets / 3 + 8), (long) memoryMb << 16, (long) memoryMb << 17);
     }
 
+    /** Connections of clients that may be accepted at once: some more than are kept, until the event loop has seen them. */
+    public int acceptedMost() {
+        return front().connections() + Math.max(4, sockets / 16);
+    }
+
     /** Connections to caches, idle or at work. Where the socket is inherited, two processes share the limit at times. */
     public int cacheConnections() {
         return Math.max(16, (sockets - front().connections() - otherDescriptors()) / (inherits ? 2 : 1));
@@ -160,7 +167,7 @@
         return List.copyOf(keys);
     }
 
-    /** Nested settings as pairs of path and value, as the simulator's wire has them. */
+    /** Nested settings as pairs of path and value, with the simulator's paths. */
     static Map<String, String> flat(JsonObject settings) {
         Map<String, String> pairs = new HashMap<>();
         flatten(pairs, "", settings);
@@ -179,15 +186,19 @@
             }
         } else if (value instanceof JsonArray a) {
             List<String> items = new ArrayList<>();
-            a.forEach(v -> items.add(plain(v)));
-            to.put(path, String.join(",", items));
+            a.forEach(v -> items.add(plain(path, v)));
+            to.put(path, String.join(LIST_SEPARATOR, items));
         } else if (value != null) {
-            to.put(path, plain(value));
+            to.put(path, plain(path, value));
         }
     }
 
-    private static String plain(Object value) {
-        return String.valueOf(value).replace(' ', '_').replace(',', '_');
+    private static String plain(String path, Object value) {
+        String text = String.valueOf(value);
+        if (text.chars().anyMatch(Character::isISOControl)) {
+            throw new ConfigException("settings." + path, "holds a control character");
+        }
+        return text;
     }
 
     private static String required(Map<String, String> env, String key) {
--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -4,6 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Objects;
+import java.util.TreeSet;
+import java.util.regex.Pattern;
 import pewtercourse.decision.Router;
 
 /**
@@ -30,22 +32,29 @@
         return router.guest(zones.getOrDefault(zone, -1), others);
     }
 
-
+    /** Reads the simulator's pairs, whose lists are joined by commas. */
     public static SiteSettings read(Map<String, String> info) {
-        return new Reader(info).read();
+        return read(info, ",");
+    }
+
+    /** Reads pairs whose lists are joined by {@code listSeparator}, which no name may hold. */
+    static SiteSettings read(Map<String, String> info, String listSeparator) {
+        return new Reader(info, listSeparator).read();
     }
 
     /**
-     * These settings with their classes at the places that {@code places} gives them; a new name gets the next place
-     * there, and what nobody names any more stays as it was, for requests that are under way.
+     * These settings with their classes at the places that they had {@code before}. A name that was not there then gets a
+     * new place, also if it was there earlier: nothing that was learned of the class that has gone may count for it. What
+     * nobody names any more stays as it was, for requests that are under way.
      */
-    public SiteSettings placed(Map<String, Integer> places, SiteSettings before) {
+    public SiteSettings placed(SiteSettings before) {
         Map<String, Integer> at = new HashMap<>();
-        classes.keySet().stream().sorted().forEach(name -> {
-            places.putIfAbsent(name, places.size());
-            at.put(name, places.get(name));
-        });
-        Router.RequestClass[] all = Arrays.copyOf(before.router.classes(), places.size());
+        int next = before.router.classes().length;
+        for (String name : new TreeSet<>(classes.keySet())) {
+            Integer place = before.classes.get(name);
+            at.put(name, place != null ? place : next++);
+        }
+        Router.RequestClass[] all = Arrays.copyOf(before.router.classes(), next);
         classes.forEach((name, i) -> all[at.get(name)] = router.classes()[i]);
         return new SiteSettings(router.with(all), at, zones, parentKind, originKind, connectTimeout, idleClose,
                 answerSlack, worths);
@@ -74,11 +83,11 @@
         return new Router.Member(id, zones.getOrDefault(zone, -1), role, cell, state, weight, since);
     }
 
-    private record Reader(Map<String, String> info) {
+    private record Reader(Map<String, String> info, String listSeparator) {
         SiteSettings read() {
-            Map<String, Integer> zones = places(info.getOrDefault("Zones", ""));
+            Map<String, Integer> zones = places(list("Zones"));
             Map<String, Integer> names = new HashMap<>();
-            String[] kinds = info.getOrDefault("Skus", "").split(",");
+            String[] kinds = list("Skus");
             Router.RequestClass[] classes = new Router.RequestClass[(int) number("Classes.count", 0)];
             for (int c = 0; c < classes.length; c++) {
                 names.put(info.getOrDefault("Classes." + c + ".Name", ""), c);
@@ -130,7 +139,7 @@
         }
 
         private int[] seats() {
-            int[] counts = new int[info.getOrDefault("Domain.SeatsByZone", "").split(",").length];
+            int[] counts = new int[list("Domain.SeatsByZone").length];
             for (int z = 0; z < counts.length; z++) {
                 counts[z] = (int) item("Domain.SeatsByZone", z);
             }
@@ -158,13 +167,16 @@
             };
         }
 
-        private static Map<String, Integer> places(String names) {
-            Map<String, Integer> m = new HashMap<>();
-            String[] parts = names.split(",");
-            for (int i = 0; i < parts.length; i++) {
-                m.put(parts[i], i);
+        private static Map<String, Integer> places(String[] names) {
+            Map<String, Integer> places = new HashMap<>();
+            for (int i = 0; i < names.length; i++) {
+                places.put(names[i], i);
             }
-            return m;
+            return places;
+        }
+
+        private String[] list(String path) {
+            return info.getOrDefault(path, "").split(Pattern.quote(listSeparator));
         }
 
         private static String kind(String[] kinds, int place) {
@@ -185,7 +197,7 @@
         }
 
         private String listItem(String path, int i) {
-            String[] v = info.getOrDefault(path, "").split(",");
+            String[] v = list(path);
             return i < v.length ? v[i] : "";
         }
 
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -49,6 +49,13 @@
     // An id is new with every request, so one that was answered before is no usual client's.
     private static final int ANSWERED_MOST = 4_096;
 
+    // The module handles so many events in one turn of the loop: what a late turn has piled up must not keep the sockets
+    // and timers of the others waiting.
+    private static final int BATCH_MOST = 256;
+
+    // A turn is late after this; what is due is then answered before anything else.
+    private static final long LATE = 20_000;
+
     SiteSettings site; // As of the last file that was taken.
     final LongSupplier clock = new UnixClock();
     final Timers timers;
@@ -56,7 +63,6 @@
     final Roster roster;
     final boolean tracing = Boolean.getBoolean("pewtercourse.trace");
     private DirectorConfig config;
-    private final Map<String, Integer> places; // Of the classes, also of those that have gone.
     private final Vertx vertx;
     private final Context context;
     private final Desk home;
@@ -83,7 +89,9 @@
         private final Router router;
         private final boolean guest;
         private List<Router.Event> events = new ArrayList<>();
+        private List<Exchange> leaving = new ArrayList<>();
         private boolean scheduled;
+        private long scheduledAt;
 
         private Desk(Router.Settings settings, boolean guest) {
             this.router = new Logic(settings, config.seed());
@@ -98,8 +106,34 @@
         void tell(Router.Event e) {
             events.add(e);
             if (!scheduled) {
-                scheduled = true;
-                context.runOnContext(v -> decide(this));
+                schedule();
+            }
+        }
+
+        private void schedule() {
+            scheduled = true;
+            scheduledAt = clock.getAsLong();
+            context.runOnContext(v -> decide(this));
+        }
+
+        /** Its next events, as many as one turn may handle; what is left has its own turn. */
+        private List<Router.Event> nextBatch() {
+            List<Router.Event> all = events;
+            events = new ArrayList<>();
+            if (all.size() <= BATCH_MOST) {
+                return all;
+            }
+            events.addAll(all.subList(BATCH_MOST, all.size()));
+            schedule();
+            return all.subList(0, BATCH_MOST);
+        }
+
+        /** Forgets a request that has ended, once the module has handled all that it has been told so far. */
+        void afterBatch(Exchange x) {
+            if (scheduled) {
+                leaving.add(x);
+            } else {
+                forget(x);
             }
         }
 
@@ -117,7 +151,7 @@
 
     /** Must be called on the event loop's context. */
     public Director(Vertx vertx, DirectorConfig config) {
-        this(vertx, config, new HttpTransport(vertx, (int) Timers.millis(config.site().connectTimeout()) + 100));
+        this(vertx, config, new HttpTransport(vertx));
     }
 
     public Director(Vertx vertx, DirectorConfig config, Transport transport) {
@@ -125,7 +159,6 @@
         this.context = vertx.getOrCreateContext();
         this.config = config;
         this.site = config.site();
-        this.places = new HashMap<>(site.classes());
         this.timers = Timers.of(vertx);
         this.pool = new CachePool(transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
         this.roster = new Roster(site, pool);
@@ -173,7 +206,7 @@
         if (!later.isEmpty()) {
             Log.warn("config.needs_restart", "keys", String.join(",", later));
         }
-        SiteSettings next = to.site().placed(places, site);
+        SiteSettings next = to.site().placed(site);
         boolean listAnew = !next.namesAlike(site);
         site = next;
         home.tell(new Router.Reconfigured(next.router()));
@@ -292,10 +325,16 @@
         return x::clientGone;
     }
 
+    /** What is open is answered as failed, at once. */
+    public void giveUp() {
+        List.copyOf(exchanges.values()).forEach(Exchange::abandon);
+    }
+
     /** For one that was never in service: what is open is given up at once, and from now on it does nothing. */
     public void stop() {
         stopped = true;
-        List.copyOf(exchanges.values()).forEach(Exchange::abandon);
+        giveUp();
+        exchanges.clear();
         peers.close();
     }
 
@@ -384,12 +423,31 @@
     }
 
     private void decide(Desk desk) {
-        desk.scheduled = false;
         if (stopped) {
             return;
         }
-        List<Router.Event> batch = desk.events;
-        desk.events = new ArrayList<>();
+        if (clock.getAsLong() - desk.scheduledAt > LATE) {
+            answerDue();
+        }
+        desk.scheduled = false;
+        List<Exchange> leaving = desk.leaving;
+        List<Router.Event> batch = desk.nextBatch();
+        if (!desk.scheduled) {
+            desk.leaving = new ArrayList<>();
+        }
+        handle(desk, batch);
+        if (desk.leaving != leaving) {
+            leaving.forEach(this::forget);
+        }
+    }
+
+    // Their own timers may stand behind much other work.
+    private void answerDue() {
+        long now = clock.getAsLong();
+        List.copyOf(exchanges.values()).forEach(x -> x.answerIfDue(now));
+    }
+
+    private void handle(Desk desk, List<Router.Event> batch) {
         try {
             for (Router.Action a : desk.router.handle(clock.getAsLong(), batch)) {
                 act(desk, a);
--- a/src/main/java/pewtercourse/director/Exchange.java
+++ b/src/main/java/pewtercourse/director/Exchange.java
@@ -182,15 +182,23 @@
             director.timers.cancel(backstop);
             // What is withdrawn before the module has planned it is never planned: hundreds of requests that come and
             // go at once would else take up the room of the others until their attempts have ended.
-            if (!desk.untell(arrival)) {
-                desk.tell(new Router.ClientGone(id));
-                cancel(attempts - 1);
+            if (desk.untell(arrival)) {
+                director.forget(this);
+                return;
             }
+            desk.tell(new Router.ClientGone(id));
+            cancel(attempts - 1);
             leave();
         }
     }
 
     // ---- No request is lost, whatever broke ----
+    void answerIfDue(long now) {
+        if (!over && now >= expires) {
+            unanswered();
+        }
+    }
+
     private void unanswered() {
         Log.warn("request.unanswered", "id", request.id(), "class", request.className(), "attempts", attempts,
                 "out", attempt != null, "late_ms", (director.clock.getAsLong() - expires) / 1000);
@@ -217,9 +225,11 @@
         }
     }
 
+    // It stays known until the module has handled what it has been told: that may order one more attempt in the same
+    // batch, whose outcome it must hear, or that attempt would take up room for good.
     private void leave() {
         if (over && attempt == null) {
-            director.forget(this);
+            desk.afterBatch(this);
         }
     }
 }
--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -14,9 +14,10 @@
     /**
      * {@code STANDBY}: new connections come for 0.3 s, and 4 s after the call nothing may be held that came in its
      * last 2 s. {@code HANDOVER}: another process takes all new connections; what comes in the first 0.7 s is served.
+     * {@code SHUTDOWN}: clients come as ever until the cut-off; what is read after it is refused and never sent on.
      */
     public enum Cause {
-        STANDBY(400, 1_200, 1_800), HANDOVER(0, 350, 650);
+        STANDBY(400, 1_200, 1_800), HANDOVER(0, 350, 650), SHUTDOWN(750, 750, 750);
 
         private final long[] afterMs;
 
--- a/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
+++ b/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
@@ -12,15 +12,20 @@
  * nothing, or ask once and stay: on a full table the one that is missed least makes room.
  */
 final class ConnectionTable {
-    /** {@code NEW}: no request has come whole yet. {@code WORKING}: one is open that has. */
-    enum State { NEW, WORKING, IDLE, ENDED }
+    /**
+     * {@code NEW}: no request has come whole yet. {@code WORKING}: one is open that has. {@code CLOSING}: its output is
+     * shut, and it waits for the client to close.
+     */
+    enum State { NEW, WORKING, IDLE, CLOSING, ENDED }
 
     // A client that has just connected is still about to speak.
     private static final long ABOUT_TO_SPEAK = 500_000;
 
     private final int most;
     private final long heldMost;
-    private final Set<FastCgiConnection> fresh = new LinkedHashSet<>(), idle = new LinkedHashSet<>();
+    private final Set<FastCgiConnection> fresh = new LinkedHashSet<>();
+    private final Set<FastCgiConnection> idle = new LinkedHashSet<>();
+    private final Set<FastCgiConnection> closing = new LinkedHashSet<>();
     private int count;
     private long held;
     private Drain.Step draining = Drain.Step.OPEN;
@@ -36,9 +41,7 @@
         if (count < most) {
             return true;
         }
-        FastCgiConnection silent = first(fresh), unused = first(idle);
-        boolean late = silent != null && now - silent.since() > ABOUT_TO_SPEAK;
-        FastCgiConnection victim = silent != null && (late || unused == null) ? silent : unused;
+        FastCgiConnection victim = leastMissed(now);
         Log.counted("front.full", "connections", count, "ended", victim == null ? "the newest" : victim);
         if (victim != null) {
             victim.close();
@@ -46,6 +49,16 @@
         return victim != null;
     }
 
+    private FastCgiConnection leastMissed(long now) {
+        if (!closing.isEmpty()) {
+            return first(closing);
+        }
+        FastCgiConnection silent = first(fresh);
+        FastCgiConnection unused = first(idle);
+        boolean late = silent != null && now - silent.since() > ABOUT_TO_SPEAK;
+        return silent != null && (late || unused == null) ? silent : unused;
+    }
+
     private static FastCgiConnection first(Set<FastCgiConnection> of) {
         Iterator<FastCgiConnection> i = of.iterator();
         return i.hasNext() ? i.next() : null;
@@ -56,17 +69,25 @@
         count += (from == null ? 1 : 0) - (to == State.ENDED ? 1 : 0);
         fresh.remove(c);
         idle.remove(c);
-        if (to == State.NEW) {
-            fresh.add(c);
-        } else if (to == State.IDLE) {
-            idle.add(c);
+        closing.remove(c);
+        switch (to) {
+            case NEW -> fresh.add(c);
+            case IDLE -> idle.add(c);
+            case CLOSING -> closing.add(c);
+            default -> { }
         }
     }
 
-    /** How kept connections are treated from now on, those that are idle at once. */
+    /**
+     * How kept connections are treated from now on, those that are idle at once; once requests are refused, also those
+     * on which none has come yet.
+     */
     void drain(Drain.Step to) {
         draining = to;
         List.copyOf(idle).forEach(FastCgiConnection::rest);
+        if (to == Drain.Step.REFUSE) {
+            List.copyOf(fresh).forEach(FastCgiConnection::rest);
+        }
     }
 
     Drain.Step draining() {
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -23,8 +23,9 @@
 final class FastCgiConnection {
     static final int OPEN_MOST = 32;
     private static final int PARAMS_MOST = 16_384, BODY_MOST = 48_000;
-    // Reading stops while this much is waiting to be written: a client that doesn't read gets no more work done.
-    private static final int PENDING_PAUSE = 1 << 20;
+    // While this much is waiting to be written, requests that have come whole wait too: a client that doesn't read gets
+    // no more work done. Its records are read on, so that an abort or its end is seen at once.
+    private static final int PENDING_MOST = 1 << 20;
     // What the library holds for one connection: 341 clients that don't read must fit into the direct memory.
     private static final int WRITE_QUEUE = 48 * 1024;
     // From its connection on, or its first record, a request must come whole within this; the usual clients send it
@@ -32,10 +33,14 @@
     static final long SPEAK_MS = 2_500, IDLE_MS = 5_000;
     // While the director drains: so long after its answer a client has read it, and nothing of its next request is here.
     // SETTLE_MS: the loop reads what has come before a timer runs, so that nothing that is here is cut off.
-    static final long REST_MS = 30, SETTLE_MS = 1;
+    // NEW_REST_MS: the same for a connection on which nothing has come yet.
+    static final long REST_MS = 30, SETTLE_MS = 1, NEW_REST_MS = 100;
+    // A graceful close waits so long for the client's own close before it ends the connection.
+    static final long LINGER_MS = 150;
     // After bad input a connection is not read for a while, longer each time: a client that repeats it at full
-    // speed must not take the time of the others. Its answers are not delayed.
-    static final long PENALTY_FIRST_MS = 20, PENALTY_MOST_MS = 160;
+    // speed must not take the time of the others. Its answers are not delayed. Under the 100 ms within which nothing
+    // may begin for a client that has gone: its close is not seen meanwhile.
+    static final long PENALTY_FIRST_MS = 20, PENALTY_MOST_MS = 80;
     // Advice to clients that are turned away for lack of room.
     private static final long HOLD_OFF_MS = 250;
 
@@ -50,11 +55,18 @@
     }
 
     private static final class Incoming {
+        final int id;
+        final boolean keep;
         final Buffer params = Buffer.buffer();
         final Buffer body = Buffer.buffer();
-        boolean keep, paramsEnded, handed;
-        long timer = -1;
+        boolean paramsEnded, whole, handed;
+        long timer = -1, wholeAt;
         Runnable gone;
+
+        Incoming(int id, boolean keep) {
+            this.id = id;
+            this.keep = keep;
+        }
     }
 
     private final NetSocket socket;
@@ -67,10 +79,11 @@
     private final RecordReader reader = new RecordReader();
     private final Map<Integer, Incoming> open = new HashMap<>();
     private final Deque<Buffer> pending = new ArrayDeque<>();
+    private final Deque<Incoming> waiting = new ArrayDeque<>(); // Whole requests, until the client reads its answers.
     private ConnectionTable.State state;
-    private long pendingBytes, held, unused = -1, penalty = -1, penaltyMs, restedOut;
+    private long pendingBytes, held, unused = -1, penalty = -1, partial = -1, penaltyMs, restedOut;
     private int working;
-    private boolean closed, closeWhenWritten, paused, spoke;
+    private boolean closed, closing, closeWhenWritten, paused, spoke;
 
     FastCgiConnection(NetSocket socket, RequestHandler handler, LongSupplier clock, Timers timers,
             ConnectionTable table, Backlog backlog, Runnable gone) {
@@ -104,39 +117,76 @@
 
     // While nothing that came whole is open, the connection waits for its client, but not for long.
     private void move() {
-        ConnectionTable.State to = closed ? ConnectionTable.State.ENDED : working > 0
-                ? ConnectionTable.State.WORKING : spoke ? ConnectionTable.State.IDLE : ConnectionTable.State.NEW;
+        ConnectionTable.State to = present();
         if (to == state) {
             return;
         }
         table.moved(this, state, to);
         state = to;
         timers.cancel(unused);
-        if (to == ConnectionTable.State.NEW) {
-            unused = timers.set(SPEAK_MS, this::close);
-        } else if (to == ConnectionTable.State.IDLE) {
-            rest();
+        switch (to) {
+            case NEW -> unused = timers.set(SPEAK_MS, this::close);
+            case IDLE -> rest();
+            case CLOSING -> unused = timers.set(LINGER_MS, this::close);
+            default -> { }
+        }
+    }
+
+    private ConnectionTable.State present() {
+        if (closed) {
+            return ConnectionTable.State.ENDED;
+        }
+        if (closing) {
+            return ConnectionTable.State.CLOSING;
+        }
+        if (working > 0) {
+            return ConnectionTable.State.WORKING;
         }
+        return spoke ? ConnectionTable.State.IDLE : ConnectionTable.State.NEW;
     }
 
-    /** It is idle: how long it stays depends on how far the director's drain has gone. */
+    /** Nothing is open on it: how long it stays depends on how far the director's drain has gone. */
     void rest() {
         timers.cancel(unused);
         restedOut = clock.getAsLong() + SPEAK_MS * 1000;
-        unused = timers.set(table.draining() == Drain.Step.OPEN ? IDLE_MS
-                : table.draining() == Drain.Step.CLOSE_RESTING ? REST_MS : SETTLE_MS, this::leave);
+        unused = timers.set(restMs(), this::leave);
+    }
+
+    private long restMs() {
+        return switch (table.draining()) {
+            case OPEN -> IDLE_MS;
+            case CLOSE_RESTING -> REST_MS;
+            case CLOSE_EMPTY, REFUSE -> spoke ? SETTLE_MS : NEW_REST_MS;
+        };
     }
 
     // A drain cuts off neither a request that has begun to come nor an answer that is still being read.
     private void leave() {
         boolean inUse = !open.isEmpty() || reader.pending() > 0 || !pending.isEmpty() || penalty >= 0;
-        if (table.draining() != Drain.Step.OPEN && inUse && clock.getAsLong() < restedOut) {
+        if (!inUse) {
+            closeGracefully();
+        } else if (table.draining() != Drain.Step.OPEN && clock.getAsLong() < restedOut) {
             unused = timers.set(REST_MS, this::leave);
         } else {
             close();
         }
     }
 
+    /**
+     * Shuts the output behind the last answer and waits for the client to close: a close over bytes that have come
+     * unread would reset the connection, and what the client hasn't read of its answer would be lost with it. What comes
+     * from now on is thrown away, as behind any close.
+     */
+    private void closeGracefully() {
+        if (closed || closing) {
+            return;
+        }
+        closing = true;
+        timers.cancel(partial);
+        move();
+        GracefulClose.shutOutput(socket);
+    }
+
     private void hold() {
         long more = reader.pending() - held;
         held += more;
@@ -146,15 +196,38 @@
         }
     }
 
+    // A record that has begun must come whole in time, also on a connection that has been of use.
+    private void awaitRest(boolean progress) {
+        if (progress || reader.pending() == 0) {
+            timers.cancel(partial);
+            partial = -1;
+        }
+        if (partial < 0 && reader.pending() > 0) {
+            partial = timers.set(SPEAK_MS, () -> {
+                partial = -1;
+                bad("a record that is not whole in time");
+                close();
+            });
+        }
+    }
+
     private void read(Buffer bytes) {
+        if (closing) {
+            return;
+        }
         try {
             reader.add(bytes);
-            for (Record r = reader.next(); r != null && !closed; r = reader.next()) {
+            boolean progress = false;
+            for (Record r = reader.next(); r != null && !closed && !closing; r = reader.next()) {
                 take(r);
+                progress = true;
             }
-            if (!closed) {
+            if (!closed && !closing) {
                 hold();
             }
+            if (!closed && !closing) {
+                awaitRest(progress);
+            }
         } catch (MalformedRecordException e) {
             bad(e.getMessage());
             close();
@@ -176,22 +249,30 @@
                 }
             }
             case Record.STDIN -> {
-                if (in != null && !in.handed) {
+                if (in != null && !in.whole) {
                     collect(r, in, in.body, BODY_MOST);
                     if (r.content().length() == 0 && open.get(r.id()) == in) {
-                        hand(r.id(), in);
+                        complete(in);
                     }
                 }
             }
-            case Record.GET_VALUES -> write(Record.encode(Record.GET_VALUES_RESULT, 0, values(r.content())));
+            case Record.GET_VALUES -> manage(Record.encode(Record.GET_VALUES_RESULT, 0, values(r.content())));
             default -> {
                 if (r.id() == 0) {
-                    write(Record.unknownType(r.type()));
+                    manage(Record.unknownType(r.type()));
                 }
             }
         }
     }
 
+    // Asked for at any rate and never read, such answers would fill the memory.
+    private void manage(Buffer answer) {
+        write(answer);
+        if (pendingBytes > PENDING_MOST) {
+            punish();
+        }
+    }
+
     private void begin(Record r, Incoming in) throws MalformedRecordException {
         if (r.id() == 0 || in != null || r.content().length() < 8) {
             throw new MalformedRecordException("BEGIN_REQUEST that can't be used, id " + r.id());
@@ -202,8 +283,7 @@
             closeWhenWritten |= !keep;
             return;
         }
-        Incoming fresh = new Incoming();
-        fresh.keep = keep;
+        Incoming fresh = new Incoming(r.id(), keep);
         if (open.size() >= OPEN_MOST) {
             reply(r.id(), fresh, Answer.refused(HOLD_OFF_MS), Record.OVERLOADED);
             punish();
@@ -274,9 +354,29 @@
         move();
     }
 
-    private void hand(int id, Incoming in) {
-        in.handed = true;
+    private void complete(Incoming in) {
         timers.cancel(in.timer);
+        in.whole = true;
+        in.wholeAt = clock.getAsLong();
+        if (pendingBytes > PENDING_MOST) {
+            waiting.add(in);
+        } else {
+            hand(in);
+        }
+    }
+
+    private void handWaiting() {
+        while (!closed && pendingBytes <= PENDING_MOST && !waiting.isEmpty()) {
+            Incoming in = waiting.poll();
+            if (open.get(in.id) == in) {
+                hand(in);
+            }
+        }
+    }
+
+    private void hand(Incoming in) {
+        int id = in.id;
+        in.handed = true;
         table.hold(-in.params.length() - in.body.length());
         working++;
         move();
@@ -287,7 +387,7 @@
                         : Answer.refused(HOLD_OFF_MS));
                 return;
             }
-            ClientRequest request = CgiRequest.decode(params, in.body, clock.getAsLong());
+            ClientRequest request = CgiRequest.decode(params, in.body, in.wholeAt);
             Runnable gone = handler.handle(request, a -> answer(id, in, a));
             in.gone = gone;
             // Answered on the spot: it could not be used, unless the director drains. What a client that is not read from
@@ -371,7 +471,7 @@
             close();
             return;
         }
-        if (paused != (pendingBytes > PENDING_PAUSE || penalty >= 0)) {
+        if (paused != penalty >= 0) {
             paused = !paused;
             if (paused) {
                 socket.pause();
@@ -379,8 +479,9 @@
                 socket.resume();
             }
         }
+        handWaiting();
         if (closeWhenWritten && pending.isEmpty() && open.isEmpty()) {
-            socket.end();
+            closeGracefully();
         }
     }
 
@@ -396,8 +497,10 @@
         }
         closed = true;
         pending.clear();
+        waiting.clear();
         count(-pendingBytes);
         timers.cancel(penalty);
+        timers.cancel(partial);
         table.hold(-held);
         for (Incoming in : open.values()) {
             release(in);
--- a/src/main/java/pewtercourse/handover/InheritedSocket.java
+++ b/src/main/java/pewtercourse/handover/InheritedSocket.java
@@ -1,12 +1,7 @@
 package pewtercourse.handover;
 
-import io.netty.channel.ChannelFactory;
-import io.netty.channel.ServerChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
-import io.vertx.core.impl.transports.NioTransport;
-import io.vertx.core.transport.Transport;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.channels.Channel;
@@ -14,22 +9,23 @@
 import java.util.List;
 import java.util.Map;
 import pewtercourse.config.ConfigException;
+import pewtercourse.front.FrontTransport;
+import pewtercourse.front.LimitedListener;
 
 /**
  * The clients' listening socket, held by the platform and inherited as descriptor 0: several processes accept from it.
  * The first server that the library opens over this transport gets it; the others open sockets as ever. It is never
  * closed before the end: the JDK would then take away the standard output as well.
  */
-public final class InheritedSocket implements Transport {
+public final class InheritedSocket {
     private final Listener listener;
-    private boolean given;
 
-    private InheritedSocket(ServerSocketChannel socket) {
-        listener = new Listener(socket);
+    private InheritedSocket(ServerSocketChannel socket, int connectionsMost) {
+        listener = new Listener(socket, connectionsMost);
     }
 
-    /** Null where the environment names no descriptor. */
-    public static InheritedSocket from(Map<String, String> env) {
+    /** Null where the environment names no descriptor. {@code connectionsMost}: see {@link LimitedListener}. */
+    public static InheritedSocket from(Map<String, String> env, int connectionsMost) {
         String named = env.getOrDefault("GW_SOCKET_FD", "");
         if (named.isEmpty()) {
             return null;
@@ -40,7 +36,7 @@
         try {
             Channel c = System.inheritedChannel();
             if (c instanceof ServerSocketChannel s && s.getLocalAddress() != null) {
-                return new InheritedSocket(s);
+                return new InheritedSocket(s, connectionsMost);
             }
             throw new ConfigException("GW_SOCKET_FD", "descriptor 0 is no listening socket");
         } catch (IOException e) {
@@ -48,6 +44,11 @@
         }
     }
 
+    /** The library's sockets, with this one for its first server. */
+    public FrontTransport transport() {
+        return new FrontTransport(listener);
+    }
+
     /** Accepts from now on, or leaves what comes to other processes; done once that holds. */
     public Future<Void> accept(boolean on) {
         Promise<Void> done = Promise.promise();
@@ -62,42 +63,12 @@
         return done.future();
     }
 
-    @Override
-    public String name() {
-        return "nio";
-    }
-
-    @Override
-    public boolean available() {
-        return true;
-    }
-
-    @Override
-    public Throwable unavailabilityCause() {
-        return null;
-    }
-
-    @Override
-    public io.vertx.core.spi.transport.Transport implementation() {
-        return new NioTransport() {
-            @Override
-            public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-                ChannelFactory<? extends ServerChannel> plain = super.serverChannelFactory(domainSocket);
-                return () -> {
-                    boolean first = !given;
-                    given = true;
-                    return first ? listener : plain.newChannel();
-                };
-            }
-        };
-    }
-
-    private static final class Listener extends NioServerSocketChannel {
+    private static final class Listener extends LimitedListener {
         private volatile boolean accepting;
         private boolean bound;
 
-        Listener(ServerSocketChannel socket) {
-            super(socket);
+        Listener(ServerSocketChannel socket, int most) {
+            super(socket, most);
         }
 
         @Override
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -8,6 +8,7 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
 import java.io.BufferedReader;
+import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,11 +16,14 @@
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Deque;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -145,6 +149,112 @@
         assertTrue(answer.startsWith("Status: 200"), "no longer accepts");
     }
 
+    // As under nohup: the JVM doesn't take the signal, and nobody was told.
+    @Test
+    void whereSighupIsIgnoredTheLogSaysSoAndOperatorsCanReload() throws Exception {
+        int adminPort = DirectorProcess.freePort(HOST);
+        JsonObject next = DirectorProcess.config(HOST, HOST + ":1").put("feed", HOST + ":1");
+        next.put("admin_addr", HOST + ":" + adminPort);
+        Path other = Files.createDirectory(folder.resolve("ignoring"));
+        try (DirectorProcess ignoring = DirectorProcess.start(other, next, "trap '' HUP;")) {
+            assertTrue(ignoring.line("signal.ignored").contains("signal=HUP"));
+            ignoring.heard("director.listening");
+            ignoring.signal("HUP");
+            Path at = other.resolve("config.json");
+            Files.writeString(at, next.copy().put("feed", "nowhere").encode());
+            assertTrue(post(adminPort, "/reload").contains("422"));
+            assertTrue(ignoring.line("config.kept").contains("key=feed:"));
+            Files.writeString(at, next.copy().put("feed", HOST + ":2").encode());
+            assertTrue(post(adminPort, "/reload").contains("200"));
+            assertTrue(ignoring.line("feed.moved").contains(HOST + ":2"));
+            ignoring.heard("config.reloaded");
+        }
+    }
+
+    private static String post(int port, String path) throws IOException {
+        try (Socket s = new Socket(HOST, port)) {
+            s.setSoTimeout(30_000);
+            s.getOutputStream().write(("POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").getBytes());
+            return new String(s.getInputStream().readAllBytes()).lines().findFirst().orElse("");
+        }
+    }
+
+    // The library accepts on a thread of its own: clients had all descriptors before the event loop had seen them, and the
+    // feed could not be called again.
+    @Test
+    void theFeedIsCalledAgainWhileIdleClientsTakeAllTheyCanGet() throws Exception {
+        try (ServerSocket feed = new ServerSocket(0, 50, InetAddress.getByName(HOST))) {
+            feed.setSoTimeout(60_000);
+            JsonObject next = DirectorProcess.config(HOST, HOST + ":1").put("feed", HOST + ":" + feed.getLocalPort());
+            next.put("limits", new JsonObject().put("sockets", DESCRIPTORS));
+            Path other = Files.createDirectory(folder.resolve("crowded"));
+            // The program is one file; here it holds a descriptor for each of its libraries besides.
+            int libraries = System.getProperty("java.class.path").split(File.pathSeparator).length;
+            try (DirectorProcess crowded = DirectorProcess.start(other, next, "ulimit -n " + (DESCRIPTORS + libraries) + ";");
+                    Crowd crowd = new Crowd(crowded)) {
+                Socket watch = feed.accept();
+                crowd.start();
+                for (int i = 0; i < 5; i++) {
+                    crowd.awaitMore(2 * DESCRIPTORS);
+                    watch.close();
+                    watch = feed.accept();
+                }
+                watch.close();
+                assertTrue(crowded.isAlive());
+                assertEquals(List.of(), crowded.logged("Too many open files"), () -> String.join("\n", crowded.logged("")));
+            }
+        }
+    }
+
+    /** Clients that connect as fast as they can and say nothing; as many as a process may hold, again and again. */
+    private static final class Crowd implements AutoCloseable {
+        private final DirectorProcess director;
+        private final AtomicInteger connected = new AtomicInteger();
+        private final Deque<Socket> open = new ArrayDeque<>();
+        private final Thread thread = new Thread(this::connect, "crowd");
+        private volatile boolean ended;
+
+        Crowd(DirectorProcess director) {
+            this.director = director;
+        }
+
+        void start() {
+            thread.start();
+        }
+
+        private void connect() {
+            while (!ended && director.isAlive()) {
+                Socket s = new Socket();
+                try {
+                    s.connect(director.address(), 200);
+                    open.add(s);
+                    connected.incrementAndGet();
+                    if (open.size() > 3 * DESCRIPTORS) {
+                        open.poll().close();
+                    }
+                } catch (IOException e) {
+                    // It doesn't listen yet, or its queue is full.
+                }
+            }
+        }
+
+        void awaitMore(int count) {
+            int until = connected.get() + count;
+            while (connected.get() < until && director.isAlive()) {
+                Thread.onSpinWait();
+            }
+        }
+
+        @Override
+        public void close() throws Exception {
+            ended = true;
+            thread.join();
+            for (Socket s : open) {
+                s.close();
+            }
+        }
+    }
+
     @Test
     void onSigtermItEndsByItselfWithZero() throws Exception {
         signal("TERM");
--- a/src/test/java/pewtercourse/admin/AdminServerTest.java
+++ b/src/test/java/pewtercourse/admin/AdminServerTest.java
@@ -48,6 +48,12 @@
                         : Verdict.UNKNOWN);
             }
 
+            @Override
+            public Future<Verdict> reload() {
+                return Future.succeededFuture(done.add("reload") && serves ? Verdict.DONE
+                        : Verdict.refused("feed: 'nowhere' is not ADDRESS:PORT"));
+            }
+
             @Override
             public void standby() {
                 done.add("standby");
@@ -98,6 +104,15 @@
         assertEquals(List.of("standby", "standby", "active"), done);
     }
 
+    @Test
+    void aReloadTellsTheFaultyKeyOrThatItCounts() throws Exception {
+        assertEquals(422, status("POST", "/reload", ""));
+        serves = true;
+        assertEquals(200, status("POST", "/reload", ""));
+        assertEquals(405, status("GET", "/reload", ""));
+        assertEquals(List.of("reload", "reload"), done);
+    }
+
     @Test
     void aTargetIsNamedInTheBody() throws Exception {
         assertEquals(200, status("POST", "/maintenance/enter", "{\"target\":\"s-1\"}"));
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServer;
@@ -10,8 +12,10 @@
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
+import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -19,8 +23,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
+import java.util.function.Supplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import pewtercourse.cache.CacheAnswer;
+import pewtercourse.cache.CacheConnection;
+import pewtercourse.cache.CacheRequest;
+import pewtercourse.cache.End;
+import pewtercourse.cache.Transport;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
@@ -208,6 +218,124 @@
         assertEquals(1, asked.size(), "only what is still wanted: " + asked);
     }
 
+    /** Caches that answer when the test lets them. */
+    private static final class ScriptedTransport implements Transport {
+        final List<Promise<CacheAnswer>> asked = new ArrayList<>();
+
+        @Override
+        public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
+            return Future.succeededFuture(new CacheConnection() {
+                private boolean open = true;
+
+                @Override
+                public Future<CacheAnswer> exchange(CacheRequest request, long timeoutMs) {
+                    asked.add(Promise.promise());
+                    return asked.get(asked.size() - 1).future();
+                }
+
+                @Override
+                public boolean isOpen() {
+                    return open;
+                }
+
+                @Override
+                public void onClose(Runnable then) { }
+
+                @Override
+                public void close() {
+                    open = false;
+                }
+            });
+        }
+    }
+
+    private <T> T onLoop(Supplier<T> what) throws Exception {
+        CompletableFuture<T> done = new CompletableFuture<>();
+        vertx.getOrCreateContext().runOnContext(v -> {
+            try {
+                done.complete(what.get());
+            } catch (RuntimeException | Error e) {
+                done.completeExceptionally(e);
+            }
+        });
+        return get(done);
+    }
+
+    private ScriptedTransport startScripted() throws Exception {
+        JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        json.remove("feed");
+        config = DirectorConfig.read(Map.of(), json);
+        ScriptedTransport caches = new ScriptedTransport();
+        director = onLoop(() -> {
+            Director d = new Director(vertx, config, caches);
+            d.start();
+            return d;
+        });
+        return caches;
+    }
+
+    private ClientRequest page(long id, double deadlineMs) {
+        return new ClientRequest(String.format("%016x", id), "menu-page", String.format("%016x", id % 50), 0, 17, 10, null,
+                Buffer.buffer(), director.clock().getAsLong(), deadlineMs);
+    }
+
+    // The module orders one more attempt for it in the batch in which it also hears that the client has gone: that attempt
+    // was dropped without a word, and took up room at its cache for good.
+    @Test
+    void aClientThatLeavesAsItsAttemptEndsTakesUpNoRoom() throws Exception {
+        ScriptedTransport caches = startScripted();
+        for (int i = 0; i < 400; i++) {
+            long id = 1_000 + i;
+            Runnable gone = onLoop(() -> director.handle(page(id, 20_000), a -> { }));
+            int n = i;
+            onLoop(() -> caches.asked.size()); // The module has sent it on.
+            onLoop(() -> {
+                assertEquals(n + 1, caches.asked.size(), "one attempt for each client");
+                caches.asked.get(n).complete(CacheAnswer.of(End.MISS));
+                gone.run();
+                return null;
+            });
+            onLoop(() -> null); // The module has heard both.
+            onLoop(() -> null); // And how the attempt ended that it had ordered meanwhile.
+            assertEquals(0, onLoop(director::open));
+        }
+        CompletableFuture<Answer> answer = new CompletableFuture<>();
+        onLoop(() -> director.handle(page(7, 20_000), answer::complete));
+        onLoop(() -> null);
+        onLoop(() -> {
+            assertEquals(401, caches.asked.size(), "the caches have room for one more");
+            caches.asked.get(400).complete(new CacheAnswer(End.SERVED, Buffer.buffer("menu"), "t", "mem"));
+            return null;
+        });
+        assertEquals(Answer.Kind.SERVED, get(answer).kind());
+    }
+
+    // A turn that took too long leaves much to do: what is due comes first, and the rest doesn't come in one piece.
+    @Test
+    void afterALateTurnWhatIsDueIsAnsweredFirst() throws Exception {
+        ScriptedTransport caches = startScripted();
+        AtomicInteger askedWhenAnswered = new AtomicInteger(-1);
+        CompletableFuture<Answer> due = new CompletableFuture<>();
+        onLoop(() -> director.handle(page(1, 100), a -> {
+            askedWhenAnswered.set(caches.asked.size());
+            due.complete(a);
+        }));
+        onLoop(() -> null);
+        int before = onLoop(() -> caches.asked.size());
+        onLoop(() -> {
+            for (int i = 0; i < 600; i++) {
+                director.handle(page(1_000 + i, 20_000), a -> { });
+            }
+            long until = director.clock().getAsLong() + 150_000;
+            while (director.clock().getAsLong() < until) {
+                Thread.onSpinWait();
+            }
+            return null;
+        });
+        get(due);
+        assertEquals(before, askedWhenAnswered.get(), "others were sent on before it");
+    }
+
     // ---- Settings that change ----
 
     private void reload(java.util.function.Consumer<JsonObject> change) throws Exception {
--- /dev/null
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
@@ -0,0 +1,121 @@
+package pewtercourse.front.fastcgi;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.SocketAddress;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import pewtercourse.front.Answer;
+import pewtercourse.front.ClientRequest;
+import pewtercourse.front.FrontLimits;
+import pewtercourse.front.RequestHandler;
+
+/** The front on real sockets, against clients that close, abort or send too much at the wrong instant. */
+class FastCgiServerTest {
+    private static final long MICROS = 1_000;
+    // Nothing begins for a client that has gone longer than this; read with some room for a slow machine.
+    private static final long GONE_SEEN_MS = 2_000;
+
+    private final Vertx vertx = Vertx.vertx();
+    private final CompletableFuture<Consumer<Answer>> handed = new CompletableFuture<>();
+    private final CompletableFuture<Void> gone = new CompletableFuture<>();
+    private InetSocketAddress address;
+
+    @BeforeEach
+    void listen() throws Exception {
+        CompletableFuture<Integer> port = new CompletableFuture<>();
+        vertx.getOrCreateContext().runOnContext(v -> new FastCgiServer(vertx, new RequestHandler() {
+            @Override
+            public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
+                handed.complete(answer);
+                return () -> gone.complete(null);
+            }
+        }, () -> System.nanoTime() / MICROS, new FrontLimits(20, 1 << 20, 4 << 20))
+                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                .onComplete(s -> port.complete(s.result().actualPort())));
+        address = new InetSocketAddress("127.0.0.1", port.get(30, TimeUnit.SECONDS));
+    }
+
+    @AfterEach
+    void close() {
+        vertx.close();
+    }
+
+    private static byte[] badRequest(int id) {
+        return RawFrontClient.request(id, "", "0000000000000001", 1_500);
+    }
+
+    // The close reset the connection over what had come unread: the refusal was lost with it.
+    @Test
+    void aClientThatSendsTooMuchIsToldSoAndNotReset() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 0, 0, 0, 0, 0, 0})).getBytes());
+            client.write(Record.encode(Record.PARAMS, 1, Record.pairs(Map.of("SCRIPT_NAME", "/ops/page"))).getBytes());
+            client.write(Record.encode(Record.PARAMS, 1, Buffer.buffer()).getBytes());
+            byte[] piece = Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[40_000])).getBytes();
+            for (int i = 0; i < 6; i++) {
+                client.write(piece);
+            }
+            String answer = client.readAnswer();
+            assertNotNull(answer);
+            assertTrue(answer.startsWith("Status: 502"), answer);
+            assertNull(client.readAnswer(), "closed, and not reset");
+        }
+    }
+
+    @Test
+    void aClientThatClosesWhileItIsPunishedIsSeenToHaveGone() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
+            handed.get(30, TimeUnit.SECONDS);
+            for (int id = 2; id < 8; id++) {
+                client.write(badRequest(id));
+                client.readAnswer();
+            }
+        }
+        long closedAt = System.nanoTime();
+        gone.get(30, TimeUnit.SECONDS);
+        assertTrue((System.nanoTime() - closedAt) / 1_000_000 < GONE_SEEN_MS);
+        assertTrue(FastCgiConnection.PENALTY_MOST_MS < 100, "a close is not seen while the connection isn't read");
+    }
+
+    @Test
+    void anAbortBehindOtherCommandsIsSeen() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
+            handed.get(30, TimeUnit.SECONDS);
+            Buffer commands = Buffer.buffer();
+            for (int id = 2; id < 12; id++) {
+                commands.appendBytes(RawFrontClient.request(id, "page", "000000000000000" + Integer.toHexString(id), 20_000));
+            }
+            client.write(commands.appendBytes(RawFrontClient.abort(1)).getBytes());
+            gone.get(30, TimeUnit.SECONDS);
+        }
+    }
+
+    @Test
+    void aRecordThatNeverEndsIsClosedWithinThreeSecondsAlsoOnAConnectionOfUse() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
+            handed.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
+            assertTrue(client.readAnswer().startsWith("Status: 503"));
+            byte[] request = RawFrontClient.request(2, "page", "0000000000000002", 20_000);
+            long from = System.nanoTime();
+            client.write(request, 0, 13);
+            assertEquals(-1, client.input().read());
+            long tookMs = (System.nanoTime() - from) / 1_000_000;
+            assertTrue(tookMs < 3_000, "closed after " + tookMs + " ms");
+        }
+    }
+}
