--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -49,10 +49,6 @@
     // An id is new with every request, so one that was answered before is no usual client's.
     private static final int ANSWERED_MOST = 4_096;
 
-    // The module handles so many events in one turn of the loop: what a late turn has piled up must not keep the sockets
-    // and timers of the others waiting.
-    private static final int BATCH_MOST = 256;
-
     // A turn is late after this; what is due is then answered before anything else.
     private static final long LATE = 20_000;
 
@@ -65,8 +61,8 @@
     private DirectorConfig config;
     private final Vertx vertx;
     private final Context context;
-    private final Desk home;
-    private final Map<String, Desk> abroad = new HashMap<>(); // By zone: for requests that its caches take as guests.
+    private final RouterQueue home;
+    private final Map<String, RouterQueue> abroad = new HashMap<>(); // By zone: for requests that its caches take as guests.
     private final PeerSocket peers;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Set<Long> answered = Collections.newSetFromMap(new LinkedHashMap<>() {
@@ -84,71 +80,6 @@
     private Runnable peerHeard = () -> { };
     private boolean stopped;
 
-    /** A module and what it is to be told with the next batch. The one of the own zone is there always. */
-    final class Desk {
-        private final Router router;
-        private final boolean guest;
-        private List<Router.Event> events = new ArrayList<>();
-        private List<Exchange> leaving = new ArrayList<>();
-        private boolean scheduled;
-        private long scheduledAt;
-
-        private Desk(Router.Settings settings, boolean guest) {
-            this.router = new Logic(settings, config.seed());
-            this.guest = guest;
-        }
-
-        boolean guest() {
-            return guest;
-        }
-
-        /** Queues an event; the batch goes to the module when what the loop has at hand is read. */
-        void tell(Router.Event e) {
-            events.add(e);
-            if (!scheduled) {
-                schedule();
-            }
-        }
-
-        private void schedule() {
-            scheduled = true;
-            scheduledAt = clock.getAsLong();
-            context.runOnContext(v -> decide(this));
-        }
-
-        /** Its next events, as many as one turn may handle; what is left has its own turn. */
-        private List<Router.Event> nextBatch() {
-            List<Router.Event> all = events;
-            events = new ArrayList<>();
-            if (all.size() <= BATCH_MOST) {
-                return all;
-            }
-            events.addAll(all.subList(BATCH_MOST, all.size()));
-            schedule();
-            return all.subList(0, BATCH_MOST);
-        }
-
-        /** Forgets a request that has ended, once the module has handled all that it has been told so far. */
-        void afterBatch(Exchange x) {
-            if (scheduled) {
-                leaving.add(x);
-            } else {
-                forget(x);
-            }
-        }
-
-        /** Takes back an event that has not been handed over yet; false if it is too late. */
-        boolean untell(Router.Event e) {
-            for (int i = events.size() - 1; i >= 0; i--) {
-                if (events.get(i) == e) {
-                    events.remove(i);
-                    return true;
-                }
-            }
-            return false;
-        }
-    }
-
     /** Must be called on the event loop's context. */
     public Director(Vertx vertx, DirectorConfig config) {
         this(vertx, config, new HttpTransport(vertx));
@@ -162,7 +93,7 @@
         this.timers = Timers.of(vertx);
         this.pool = new CachePool(transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
         this.roster = new Roster(site, pool);
-        this.home = new Desk(site.router(), false);
+        this.home = queue(site.router(), false);
         this.peers = new PeerSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
             peerHeard.run();
             home.tell(new Router.PeerMessage(from, bytes));
@@ -243,7 +174,7 @@
 
     /** How much more of that it could use, as a share of an equal part. */
     public double coldWanted() {
-        return home.router.insight().coldShort() ? 1 : 0;
+        return home.router().insight().coldShort() ? 1 : 0;
     }
 
     public boolean knows(String name) {
@@ -283,7 +214,7 @@
 
     /** The figures of the parts behind the front. */
     public Figures.Gauges gauges(long accepted, long invalid) {
-        return new Figures.Gauges(pool.written(), roster.size(), roster.listedOut() + home.router.insight().avoided(), accepted, invalid);
+        return new Figures.Gauges(pool.written(), roster.size(), roster.listedOut() + home.router().insight().avoided(), accepted, invalid);
     }
 
     public boolean knowsClass(String name) {
@@ -406,39 +337,35 @@
     }
 
     /** The module for a site's caches. */
-    Desk desk(String zone) {
+    RouterQueue queue(String zone) {
         if (zone.equals(config.zone())) {
             return home;
         }
         return abroad.computeIfAbsent(zone, z -> {
-            Desk d = new Desk(site.guestsAt(z), true);
-            d.tell(new Router.Parted(0)); // What its cold caches bear is for its own clients.
-            d.tell(roster.whole());
-            return d;
+            RouterQueue queue = queue(site.guestsAt(z), true);
+            queue.tell(new Router.Parted(0)); // What its cold caches bear is for its own clients.
+            queue.tell(roster.whole());
+            return queue;
         });
     }
 
-    Desk home() {
+    private RouterQueue queue(Router.Settings settings, boolean guest) {
+        return new RouterQueue(new Logic(settings, config.seed()), guest, clock,
+                queue -> context.runOnContext(v -> decide(queue)), this::forget);
+    }
+
+    RouterQueue home() {
         return home;
     }
 
-    private void decide(Desk desk) {
+    private void decide(RouterQueue queue) {
         if (stopped) {
             return;
         }
-        if (clock.getAsLong() - desk.scheduledAt > LATE) {
+        if (queue.late() > LATE) {
             answerDue();
         }
-        desk.scheduled = false;
-        List<Exchange> leaving = desk.leaving;
-        List<Router.Event> batch = desk.nextBatch();
-        if (!desk.scheduled) {
-            desk.leaving = new ArrayList<>();
-        }
-        handle(desk, batch);
-        if (desk.leaving != leaving) {
-            leaving.forEach(this::forget);
-        }
+        queue.nextBatch(batch -> handle(queue, batch));
     }
 
     // Their own timers may stand behind much other work.
@@ -447,10 +374,10 @@
         List.copyOf(exchanges.values()).forEach(x -> x.answerIfDue(now));
     }
 
-    private void handle(Desk desk, List<Router.Event> batch) {
+    private void handle(RouterQueue queue, List<Router.Event> batch) {
         try {
-            for (Router.Action a : desk.router.handle(clock.getAsLong(), batch)) {
-                act(desk, a);
+            for (Router.Action a : queue.router().handle(clock.getAsLong(), batch)) {
+                act(queue, a);
             }
         } catch (RuntimeException e) {
             Log.error("decision.unexpected", e);
@@ -464,9 +391,9 @@
         }
     }
 
-    private void act(Desk desk, Router.Action action) {
+    private void act(RouterQueue queue, Router.Action action) {
         if (action instanceof Router.Timer t) {
-            timers.set(Timers.millis(t.at() - clock.getAsLong()), () -> desk.tell(new Router.TimerDue(t.name())));
+            timers.set(Timers.millis(t.at() - clock.getAsLong()), () -> queue.tell(new Router.TimerDue(t.name())));
         } else if (action instanceof Router.Tell t) {
             peers.send(t.router(), t.bytes());
         } else if (action instanceof Router.Send s) {
--- a/src/main/java/pewtercourse/director/Exchange.java
+++ b/src/main/java/pewtercourse/director/Exchange.java
@@ -32,7 +32,7 @@
     private final int cls;
     private final long expires, backstop;
     private final Consumer<Answer> answer;
-    private Director.Desk desk; // The module that has it.
+    private RouterQueue queue; // The module that has it.
     private Router.Request arrival;
     private Attempt attempt;
     private Router.Send sent;
@@ -47,7 +47,7 @@
         this.cls = cls;
         this.expires = expires(request);
         this.answer = answer;
-        this.desk = director.home();
+        this.queue = director.home();
         this.backstop = director.timers.set(
                 Timers.millis(expires + BACKSTOP - director.clock.getAsLong()), this::unanswered);
     }
@@ -70,11 +70,11 @@
             return;
         }
         if (choice != null) {
-            desk = director.desk(choice.site());
+            queue = director.queue(choice.site());
         }
         arrival = new Router.Request(id, cls, request.object(), request.part(), request.group(),
                 request.sizeKb(), expires, false, director.site.router().classes()[cls].goesThrough());
-        desk.tell(arrival);
+        queue.tell(arrival);
     }
 
     // ---- The module sends it to a cache ----
@@ -90,7 +90,7 @@
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
         if (over || attempt != null || unlisted || until <= now
                 || attempts > director.site.router().tryLimit()) {
-            desk.tell(outcome(attempts - 1, s, End.OVERTAKEN, null));
+            queue.tell(outcome(attempts - 1, s, End.OVERTAKEN, null));
             return;
         }
         purged = false;
@@ -105,7 +105,7 @@
 
     // A guest's copies are the first to go: they are of no use once its site is back.
     private int keep(Router.Send s) {
-        return desk.guest() ? Math.min(1, s.keep()) : s.keep();
+        return queue.guest() ? Math.min(1, s.keep()) : s.keep();
     }
 
     // The feed may have spoken while a connection came up.
@@ -142,7 +142,7 @@
         if (director.sightsOrNull() != null) {
             seen(s, a.end());
         }
-        desk.tell(outcome(number, s, a.end(), a.outcome()));
+        queue.tell(outcome(number, s, a.end(), a.outcome()));
         leave();
     }
 
@@ -163,7 +163,7 @@
 
     // ---- The module gives up ----
     void refuse(long holdOff) {
-        if (director.sightsOrNull() != null && !desk.guest() && arrival != null) {
+        if (director.sightsOrNull() != null && !queue.guest() && arrival != null) {
             director.sightsOrNull().refused(director.clock.getAsLong());
         }
         finish(Answer.refused(holdOff / 1000));
@@ -182,11 +182,11 @@
             director.timers.cancel(backstop);
             // What is withdrawn before the module has planned it is never planned: hundreds of requests that come and
             // go at once would else take up the room of the others until their attempts have ended.
-            if (desk.untell(arrival)) {
+            if (queue.withdraw(arrival)) {
                 director.forget(this);
                 return;
             }
-            desk.tell(new Router.ClientGone(id));
+            queue.tell(new Router.ClientGone(id));
             cancel(attempts - 1);
             leave();
         }
@@ -207,7 +207,7 @@
 
     void abandon() {
         finish(Answer.failed());
-        desk.tell(new Router.ClientGone(id));
+        queue.tell(new Router.ClientGone(id));
         cancel(attempts - 1);
         leave();
     }
@@ -229,7 +229,7 @@
     // batch, whose outcome it must hear, or that attempt would take up room for good.
     private void leave() {
         if (over && attempt == null) {
-            desk.afterBatch(this);
+            queue.forgetAfterBatch(this);
         }
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -83,7 +83,7 @@
     private ConnectionTable.State state;
     private long pendingBytes, held, unused = -1, penalty = -1, partial = -1, penaltyMs, restedOut;
     private int working;
-    private boolean closed, closing, closeWhenWritten, paused, spoke;
+    private boolean closed, closing, closeWhenWritten, paused, spoke, strayed;
 
     FastCgiConnection(NetSocket socket, RequestHandler handler, LongSupplier clock, Timers timers,
             ConnectionTable table, Backlog backlog, Runnable gone) {
@@ -123,6 +123,7 @@
         }
         table.moved(this, state, to);
         state = to;
+        strayed = false;
         timers.cancel(unused);
         switch (to) {
             case NEW -> unused = timers.set(SPEAK_MS, this::close);
@@ -237,8 +238,21 @@
         }
     }
 
+    // What belongs to no request: legal behind an abort, but no reason to stay. A request must begin in time, or this would
+    // go on for as long as an idle connection may.
+    private void passedOver() {
+        if (state == ConnectionTable.State.IDLE && !strayed && table.draining() == Drain.Step.OPEN) {
+            strayed = true;
+            timers.cancel(unused);
+            unused = timers.set(SPEAK_MS, this::leave);
+        }
+    }
+
     private void take(Record r) throws MalformedRecordException {
         Incoming in = open.get(r.id());
+        if (in == null && r.type() != Record.BEGIN) {
+            passedOver();
+        }
         switch (r.type()) {
             case Record.BEGIN -> begin(r, in);
             case Record.ABORT -> abort(r.id(), in);
--- a/src/test/java/pewtercourse/CacheStormTest.java
+++ b/src/test/java/pewtercourse/CacheStormTest.java
@@ -22,10 +22,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
 /** A storm of caches that break in every way: one answer for each request, no order run twice, and nothing left over. */
+@Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CacheStormTest {
     private static final String HOST = "127.83.17.9";
     private static final int CLIENTS = 6, REQUESTS = 60, DEADLINE_MS = 1_500;
--- a/src/test/java/pewtercourse/DiscoveryTest.java
+++ b/src/test/java/pewtercourse/DiscoveryTest.java
@@ -14,11 +14,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.ScriptedFeed.Watch;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
 /** The control feed that falls silent, breaks off or repeats itself: no request goes to a cache that was told to drain. */
+@Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DiscoveryTest {
     private static final String HOST = "127.83.17.8";
     private static final int REQUESTS = 40;
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -2,8 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
@@ -27,10 +29,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.FastCgiClient;
+import pewtercourse.front.fastcgi.RawFrontClient;
 
 /** The program as the platform runs it: a process that is told things by signals. */
+@Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MainTest {
     // An address of its own, so that no other program takes the port between the look and the use.
     private static final String HOST = "127.83.17.5";
@@ -149,6 +154,40 @@
         assertTrue(answer.startsWith("Status: 200"), "no longer accepts");
     }
 
+    @Test
+    void aConfigurationThatCannotBeUsedEndsItBeforeItListens() throws Exception {
+        JsonObject broken = DirectorProcess.config(HOST, HOST + ":1");
+        broken.getJsonObject("settings").getJsonArray("Classes").getJsonObject(1).put("Deadline", "soon");
+        Path other = Files.createDirectory(folder.resolve("broken"));
+        try (DirectorProcess ended = DirectorProcess.start(other, broken, "")) {
+            assertTrue(ended.line("config.unusable").contains("key=Classes.1.Deadline:"));
+            assertEquals(2, ended.ended(60));
+            assertThrows(IOException.class, () -> new Socket(ended.address().getAddress(), ended.address().getPort()).close());
+        }
+    }
+
+    @Test
+    void oneClassOfAnOddNameThatMayNotBeRepeatedIsServed() throws Exception {
+        CompletableFuture<String> asked = new CompletableFuture<>();
+        ScriptedCache cache = new ScriptedCache(HOST, (socket, line, id) -> {
+            asked.complete(line);
+            ScriptedCache.serve("menu").answer(socket, line, id);
+        });
+        JsonObject odd = DirectorProcess.config(HOST, cache.dial());
+        odd.getJsonObject("settings").put("Classes", new JsonArray().add(new JsonObject().put("Name", "menú, día/2")
+                .put("Effect", "side_effect").put("Aim", 400.0).put("Deadline", 3000.0).put("Worth", 0.25)));
+        Path other = Files.createDirectory(folder.resolve("odd"));
+        try (DirectorProcess director = DirectorProcess.start(other, odd, "")) {
+            director.heard("director.listening");
+            try (RawFrontClient client = new RawFrontClient(director.address())) {
+                String answer = client.write(RawFrontClient.request(1, "menú, día/2", "00000000000000aa", 20_000)).readAnswer();
+                assertTrue(answer.startsWith("Status: 200"), answer);
+            }
+        }
+        assertEquals("GET /o/men%C3%BA,%20d%C3%ADa%2F2/7f3a9c21e0b4d655/0 HTTP/1.1", asked.get(30, TimeUnit.SECONDS));
+        cache.close();
+    }
+
     // As under nohup: the JVM doesn't take the signal, and nobody was told.
     @Test
     void whereSighupIsIgnoredTheLogSaysSoAndOperatorsCanReload() throws Exception {
@@ -238,10 +277,11 @@
             }
         }
 
-        void awaitMore(int count) {
+        void awaitMore(int count) throws InterruptedException {
             int until = connected.get() + count;
-            while (connected.get() < until && director.isAlive()) {
-                Thread.onSpinWait();
+            while (connected.get() < until) {
+                assertTrue(director.isAlive(), "it has ended");
+                Thread.sleep(5);
             }
         }
 
--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -17,10 +17,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
 /** SIGTERM at awkward instants: what was read gets its one answer, what comes later is not sent on, and the process ends. */
+@Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownTest {
     private static final String HOST = "127.83.17.7";
     private static final String PAGE = "menu".repeat(50);
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -221,10 +221,20 @@
     /** Caches that answer when the test lets them. */
     private static final class ScriptedTransport implements Transport {
         final List<Promise<CacheAnswer>> asked = new ArrayList<>();
+        final List<Promise<Void>> dials = new ArrayList<>(); // Where the test lets connections come up.
+        boolean slow;
 
         @Override
         public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
-            return Future.succeededFuture(new CacheConnection() {
+            if (!slow) {
+                return Future.succeededFuture(connection());
+            }
+            dials.add(Promise.promise());
+            return dials.get(dials.size() - 1).future().map(v -> connection());
+        }
+
+        private CacheConnection connection() {
+            return new CacheConnection() {
                 private boolean open = true;
 
                 @Override
@@ -245,7 +255,7 @@
                 public void close() {
                     open = false;
                 }
-            });
+            };
         }
     }
 
@@ -310,6 +320,24 @@
         assertEquals(Answer.Kind.SERVED, get(answer).kind());
     }
 
+    // After a late turn the sockets are read in any order: the client's close may stand behind the connection's coming up.
+    @Test
+    void aClientThatLeavesAsItsConnectionComesUpIsNotSentOn() throws Exception {
+        ScriptedTransport caches = startScripted();
+        caches.slow = true;
+        Runnable gone = onLoop(() -> director.handle(page(1, 20_000), a -> { }));
+        onLoop(() -> null);
+        onLoop(() -> {
+            caches.dials.get(0).complete();
+            gone.run();
+            return null;
+        });
+        onLoop(() -> null);
+        onLoop(() -> null);
+        assertEquals(0, onLoop(() -> caches.asked.size()), "sent on for a client that had gone");
+        assertEquals(0, onLoop(director::open));
+    }
+
     // A turn that took too long leaves much to do: what is due comes first, and the rest doesn't come in one piece.
     @Test
     void afterALateTurnWhatIsDueIsAnsweredFirst() throws Exception {
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
@@ -104,6 +104,36 @@
         }
     }
 
+    @Test
+    void bytesThatAreNoRecordsEndTheConnectionAtOnce() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
+            assertEquals(-1, client.input().read());
+        }
+    }
+
+    @Test
+    void recordsForNoRequestAreClosedWithinThreeSecondsAlsoOnAConnectionOfUse() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address)) {
+            client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
+            handed.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
+            assertTrue(client.readAnswer().startsWith("Status: 503"));
+            byte[] stray = Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[100])).getBytes();
+            long from = System.nanoTime();
+            long until = from + TimeUnit.SECONDS.toNanos(10);
+            while (System.nanoTime() < until) {
+                try {
+                    client.write(stray);
+                    Thread.sleep(20); // A drip, for as long as the connection stays.
+                } catch (java.io.IOException e) {
+                    break;
+                }
+            }
+            long tookMs = (System.nanoTime() - from) / 1_000_000;
+            assertTrue(tookMs < 3_000, "closed after " + tookMs + " ms");
+        }
+    }
+
     @Test
     void aRecordThatNeverEndsIsClosedWithinThreeSecondsAlsoOnAConnectionOfUse() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
