--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -15,8 +15,8 @@
 import pewtercourse.duty.Command;
 import pewtercourse.duty.DutyState;
 import pewtercourse.handover.OperatorState;
-import pewtercourse.site.Book;
-import pewtercourse.site.Sight;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
 
 /** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
@@ -164,12 +164,12 @@
     // ---- What the cluster asks ----
 
     @Override
-    public Map<String, Sight> sights() {
-        return director.sights();
+    public Map<String, SiteObservation> siteObservations() {
+        return director.siteObservations();
     }
 
     @Override
-    public void sites(Book book, Set<String> absent) {
+    public void sites(FailoverState book, Set<String> absent) {
         director.follow(book, absent);
     }
 
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -44,11 +44,11 @@
 import pewtercourse.raft.store.Store;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
-import pewtercourse.site.Book;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
 import pewtercourse.site.Planner;
-import pewtercourse.site.Sight;
+import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
 import pewtercourse.site.Status;
 
@@ -391,7 +391,7 @@
     }
 
     private void tellSites() {
-        Book book = duties.state().book();
+        FailoverState book = duties.state().book();
         if (sites == null || book.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
             return;
         }
@@ -419,7 +419,7 @@
 
     // Off the event loop: a plan for many sites takes some milliseconds.
     private void plan() {
-        Keeper.Question q = sites == null ? null : duties.question(now());
+        FailoverController.Question q = sites == null ? null : duties.question(now());
         if (q == null) {
             return;
         }
@@ -437,9 +437,9 @@
     private void sight(long now) {
         if (sites != null && now >= sightAt) {
             sightAt = now + SIGHT_EVERY;
-            Map<String, Sight> sights = host.sights();
-            if (!sights.isEmpty()) {
-                Command.Signed s = duties.sighted(sights);
+            Map<String, SiteObservation> siteObservations = host.siteObservations();
+            if (!siteObservations.isEmpty()) {
+                Command.Signed s = duties.sighted(siteObservations);
                 offer(DutyCodec.encode(s), s.id());
             }
         }
@@ -575,11 +575,11 @@
     }
 
     public boolean hasWarden() {
-        return config.duties().warden() != null;
+        return config.duties().maintenanceBudget() != null;
     }
 
     public boolean wardenWaits() {
-        return config.duties().warden().waits();
+        return config.duties().maintenanceBudget().waits();
     }
 
     /** Whether it takes duties; when not, it hands on what it holds, and leadership too. */
@@ -671,7 +671,7 @@
         if (sites == null) {
             return null;
         }
-        Book book = state().book();
+        FailoverState book = state().book();
         Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
         JsonArray all = new JsonArray();
         sites.sites().forEach((name, site) -> {
--- a/src/main/java/pewtercourse/cluster/ClusterHost.java
+++ b/src/main/java/pewtercourse/cluster/ClusterHost.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.Set;
-import pewtercourse.site.Book;
-import pewtercourse.site.Sight;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.SiteObservation;
 
 /** What the cluster asks of the director around it. All on the event loop. */
 public interface ClusterHost {
@@ -20,12 +20,12 @@
     void part(double factor);
 
     /** What it has seen of sites in the last seconds, by site; empty where sites are not kept. */
-    default Map<String, Sight> sights() {
+    default Map<String, SiteObservation> siteObservations() {
         return Map.of();
     }
 
     /** What is agreed on the sites has changed, or how many directors of its own site are there. */
-    default void sites(Book book, Set<String> absent) { }
+    default void sites(FailoverState book, Set<String> absent) { }
 
     /** How much of its part it could use in addition, as a share of a part; 0 if it needs no more. */
     double coldWanted();
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -47,7 +47,7 @@
         Set<String> names = new TreeSet<>(duties.names());
         names.add(DutyState.SITES);
         return new ClusterConfig(cluster, name, listen, data, members, raft, new DutySettings(duties.lease(), duties.drift(),
-                duties.again(), names, duties.warden(), duties.divider()), of);
+                duties.again(), names, duties.maintenanceBudget(), duties.quotaAllocator()), of);
     }
 
     public static ClusterConfig fromFile(Path path) {
@@ -124,24 +124,24 @@
             throw new ConfigException("duties", "is not an object");
         }
         JsonObject json = value == null ? new JsonObject() : (JsonObject) value;
-        DutySettings.Warden warden = null;
-        DutySettings.Divider divider = null;
+        DutySettings.MaintenanceBudget maintenanceBudget = null;
+        DutySettings.QuotaAllocator quotaAllocator = null;
         for (String duty : json.fieldNames()) {
             String key = "duties." + duty;
             if (!(json.getValue(duty) instanceof JsonObject d)) {
                 throw new ConfigException(key, "is not an object");
             }
             switch (duty) {
-                case DutyState.WARDEN -> warden = warden(key + ".", d);
-                case DutyState.DIVIDER -> divider = divider(key + ".", d);
+                case DutyState.WARDEN -> maintenanceBudget = maintenanceBudget(key + ".", d);
+                case DutyState.DIVIDER -> quotaAllocator = quotaAllocator(key + ".", d);
                 default -> throw new ConfigException(key, "is no duty: there are " + DutyState.WARDEN + " and "
                         + DutyState.DIVIDER);
             }
         }
-        return new DutySettings(lease, drift, again, new TreeSet<>(json.fieldNames()), warden, divider);
+        return new DutySettings(lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaAllocator);
     }
 
-    private static DutySettings.Warden warden(String key, JsonObject d) {
+    private static DutySettings.MaintenanceBudget maintenanceBudget(String key, JsonObject d) {
         known(key, d, Set.of("most", "share", "out_most_ms", "beyond"));
         int most = (int) number(key + "most", d.getValue("most"), 0);
         double share = number(key + "share", d.getValue("share"), 0);
@@ -152,17 +152,17 @@
         if (!beyond.equals("wait") && !beyond.equals("refuse")) {
             throw new ConfigException(key + "beyond", "'" + beyond + "' is neither wait nor refuse");
         }
-        return new DutySettings.Warden(most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L),
+        return new DutySettings.MaintenanceBudget(most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L),
                 beyond.equals("wait"));
     }
 
-    private static DutySettings.Divider divider(String key, JsonObject d) {
+    private static DutySettings.QuotaAllocator quotaAllocator(String key, JsonObject d) {
         known(key, d, Set.of("reserve", "loan_ms"));
         double reserve = number(key + "reserve", d.getValue("reserve"), 0.5);
         if (reserve < 0.05 || reserve > 1) {
             throw new ConfigException(key + "reserve", "is not from 0.05 to 1");
         }
-        return new DutySettings.Divider((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
+        return new DutySettings.QuotaAllocator((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
     }
 
     private static void known(String key, JsonObject d, Set<String> keys) {
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -30,10 +30,10 @@
 import pewtercourse.front.RequestHandler;
 import pewtercourse.handover.OperatorState;
 import pewtercourse.peer.PeerSocket;
-import pewtercourse.site.Book;
-import pewtercourse.site.Guests;
-import pewtercourse.site.Sight;
-import pewtercourse.site.Sights;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.OverflowRouter;
+import pewtercourse.site.SiteObservation;
+import pewtercourse.site.SiteObservations;
 import pewtercourse.site.Site;
 import pewtercourse.site.Sites;
 
@@ -55,7 +55,7 @@
     final LongSupplier clock = new UnixClock();
     final Timers timers;
     final CachePool pool;
-    final Roster roster;
+    final ServiceRegistry registry;
     final boolean tracing = Boolean.getBoolean("pewtercourse.trace");
     private DirectorConfig config;
     private final Vertx vertx;
@@ -63,7 +63,7 @@
     private final RouterQueue home;
     private final Map<String, RouterQueue> abroad = new HashMap<>(); // By zone: for requests that its caches take as guests.
     private final PeerSocket peers;
-    private final Map<Long, Exchange> exchanges = new HashMap<>();
+    private final Map<Long, ProxiedRequest> requests = new HashMap<>();
     private final Set<Long> answered = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -74,8 +74,8 @@
     });
     private FeedClient feed;
     private Sites sites; // Null where no site takes another's clients.
-    private Guests guests;
-    private Sights sights;
+    private OverflowRouter overflowRouter;
+    private SiteObservations siteObservations;
     private Runnable peerHeard = () -> { };
     private boolean stopped;
 
@@ -95,7 +95,7 @@
         this.site = config.site();
         this.timers = timers;
         this.pool = new CachePool(transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
-        this.roster = new Roster(site, pool);
+        this.registry = new ServiceRegistry(site, pool);
         this.home = queue(site.router(), false);
         this.peers = new PeerSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
             peerHeard.run();
@@ -146,9 +146,9 @@
         home.tell(new Router.Reconfigured(next.router()));
         abroad.forEach((zone, d) -> d.tell(new Router.Reconfigured(next.guestsAt(zone))));
         pool.idleMost((long) (IDLE_SHARE * next.idleClose()));
-        roster.use(next);
+        registry.use(next);
         if (listAnew) {
-            tell(roster.whole());
+            tell(registry.whole());
         }
         config = to;
         if (to.feed() != null && feed != null) {
@@ -162,12 +162,12 @@
 
     /** Takes a member out by hand; false if none of this name is known. */
     public boolean takeOut(String name) {
-        return byHand(name, roster.knows(name) ? roster.takeOut(name, clock.getAsLong() / 1000) : null);
+        return byHand(name, registry.knows(name) ? registry.takeOut(name, clock.getAsLong() / 1000) : null);
     }
 
     /** The end of that; false if none of this name is known. */
     public boolean putBack(String name) {
-        return byHand(name, roster.knows(name) ? roster.putBack(name, clock.getAsLong() / 1000) : null);
+        return byHand(name, registry.knows(name) ? registry.putBack(name, clock.getAsLong() / 1000) : null);
     }
 
     /** This director's part of what cold caches bear, as a factor on an equal part. */
@@ -181,22 +181,22 @@
     }
 
     public boolean knows(String name) {
-        return roster.knows(name);
+        return registry.knows(name);
     }
 
     /** The zone of a listed cache or parent, "" where it is not listed. */
     public String zoneOf(String name) {
-        return roster.zoneOf(name);
+        return registry.zoneOf(name);
     }
 
     /** Caches listed in a zone. */
     public int zoneSize(String zone) {
-        return roster.zoneSize(zone);
+        return registry.zoneSize(zone);
     }
 
     /** What operators told another process of this director. */
     public void follow(OperatorState state) {
-        Router.Listed change = roster.follow(state.out(), state.back(), clock.getAsLong() / 1000);
+        Router.Listed change = registry.follow(state.out(), state.back(), clock.getAsLong() / 1000);
         if (!change.members().isEmpty()) {
             tell(change);
         }
@@ -204,20 +204,20 @@
 
     /** What another process has to know. */
     public OperatorState operatorState(boolean standby) {
-        return new OperatorState(ProcessHandle.current().pid(), standby, Map.copyOf(roster.byHand().out()),
-                Map.copyOf(roster.byHand().back()));
+        return new OperatorState(ProcessHandle.current().pid(), standby, Map.copyOf(registry.byHand().out()),
+                Map.copyOf(registry.byHand().back()));
     }
 
     private boolean byHand(String name, Router.Listed change) {
         if (change != null) {
             tell(change);
         }
-        return roster.knows(name);
+        return registry.knows(name);
     }
 
     /** The figures of the parts behind the front. */
     public Figures.Gauges gauges(long accepted, long invalid) {
-        return new Figures.Gauges(pool.written(), roster.size(), roster.listedOut() + home.router().insight().avoided(), accepted, invalid);
+        return new Figures.Gauges(pool.written(), registry.size(), registry.listedOut() + home.router().insight().avoided(), accepted, invalid);
     }
 
     public boolean knowsClass(String name) {
@@ -229,15 +229,15 @@
     }
 
     public int open() {
-        return exchanges.size();
+        return requests.size();
     }
 
     private void feed(FeedEvent e) {
         if (e instanceof FeedEvent.Members m) {
-            tell(roster.apply(m));
+            tell(registry.apply(m));
             noteListed();
         } else if (e instanceof FeedEvent.Purge p) {
-            exchanges.values().forEach(x -> x.purged(p));
+            requests.values().forEach(x -> x.purged(p));
             tell(new Router.Purged(p.object(), p.group(),
                     Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
         }
@@ -248,41 +248,41 @@
         Integer cls = site.classes().get(request.className());
         // Looked up before the exchange is made: one that is turned away must leave no timer behind, which would
         // end the request that holds the id.
-        if (cls == null || exchanges.containsKey(Exchange.id(request)) || answered.contains(Exchange.id(request))) {
+        if (cls == null || requests.containsKey(ProxiedRequest.id(request)) || answered.contains(ProxiedRequest.id(request))) {
             Log.counted("request.unusable", "id", request.id(), "class", cls == null ? "unknown" : request.className());
             answer.accept(Answer.failed());
             return () -> { };
         }
-        Exchange x = new Exchange(this, request, cls, answer);
-        exchanges.put(x.id, x);
+        ProxiedRequest x = new ProxiedRequest(this, request, cls, answer);
+        requests.put(x.id, x);
         x.arrive();
         return x::clientGone;
     }
 
     /** What is open is answered as failed, at once. */
     public void giveUp() {
-        List.copyOf(exchanges.values()).forEach(Exchange::abandon);
+        List.copyOf(requests.values()).forEach(ProxiedRequest::abandon);
     }
 
     /** For one that was never in service: what is open is given up at once, and from now on it does nothing. */
     public void stop() {
         stopped = true;
         giveUp();
-        exchanges.clear();
+        requests.clear();
         peers.close();
     }
 
-    void answered(Exchange x) {
+    void answered(ProxiedRequest x) {
         answered.add(x.id);
     }
 
-    void forget(Exchange x) {
-        exchanges.remove(x.id, x);
+    void forget(ProxiedRequest x) {
+        requests.remove(x.id, x);
     }
 
     private void noteListed() {
-        if (guests != null) {
-            guests.listed(roster.readyCaches().getOrDefault(config.zone(), 0) > 0);
+        if (overflowRouter != null) {
+            overflowRouter.listed(registry.readyCaches().getOrDefault(config.zone(), 0) > 0);
         }
     }
 
@@ -297,45 +297,45 @@
     /** Other sites may take this director's clients, by what is agreed, from now on. */
     public void sites(Sites to) {
         sites = to;
-        guests = new Guests(to, config.zone(), site.router().maxRetryAfter(), config.seed());
-        sights = sights == null ? new Sights(config.zone()) : sights;
+        overflowRouter = new OverflowRouter(to, config.zone(), site.router().maxRetryAfter(), config.seed());
+        siteObservations = siteObservations == null ? new SiteObservations(config.zone()) : siteObservations;
         noteListed();
     }
 
     /** What is agreed on the sites has changed. */
-    public void follow(Book book, Set<String> absent) {
+    public void follow(FailoverState book, Set<String> absent) {
         if (sites == null) {
             return;
         }
         Site own = sites.sites().get(config.zone());
         int there = own == null ? 1 : (int) own.directors().stream().filter(d -> !absent.contains(d)).count();
-        guests.follow(clock.getAsLong(), book, there);
+        overflowRouter.follow(clock.getAsLong(), book, there);
     }
 
     /** What was seen of sites in the last seconds. */
-    public Map<String, Sight> sights() {
-        return sites == null ? Map.of() : sights.told(clock.getAsLong(), sites, roster.readyCaches(), roster.readyParents());
+    public Map<String, SiteObservation> siteObservations() {
+        return sites == null ? Map.of() : siteObservations.told(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
     }
 
-    Sights sightsOrNull() {
-        return sights;
+    SiteObservations sightsOrNull() {
+        return siteObservations;
     }
 
     /** Where a request is to go, or null: to no other site than the own one. */
-    Guests.Choice choose(ClientRequest r, int cls, long expires) {
-        if (guests == null) {
+    OverflowRouter.Choice choose(ClientRequest r, int cls, long expires) {
+        if (overflowRouter == null) {
             return null;
         }
         long now = clock.getAsLong();
         Router.RequestClass c = site.router().classes()[cls];
         double work = r.sizeKb() > 0 && site.router().clientKbPerS() > 0 ? r.sizeKb() / site.router().clientKbPerS() * 1e6
                 : c.aim() / 2.0;
-        sights.asked(now, work);
-        if (!guests.away()) {
+        siteObservations.asked(now, work);
+        if (!overflowRouter.away()) {
             return null;
         }
         boolean must = c.effect() == Router.Effect.SIDE_EFFECT || c.goesThrough();
-        return guests.choose(now, new Guests.Ask(Guests.hash(r.object()), site.worths().get(r.className()).worth(), work, c.aim(),
+        return overflowRouter.choose(now, new OverflowRouter.Ask(OverflowRouter.hash(r.object()), site.worths().get(r.className()).worth(), work, c.aim(),
                 expires, (long) work, must, false));
     }
 
@@ -347,7 +347,7 @@
         return abroad.computeIfAbsent(zone, z -> {
             RouterQueue queue = queue(site.guestsAt(z), true);
             queue.tell(new Router.Parted(0)); // What its cold caches bear is for its own clients.
-            queue.tell(roster.whole());
+            queue.tell(registry.whole());
             return queue;
         });
     }
@@ -374,7 +374,7 @@
     // Their own timers may stand behind much other work.
     private void answerDue() {
         long now = clock.getAsLong();
-        List.copyOf(exchanges.values()).forEach(x -> x.answerIfDue(now));
+        List.copyOf(requests.values()).forEach(x -> x.answerIfDue(now));
     }
 
     private void handle(RouterQueue queue, List<Router.Event> batch) {
@@ -385,10 +385,10 @@
         } catch (RuntimeException e) {
             Log.error("decision.unexpected", e);
             for (Router.Event event : batch) {
-                if (event instanceof Router.Request r && exchanges.containsKey(r.id())) {
-                    exchanges.get(r.id()).abandon();
-                } else if (event instanceof Router.Outcome o && exchanges.containsKey(o.id())) {
-                    exchanges.get(o.id()).abandon();
+                if (event instanceof Router.Request r && requests.containsKey(r.id())) {
+                    requests.get(r.id()).abandon();
+                } else if (event instanceof Router.Outcome o && requests.containsKey(o.id())) {
+                    requests.get(o.id()).abandon();
                 }
             }
         }
@@ -406,12 +406,12 @@
         } else if (action instanceof Router.Refuse r) {
             with(r.id(), x -> x.refuse(r.holdOff()));
         } else if (action instanceof Router.Fail f) {
-            with(f.id(), Exchange::fail);
+            with(f.id(), ProxiedRequest::fail);
         }
     }
 
-    private void with(long id, Consumer<Exchange> then) {
-        Exchange x = exchanges.get(id);
+    private void with(long id, Consumer<ProxiedRequest> then) {
+        ProxiedRequest x = requests.get(id);
         if (x == null) {
             return;
         }
--- a/src/main/java/pewtercourse/director/OperatorDrains.java
+++ b/src/main/java/pewtercourse/director/OperatorDrains.java
@@ -10,7 +10,7 @@
  * The members that operators have taken out, whatever the feed says of them in between, and when those that came back
  * started. By name, as a ban outlasts the member's line in the list. Knows no sockets; times are Unix milliseconds.
  */
-final class OutByHand {
+final class OperatorDrains {
     // More names than any list has: calls with made-up names are turned away before.
     private static final int MOST = 1_024;
 
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -11,13 +11,13 @@
 import pewtercourse.feed.FeedEvent;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
-import pewtercourse.site.Guests;
+import pewtercourse.site.OverflowRouter;
 
 /**
  * The life of one request, from top to bottom: it arrives; the module sends it on, once or several times, one
  * attempt after the other; each attempt ends and the module hears how; the client gets one answer.
  */
-final class Exchange {
+final class ProxiedRequest {
     // The module answers at the deadline by itself; if it has not by then, something went wrong here.
     private static final long BACKSTOP = 15_000;
     // What can't be in time is given up a little before the client's time is over: of 169,000 answers of a fleet's day 20
@@ -40,7 +40,7 @@
     private int attempts;
     private boolean over, purged;
 
-    Exchange(Director director, ClientRequest request, int cls, Consumer<Answer> answer) {
+    ProxiedRequest(Director director, ClientRequest request, int cls, Consumer<Answer> answer) {
         this.director = director;
         this.id = id(request);
         this.request = request;
@@ -64,7 +64,7 @@
 
     // ---- It arrives: the module of the site that is to serve it plans ----
     void arrive() {
-        Guests.Choice choice = director.choose(request, cls, expires);
+        OverflowRouter.Choice choice = director.choose(request, cls, expires);
         if (choice != null && choice.site() == null) {
             refuse(choice.holdOff());
             return;
@@ -83,8 +83,8 @@
         sent = s;
         sentAt = now;
         attempts++;
-        FeedEvent.Host to = director.roster.get(s.member());
-        FeedEvent.Host source = s.source() == s.member() ? null : director.roster.get(s.source());
+        FeedEvent.Host to = director.registry.get(s.member());
+        FeedEvent.Host source = s.source() == s.member() ? null : director.registry.get(s.source());
         long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
         boolean unlisted = to == null || source == null && s.source() != s.member();
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
@@ -110,8 +110,8 @@
 
     // The feed may have spoken while a connection came up.
     private boolean stillRight(Router.Send s) {
-        return !over && !purged && director.roster.ready(s.member())
-                && (s.source() == s.member() || director.roster.ready(s.source()));
+        return !over && !purged && director.registry.ready(s.member())
+                && (s.source() == s.member() || director.registry.ready(s.source()));
     }
 
     /** A purge of this object came: an attempt that still waits for its connection is decided anew. */
@@ -147,7 +147,7 @@
     }
 
     private void seen(Router.Send s, End end) {
-        FeedEvent.Host at = director.roster.get(s.member());
+        FeedEvent.Host at = director.registry.get(s.member());
         if (at != null) {
             long now = director.clock.getAsLong();
             Router.RequestClass c = director.site.router().classes()[cls];
--- a/src/main/java/pewtercourse/director/RouterQueue.java
+++ b/src/main/java/pewtercourse/director/RouterQueue.java
@@ -18,14 +18,14 @@
     private final boolean guest;
     private final LongSupplier clock;
     private final Consumer<RouterQueue> scheduler;
-    private final Consumer<Exchange> forget;
+    private final Consumer<ProxiedRequest> forget;
     private List<Router.Event> events = new ArrayList<>();
-    private List<Exchange> leaving = new ArrayList<>();
+    private List<ProxiedRequest> leaving = new ArrayList<>();
     private boolean scheduled;
     private long scheduledAt;
 
     /** {@code scheduler} runs {@link #nextBatch} in a turn of its own; {@code forget} is told of requests that have ended. */
-    RouterQueue(Router router, boolean guest, LongSupplier clock, Consumer<RouterQueue> scheduler, Consumer<Exchange> forget) {
+    RouterQueue(Router router, boolean guest, LongSupplier clock, Consumer<RouterQueue> scheduler, Consumer<ProxiedRequest> forget) {
         this.router = router;
         this.guest = guest;
         this.clock = clock;
@@ -61,7 +61,7 @@
     }
 
     /** Forgets a request that has ended, once the router has handled all that it has been told so far. */
-    void forgetAfterBatch(Exchange exchange) {
+    void forgetAfterBatch(ProxiedRequest exchange) {
         if (scheduled) {
             leaving.add(exchange);
         } else {
@@ -85,7 +85,7 @@
             handler.accept(batch.subList(0, BATCH_MOST));
             return;
         }
-        List<Exchange> ended = leaving;
+        List<ProxiedRequest> ended = leaving;
         leaving = new ArrayList<>();
         handler.accept(batch);
         ended.forEach(forget);
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -13,13 +13,13 @@
  * The caches, parents and the origin as the feed last told, and who of them is out by hand. The only place where the
  * two are joined.
  */
-final class Roster {
+final class ServiceRegistry {
     private final Map<Long, FeedEvent.Host> hosts = new HashMap<>();
     private SiteSettings site;
     private final CachePool pool;
-    private final OutByHand out = new OutByHand();
+    private final OperatorDrains out = new OperatorDrains();
 
-    Roster(SiteSettings site, CachePool pool) {
+    ServiceRegistry(SiteSettings site, CachePool pool) {
         this.site = site;
         this.pool = pool;
     }
@@ -127,7 +127,7 @@
         return new Router.Listed(Router.ListKind.CHANGES, members);
     }
 
-    OutByHand byHand() {
+    OperatorDrains byHand() {
         return out;
     }
 
--- a/src/main/java/pewtercourse/duty/Command.java
+++ b/src/main/java/pewtercourse/duty/Command.java
@@ -1,9 +1,9 @@
 package pewtercourse.duty;
 
 import java.util.Map;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
-import pewtercourse.site.Sight;
+import pewtercourse.site.SiteObservation;
 
 /**
  * What members have agreed before it counts. {@code token}s are those of the duty that orders it; the state refuses
@@ -56,10 +56,10 @@
     record Standing(boolean willing) implements Command { }
 
     /** What a member has seen of sites of late, by site. Nothing is kept of it; each member judges by it. */
-    record Sighted(Map<String, Sight> sights) implements Command { }
+    record Sighted(Map<String, SiteObservation> siteObservations) implements Command { }
 
     /** By the keeper of the sites. */
-    record Declare(Keeper.Declaration what, long token) implements Command { }
+    record Declare(FailoverController.Declaration what, long token) implements Command { }
 
     /** By the keeper of the sites: where loads go. */
     record Planned(Plan plan, long token) implements Command { }
--- a/src/main/java/pewtercourse/duty/Duties.java
+++ b/src/main/java/pewtercourse/duty/Duties.java
@@ -9,9 +9,9 @@
 import java.util.function.Function;
 import java.util.function.LongBinaryOperator;
 import java.util.function.ToIntFunction;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
-import pewtercourse.site.Sight;
+import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
 
 /**
@@ -30,9 +30,9 @@
     private final String self;
     private final LeaseWatch watch = new LeaseWatch();
     private final Assigner assigner;
-    private final Warden warden;
-    private final Divider divider;
-    private Keeper keeper; // Null where sites are not kept.
+    private final MaintenanceBudget maintenanceBudget;
+    private final QuotaAllocator quotaAllocator;
+    private FailoverController failoverController; // Null where sites are not kept.
     private final Map<String, Lease> mine = new TreeMap<>();
     private final Map<Long, Long> askedLoan = new HashMap<>(); // By the number of the command: when.
     private final Map<Long, Long> myAsks = new HashMap<>(); // By the entry of the wish: when it was asked for.
@@ -49,36 +49,36 @@
         this.self = self;
         this.nextId = firstId;
         this.assigner = new Assigner(set);
-        this.warden = new Warden(set, zoneOf, zoneSize);
-        this.divider = new Divider(set);
+        this.maintenanceBudget = new MaintenanceBudget(set, zoneOf, zoneSize);
+        this.quotaAllocator = new QuotaAllocator(set);
     }
 
     /** The sites as this member's operators describe them, from now on. */
     public void sites(long now, Sites sites) {
-        keeper = keeper == null ? new Keeper(sites) : keeper.with(sites);
-        keeper.see(now, state.book());
+        failoverController = failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
+        failoverController.see(now, state.book());
     }
 
     /** What this member has seen of sites of late. */
-    public Command.Signed sighted(Map<String, Sight> sights) {
-        return sign(new Command.Sighted(sights));
+    public Command.Signed sighted(Map<String, SiteObservation> siteObservations) {
+        return sign(new Command.Sighted(siteObservations));
     }
 
     /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
-    public Keeper.Question question(long now) {
-        return keeper == null || token(DutyState.SITES, now) == 0 ? null : keeper.question(now, state.book());
+    public FailoverController.Question question(long now) {
+        return failoverController == null || token(DutyState.SITES, now) == 0 ? null : failoverController.question(now, state.book());
     }
 
     /** The plan for the last {@link #question}. */
     public void planned(long now, Plan plan) {
-        if (keeper != null) {
-            keeper.answered(now, plan);
+        if (failoverController != null) {
+            failoverController.answered(now, plan);
         }
     }
 
     /** What each site's clients ask for, as far as this member has heard. */
     public Map<String, Double> loads() {
-        return keeper == null ? Map.of() : keeper.detector().loads();
+        return failoverController == null ? Map.of() : failoverController.detector().loads();
     }
 
     /** To see checks fail, and as a baseline: counts leases and loans from another time than when they were asked for. */
@@ -111,12 +111,12 @@
                     myAsks.clear();
                     myAsks.put(index, at);
                 }
-            } else if (s.command() instanceof Command.Sighted t && keeper != null) {
-                keeper.detector().see(now, s.by(), t.sights());
-            } else if (s.command() instanceof Command.Lend l && l.to().equals(self) && set.divider() != null) {
+            } else if (s.command() instanceof Command.Sighted t && failoverController != null) {
+                failoverController.detector().see(now, s.by(), t.siteObservations());
+            } else if (s.command() instanceof Command.Lend l && l.to().equals(self) && set.quotaAllocator() != null) {
                 Long at = myAsks.remove(l.ask());
                 if (at != null) {
-                    myLoans.put(index, new MyLoan(from.applyAsLong(at, now) + (long) (set.divider().loan() * (1 - set.drift())),
+                    myLoans.put(index, new MyLoan(from.applyAsLong(at, now) + (long) (set.quotaAllocator().loan() * (1 - set.drift())),
                             l.thousandths()));
                 }
             }
@@ -127,10 +127,10 @@
 
     private void seen(long now) {
         watch.see(now, state);
-        warden.see(now, state);
-        divider.see(now, state);
-        if (keeper != null) {
-            keeper.see(now, state.book());
+        maintenanceBudget.see(now, state);
+        quotaAllocator.see(now, state);
+        if (failoverController != null) {
+            failoverController.see(now, state.book());
         }
         mine.keySet().removeIf(name -> !state.duty(name).holder().equals(self));
         state.duties().forEach((name, d) -> {
@@ -184,7 +184,7 @@
 
     /** It could use so many thousandths more; null where there is nothing to ask for, or it was asked just now. */
     public Command.Signed borrow(long now, long thousandths) {
-        if (set.divider() == null || now < borrowAt) {
+        if (set.quotaAllocator() == null || now < borrowAt) {
             return null;
         }
         DutyState.Wish wish = state.wishes().get(self);
@@ -214,8 +214,8 @@
         orders.forEach(c -> signed.add(sign(c)));
         mine.forEach((name, lease) -> hold(now, name, lease, signed));
         // Checked here, right before: it may have been stopped for long since the last time.
-        act(signed, warden(now, view));
-        act(signed, divider(now, view));
+        act(signed, maintenanceBudget(now, view));
+        act(signed, quotaAllocator(now, view));
         act(signed, sites(now, view));
         return signed;
     }
@@ -241,29 +241,29 @@
         }
     }
 
-    private List<Command> warden(long now, View view) {
+    private List<Command> maintenanceBudget(long now, View view) {
         long token = token(DutyState.WARDEN, now);
-        return token == 0 || set.warden() == null ? List.of() : warden.orders(now, view.unixMs(), token, state);
+        return token == 0 || set.maintenanceBudget() == null ? List.of() : maintenanceBudget.orders(now, view.unixMs(), token, state);
     }
 
     private List<Command> sites(long now, View view) {
         long token = token(DutyState.SITES, now);
-        if (token == 0 || keeper == null) {
+        if (token == 0 || failoverController == null) {
             return List.of();
         }
-        keeper.detector().members(view.members());
+        failoverController.detector().members(view.members());
         List<Command> orders = new ArrayList<>();
-        keeper.orders(now, state.book(), state.absent()).forEach(d -> orders.add(new Command.Declare(d, token)));
-        Plan plan = keeper.planned(state.book());
+        failoverController.orders(now, state.book(), state.absent()).forEach(d -> orders.add(new Command.Declare(d, token)));
+        Plan plan = failoverController.planned(state.book());
         if (plan != null) {
             orders.add(new Command.Planned(plan, token));
         }
         return orders;
     }
 
-    private List<Command> divider(long now, View view) {
+    private List<Command> quotaAllocator(long now, View view) {
         long token = token(DutyState.DIVIDER, now);
-        return token == 0 || set.divider() == null ? List.of()
-                : divider.orders(now, token, state, view.members().size());
+        return token == 0 || set.quotaAllocator() == null ? List.of()
+                : quotaAllocator.orders(now, token, state, view.members().size());
     }
 }
--- a/src/main/java/pewtercourse/duty/DutySettings.java
+++ b/src/main/java/pewtercourse/duty/DutySettings.java
@@ -7,9 +7,9 @@
  * difference of two members' clock rates, as a share; {@code again}: after how long an order that showed no effect is
  * given again; {@code names}: the duties that are given out. {@code warden} and {@code divider} may be null.
  */
-public record DutySettings(long lease, double drift, long again, Set<String> names, Warden warden, Divider divider) {
+public record DutySettings(long lease, double drift, long again, Set<String> names, MaintenanceBudget maintenanceBudget, QuotaAllocator quotaAllocator) {
     /** {@code most} caches of a zone out at once, or this {@code share} of them (at least one) where it is 0. */
-    public record Warden(int most, double share, long outMost, boolean waits) {
+    public record MaintenanceBudget(int most, double share, long outMost, boolean waits) {
         public int limit(int zoneSize) {
             return most > 0 ? most : Math.max(1, (int) (share * zoneSize));
         }
@@ -19,11 +19,11 @@
      * In thousandths of one director's part: what each keeps without asking; and the longest loan. {@code drift} holds
      * for loans too.
      */
-    public record Divider(long reserve, long loan) { }
+    public record QuotaAllocator(long reserve, long loan) { }
 
     /** A director's part of a cold budget without any loan, in thousandths; 1,000 where nothing is divided. */
     public long kept() {
-        return divider == null ? 1_000 : divider.reserve();
+        return quotaAllocator == null ? 1_000 : quotaAllocator.reserve();
     }
 
     /** How long a holder may act after it asked. */
--- a/src/main/java/pewtercourse/duty/DutyState.java
+++ b/src/main/java/pewtercourse/duty/DutyState.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import java.util.function.Supplier;
 import pewtercourse.duty.wire.DutyWire;
-import pewtercourse.site.Book;
+import pewtercourse.site.FailoverState;
 
 /**
  * What the members have agreed on, the same at each after the same commands: it knows no clock and draws nothing.
@@ -68,7 +68,7 @@
     private final TreeMap<String, Wish> wishes = new TreeMap<>();
     private final TreeMap<Long, Loan> loans = new TreeMap<>();
     private final TreeSet<String> unwilling = new TreeSet<>(), absent = new TreeSet<>();
-    private final Book book = new Book();
+    private final FailoverState book = new FailoverState();
     private long lastToken, words;
 
     /** Applies the command of the log's entry {@code index}; its number is the number of what it makes. */
@@ -344,7 +344,7 @@
     }
 
     /** What is agreed on the sites. */
-    public Book book() {
+    public FailoverState book() {
         return book;
     }
 
--- a/src/main/java/pewtercourse/duty/MaintenanceBudget.java
+++ b/src/main/java/pewtercourse/duty/MaintenanceBudget.java
@@ -11,14 +11,14 @@
  * The acts of whoever keeps watch over maintenance: lets caches be taken out in the order of the calls while no more of
  * their zone are out than may be, takes back what is out for too long, and drops calls whose asker is gone.
  */
-final class Warden {
+final class MaintenanceBudget {
     private final DutySettings set;
     private final Function<String, String> zoneOf;
     private final ToIntFunction<String> zoneSize;
     private final Map<Long, Long> seenOut = new HashMap<>(), orderedAt = new HashMap<>(); // By ticket.
 
     /** {@code zoneOf} a cache, "" where it is not known; {@code zoneSize}: caches listed in a zone. */
-    Warden(DutySettings set, Function<String, String> zoneOf, ToIntFunction<String> zoneSize) {
+    MaintenanceBudget(DutySettings set, Function<String, String> zoneOf, ToIntFunction<String> zoneSize) {
         this.set = set;
         this.zoneOf = zoneOf;
         this.zoneSize = zoneSize;
@@ -45,12 +45,12 @@
         });
         for (DutyState.Ticket t : state.tickets().values()) {
             if (t.let()) {
-                if (now - seenOut.getOrDefault(t.number(), now) > set.warden().outMost()) {
+                if (now - seenOut.getOrDefault(t.number(), now) > set.maintenanceBudget().outMost()) {
                     order(now, orders, t, new Command.Withdraw(t.target(), t.number(), token, unixMs));
                 }
             } else if (state.absent().contains(t.by())) {
                 order(now, orders, t, new Command.Withdraw(t.target(), t.number(), token, unixMs));
-            } else if (out.getOrDefault(t.zone(), 0) < set.warden().limit(zoneSize.applyAsInt(t.zone()))) {
+            } else if (out.getOrDefault(t.zone(), 0) < set.maintenanceBudget().limit(zoneSize.applyAsInt(t.zone()))) {
                 // What was ordered and is not agreed yet counts as out.
                 out.merge(t.zone(), 1, Integer::sum);
                 order(now, orders, t, new Command.Let(t.target(), t.number(), token, unixMs));
--- a/src/main/java/pewtercourse/duty/QuotaAllocator.java
+++ b/src/main/java/pewtercourse/duty/QuotaAllocator.java
@@ -11,20 +11,20 @@
  * use it, each as much as the others or as much as it wishes for (max-min fairness; Bertsekas and Gallager, "Data
  * Networks", 6.5.2), and comes back by the divider's own clock, which is later than the borrower's.
  */
-final class Divider {
+final class QuotaAllocator {
     private static final long WHOLE = 1_000; // One director's part, in thousandths.
 
     private final DutySettings set;
     private final Map<Long, Long> seen = new HashMap<>(), settledAt = new HashMap<>(); // By loan.
     private final Map<Long, Long> lentAt = new HashMap<>(); // By wish.
 
-    Divider(DutySettings set) {
+    QuotaAllocator(DutySettings set) {
         this.set = set;
     }
 
     /** How much may be lent at once where so many members keep their reserve. */
     long pool(int members) {
-        return members * (WHOLE - set.divider().reserve());
+        return members * (WHOLE - set.quotaAllocator().reserve());
     }
 
     void see(long now, DutyState state) {
@@ -36,7 +36,7 @@
         List<Command> orders = new ArrayList<>();
         settledAt.values().removeIf(at -> now - at >= set.again());
         lentAt.values().removeIf(at -> now - at >= set.again());
-        long back = (long) (set.divider().loan() * (1 + set.drift()));
+        long back = (long) (set.quotaAllocator().loan() * (1 + set.drift()));
         state.loans().forEach((n, loan) -> {
             if (now - seen.getOrDefault(n, now) > back && settledAt.putIfAbsent(n, now) == null) {
                 orders.add(new Command.Settle(n, token));
--- a/src/main/java/pewtercourse/duty/SiteCodec.java
+++ b/src/main/java/pewtercourse/duty/SiteCodec.java
@@ -7,11 +7,11 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import pewtercourse.duty.wire.DutyWire;
-import pewtercourse.site.Book;
+import pewtercourse.site.FailoverState;
 import pewtercourse.site.Health;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
-import pewtercourse.site.Sight;
+import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Status;
 
 /** Between what is agreed on sites and its form in the log. */
@@ -20,27 +20,27 @@
 
     static DutyWire.Sighted encode(Command.Sighted t) {
         DutyWire.Sighted.Builder b = DutyWire.Sighted.newBuilder();
-        new TreeMap<>(t.sights()).forEach((site, s) -> b.addSight(DutyWire.Sight.newBuilder().setSite(site).setUsual(s.usual())
+        new TreeMap<>(t.siteObservations()).forEach((site, s) -> b.addSight(DutyWire.Sight.newBuilder().setSite(site).setUsual(s.usual())
                 .setReady(s.ready()).setParents(s.parents()).setUp(s.up()).setGood(s.good()).setLate(s.late()).setBad(s.bad())
                 .setRefused(s.refused()).setLoad(s.load())));
         return b.build();
     }
 
     static Command.Sighted decode(DutyWire.Sighted t) {
-        Map<String, Sight> sights = new TreeMap<>();
-        t.getSightList().forEach(s -> sights.put(s.getSite(), new Sight(s.getUsual(), s.getReady(), s.getParents(), s.getUp(),
+        Map<String, SiteObservation> siteObservations = new TreeMap<>();
+        t.getSightList().forEach(s -> siteObservations.put(s.getSite(), new SiteObservation(s.getUsual(), s.getReady(), s.getParents(), s.getUp(),
                 s.getGood(), s.getLate(), s.getBad(), s.getRefused(), s.getLoad())));
-        return new Command.Sighted(sights);
+        return new Command.Sighted(siteObservations);
     }
 
     static DutyWire.Declare encode(Command.Declare d) {
-        Keeper.Declaration w = d.what();
+        FailoverController.Declaration w = d.what();
         return DutyWire.Declare.newBuilder().setSite(w.site()).setPhase(w.phase().name()).setHealth(w.health().name())
                 .setStep(w.step()).setFlaps(w.flaps()).setAfter(w.after()).setToken(d.token()).build();
     }
 
     static Command.Declare decode(DutyWire.Declare d) throws InvalidProtocolBufferException {
-        return new Command.Declare(new Keeper.Declaration(d.getSite(), one(Status.Phase.class, d.getPhase()),
+        return new Command.Declare(new FailoverController.Declaration(d.getSite(), one(Status.Phase.class, d.getPhase()),
                 one(Health.class, d.getHealth()), d.getStep(), d.getFlaps(), d.getAfter()), d.getToken());
     }
 
@@ -80,14 +80,14 @@
         return new Plan(cases);
     }
 
-    static void encode(Book book, DutyWire.State.Builder to) {
+    static void encode(FailoverState book, DutyWire.State.Builder to) {
         book.statuses().forEach((site, s) -> to.addSite(DutyWire.SiteStatus.newBuilder().setSite(site)
                 .setPhase(s.phase().name()).setHealth(s.health().name()).setStep(s.step()).setFlaps(s.flaps())
                 .setHeld(s.held()).setDrill(s.drill()).setEntry(s.entry())));
         to.setPlan(encode(book.plan()));
     }
 
-    static void decode(DutyWire.State from, Book to) throws InvalidProtocolBufferException {
+    static void decode(DutyWire.State from, FailoverState to) throws InvalidProtocolBufferException {
         for (DutyWire.SiteStatus s : from.getSiteList()) {
             to.restore(s.getSite(), new Status(one(Status.Phase.class, s.getPhase()), one(Health.class, s.getHealth()),
                     s.getStep(), s.getFlaps(), s.getHeld(), s.getDrill(), s.getEntry()));
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -272,7 +272,7 @@
     final Random random;
     final Planted planted;
     final DutySettings set = new DutySettings(800 * MS, 0.02, 150 * MS, Set.of(DutyState.WARDEN, DutyState.DIVIDER),
-            new DutySettings.Warden(2, 0, 3 * SECOND, true), new DutySettings.Divider(400, 500 * MS));
+            new DutySettings.MaintenanceBudget(2, 0, 3 * SECOND, true), new DutySettings.QuotaAllocator(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
     final Map<Long, Entry> agreed = new HashMap<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
@@ -443,7 +443,7 @@
             for (int z = 0; z < 2; z++) {
                 String zone = "z" + z;
                 long out = n.duties.state().tickets().values().stream().filter(t -> t.let() && t.zone().equals(zone)).count();
-                check(out <= set.warden().most(), out + " out in " + zone);
+                check(out <= set.maintenanceBudget().most(), out + " out in " + zone);
             }
         }
         check(parts <= 1_000L * nodes.size(), "parts of " + parts);
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -14,13 +14,13 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
-import pewtercourse.site.Book;
-import pewtercourse.site.Guests;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.OverflowRouter;
 import pewtercourse.site.Health;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
 import pewtercourse.site.Planner;
-import pewtercourse.site.Sight;
+import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Site;
 import pewtercourse.site.Sites;
 import pewtercourse.site.Status;
@@ -106,8 +106,8 @@
     static long falseAlarms(long seed, int hours, boolean noisy) {
         Random random = new Random(seed);
         Sites sites = sites(5, random);
-        Keeper keeper = new Keeper(sites);
-        Book book = new Book();
+        FailoverController failoverController = new FailoverController(sites);
+        FailoverState book = new FailoverState();
         List<String> names = List.copyOf(sites.sites().keySet());
         long alarms = 0, entry = 0;
         double[] bad = new double[names.size()];
@@ -126,7 +126,7 @@
                 if (s < silentUntil[m]) {
                     continue;
                 }
-                Map<String, Sight> told = new TreeMap<>();
+                Map<String, SiteObservation> told = new TreeMap<>();
                 for (int x = 0; x < names.size(); x++) {
                     int ends = x == m ? 40 + random.nextInt(80) : noisy && random.nextInt(50) == 0 ? random.nextInt(4) : 0;
                     double share = s < badUntil[x] ? bad[x] : noisy ? 0.03 : 0.005;
@@ -136,12 +136,12 @@
                         late += random.nextDouble() < (noisy ? 0.3 : 0.03) ? 1 : 0;
                     }
                     int good = Math.max(0, ends - failed - late);
-                    told.put(names.get(x), new Sight(4, s < emptyUntil[m] ? 0 : 4, 2, 2, good, ends - failed - good, failed,
+                    told.put(names.get(x), new SiteObservation(4, s < emptyUntil[m] ? 0 : 4, 2, 2, good, ends - failed - good, failed,
                             x == m && noisy ? random.nextInt(6) : 0, x == m ? 10 : 0));
                 }
-                keeper.detector().see(now, "d" + m, told);
+                failoverController.detector().see(now, "d" + m, told);
             }
-            for (Keeper.Declaration d : keeper.orders(now, book, Set.of())) {
+            for (FailoverController.Declaration d : failoverController.orders(now, book, Set.of())) {
                 alarms += d.phase() == Status.Phase.LOST ? 1 : 0;
                 book.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after());
             }
@@ -190,24 +190,24 @@
         Sites sites = sites(5, random);
         Map<String, Double> loads = new TreeMap<>();
         sites.sites().keySet().forEach(s -> loads.put(s, 12.0));
-        Book book = new Book();
+        FailoverState book = new FailoverState();
         book.plan(new Planner().plan(sites, loads, Set.of(), Set.of(), Plan.NONE));
-        Guests guests = new Guests(sites, "s000", 500_000, 1);
-        guests.follow(0, book, 1);
-        double whole = nanos(guests);
+        OverflowRouter overflowRouter = new OverflowRouter(sites, "s000", 500_000, 1);
+        overflowRouter.follow(0, book, 1);
+        double whole = nanos(overflowRouter);
         book.declare(1, "s000", Status.Phase.LOST, Health.CACHES, 0, 0, 0);
-        guests.follow(0, book, 1);
+        overflowRouter.follow(0, book, 1);
         return String.format("A request's choice of a site takes %.0f ns while its site is whole and %.0f ns while it is lost.%n", whole,
-                nanos(guests));
+                nanos(overflowRouter));
     }
 
-    private static double nanos(Guests guests) {
+    private static double nanos(OverflowRouter overflowRouter) {
         double best = Double.MAX_VALUE;
         for (int round = 0; round < 12; round++) {
             long from = System.nanoTime();
             for (int i = 0; i < 200_000; i++) {
                 long now = round * 2_000_000_000L + i * 10_000L;
-                guests.choose(now, new Guests.Ask(Guests.hash("o" + i % 3_000), 1 + i % 2, 50_000 + i % 300_000, 600_000,
+                overflowRouter.choose(now, new OverflowRouter.Ask(OverflowRouter.hash("o" + i % 3_000), 1 + i % 2, 50_000 + i % 300_000, 600_000,
                         now + 5_000_000, 50_000, i % 33 == 0, false));
             }
             best = Math.min(best, (System.nanoTime() - from) / 200_000.0);
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -19,14 +19,14 @@
 import pewtercourse.decision.Router;
 import pewtercourse.emulator.CacheModel;
 import pewtercourse.emulator.UpstreamModel;
-import pewtercourse.site.Book;
-import pewtercourse.site.Guests;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.OverflowRouter;
 import pewtercourse.site.Health;
-import pewtercourse.site.Keeper;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.Plan;
 import pewtercourse.site.Planner;
-import pewtercourse.site.Sight;
-import pewtercourse.site.Sights;
+import pewtercourse.site.SiteObservation;
+import pewtercourse.site.SiteObservations;
 import pewtercourse.site.Site;
 import pewtercourse.site.Sites;
 import pewtercourse.site.Status;
@@ -143,7 +143,7 @@
             } else if (a instanceof Router.Refuse r) {
                 of.end(r.id(), false);
                 if (this == of.home) {
-                    of.sights.refused(now);
+                    of.siteObservations.refused(now);
                 }
             } else if (a instanceof Router.Fail f) {
                 of.end(f.id(), false);
@@ -156,9 +156,9 @@
         final String name;
         final Map<Long, Asked> open = new HashMap<>();
         final Map<Long, long[]> out = new HashMap<>(); // By request: its attempt's number, a mark and its cache.
-        Guests guests;
-        Sights sights;
-        Keeper keeper;
+        OverflowRouter overflowRouter;
+        SiteObservations siteObservations;
+        FailoverController failoverController;
         Desk home;
         Map<Integer, Desk> abroad = new TreeMap<>();
         boolean up = true;
@@ -176,9 +176,9 @@
             open.clear();
             out.clear();
             abroad.clear();
-            guests = new Guests(sites, siteName(site), 500 * MS, random.nextLong());
-            sights = new Sights(siteName(site));
-            keeper = new Keeper(sites);
+            overflowRouter = new OverflowRouter(sites, siteName(site), 500 * MS, random.nextLong());
+            siteObservations = new SiteObservations(siteName(site));
+            failoverController = new FailoverController(sites);
             home = new Desk(this, new Logic(settings(site), random.nextLong()));
             home.tell(listed());
             int mine = life;
@@ -191,10 +191,10 @@
             }
             Map<String, Integer> ready = new TreeMap<>();
             listedReady.forEach(c -> ready.merge(siteName(c.site), 1, Integer::sum));
-            Map<String, Sight> told = sights.told(now, sites, ready, Map.of("hub", 2));
+            Map<String, SiteObservation> told = siteObservations.told(now, sites, ready, Map.of("hub", 2));
             agree(() -> directors.forEach(d -> {
                 if (d.up) {
-                    d.keeper.detector().see(now, name, told);
+                    d.failoverController.detector().see(now, name, told);
                 }
             }));
             at(now + SECOND, () -> report(mine));
@@ -213,7 +213,7 @@
         void relist() {
             home.tell(listed());
             abroad.values().forEach(d -> d.tell(listed()));
-            guests.listed(listedReady.stream().anyMatch(c -> c.site == site));
+            overflowRouter.listed(listedReady.stream().anyMatch(c -> c.site == site));
         }
 
         void arrive(Asked q) {
@@ -226,9 +226,9 @@
                     end(q.id, false);
                 }
             });
-            sights.asked(now, q.work);
+            siteObservations.asked(now, q.work);
             boolean must = CLASSES[q.cls].effect() == Router.Effect.SIDE_EFFECT;
-            Guests.Choice c = guests.choose(now, new Guests.Ask(q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires,
+            OverflowRouter.Choice c = overflowRouter.choose(now, new OverflowRouter.Ask(q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires,
                     q.work, must, false));
             if (c.site() == null) {
                 shed++;
@@ -314,7 +314,7 @@
             boolean over = q == null;
             Cache c = byId.get(s.member());
             if (q != null) {
-                sights.ended(now, siteName(c.site), end, now - began > q.aim());
+                siteObservations.ended(now, siteName(c.site), end, now - began > q.aim());
                 if (end == End.SERVED) {
                     end(s.id(), true);
                     over = true;
@@ -380,8 +380,8 @@
     private final Set<Integer> vanished = new HashSet<>(), cutFrom = new HashSet<>();
     private final UpstreamModel[] upstream = new UpstreamModel[SITES];
     private final double[] load = new double[SITES];
-    private Book book = new Book();
-    private int keeper;
+    private FailoverState book = new FailoverState();
+    private int failoverController;
     long now, nextId = 1, entry, shed, crossed, overdue, declaredAt = -1, wholeAt = -1, falseAlarms;
     private long order, marks, keeperFrom;
     private int slowSite = -1;
@@ -426,7 +426,7 @@
         for (int s = 0; s < SITES; s++) {
             directors.add(new Director(s));
         }
-        keeper = kind == Trouble.WHOLE ? 0 : random.nextInt(SITES);
+        failoverController = kind == Trouble.WHOLE ? 0 : random.nextInt(SITES);
         for (int s = 0; s < SITES; s++) {
             ask(s);
         }
@@ -464,13 +464,13 @@
             double u = random.nextDouble();
             int cls = u < SHARE[0] ? 0 : u < SHARE[1] ? 1 : 2;
             long work = cls == 2 ? (long) MEAN_WORK[2] : (long) Math.min(3e6, Math.max(5e3, sizes[cls].sample()));
-            long object = Guests.hash(cls == 2 ? "o" + nextId : cls + "/" + popularity.sample());
+            long object = OverflowRouter.hash(cls == 2 ? "o" + nextId : cls + "/" + popularity.sample());
             boolean odd = now > LOST_AT && now < BACK_AT + 10 * SECOND && cls == 0;
             if (kind == Trouble.SCAN && odd && random.nextDouble() < 0.2) {
                 object = random.nextLong(); // Wanted once.
             } else if (kind == Trouble.OVERSIZED && odd && random.nextDouble() < 0.02) {
                 work = 12 * work;
-                object = Guests.hash("large" + random.nextInt(5));
+                object = OverflowRouter.hash("large" + random.nextInt(5));
             }
             Asked q = new Asked(site, cls, now, work, object);
             asked.add(q);
@@ -489,15 +489,15 @@
 
     private void keep() {
         at(now + TICK, this::keep);
-        if (!directors.get(keeper).up) {
+        if (!directors.get(failoverController).up) {
             for (int i = 0; i < SITES; i++) {
                 if (directors.get(i).up) {
-                    keeper = i;
+                    failoverController = i;
                 }
             }
             keeperFrom = now + TAKEN_OVER_IN;
         }
-        Director d = directors.get(keeper);
+        Director d = directors.get(failoverController);
         if (way == Way.ALONE || now < keeperFrom || !d.up) {
             return;
         }
@@ -507,16 +507,16 @@
                 absent.add(x.name);
             }
         });
-        for (Keeper.Declaration o : d.keeper.orders(now, book, absent)) {
+        for (FailoverController.Declaration o : d.failoverController.orders(now, book, absent)) {
             if (way != Way.SEEING || o.phase() == Status.Phase.RETURNING || o.phase() == Status.Phase.WHOLE) {
                 declare(o);
             }
         }
-        Keeper.Question q = d.keeper.question(now, book);
+        FailoverController.Question q = d.failoverController.question(now, book);
         if (q != null) {
             Plan plan = plan(q);
-            d.keeper.answered(now, plan);
-            Plan changed = d.keeper.planned(book);
+            d.failoverController.answered(now, plan);
+            Plan changed = d.failoverController.planned(book);
             if (changed != null) {
                 agree(() -> {
                     book.plan(changed);
@@ -526,7 +526,7 @@
         }
     }
 
-    private void declare(Keeper.Declaration o) {
+    private void declare(FailoverController.Declaration o) {
         agree(() -> {
             if (book.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
                 boolean lost = o.phase() == Status.Phase.LOST;
@@ -546,13 +546,13 @@
     private void follow() {
         directors.forEach(x -> {
             if (x.up) {
-                x.keeper.see(now, book);
-                x.guests.follow(now, book, 1);
+                x.failoverController.see(now, book);
+                x.overflowRouter.follow(now, book, 1);
             }
         });
     }
 
-    private Plan plan(Keeper.Question q) {
+    private Plan plan(FailoverController.Question q) {
         if (way == Way.PLANNED || way == Way.SEEING) {
             Plan p = new Planner().plan(sites, q.loads(), q.lost(), q.unfit(), q.before());
             return planted == Planted.NO_BOUND ? unbounded(p, q.lost()) : p;
--- a/src/main/java/pewtercourse/site/Detector.java
+++ b/src/main/java/pewtercourse/site/Detector.java
@@ -18,7 +18,7 @@
     // Shares of failed attempts from which caches fail, and up to which they are well; of slow answers, from which a site is slow.
     private static final double FAILS = 0.8, WELL = 0.25, SLOW = 0.7, HALF = 0.5;
 
-    private record Seen(long at, Map<String, Sight> sights) { }
+    private record Seen(long at, Map<String, SiteObservation> siteObservations) { }
 
     private record Since(Health health, long at) { }
 
@@ -42,9 +42,9 @@
     }
 
     /** A member tells what it has seen of late. */
-    public void see(long now, String member, Map<String, Sight> sights) {
-        seen.put(member, new Seen(now, Map.copyOf(sights)));
-        sights.forEach((site, s) -> {
+    public void see(long now, String member, Map<String, SiteObservation> siteObservations) {
+        seen.put(member, new Seen(now, Map.copyOf(siteObservations)));
+        siteObservations.forEach((site, s) -> {
             boolean told = s.ends() >= ENDS_LEAST || s.bad() > 0 && s.good() + s.late() == 0 && s.refused() >= REFUSED_LEAST;
             if (told && s.bad() >= FAILS * s.ends() || s.usual() > 0 && s.ready() == 0) {
                 long[] last = failing.computeIfAbsent(site, n -> new long[] {Long.MIN_VALUE / 2, Long.MIN_VALUE / 2});
@@ -53,10 +53,10 @@
             }
         });
         for (Site s : sites.sites().values()) {
-            if (s.directors().contains(member) && sights.containsKey(s.name())) {
+            if (s.directors().contains(member) && siteObservations.containsKey(s.name())) {
                 double load = 0;
                 for (String d : s.directors()) {
-                    Sight of = seen.containsKey(d) ? seen.get(d).sights().get(s.name()) : null;
+                    SiteObservation of = seen.containsKey(d) ? seen.get(d).siteObservations().get(s.name()) : null;
                     load += of == null ? 0 : of.load();
                 }
                 loads.put(s.name(), load);
@@ -108,10 +108,10 @@
     }
 
     /** Attempts at a site's caches by its own directors of late: good, late and bad ones; for the pace of its return. */
-    public Sight ownEnds(long now, String site) {
+    public SiteObservation ownEnds(long now, String site) {
         int good = 0, late = 0, bad = 0, refused = 0;
         for (String d : sites.sites().get(site).directors()) {
-            Sight s = fresh(now, d, site);
+            SiteObservation s = fresh(now, d, site);
             if (s != null) {
                 good += s.good();
                 late += s.late();
@@ -119,19 +119,19 @@
                 refused += s.refused();
             }
         }
-        return new Sight(0, 0, 0, 0, good, late, bad, refused, 0);
+        return new SiteObservation(0, 0, 0, 0, good, late, bad, refused, 0);
     }
 
-    private Sight fresh(long now, String member, String site) {
+    private SiteObservation fresh(long now, String member, String site) {
         Seen s = seen.get(member);
-        return s == null || now - s.at() > sites.timing().fresh() ? null : s.sights().get(site);
+        return s == null || now - s.at() > sites.timing().fresh() ? null : s.siteObservations().get(site);
     }
 
     private Health raw(long now, Site s, Set<String> absent) {
         boolean staffed = !s.directors().isEmpty(), heard = false, ownWell = false;
         int good = 0, late = 0, bad = 0, refused = 0, listeners = 0, empty = 0, half = 0, noParents = 0;
         for (Map.Entry<String, Seen> e : seen.entrySet()) {
-            Sight sight = fresh(now, e.getKey(), s.name());
+            SiteObservation sight = fresh(now, e.getKey(), s.name());
             boolean own = s.directors().contains(e.getKey());
             heard |= own && !absent.contains(e.getKey()) && now - e.getValue().at() <= sites.timing().fresh();
             if (sight == null || absent.contains(e.getKey())) {
--- a/src/main/java/pewtercourse/site/FailoverController.java
+++ b/src/main/java/pewtercourse/site/FailoverController.java
@@ -12,7 +12,7 @@
  * The acts of whoever keeps the sites: declares losses, paces returns and has plans made before they are needed. Fed at
  * every member; what it counts by its own clock begins anew where the duty changes hands, what is agreed does not.
  */
-public final class Keeper {
+public final class FailoverController {
     /** A change to be agreed on. {@code after}: the entry that it builds on. */
     public record Declaration(String site, Status.Phase phase, Health health, int step, int flaps, long after) { }
 
@@ -33,18 +33,18 @@
     private long planAt = Long.MIN_VALUE, askedAt = Long.MIN_VALUE;
     private Plan answer;
 
-    public Keeper(Sites sites) {
+    public FailoverController(Sites sites) {
         this(sites, new Detector(sites));
     }
 
-    private Keeper(Sites sites, Detector detector) {
+    private FailoverController(Sites sites, Detector detector) {
         this.sites = sites;
         this.detector = detector;
     }
 
     /** One that goes on with what was seen so far, for sites that are described anew. */
-    public Keeper with(Sites to) {
-        return new Keeper(to, detector.with(to));
+    public FailoverController with(Sites to) {
+        return new FailoverController(to, detector.with(to));
     }
 
     public Detector detector() {
@@ -52,7 +52,7 @@
     }
 
     /** Whether or not it keeps them: when each site's last change was seen. */
-    public void see(long now, Book book) {
+    public void see(long now, FailoverState book) {
         for (String s : sites.sites().keySet()) {
             long entry = book.status(s).entry();
             if (!Long.valueOf(entry).equals(entryOf.put(s, entry))) {
@@ -63,7 +63,7 @@
     }
 
     /** What it has to have agreed now; to be asked only where it holds the duty. */
-    public List<Declaration> orders(long now, Book book, Set<String> absent) {
+    public List<Declaration> orders(long now, FailoverState book, Set<String> absent) {
         see(now, book);
         detector.judge(now, absent);
         ordered.values().removeIf(at -> now - at >= ORDER_AGAIN);
@@ -109,7 +109,7 @@
         }
     }
 
-    private Declaration onTheWay(String site, Status s, Health h, long lasts, long stood, Sight ends, int last) {
+    private Declaration onTheWay(String site, Status s, Health h, long lasts, long stood, SiteObservation ends, int last) {
         Sites.Timing t = sites.timing();
         if (h.lost() && lasts >= t.lostAfter() / 2) {
             return lost(site, s, h, s.flaps() + 1);
@@ -146,7 +146,7 @@
     // ---- Plans: asked for here, made elsewhere ----
 
     /** What a plan is to be made from now, or null: none is due, or one is being made. */
-    public Question question(long now, Book book) {
+    public Question question(long now, FailoverState book) {
         Set<String> lost = book.away();
         lost.retainAll(sites.sites().keySet());
         boolean waits = askedAt != Long.MIN_VALUE && now - askedAt < PLAN_MOST;
@@ -177,7 +177,7 @@
     }
 
     /** The plan that is to be agreed on, or null. */
-    public Plan planned(Book book) {
+    public Plan planned(FailoverState book) {
         Plan p = answer;
         answer = null;
         return p == null || p.equals(book.plan()) ? null : p;
--- a/src/main/java/pewtercourse/site/FailoverState.java
+++ b/src/main/java/pewtercourse/site/FailoverState.java
@@ -11,7 +11,7 @@
  * may make them is checked by whoever calls this. A change names the entry of the one that it builds on and is refused
  * once there is a later one, so that one that comes late, or twice, does nothing.
  */
-public final class Book {
+public final class FailoverState {
     private final SortedMap<String, Status> statuses = new TreeMap<>();
     private Plan plan = Plan.NONE;
     private long version;
--- a/src/main/java/pewtercourse/site/OverflowRouter.java
+++ b/src/main/java/pewtercourse/site/OverflowRouter.java
@@ -10,7 +10,7 @@
  * At one director: which site serves a request of its own clients, by what is agreed, or whether it is refused. While its
  * own site is whole that is always the own one. Knows no sockets; {@code now} is microseconds.
  */
-public final class Guests {
+public final class OverflowRouter {
     /**
      * A request. {@code must}: may not be made twice, and only the origin can serve it: it is never refused here.
      * {@code work}: how long its answer takes to send. {@code needs}: how long it takes in all, where all is well.
@@ -29,7 +29,7 @@
     private final String own;
     private final long holdOffMost;
     private final Random random;
-    private final Worths worths = new Worths();
+    private final RequestPriorities worths = new RequestPriorities();
     private final Map<String, Shedder> shedders = new HashMap<>();
     private Status status = Status.WHOLE;
     private SortedMap<String, Double> weights = new TreeMap<>();
@@ -37,7 +37,7 @@
     private boolean listed = true;
 
     /** {@code holdOffMost}: the longest advice that clients follow. */
-    public Guests(Sites sites, String own, long holdOffMost, long seed) {
+    public OverflowRouter(Sites sites, String own, long holdOffMost, long seed) {
         this.sites = sites;
         this.own = own;
         this.holdOffMost = holdOffMost;
@@ -45,7 +45,7 @@
     }
 
     /** What is agreed has changed. {@code directors}: of the own site, that share what is lent to it; at least 1. */
-    public void follow(long now, Book book, int directors) {
+    public void follow(long now, FailoverState book, int directors) {
         status = book.status(own);
         weights = new TreeMap<>();
         if (!status.away()) {
--- a/src/main/java/pewtercourse/site/RequestPriorities.java
+++ b/src/main/java/pewtercourse/site/RequestPriorities.java
@@ -7,7 +7,7 @@
  * What is refused first: the order of requests by their worth for what they cost at a taker, against what was asked for of
  * late. Memory is bounded.
  */
-final class Worths {
+final class RequestPriorities {
     private static final int BINS = 40, OBJECTS_MOST = 4_096;
     private static final double PER_DOUBLING = 2; // Bins for each doubling of worth for cost.
     private static final long HALVING = 5_000_000;
--- a/src/main/java/pewtercourse/site/SiteObservation.java
+++ b/src/main/java/pewtercourse/site/SiteObservation.java
@@ -12,7 +12,7 @@
  * @param refused requests of its own clients that its module turned away for lack of room
  * @param load    transfers at once that its own clients ask for; 0 where the member is not of this site
  */
-public record Sight(int usual, int ready, int parents, int up, int good, int late, int bad, int refused,
+public record SiteObservation(int usual, int ready, int parents, int up, int good, int late, int bad, int refused,
         double load) {
     /** Attempts that tell something. */
     public int ends() {
--- a/src/main/java/pewtercourse/site/SiteObservations.java
+++ b/src/main/java/pewtercourse/site/SiteObservations.java
@@ -8,7 +8,7 @@
 import pewtercourse.cache.End;
 
 /** What this director sees of sites: how its attempts at their caches end, and what its list has. Knows no sockets. */
-public final class Sights {
+public final class SiteObservations {
     // What is told covers this time, in parts of half of it; a list's usual size is its greatest of so long.
     private static final long COVERS = 2_000_000;
     private static final long USUAL_OVER = 600_000_000;
@@ -38,7 +38,7 @@
     private long turnedAt;
 
     /** {@code own}: the site of this director. */
-    public Sights(String own) {
+    public SiteObservations(String own) {
         this.own = own;
     }
 
@@ -81,16 +81,16 @@
     }
 
     /** By site. {@code caches}, {@code parents}: those listed as ready, by zone. */
-    public Map<String, Sight> told(long now, Sites sites, Map<String, Integer> caches, Map<String, Integer> parents) {
+    public Map<String, SiteObservation> told(long now, Sites sites, Map<String, Integer> caches, Map<String, Integer> parents) {
         counts(now, own);
-        Map<String, Sight> told = new TreeMap<>();
+        Map<String, SiteObservation> told = new TreeMap<>();
         Set<String> names = new TreeSet<>(sites.sites().keySet());
         for (String name : names) {
             Site s = sites.sites().get(name);
             int ready = caches.getOrDefault(name, 0), up = s.hub().isEmpty() ? 0 : parents.getOrDefault(s.hub(), 0);
             Counts a = before.getOrDefault(name, new Counts()), b = current.getOrDefault(name, new Counts());
             long over = Math.max(1, Math.min(COVERS, now - turnedAt + COVERS / 2));
-            told.put(name, new Sight(usual.computeIfAbsent(name, n -> new Usual()).of(now, ready), ready,
+            told.put(name, new SiteObservation(usual.computeIfAbsent(name, n -> new Usual()).of(now, ready), ready,
                     s.hub().isEmpty() ? 0 : usual.computeIfAbsent("hub " + s.hub(), n -> new Usual()).of(now, up), up,
                     a.good + b.good, a.late + b.late, a.bad + b.bad, a.refused + b.refused, name.equals(own) ? (a.work + b.work) / over : 0));
         }
--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pewtercourse.cluster.Fleet.until;
+import static pewtercourse.cluster.ClusterProcesses.until;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -40,11 +40,11 @@
 
     @TempDir
     Path folder;
-    private Fleet fleet;
+    private ClusterProcesses fleet;
 
     @BeforeEach
     void start(TestInfo test) throws Exception {
-        fleet = new Fleet(test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
+        fleet = new ClusterProcesses(test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
         fleet.found();
         fleet.start();
         fleet.awaitLeader(fleet.members);
@@ -88,7 +88,7 @@
         assertFalse(lines.stream().anyMatch(l -> l.contains("cluster.unexpected")), "an error: see the log");
     }
 
-    private void everywhereOut(List<Fleet.Member> among, int count) throws InterruptedException {
+    private void everywhereOut(List<ClusterProcesses.Member> among, int count) throws InterruptedException {
         until(count + " out at " + among.stream().map(m -> m.name).toList(),
                 () -> among.stream().allMatch(m -> m.outOfRotation() == count));
     }
@@ -103,7 +103,7 @@
         until("back", () -> fleet.members.get(2).exit(CACHE));
         until("the next is let", () -> fleet.members.stream().allMatch(m -> m.out(OTHER)));
         everywhereOut(fleet.members, 1);
-        assertEquals(0, fleet.run("cluster", "status", "--admin", Fleet.HOST + ":" + fleet.members.get(0).admin));
+        assertEquals(0, fleet.run("cluster", "status", "--admin", ClusterProcesses.HOST + ":" + fleet.members.get(0).admin));
         assertTrue(fleet.logged("line out " + OTHER));
         String figures = fleet.members.get(1).call("GET /status/metrics", "");
         assertTrue(figures.contains("\nout_of_rotation=1\n") && figures.contains("\ncluster.open=1\n")
@@ -112,28 +112,28 @@
 
     @Test
     void theHolderIsKilledAndItsDutyAndCallsInLineSurvive() throws Exception {
-        Fleet.Member warden = fleet.awaitHolder("warden", fleet.members);
-        List<Fleet.Member> rest = fleet.but(warden);
+        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
+        List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
         until("out", () -> rest.get(0).enter(CACHE));
         assertFalse(rest.get(1).enter(OTHER));
-        warden.kill();
+        maintenanceBudget.kill();
         fleet.awaitHolder("warden", rest);
         until("back", () -> rest.get(0).exit(CACHE));
         until("granted by the next warden", () -> rest.stream().allMatch(m -> m.out(OTHER)));
-        warden.start();
-        until("it comes back and learns", () -> warden.out(OTHER) && warden.outOfRotation() == 1);
+        maintenanceBudget.start();
+        until("it comes back and learns", () -> maintenanceBudget.out(OTHER) && maintenanceBudget.outOfRotation() == 1);
     }
 
     @Test
     void aHolderThatStoodStillForLongerThanItsLeaseDoesNothingMore() throws Exception {
-        Fleet.Member warden = fleet.awaitHolder("warden", fleet.members);
-        List<Fleet.Member> rest = fleet.but(warden);
-        warden.signal("STOP");
-        Fleet.Member next = fleet.awaitHolder("warden", rest);
+        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
+        List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
+        maintenanceBudget.signal("STOP");
+        ClusterProcesses.Member next = fleet.awaitHolder("warden", rest);
         until("the next one acts", () -> rest.get(0).enter(CACHE));
-        warden.signal("CONT");
-        until("it sees who holds the duty", () -> warden.out(CACHE) && fleet.holder("warden", List.of(warden)) == null);
-        until("back", () -> warden.exit(CACHE));
+        maintenanceBudget.signal("CONT");
+        until("it sees who holds the duty", () -> maintenanceBudget.out(CACHE) && fleet.holder("warden", List.of(maintenanceBudget)) == null);
+        until("back", () -> maintenanceBudget.exit(CACHE));
         until("and out again by the next one", () -> rest.get(1).enter(CACHE));
         assertTrue(next.process.isAlive());
     }
@@ -143,17 +143,17 @@
         until("out", () -> fleet.members.get(0).enter(CACHE));
         for (boolean hears : new boolean[] {true, false}) {
             everywhereOut(fleet.members, 1);
-            Fleet.Member warden = fleet.awaitHolder("warden", fleet.members);
-            List<Fleet.Member> rest = fleet.but(warden);
-            fleet.cutOff(warden, hears, false);
+            ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
+            List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
+            fleet.cutOff(maintenanceBudget, hears, false);
             fleet.awaitLeader(rest);
             fleet.awaitHolder("warden", rest);
             if (!hears) {
-                assertFalse(warden.exit(CACHE), "a minority changes nothing");
-                assertEquals(1, warden.outOfRotation(), "and goes by what was agreed");
+                assertFalse(maintenanceBudget.exit(CACHE), "a minority changes nothing");
+                assertEquals(1, maintenanceBudget.outOfRotation(), "and goes by what was agreed");
                 until("the majority says otherwise", () -> rest.get(0).exit(CACHE));
                 everywhereOut(rest, 0);
-                assertEquals(1, warden.outOfRotation());
+                assertEquals(1, maintenanceBudget.outOfRotation());
                 until("and out again", () -> rest.get(0).enter(CACHE));
                 until("and back", () -> rest.get(1).exit(CACHE));
             }
@@ -168,7 +168,7 @@
     void withoutAMajorityNothingChangesAndAllComeBackByThemselves() throws Exception {
         until("out", () -> fleet.members.get(0).enter(CACHE));
         everywhereOut(fleet.members, 1);
-        Fleet.Member left = fleet.members.get(2);
+        ClusterProcesses.Member left = fleet.members.get(2);
         fleet.members.get(0).kill();
         fleet.members.get(1).kill();
         assertFalse(left.exit(CACHE), "one of three agrees on nothing");
@@ -191,8 +191,8 @@
     @Test
     void aMemberWithoutItsFolderLearnsAnewAndOneIsReplacedWhileTheOthersServe() throws Exception {
         until("out", () -> fleet.members.get(0).enter(CACHE));
-        Fleet.Member leader = fleet.awaitLeader(fleet.members);
-        for (Fleet.Member lost : fleet.but(leader)) {
+        ClusterProcesses.Member leader = fleet.awaitLeader(fleet.members);
+        for (ClusterProcesses.Member lost : fleet.but(leader)) {
             lost.kill();
             delete(lost.data);
             lost.start(); // Not laid again: a newcomer.
@@ -212,29 +212,29 @@
 
     @Test
     void aMemberBackWithAnOldFolderIsNoticedAndCountsNoMore() throws Exception {
-        Fleet.Member leader, old;
+        ClusterProcesses.Member leader, old;
         long term;
         do { // Only the leader to whom it had said more notices.
             leader = fleet.awaitLeader(fleet.members);
             term = leader.status().getLong("term");
-            Fleet.Member of = fleet.but(leader).get(0);
+            ClusterProcesses.Member of = fleet.but(leader).get(0);
             old = of;
             of.kill();
             Path copy = folder.resolve("copy-" + term);
             copy(of.data, copy);
             of.start();
-            Fleet.Member third = fleet.but(leader, of).get(0);
+            ClusterProcesses.Member third = fleet.but(leader, of).get(0);
             until("said while it listens", () -> third.exit(CACHE) && third.enter(CACHE) && of.out(CACHE));
             of.kill();
             delete(of.data);
             copy(copy, of.data);
             of.start();
             long led = term;
-            Fleet.Member by = leader;
+            ClusterProcesses.Member by = leader;
             until("noticed, unless another leads by now", () -> fleet.logged("cluster.member_regressed name=" + of.name)
                     || by.status() != null && by.status().getLong("term") != led);
         } while (!fleet.logged("cluster.member_regressed name=" + old.name));
-        Fleet.Member third = fleet.but(leader, old).get(0), back = old;
+        ClusterProcesses.Member third = fleet.but(leader, old).get(0), back = old;
         third.kill();
         assertFalse(leader.exit(CACHE), "what has forgotten makes no majority");
         third.start();
@@ -256,11 +256,11 @@
 
     @Test
     void twoMembersAreSwappedForNewOnesDuringARollingRestart() throws Exception {
-        Fleet.Member a = fleet.members.get(0), b = fleet.members.get(1), c = fleet.members.get(2);
-        List<Fleet.Member> fresh = fleet.grow(2);
-        Fleet.Member d = fresh.get(0), e = fresh.get(1);
+        ClusterProcesses.Member a = fleet.members.get(0), b = fleet.members.get(1), c = fleet.members.get(2);
+        List<ClusterProcesses.Member> fresh = fleet.grow(2);
+        ClusterProcesses.Member d = fresh.get(0), e = fresh.get(1);
         until("out", () -> a.enter(CACHE));
-        try (Words words = new Words(fleet, 5, OTHER)) { // It waits in line all the while, or is withdrawn.
+        try (RandomOperators words = new RandomOperators(fleet, 5, OTHER)) { // It waits in line all the while, or is withdrawn.
             d.start();
             e.start();
             stop(a);
@@ -279,7 +279,7 @@
             stop(d);
             d.start();
         }
-        List<Fleet.Member> now = List.of(a, d, e);
+        List<ClusterProcesses.Member> now = List.of(a, d, e);
         fleet.awaitLeader(now);
         until("they know of themselves alone", () -> now.stream().allMatch(m -> {
             JsonObject s = m.status();
@@ -289,28 +289,28 @@
         }));
         until("what was said is kept", () -> now.stream().allMatch(m -> m.out(CACHE)));
         fleet.awaitHolder("warden", now);
-        Fleet.Member leader = fleet.awaitLeader(now);
+        ClusterProcesses.Member leader = fleet.awaitLeader(now);
         leader.kill();
         until("the new ones bear a loss", () -> now.stream().anyMatch(m -> m != leader && m.exit(CACHE)));
     }
 
-    private static void stop(Fleet.Member m) throws Exception {
+    private static void stop(ClusterProcesses.Member m) throws Exception {
         until("it is up", () -> m.status() != null); // Before that a signal ends the program at once.
         m.signal("TERM");
         assertEquals(0, m.process.waitFor());
     }
 
-    private void swapIn(Fleet.Member m, List<Fleet.Member> by) throws Exception {
+    private void swapIn(ClusterProcesses.Member m, List<ClusterProcesses.Member> by) throws Exception {
         until(m.name + " votes", () -> {
             if (!fleet.among(by, m, false)) {
                 fleet.change(by, "/cluster/add", new JsonObject().put("name", m.name).put("address",
-                        Fleet.HOST + ":" + m.port));
+                        ClusterProcesses.HOST + ":" + m.port));
             }
             return fleet.among(by, m, true);
         });
     }
 
-    private void swapOut(Fleet.Member m, List<Fleet.Member> by) throws Exception {
+    private void swapOut(ClusterProcesses.Member m, List<ClusterProcesses.Member> by) throws Exception {
         until(m.name + " is a member no more", () -> {
             JsonObject s = fleet.confirmed(by);
             if (s == null) {
@@ -326,24 +326,24 @@
 
     @Test
     void aPlannedStopHandsOnFirst() throws Exception {
-        Fleet.Member warden = fleet.awaitHolder("warden", fleet.members);
-        warden.signal("TERM");
-        assertEquals(0, warden.process.waitFor());
-        assertTrue(fleet.log.stream().noneMatch(l -> l.startsWith(warden.name + " ") && l.contains("ERROR")));
-        fleet.awaitHolder("warden", fleet.but(warden));
+        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
+        maintenanceBudget.signal("TERM");
+        assertEquals(0, maintenanceBudget.process.waitFor());
+        assertTrue(fleet.log.stream().noneMatch(l -> l.startsWith(maintenanceBudget.name + " ") && l.contains("ERROR")));
+        fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
         // A stand-by hands on too, and keeps its vote.
-        Fleet.Member next = fleet.awaitHolder("warden", fleet.but(warden));
+        ClusterProcesses.Member next = fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
         assertTrue(next.call("POST /standby", "").startsWith("HTTP/1.1 200"), () -> fleet.told());
         until("handed on", () -> {
-            Fleet.Member h = fleet.holder("warden", fleet.but(warden));
+            ClusterProcesses.Member h = fleet.holder("warden", fleet.but(maintenanceBudget));
             return h != null && h != next;
         });
-        Fleet.Member holder = fleet.awaitHolder("warden", fleet.but(warden));
+        ClusterProcesses.Member holder = fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
         assertTrue(next.call("POST /active", "").startsWith("HTTP/1.1 200"), () -> fleet.told());
         until("handed on by an operator", () -> {
             try {
                 return fleet.run("cluster", "hand-on", "warden", "--to", next.name, "--admin",
-                        Fleet.HOST + ":" + holder.admin) == 0;
+                        ClusterProcesses.HOST + ":" + holder.admin) == 0;
             } catch (Exception e) {
                 return false;
             }
@@ -353,8 +353,8 @@
 
     @Test
     void slowLinksThatLoseAndDelayOnlyDelay() throws Exception {
-        for (Fleet.Member a : fleet.members) {
-            for (Fleet.Member b : fleet.but(a)) {
+        for (ClusterProcesses.Member a : fleet.members) {
+            for (ClusterProcesses.Member b : fleet.but(a)) {
                 fleet.link(a, b).delay(15);
                 fleet.link(a, b).slow(700);
             }
@@ -369,8 +369,8 @@
 
     @Test
     void aFullDiskSilencesTheMemberAndNotTheDirector() throws Exception {
-        Fleet.Member full = fleet.but(fleet.awaitLeader(fleet.members)).get(0);
-        List<Fleet.Member> rest = fleet.but(full);
+        ClusterProcesses.Member full = fleet.but(fleet.awaitLeader(fleet.members)).get(0);
+        List<ClusterProcesses.Member> rest = fleet.but(full);
         full.kill();
         full.blocks = 8; // No file over 8 KB: soon there is no room for the log.
         full.start();
@@ -390,10 +390,10 @@
 
     @Test
     void whatCannotBeUsedIsRefusedWithAReason() throws Exception {
-        Fleet.Member m = fleet.members.get(0);
+        ClusterProcesses.Member m = fleet.members.get(0);
         m.kill();
         // Two processes, one folder.
-        Fleet.Member twin = fleet.new Member(0);
+        ClusterProcesses.Member twin = fleet.new Member(0);
         twin.config = m.config;
         m.start();
         until("open", () -> m.status() != null);
--- a/src/test/java/pewtercourse/cluster/ClusterProcesses.java
+++ b/src/test/java/pewtercourse/cluster/ClusterProcesses.java
@@ -28,7 +28,7 @@
 import java.util.function.Supplier;
 
 /** Some directors as processes of the program, a relay on each link between two of them. */
-final class Fleet implements AutoCloseable {
+final class ClusterProcesses implements AutoCloseable {
     static final String HOST = "127.0.0.1";
     private static final int PORTS_FROM = 12_000, PORTS_TO = 32_000; // Below those that the system gives by itself.
     private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
@@ -159,7 +159,7 @@
      * {@code name}: of the file in target/fault-logs that keeps what all members logged; {@code settings}: of
      * cluster.json, besides what differs from member to member.
      */
-    Fleet(String name, Path folder, int size, JsonObject settings) throws Exception {
+    ClusterProcesses(String name, Path folder, int size, JsonObject settings) throws Exception {
         this.name = name;
         this.folder = folder;
         this.size = size;
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pewtercourse.cluster.Fleet.until;
+import static pewtercourse.cluster.ClusterProcesses.until;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -34,7 +34,7 @@
     @TempDir
     Path folder;
 
-    private Fleet fleet;
+    private ClusterProcesses fleet;
     private Random random;
     private final List<String> script = new ArrayList<>();
 
@@ -47,12 +47,12 @@
     @MethodSource("seeds")
     void throughAnyFaultsWhatWasAnsweredHoldsAndAllComesBack(long seed) throws Exception {
         random = new Random(seed);
-        fleet = new Fleet("random-" + seed, folder, 3, SETTINGS);
+        fleet = new ClusterProcesses("random-" + seed, folder, 3, SETTINGS);
         try {
             fleet.found();
             fleet.start();
             fleet.awaitLeader(fleet.members);
-            Words words = new Words(fleet, seed, CACHES);
+            RandomOperators words = new RandomOperators(fleet, seed, CACHES);
             for (int i = 0; i < FAULTS; i++) {
                 fault();
             }
@@ -75,9 +75,9 @@
 
     // One or two members are hurt, and are well again before the next fault.
     private void fault() throws Exception {
-        List<Fleet.Member> order = new ArrayList<>(fleet.members);
+        List<ClusterProcesses.Member> order = new ArrayList<>(fleet.members);
         Collections.shuffle(order, random);
-        Fleet.Member m = order.get(0);
+        ClusterProcesses.Member m = order.get(0);
         int kind = random.nextInt(10);
         boolean majority = kind != 8 && kind != 9;
         script.add(kind + " " + order.get(0).name + order.get(1).name);
@@ -99,24 +99,24 @@
                 order.get(1).kill();
             }
             default -> {
-                for (Fleet.Member x : order) {
+                for (ClusterProcesses.Member x : order) {
                     x.kill();
                 }
             }
         }
-        List<Fleet.Member> rest = kind == 7 ? fleet.members : fleet.but(m);
+        List<ClusterProcesses.Member> rest = kind == 7 ? fleet.members : fleet.but(m);
         if (majority) {
             fleet.awaitLeader(rest);
             fleet.awaitHolder("warden", rest);
         } else if (kind == 8) {
-            Fleet.Member alone = order.get(2);
+            ClusterProcesses.Member alone = order.get(2);
             until("the one that is left has no majority", () -> {
                 JsonObject s = alone.status();
                 return s != null && s.getValue("leader") == null;
             });
             assertTrue(alone.call("GET /status", "").startsWith("HTTP/1.1 200"), "and serves on");
         }
-        for (Fleet.Member x : fleet.members) {
+        for (ClusterProcesses.Member x : fleet.members) {
             if (x.process.isAlive()) {
                 x.signal("CONT");
             } else {
@@ -133,7 +133,7 @@
         fleet.awaitHolder("divider", fleet.members);
         until("all know what is agreed", () -> {
             Set<String> leaders = new TreeSet<>();
-            for (Fleet.Member m : fleet.members) {
+            for (ClusterProcesses.Member m : fleet.members) {
                 JsonObject s = m.status();
                 if (s == null || s.getString("leader") == null || s.getJsonObject("out").size() > 1) {
                     return false;
--- a/src/test/java/pewtercourse/cluster/RandomOperators.java
+++ b/src/test/java/pewtercourse/cluster/RandomOperators.java
@@ -15,7 +15,7 @@
  * Operators that take caches out and back while parts fail, one after the other for each cache. What was answered with a
  * yes must be what a confirmed leader then says, until something else is asked for; after a no, or none, either may be.
  */
-final class Words implements AutoCloseable {
+final class RandomOperators implements AutoCloseable {
     /** What an operator knows of one cache: out, in, or (null) either. */
     private static final class Known {
         private Boolean out;
@@ -29,7 +29,7 @@
         }
     }
 
-    private final Fleet fleet;
+    private final ClusterProcesses fleet;
     private final List<Thread> clients = new ArrayList<>();
     private final Map<String, Known> known = new TreeMap<>();
     private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
@@ -37,7 +37,7 @@
     private volatile int said, compared;
 
     /** One operator for each of the caches. */
-    Words(Fleet fleet, long seed, String... caches) {
+    RandomOperators(ClusterProcesses fleet, long seed, String... caches) {
         this.fleet = fleet;
         for (String cache : caches) {
             known.put(cache, new Known());
@@ -53,11 +53,11 @@
     private void speak(Random random, String cache) {
         Known k = known.get(cache);
         while (!over) {
-            List<Fleet.Member> up = fleet.members.stream().filter(m -> m.process != null && m.process.isAlive()).toList();
+            List<ClusterProcesses.Member> up = fleet.members.stream().filter(m -> m.process != null && m.process.isAlive()).toList();
             if (up.isEmpty()) {
                 continue;
             }
-            Fleet.Member m = up.get(random.nextInt(up.size()));
+            ClusterProcesses.Member m = up.get(random.nextInt(up.size()));
             boolean out = random.nextBoolean();
             k.asked();
             boolean yes = out ? m.enter(cache) : m.exit(cache);
@@ -67,7 +67,7 @@
         }
     }
 
-    private void compare(String cache, Known k, Fleet.Member by) {
+    private void compare(String cache, Known k, ClusterProcesses.Member by) {
         JsonObject s = k.out == null ? null : fleet.confirmed(fleet.members);
         if (s != null) {
             compared++;
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pewtercourse.cluster.Fleet.until;
+import static pewtercourse.cluster.ClusterProcesses.until;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -32,22 +32,22 @@
 
     @TempDir
     Path folder;
-    private Fleet fleet;
+    private ClusterProcesses fleet;
     private Emulation emulation;
     private Path sites;
-    private Fleet.Member stood;
+    private ClusterProcesses.Member stood;
 
     @BeforeEach
     void start(TestInfo test) throws Exception {
-        fleet = new Fleet("site-" + test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
+        fleet = new ClusterProcesses("site-" + test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
         List<Emulation.SiteSpec> specs = new ArrayList<>();
-        for (Fleet.Member m : fleet.members) {
-            List<String> order = new ArrayList<>(List.of(Fleet.HOST + ":" + m.listen));
-            fleet.but(m).forEach(o -> order.add(Fleet.HOST + ":" + o.listen));
+        for (ClusterProcesses.Member m : fleet.members) {
+            List<String> order = new ArrayList<>(List.of(ClusterProcesses.HOST + ":" + m.listen));
+            fleet.but(m).forEach(o -> order.add(ClusterProcesses.HOST + ":" + o.listen));
             specs.add(new Emulation.SiteSpec("s" + m.number, 2, 6, 20, order));
         }
         emulation = new Emulation(specs, 7);
-        fleet.configure(m -> emulation.config(m.name, "s" + m.number, Fleet.HOST + ":" + m.listen));
+        fleet.configure(m -> emulation.config(m.name, "s" + m.number, ClusterProcesses.HOST + ":" + m.listen));
         sites = folder.resolve("sites.json");
         Files.writeString(sites, file(true).encode());
         fleet.environment.put("GW_SITES", sites.toString());
@@ -63,7 +63,7 @@
         }));
     }
 
-    private static boolean serves(Fleet.Member m) {
+    private static boolean serves(ClusterProcesses.Member m) {
         try {
             return m.call("GET /status", "").startsWith("HTTP/1.1 200");
         } catch (java.io.IOException e) {
@@ -73,7 +73,7 @@
 
     private JsonObject file(boolean crossing) {
         JsonArray all = new JsonArray();
-        for (Fleet.Member m : fleet.members) {
+        for (ClusterProcesses.Member m : fleet.members) {
             JsonArray takers = new JsonArray();
             if (crossing) {
                 fleet.but(m).forEach(o -> takers.add(new JsonObject().put("site", "s" + o.number)));
@@ -92,8 +92,8 @@
             until("all have their answers", () -> emulation.open() == 0);
             // What a director that stands still has taken it can't answer.
             assertEquals(List.of(), emulation.findings(Findings::broken).stream()
-                    .filter(b -> stood == null || !b.contains(" by " + Fleet.HOST + ":" + stood.listen + " got no answer")).toList());
-            for (Fleet.Member m : fleet.members) {
+                    .filter(b -> stood == null || !b.contains(" by " + ClusterProcesses.HOST + ":" + stood.listen + " got no answer")).toList());
+            for (ClusterProcesses.Member m : fleet.members) {
                 assertEquals(0, emulation.falls("s" + m.number), "cold caches that fell at s" + m.number);
             }
             assertTrue(emulation.findings(Findings::runs) > 0, "no order ran");
@@ -104,14 +104,14 @@
         ClusterFaultTest.checkActs(fleet.log);
     }
 
-    private void everywhere(String what, List<Fleet.Member> among, Predicate<JsonObject> holds) throws InterruptedException {
+    private void everywhere(String what, List<ClusterProcesses.Member> among, Predicate<JsonObject> holds) throws InterruptedException {
         until(what + " at " + among.stream().map(m -> m.name).toList(), () -> among.stream().allMatch(m -> {
             JsonObject s = m.site(LOST);
             return s != null && holds.test(s);
         }));
     }
 
-    private void phase(String phase, List<Fleet.Member> among) throws InterruptedException {
+    private void phase(String phase, List<ClusterProcesses.Member> among) throws InterruptedException {
         everywhere(phase, among, s -> s.getString("phase").equals(phase));
     }
 
@@ -145,12 +145,12 @@
 
     @Test
     void aSiteLostWithItsDirectorThatKeptTheSites() throws Exception {
-        Fleet.Member d0 = fleet.members.get(0);
+        ClusterProcesses.Member d0 = fleet.members.get(0);
         until("the keeper stands in it", () -> {
-            Fleet.Member h = fleet.holder("sites", fleet.members);
+            ClusterProcesses.Member h = fleet.holder("sites", fleet.members);
             if (h != null && h != d0) {
                 try {
-                    fleet.run("cluster", "hand-on", "sites", "--to", "d0", "--admin", Fleet.HOST + ":" + h.admin);
+                    fleet.run("cluster", "hand-on", "sites", "--to", "d0", "--admin", ClusterProcesses.HOST + ":" + h.admin);
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
@@ -159,7 +159,7 @@
         });
         d0.kill();
         emulation.lose(LOST);
-        List<Fleet.Member> rest = fleet.but(d0);
+        List<ClusterProcesses.Member> rest = fleet.but(d0);
         emulation.list(LOST, "Gone");
         phase("lost", rest);
         everywhere("with its directors", rest, s -> s.getString("health").equals("all"));
@@ -177,13 +177,13 @@
         emulation.list(LOST, "Gone");
         emulation.revive(LOST);
         phase("returning", fleet.members);
-        Fleet.Member keeper = fleet.awaitHolder("sites", fleet.members);
-        stood = keeper;
-        keeper.signal("STOP");
-        List<Fleet.Member> rest = fleet.but(keeper);
+        ClusterProcesses.Member failoverController = fleet.awaitHolder("sites", fleet.members);
+        stood = failoverController;
+        failoverController.signal("STOP");
+        List<ClusterProcesses.Member> rest = fleet.but(failoverController);
         fleet.awaitHolder("sites", rest);
         phase("whole", rest);
-        keeper.signal("CONT");
+        failoverController.signal("CONT");
         phase("whole", fleet.members);
         long lost = fleet.log.stream().filter(l -> l.contains("site.status site=s0 phase=LOST")).count();
         assertTrue(lost <= 3, "told once by each: " + lost);
@@ -191,9 +191,9 @@
 
     @Test
     void aDirectorThatIsCutOffDeclaresNothingAndServesOn() throws Exception {
-        Fleet.Member d0 = fleet.members.get(0);
+        ClusterProcesses.Member d0 = fleet.members.get(0);
         fleet.cutOff(d0, false, false);
-        List<Fleet.Member> rest = fleet.but(d0);
+        List<ClusterProcesses.Member> rest = fleet.but(d0);
         fleet.awaitHolder("sites", rest);
         everywhere("its director is silent, its caches are not known to fail", rest, s -> s.getString("phase").equals("impaired")
                 && s.getString("health").equals("directors"));
@@ -251,8 +251,8 @@
 
     @Test
     void aFileReplacedDuringALossCountsWholeOrNotAtAllAndOperatorsDrillHoldAndRelease() throws Exception {
-        Fleet.Member any = fleet.members.get(1);
-        String admin = Fleet.HOST + ":" + any.admin;
+        ClusterProcesses.Member any = fleet.members.get(1);
+        String admin = ClusterProcesses.HOST + ":" + any.admin;
         assertEquals(0, fleet.run("sites", "status", "--admin", admin));
         assertEquals(0, fleet.run("sites", "plan", LOST, "--admin", admin));
         assertEquals(0, fleet.run("sites", "drill", LOST, "--admin", admin));
@@ -261,21 +261,21 @@
         assertEquals(1, fleet.run("sites", "status", "--admin", admin), "not whole");
         // A file that can't be used changes nothing.
         Files.writeString(sites, file(true).put("steps", new JsonArray().add(2)).encode());
-        for (Fleet.Member m : fleet.members) {
+        for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
         until("refused", () -> fleet.log.stream().filter(l -> l.contains("config.kept") && l.contains("steps")).count() == 3);
         everywhere("the plan stands", fleet.members, s -> !s.getJsonArray("takers").isEmpty());
         // One that forbids crossing counts at once, wherever the loss stands.
         Files.writeString(sites, file(false).encode());
-        for (Fleet.Member m : fleet.members) {
+        for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
         everywhere("nobody takes any more", fleet.members, s -> s.getJsonArray("takers").isEmpty());
         assertEquals(1, fleet.run("sites", "plan", LOST, "--admin", admin), "a loss that can't be borne");
         assertEquals(0, fleet.run("sites", "hold", LOST, "--admin", admin));
         Files.writeString(sites, file(true).encode());
-        for (Fleet.Member m : fleet.members) {
+        for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
         everywhere("and take again", fleet.members, s -> !s.getJsonArray("takers").isEmpty() && s.getBoolean("held"));
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -26,8 +26,8 @@
         assertEquals(3, c.members().size());
         assertEquals(2_000_000, c.duties().lease());
         assertEquals(500, c.duties().kept());
-        assertEquals(2, c.duties().warden().limit(8));
-        assertEquals(1, c.duties().warden().limit(3));
+        assertEquals(2, c.duties().maintenanceBudget().limit(8));
+        assertEquals(1, c.duties().maintenanceBudget().limit(3));
         assertNull(ClusterConfig.fromEnvironment(Map.of()));
         JsonObject bare = file();
         bare.remove("duties");
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -171,7 +171,7 @@
         assertEquals(Answer.Kind.FAILED, ask("place-order", null, 1_000).kind());
         assertTrue(get(told) <= 960, "the attempt may last " + get(told) + " of the client's 1000 ms");
         for (double deadline : new double[] {1, 200, 2_500, 5_000, 60_000}) {
-            long expires = Exchange.expires(new ClientRequest("9b1f03aa5c7e2d41", "menu-page", "7f3a9c21e0b4d655", 3, 17, 10,
+            long expires = ProxiedRequest.expires(new ClientRequest("9b1f03aa5c7e2d41", "menu-page", "7f3a9c21e0b4d655", 3, 17, 10,
                     null, Buffer.buffer(), 7_000_000, deadline));
             long spared = 7_000_000 + (long) (deadline * 1000) - expires;
             assertEquals(Math.min(100_000, 40 * deadline), spared, 1, "of " + deadline + " ms");
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -29,7 +29,7 @@
 import pewtercourse.feed.FeedEvent;
 
 /** Calls by hand among events of the feed, in any order, against who may be used. */
-class RosterModelTest {
+class ServiceRegistryModelTest {
     private record Step(int kind, int host) { }
 
     private static final Timers NO_TIMERS = new Timers() {
@@ -43,7 +43,7 @@
     };
 
     private long now = 1_000_000;
-    private Roster roster;
+    private ServiceRegistry registry;
     private final Map<Long, Router.Member> module = new HashMap<>(); // What the module was last told.
 
     // The same object plays all tries of a property.
@@ -53,7 +53,7 @@
         now = 1_000_000;
         DirectorConfig c = DirectorConfig.read(Map.of(),
                 new JsonObject(Files.readString(Path.of("examples/config.json"))));
-        roster = new Roster(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
+        registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
     private static FeedEvent.Host host(int i, Router.State state, long started) {
@@ -95,16 +95,16 @@
                     } else {
                         listed.put(i, h);
                     }
-                    hear(roster.apply(new FeedEvent.Members(++number, false, List.of(h))));
+                    hear(registry.apply(new FeedEvent.Members(++number, false, List.of(h))));
                 }
                 case 3 -> {
                     back.keySet().retainAll(listed.keySet());
-                    hear(roster.apply(new FeedEvent.Members(++number, true, new ArrayList<>(listed.values()))));
+                    hear(registry.apply(new FeedEvent.Members(++number, true, new ArrayList<>(listed.values()))));
                 }
                 case 4 -> {
-                    assertEquals(listed.containsKey(i) || out.contains(i), roster.knows("s-" + i));
+                    assertEquals(listed.containsKey(i) || out.contains(i), registry.knows("s-" + i));
                     if (listed.containsKey(i)) {
-                        hear(roster.takeOut("s-" + i, now));
+                        hear(registry.takeOut("s-" + i, now));
                         out.add(i);
                     }
                 }
@@ -112,14 +112,14 @@
                     if (out.remove(i)) {
                         back.put(i, listed.containsKey(i) && listed.get(i).startedMs() > 0 ? listed.get(i).startedMs() : now);
                     }
-                    hear(roster.putBack("s-" + i, now));
+                    hear(registry.putBack("s-" + i, now));
                 }
             }
             for (int k = 0; k < 4; k++) {
                 FeedEvent.Host h = listed.get(k);
                 boolean usable = h != null && h.state() == Router.State.READY && !out.contains(k);
                 assertEquals(usable, used(k), "told to the module: " + k);
-                assertEquals(usable, roster.ready(k), "for what waits for a connection: " + k);
+                assertEquals(usable, registry.ready(k), "for what waits for a connection: " + k);
                 if (usable && back.containsKey(k) && h.startedMs() == 0) {
                     assertTrue(module.get((long) k).since() >= back.get(k) * 1000, "back, and taken for warm: " + k);
                 }
@@ -135,18 +135,18 @@
 
     @Example
     void twoCallsOutAndOneBackAndAStartThatTheFeedTells() {
-        hear(roster.apply(new FeedEvent.Members(1, true, List.of(host(1, Router.State.READY, 0)))));
-        hear(roster.takeOut("s-1", now));
-        hear(roster.takeOut("s-1", now + 5));
+        hear(registry.apply(new FeedEvent.Members(1, true, List.of(host(1, Router.State.READY, 0)))));
+        hear(registry.takeOut("s-1", now));
+        hear(registry.takeOut("s-1", now + 5));
         assertFalse(used(1));
-        hear(roster.apply(new FeedEvent.Members(2, false, List.of(host(1, Router.State.GONE, 0)))));
-        assertTrue(roster.knows("s-1"), "out, though it is not listed now");
-        hear(roster.apply(new FeedEvent.Members(3, false, List.of(host(1, Router.State.READY, now + 2_000)))));
+        hear(registry.apply(new FeedEvent.Members(2, false, List.of(host(1, Router.State.GONE, 0)))));
+        assertTrue(registry.knows("s-1"), "out, though it is not listed now");
+        hear(registry.apply(new FeedEvent.Members(3, false, List.of(host(1, Router.State.READY, now + 2_000)))));
         assertFalse(used(1), "listed anew, and still out");
-        hear(roster.putBack("s-1", now + 9_000));
+        hear(registry.putBack("s-1", now + 9_000));
         assertTrue(used(1));
         assertEquals((now + 2_000) * 1000, module.get(1L).since());
-        hear(roster.putBack("s-1", now + 9_500));
+        hear(registry.putBack("s-1", now + 9_500));
         assertEquals((now + 2_000) * 1000, module.get(1L).since(), "a second call back changes nothing");
     }
 }
--- a/src/test/java/pewtercourse/site/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/site/FailoverControllerTest.java
@@ -16,43 +16,43 @@
 import org.junit.jupiter.api.Test;
 
 /** Seeing how sites are, declaring losses and pacing returns, at a keeper that is told once a second. */
-class KeeperTest {
+class FailoverControllerTest {
     private static final long SECOND = 1_000_000;
-    private static final Sight WELL = new Sight(4, 4, 2, 2, 20, 1, 0, 0, 10), DEAD = new Sight(4, 4, 2, 2, 0, 0, 20, 0, 10),
-            UNLISTED = new Sight(4, 0, 2, 2, 0, 0, 0, 0, 10), SLOW = new Sight(4, 4, 2, 2, 3, 17, 0, 0, 10),
-            NO_PARENTS = new Sight(4, 4, 2, 0, 20, 1, 0, 0, 10), FAR = new Sight(4, 4, 2, 2, 0, 0, 0, 0, 0),
-            FAR_DEAD = new Sight(4, 4, 2, 2, 0, 0, 6, 0, 0), FAR_WELL = new Sight(4, 4, 2, 2, 6, 0, 0, 0, 0);
+    private static final SiteObservation WELL = new SiteObservation(4, 4, 2, 2, 20, 1, 0, 0, 10), DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 20, 0, 10),
+            UNLISTED = new SiteObservation(4, 0, 2, 2, 0, 0, 0, 0, 10), SLOW = new SiteObservation(4, 4, 2, 2, 3, 17, 0, 0, 10),
+            NO_PARENTS = new SiteObservation(4, 4, 2, 0, 20, 1, 0, 0, 10), FAR = new SiteObservation(4, 4, 2, 2, 0, 0, 0, 0, 0),
+            FAR_DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 6, 0, 0), FAR_WELL = new SiteObservation(4, 4, 2, 2, 6, 0, 0, 0, 0);
 
-    private Keeper keeper;
-    private Book book;
+    private FailoverController failoverController;
+    private FailoverState book;
     private long now, entry;
     private final List<String> told = new ArrayList<>();
 
     @BeforeEach
     void start() {
-        keeper = new Keeper(PlannerTest.sites(20, 20, 20, 20));
-        book = new Book();
+        failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
+        book = new FailoverState();
         now = 10 * SECOND;
         entry = 0;
         told.clear();
     }
 
     /** Some seconds in which d0 sees {@code own} of s0 and the others {@code far}; null is silence. */
-    private void pass(int seconds, Sight own, Sight far, String... absent) {
+    private void pass(int seconds, SiteObservation own, SiteObservation far, String... absent) {
         for (int i = 0; i < seconds; i++) {
             for (int m = 0; m < 4; m++) {
-                Sight s = m == 0 ? own : far;
+                SiteObservation s = m == 0 ? own : far;
                 if (s != null) {
-                    Map<String, Sight> sights = new TreeMap<>(Map.of("s0", s));
+                    Map<String, SiteObservation> siteObservations = new TreeMap<>(Map.of("s0", s));
                     if (m > 0) {
-                        sights.put("s" + m, WELL);
+                        siteObservations.put("s" + m, WELL);
                     }
-                    keeper.detector().see(now, "d" + m, sights);
+                    failoverController.detector().see(now, "d" + m, siteObservations);
                 }
             }
             for (int t = 0; t < 10; t++) {
                 now += SECOND / 10;
-                for (Keeper.Declaration d : keeper.orders(now, book, Set.of(absent))) {
+                for (FailoverController.Declaration d : failoverController.orders(now, book, Set.of(absent))) {
                     assertTrue(book.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
                     told.add(d.site() + " " + d.phase() + " " + d.health() + " " + d.step());
                 }
@@ -100,8 +100,8 @@
     @Test
     void aListThatIsEmptyAtOneMemberOrWhileAttemptsSucceedIsNoLoss() {
         pass(3, WELL, FAR);
-        pass(6, new Sight(4, 0, 2, 2, 20, 0, 0, 0, 10), FAR);
-        pass(6, new Sight(4, 0, 2, 2, 20, 0, 0, 0, 10), UNLISTED);
+        pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), FAR);
+        pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), UNLISTED);
         assertFalse(phase() == Status.Phase.LOST, told::toString);
         pass(4, UNLISTED, UNLISTED);
         assertEquals(Status.Phase.LOST, phase());
@@ -128,7 +128,7 @@
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
         int before = book.status("s0").step();
-        pass(2, new Sight(4, 4, 2, 2, 15, 0, 6, 0, 10), FAR);
+        pass(2, new SiteObservation(4, 4, 2, 2, 15, 0, 6, 0, 10), FAR);
         assertTrue(book.status("s0").step() < before || phase() == Status.Phase.LOST, told::toString);
     }
 
@@ -138,7 +138,7 @@
         pass(4, WELL, FAR);
         assertEquals(Status.Phase.RETURNING, phase());
         int step = book.status("s0").step();
-        pass(6, new Sight(4, 4, 2, 2, 6, 14, 0, 0, 10), FAR);
+        pass(6, new SiteObservation(4, 4, 2, 2, 6, 14, 0, 0, 10), FAR);
         assertEquals(Status.Phase.RETURNING, phase());
         assertTrue(book.status("s0").step() <= step + 1, told::toString);
     }
@@ -195,7 +195,7 @@
         pass(5, WELL, FAR);
         Status before = book.status("s0");
         assertEquals(Status.Phase.RETURNING, before.phase());
-        keeper = new Keeper(PlannerTest.sites(20, 20, 20, 20));
+        failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
         told.clear();
         pass(8, WELL, FAR);
         assertEquals(Status.Phase.WHOLE, phase());
@@ -207,8 +207,8 @@
     void onlyKnownChangesAreMade(@ForAll long seed) {
         start();
         Random random = new Random(seed);
-        Sight[] own = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, null};
-        Sight[] far = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, null};
+        SiteObservation[] own = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, null};
+        SiteObservation[] far = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, null};
         Status before = book.status("s0");
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
@@ -218,7 +218,7 @@
                 assertTrue(done);
                 before = book.status("s0");
             }
-            Sight mine = own[random.nextInt(own.length)];
+            SiteObservation mine = own[random.nextInt(own.length)];
             for (int s = 1 + random.nextInt(4); s > 0; s--) {
                 told.clear();
                 pass(1, mine, far[random.nextInt(far.length)], mine == null ? new String[] {"d0"} : new String[0]);
--- a/src/test/java/pewtercourse/site/OverflowRouterTest.java
+++ b/src/test/java/pewtercourse/site/OverflowRouterTest.java
@@ -14,35 +14,35 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class GuestsTest {
+class OverflowRouterTest {
     private static final long SECOND = 1_000_000;
     private static final Sites SITES = PlannerTest.sites(20, 20, 20, 20);
 
-    private static Guests guests(Book book, long seed) {
-        Guests g = new Guests(SITES, "s0", 500_000, seed);
+    private static OverflowRouter overflowRouter(FailoverState book, long seed) {
+        OverflowRouter g = new OverflowRouter(SITES, "s0", 500_000, seed);
         g.listed(false); // No trials at home.
         g.follow(0, book, 1);
         return g;
     }
 
-    private static Book book(Status.Phase phase, int step, double load) {
-        Book book = new Book();
+    private static FailoverState book(Status.Phase phase, int step, double load) {
+        FailoverState book = new FailoverState();
         book.plan(new Planner().plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
         book.declare(1, "s0", phase, Health.CACHES, step, 0, 0);
         return book;
     }
 
-    private static Guests.Ask read(long object, double work) {
-        return new Guests.Ask(object, 1, work, 600_000, Long.MAX_VALUE, 0, false, false);
+    private static OverflowRouter.Ask read(long object, double work) {
+        return new OverflowRouter.Ask(object, 1, work, 600_000, Long.MAX_VALUE, 0, false, false);
     }
 
     @Test
     void eachObjectGoesToOneTakerByThePlanFromWhicheverDirector() {
-        Book book = book(Status.Phase.LOST, 0, 20);
-        Guests a = guests(book, 1), b = guests(book, 2);
+        FailoverState book = book(Status.Phase.LOST, 0, 20);
+        OverflowRouter a = overflowRouter(book, 1), b = overflowRouter(book, 2);
         Map<String, Integer> count = new TreeMap<>();
         for (int i = 0; i < 20_000; i++) {
-            long object = Guests.hash("o" + i), now = i * SECOND; // Far from any bound.
+            long object = OverflowRouter.hash("o" + i), now = i * SECOND; // Far from any bound.
             String to = a.choose(now, read(object, 1)).site();
             assertEquals(to, b.choose(now, read(object, 1)).site());
             count.merge(to, 1, Integer::sum);
@@ -55,10 +55,10 @@
 
     @Test
     void aStepFurtherMovesNoObjectAwayAgain() {
-        Guests first = guests(book(Status.Phase.RETURNING, 0, 12), 1), second = guests(book(Status.Phase.RETURNING, 1, 12), 1);
+        OverflowRouter first = overflowRouter(book(Status.Phase.RETURNING, 0, 12), 1), second = overflowRouter(book(Status.Phase.RETURNING, 1, 12), 1);
         int home = 0;
         for (int i = 0; i < 10_000; i++) {
-            long object = Guests.hash("o" + i), now = i * SECOND;
+            long object = OverflowRouter.hash("o" + i), now = i * SECOND;
             boolean before = first.choose(now, read(object, 1)).site().equals("s0");
             boolean after = second.choose(now, read(object, 1)).site().equals("s0");
             assertTrue(!before || after);
@@ -69,7 +69,7 @@
 
     @Test
     void nobodyIsAskedForMoreThanItLendsAndTheWorthlessIsRefusedFirst() {
-        Guests g = guests(book(Status.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
+        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
         Random random = new Random(3);
         Map<String, Double> taken = new TreeMap<>();
         int[] asked = new int[2], served = new int[2];
@@ -77,7 +77,7 @@
         long end = 60 * SECOND;
         for (long now = 0; now < end; now += 5_000) { // 200 a second of 200 ms: 40 transfers at once.
             int cls = random.nextInt(2);
-            Guests.Choice c = g.choose(now, new Guests.Ask(random.nextLong(), cls == 0 ? 1 : 3, 200_000, 600_000, now + 3 * SECOND,
+            OverflowRouter.Choice c = g.choose(now, new OverflowRouter.Ask(random.nextLong(), cls == 0 ? 1 : 3, 200_000, 600_000, now + 3 * SECOND,
                     200_000, false, false));
             asked[cls]++;
             if (c.site() == null) {
@@ -96,19 +96,19 @@
 
     @Test
     void ordersAlwaysPass() {
-        Guests g = guests(book(Status.Phase.LOST, 0, 40), 1);
+        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 40), 1);
         for (long now = 0; now < 20 * SECOND; now += 1_000) {
             g.choose(now, read(now, 300_000));
-            Guests.Choice order = g.choose(now, new Guests.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
+            OverflowRouter.Choice order = g.choose(now, new OverflowRouter.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
             assertNotNull(order.site());
         }
     }
 
     @Test
     void whatCannotBeInTimeAndLargeOneOffsGoFirst() {
-        Guests g = guests(book(Status.Phase.LOST, 0, 12), 1);
-        assertEquals(null, g.choose(0, new Guests.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false)).site());
-        Worths w = new Worths();
+        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 12), 1);
+        assertEquals(null, g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false)).site());
+        RequestPriorities w = new RequestPriorities();
         for (int i = 0; i < 1_000; i++) {
             w.rank(i * 1_000, 1, 100_000, i % 50, false);
         }
@@ -119,7 +119,7 @@
 
     @Test
     void whileTheListHasItsCachesOneIsTriedAtHomeNowAndThen() {
-        Guests g = guests(book(Status.Phase.LOST, 0, 12), 1);
+        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 12), 1);
         g.listed(true);
         int home = 0;
         for (long now = SECOND; now < 11 * SECOND; now += 10_000) {
@@ -151,16 +151,16 @@
 
     @Test
     void thePartIsSharedByTheDirectorsThatAreThere() {
-        Book book = book(Status.Phase.LOST, 0, 40);
+        FailoverState book = book(Status.Phase.LOST, 0, 40);
         double[] taken = new double[2];
         for (int n = 1; n <= 2; n++) {
-            Guests g = guests(book, 1);
+            OverflowRouter g = overflowRouter(book, 1);
             g.follow(0, book, n);
             for (long now = 0; now < 60 * SECOND; now += 2_000) {
                 taken[n - 1] += g.choose(now, read(now * 7919, 200_000)).site() != null ? 200_000 : 0;
             }
         }
         assertEquals(0.5, taken[1] / taken[0], 0.05);
-        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>) guests(book, 1).takers()));
+        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>) overflowRouter(book, 1).takers()));
     }
 }
