--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -1,5 +1,7 @@
 package pewtercourse.config;
 
+import static pewtercourse.config.JsonFields.number;
+
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -162,18 +164,6 @@
         return s;
     }
 
-    // {@code otherwise} not a number: it has to be there.
-    private static double number(String key, Object v, double otherwise, double least, double most) {
-        if (v != null && !(v instanceof Number) || v == null && Double.isNaN(otherwise)) {
-            throw new ConfigException(key, v == null ? "missing" : "'" + v + "' is not a number");
-        }
-        double d = v == null ? otherwise : ((Number) v).doubleValue();
-        if (!(d >= least && d <= most)) {
-            throw new ConfigException(key, "is not from " + least + " to " + most);
-        }
-        return d;
-    }
-
     /** In microseconds. */
     private static long millis(JsonObject json, String key, long otherwise, long least, long most) {
         return (long) (number(key, json.getValue(key), otherwise, least, most) * 1_000);
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -1,5 +1,7 @@
 package pewtercourse.emulator;
 
+import static pewtercourse.config.JsonFields.number;
+
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -154,15 +156,4 @@
         }
         return s;
     }
-
-    private static double number(String key, Object v, double otherwise, double least, double most) {
-        if (v != null && !(v instanceof Number) || v == null && Double.isNaN(otherwise)) {
-            throw new ConfigException(key, v == null ? "missing" : "'" + v + "' is not a number");
-        }
-        double d = v == null ? otherwise : ((Number) v).doubleValue();
-        if (!(d >= least && d <= most)) {
-            throw new ConfigException(key, "is not from " + least + " to " + most);
-        }
-        return d;
-    }
 }
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -260,15 +260,7 @@
     }
 
     private <T> T onLoop(Supplier<T> what) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> {
-            try {
-                done.complete(what.get());
-            } catch (RuntimeException | Error e) {
-                done.completeExceptionally(e);
-            }
-        });
-        return get(done);
+        return EventLoopCalls.call(vertx, what);
     }
 
     private ScriptedTransport startScripted() throws Exception {
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -82,15 +82,7 @@
     }
 
     private <T> T onLoop(Supplier<T> what) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> {
-            try {
-                done.complete(what.get());
-            } catch (RuntimeException | Error e) {
-                done.completeExceptionally(e);
-            }
-        });
-        return done.get(WAIT_SECONDS, TimeUnit.SECONDS);
+        return EventLoopCalls.call(vertx, what);
     }
 
     @BeforeEach
