--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -152,7 +152,7 @@
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
         return cluster.agree(() -> {
-            long after = cluster.state().book().status(name).entry();
+            long after = cluster.state().failover().status(name).entry();
             return switch (call) {
                 case "drill" -> new Command.Drill(name, after);
                 case "hold" -> new Command.HoldSite(name, true, after);
@@ -169,8 +169,8 @@
     }
 
     @Override
-    public void sites(FailoverState book, Set<String> absent) {
-        director.follow(book, absent);
+    public void sites(FailoverState failover, Set<String> absent) {
+        director.follow(failover, absent);
     }
 
     @Override
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -6,7 +6,6 @@
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
-import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
@@ -16,11 +15,9 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
 import java.util.function.Supplier;
 import pewtercourse.Log;
@@ -46,7 +43,6 @@
 import pewtercourse.raft.wire.Wire;
 import pewtercourse.site.FailoverState;
 import pewtercourse.site.FailoverController;
-import pewtercourse.site.Plan;
 import pewtercourse.site.Planner;
 import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
@@ -391,20 +387,20 @@
     }
 
     private void tellSites() {
-        FailoverState book = duties.state().book();
-        if (sites == null || book.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
+        FailoverState failover = duties.state().failover();
+        if (sites == null || failover.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
             return;
         }
-        toldSites = book.version();
+        toldSites = failover.version();
         toldAbsent = Set.copyOf(duties.state().absent());
-        book.statuses().forEach((name, s) -> {
+        failover.statuses().forEach((name, s) -> {
             Status before = toldStatuses.put(name, s);
             if (!s.equals(before)) {
                 Log.info("site.status", "site", name, "phase", s.phase(), "health", s.health(), "step", s.step(), "flaps",
                         s.flaps(), "held", s.held(), "drill", s.drill(), "entry", s.entry());
             }
         });
-        host.sites(book, toldAbsent);
+        host.sites(failover, toldAbsent);
     }
 
     /** Sites as a new file describes them, from now on. */
@@ -663,100 +659,22 @@
         return sites != null && sites.sites().containsKey(name);
     }
 
-    /**
-     * For operators: how each site stands, what its clients ask for, and what happens if it is lost as well as those that
-     * are away now. Null where sites are not kept.
-     */
+    /** For operators, see {@link ClusterReport#sites}. Null where sites are not kept. */
     public JsonObject sitesStatus() {
-        if (sites == null) {
-            return null;
-        }
-        FailoverState book = state().book();
-        Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
-        JsonArray all = new JsonArray();
-        sites.sites().forEach((name, site) -> {
-            Status s = book.status(name);
-            double load = loads.getOrDefault(name, 0.0);
-            Set<String> lost = new TreeSet<>(book.away());
-            lost.add(name);
-            Plan.Shares shares = book.plan().when(lost).getOrDefault(name, Plan.Shares.NOTHING);
-            JsonArray takers = new JsonArray();
-            shares.parts().forEach(p -> takers.add(new JsonObject().put("site", p.site()).put("work", p.work())
-                    .put("most", p.most())));
-            all.add(new JsonObject().put("site", name).put("phase", s.phase().name().toLowerCase(Locale.ROOT))
-                    .put("health", s.health().name().toLowerCase(Locale.ROOT)).put("step", s.step()).put("flaps", s.flaps())
-                    .put("held", s.held()).put("drill", s.drill()).put("load", load).put("bears", site.bears())
-                    .put("spare", site.spare(load)).put("takers", takers).put("refused", shares.refused()));
-        });
-        return new JsonObject().put("open", raft != null).put("keeper", state().duty(DutyState.SITES).holder())
-                .put("leader", raft == null ? null : raft.leader()).put("planned", book.plan().cases().size()).put("sites", all);
+        return sites == null ? null : report().sites(sites);
     }
 
-    /** For operators, by name. While its folder can't be used only {@code cluster.open}, 0, is known. */
+    /** For operators, by name. While its folder can't be used only {@code cluster.open}, 0, and the disk's failures are known. */
     public Map<String, Long> figures() {
-        Map<String, Long> f = new LinkedHashMap<>();
-        f.put("cluster.open", raft == null ? 0L : 1);
-        f.put("cluster.disk_failures", diskFailures);
-        if (raft == null) {
-            return f;
-        }
-        long now = now();
-        boolean leads = raft.role() == Raft.Role.LEADER;
-        f.put("cluster.leads", leads ? 1L : 0);
-        f.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
-        f.put("cluster.term", raft.term());
-        f.put("cluster.commit", raft.commit());
-        f.put("cluster.applied", applied);
-        f.put("cluster.members", (long) raft.members().all().size());
-        if (leads) {
-            f.put("cluster.members_heard", (long) raft.heard(now).size());
-        }
-        f.put("cluster.calls_waiting", (long) pending.size());
-        f.put("cluster.dropped_frames", net.dropped());
-        f.put("duty.held", config.duties().names().stream().filter(d -> duties.token(d, now) > 0).count());
-        f.put("duty.acts", duties.acts());
-        f.put("duty.part_thousandths", duties.part(now));
-        f.put("duty.lent_thousandths", state().lent());
-        f.put("duty.out", (long) state().out().size());
-        f.put("duty.waiting", state().tickets().values().stream().filter(t -> !t.let()).count());
-        return f;
-    }
-
-    // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by it.
-    private JsonArray membersStatus(long now) {
-        Map<String, Long> lag = raft.lag();
-        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
-        Set<String> names = new TreeSet<>(raft.agreedMembers().all().keySet());
-        names.addAll(raft.members().all().keySet());
-        JsonArray status = new JsonArray();
-        for (String name : names) {
-            status.add(new JsonObject().put("name", name).put("voter", raft.agreedVoter(name)).put("lag", lag.get(name))
-                    .put("heard", heard == null ? null : heard.contains(name)));
-        }
-        return status;
+        return report().figures(now(), applied, pending.size(), diskFailures);
     }
 
     /** For operators: {@code confirmed}, whether a majority has just said that nothing newer is agreed. */
     public JsonObject status(boolean confirmed) {
-        JsonObject json = new JsonObject().put("cluster", config.cluster()).put("name", config.name());
-        if (raft == null) {
-            return json.put("open", false);
-        }
-        long now = now();
-        JsonArray held = new JsonArray();
-        for (String name : new TreeSet<>(state().duties().keySet())) {
-            DutyState.Duty d = state().duty(name);
-            held.add(new JsonObject().put("duty", name).put("holder", d.holder()).put("token", d.token())
-                    .put("left_ms", d.holder().equals(config.name()) ? duties.left(name, now) / 1_000 : null));
-        }
-        JsonArray tickets = new JsonArray();
-        state().tickets().values().forEach(t -> tickets.add(new JsonObject().put("target", t.target())
-                .put("zone", t.zone()).put("by", t.by()).put("out", t.let())));
-        return json.put("open", true).put("role", raft.role().name().toLowerCase(java.util.Locale.ROOT))
-                .put("leader", raft.leader()).put("term", raft.term()).put("commit", raft.commit())
-                .put("applied", applied).put("snapshot", raft.snapshotIndex()).put("confirmed", confirmed)
-                .put("removed", raft.stranger()).put("members", membersStatus(now)).put("duties", held)
-                .put("out", new JsonObject(new java.util.TreeMap<>(state().out()))).put("tickets", tickets)
-                .put("part", duties.part(now)).put("lent", state().lent()).put("dropped_frames", net.dropped());
+        return report().status(now(), applied, confirmed);
+    }
+
+    private ClusterReport report() {
+        return new ClusterReport(config, raft, duties, net);
     }
 }
--- /dev/null
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -0,0 +1,147 @@
+package pewtercourse.cluster;
+
+import io.vertx.core.json.JsonArray;
+import io.vertx.core.json.JsonObject;
+import java.util.LinkedHashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import pewtercourse.config.ClusterConfig;
+import pewtercourse.duty.Duties;
+import pewtercourse.duty.DutyState;
+import pewtercourse.raft.Raft;
+import pewtercourse.raft.net.MemberNet;
+import pewtercourse.site.FailoverState;
+import pewtercourse.site.Plan;
+import pewtercourse.site.Site;
+import pewtercourse.site.Sites;
+import pewtercourse.site.Status;
+
+/**
+ * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
+ *
+ * @param raft   null while the member's folder is not open
+ * @param duties null until the folder was first opened, as {@code net}
+ */
+record ClusterReport(ClusterConfig config, Raft raft, Duties duties, MemberNet net) {
+    private DutyState agreed() {
+        return duties == null ? new DutyState() : duties.state();
+    }
+
+    /**
+     * How each site stands, what its clients ask for, and what happens if it is lost as well as those that are away now.
+     */
+    JsonObject sites(Sites sites) {
+        FailoverState failover = agreed().failover();
+        Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
+        JsonArray all = new JsonArray();
+        sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
+        return new JsonObject().put("open", raft != null).put("keeper", agreed().duty(DutyState.SITES).holder())
+                .put("leader", raft == null ? null : raft.leader()).put("planned", failover.plan().cases().size())
+                .put("sites", all);
+    }
+
+    private static JsonObject site(FailoverState failover, String name, Site site, double load) {
+        Status status = failover.status(name);
+        Set<String> lost = new TreeSet<>(failover.away());
+        lost.add(name);
+        Plan.Shares shares = failover.plan().when(lost).getOrDefault(name, Plan.Shares.NOTHING);
+        JsonArray takers = new JsonArray();
+        shares.parts().forEach(part -> takers.add(new JsonObject().put("site", part.site()).put("work", part.work())
+                .put("most", part.most())));
+        return new JsonObject().put("site", name).put("phase", lowerCase(status.phase()))
+                .put("health", lowerCase(status.health())).put("step", status.step()).put("flaps", status.flaps())
+                .put("held", status.held()).put("drill", status.drill()).put("load", load).put("bears", site.bears())
+                .put("spare", site.spare(load)).put("takers", takers).put("refused", shares.refused());
+    }
+
+    private static String lowerCase(Enum<?> value) {
+        return value.name().toLowerCase(Locale.ROOT);
+    }
+
+    /** Figures by name; {@code applied}: the last entry that was applied. */
+    Map<String, Long> figures(long now, long applied, int callsWaiting, long diskFailures) {
+        Map<String, Long> figures = new LinkedHashMap<>();
+        figures.put("cluster.open", raft == null ? 0L : 1);
+        figures.put("cluster.disk_failures", diskFailures);
+        if (raft != null) {
+            addRaftFigures(figures, now, applied);
+            figures.put("cluster.calls_waiting", (long) callsWaiting);
+            figures.put("cluster.dropped_frames", net.dropped());
+            addDutyFigures(figures, now);
+        }
+        return figures;
+    }
+
+    private void addRaftFigures(Map<String, Long> figures, long now, long applied) {
+        boolean leads = raft.role() == Raft.Role.LEADER;
+        figures.put("cluster.leads", leads ? 1L : 0);
+        figures.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
+        figures.put("cluster.term", raft.term());
+        figures.put("cluster.commit", raft.commit());
+        figures.put("cluster.applied", applied);
+        figures.put("cluster.members", (long) raft.members().all().size());
+        if (leads) {
+            figures.put("cluster.members_heard", (long) raft.heard(now).size());
+        }
+    }
+
+    private void addDutyFigures(Map<String, Long> figures, long now) {
+        DutyState agreed = agreed();
+        figures.put("duty.held", config.duties().names().stream().filter(duty -> duties.token(duty, now) > 0).count());
+        figures.put("duty.acts", duties.acts());
+        figures.put("duty.part_thousandths", duties.part(now));
+        figures.put("duty.lent_thousandths", agreed.lent());
+        figures.put("duty.out", (long) agreed.out().size());
+        figures.put("duty.waiting", agreed.tickets().values().stream().filter(ticket -> !ticket.let()).count());
+    }
+
+    /** {@code confirmed}: whether a majority has just said that nothing newer is agreed. */
+    JsonObject status(long now, long applied, boolean confirmed) {
+        JsonObject json = new JsonObject().put("cluster", config.cluster()).put("name", config.name());
+        if (raft == null) {
+            return json.put("open", false);
+        }
+        DutyState agreed = agreed();
+        return json.put("open", true).put("role", lowerCase(raft.role())).put("leader", raft.leader())
+                .put("term", raft.term()).put("commit", raft.commit()).put("applied", applied)
+                .put("snapshot", raft.snapshotIndex()).put("confirmed", confirmed).put("removed", raft.stranger())
+                .put("members", members(now)).put("duties", leases(now))
+                .put("out", new JsonObject(new TreeMap<>(agreed.out()))).put("tickets", tickets())
+                .put("part", duties.part(now)).put("lent", agreed.lent()).put("dropped_frames", net.dropped());
+    }
+
+    // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by it.
+    private JsonArray members(long now) {
+        Map<String, Long> lag = raft.lag();
+        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
+        Set<String> names = new TreeSet<>(raft.agreedMembers().all().keySet());
+        names.addAll(raft.members().all().keySet());
+        JsonArray members = new JsonArray();
+        for (String name : names) {
+            members.add(new JsonObject().put("name", name).put("voter", raft.agreedVoter(name)).put("lag", lag.get(name))
+                    .put("heard", heard == null ? null : heard.contains(name)));
+        }
+        return members;
+    }
+
+    private JsonArray leases(long now) {
+        JsonArray leases = new JsonArray();
+        for (String name : new TreeSet<>(agreed().duties().keySet())) {
+            DutyState.Duty duty = agreed().duty(name);
+            boolean own = duty.holder().equals(config.name());
+            leases.add(new JsonObject().put("duty", name).put("holder", duty.holder()).put("token", duty.token())
+                    .put("left_ms", own ? duties.left(name, now) / 1_000 : null));
+        }
+        return leases;
+    }
+
+    private JsonArray tickets() {
+        JsonArray tickets = new JsonArray();
+        agreed().tickets().values().forEach(ticket -> tickets.add(new JsonObject().put("target", ticket.target())
+                .put("zone", ticket.zone()).put("by", ticket.by()).put("out", ticket.let())));
+        return tickets;
+    }
+}
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -303,13 +303,13 @@
     }
 
     /** What is agreed on the sites has changed. */
-    public void follow(FailoverState book, Set<String> absent) {
+    public void follow(FailoverState failover, Set<String> absent) {
         if (sites == null) {
             return;
         }
         Site own = sites.sites().get(config.zone());
         int there = own == null ? 1 : (int) own.directors().stream().filter(d -> !absent.contains(d)).count();
-        overflowRouter.follow(clock.getAsLong(), book, there);
+        overflowRouter.follow(clock.getAsLong(), failover, there);
     }
 
     /** What was seen of sites in the last seconds. */
--- a/src/main/java/pewtercourse/duty/Duties.java
+++ b/src/main/java/pewtercourse/duty/Duties.java
@@ -56,7 +56,7 @@
     /** The sites as this member's operators describe them, from now on. */
     public void sites(long now, Sites sites) {
         failoverController = failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
-        failoverController.see(now, state.book());
+        failoverController.see(now, state.failover());
     }
 
     /** What this member has seen of sites of late. */
@@ -66,7 +66,7 @@
 
     /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
     public FailoverController.Question question(long now) {
-        return failoverController == null || token(DutyState.SITES, now) == 0 ? null : failoverController.question(now, state.book());
+        return failoverController == null || token(DutyState.SITES, now) == 0 ? null : failoverController.question(now, state.failover());
     }
 
     /** The plan for the last {@link #question}. */
@@ -130,7 +130,7 @@
         maintenanceBudget.see(now, state);
         quotaAllocator.see(now, state);
         if (failoverController != null) {
-            failoverController.see(now, state.book());
+            failoverController.see(now, state.failover());
         }
         mine.keySet().removeIf(name -> !state.duty(name).holder().equals(self));
         state.duties().forEach((name, d) -> {
@@ -253,8 +253,8 @@
         }
         failoverController.detector().members(view.members());
         List<Command> orders = new ArrayList<>();
-        failoverController.orders(now, state.book(), state.absent()).forEach(d -> orders.add(new Command.Declare(d, token)));
-        Plan plan = failoverController.planned(state.book());
+        failoverController.orders(now, state.failover(), state.absent()).forEach(d -> orders.add(new Command.Declare(d, token)));
+        Plan plan = failoverController.planned(state.failover());
         if (plan != null) {
             orders.add(new Command.Planned(plan, token));
         }
--- a/src/main/java/pewtercourse/duty/DutyState.java
+++ b/src/main/java/pewtercourse/duty/DutyState.java
@@ -68,7 +68,7 @@
     private final TreeMap<String, Wish> wishes = new TreeMap<>();
     private final TreeMap<Long, Loan> loans = new TreeMap<>();
     private final TreeSet<String> unwilling = new TreeSet<>(), absent = new TreeSet<>();
-    private final FailoverState book = new FailoverState();
+    private final FailoverState failover = new FailoverState();
     private long lastToken, words;
 
     /** Applies the command of the log's entry {@code index}; its number is the number of what it makes. */
@@ -116,18 +116,18 @@
             return Result.DONE;
         } else if (c instanceof Command.Declare d) {
             return duty(SITES).token() != d.token() ? new Result("an older token")
-                    : book.declare(index, d.what().site(), d.what().phase(), d.what().health(), d.what().step(), d.what().flaps(),
+                    : failover.declare(index, d.what().site(), d.what().phase(), d.what().health(), d.what().step(), d.what().flaps(),
                             d.what().after()) ? Result.DONE : new Result("another change of this site came first");
         } else if (c instanceof Command.Planned p) {
             if (duty(SITES).token() != p.token()) {
                 return new Result("an older token");
             }
-            book.plan(p.plan());
+            failover.plan(p.plan());
             return Result.DONE;
         } else if (c instanceof Command.HoldSite h) {
-            return book.hold(index, h.site(), h.on(), h.after()) ? Result.DONE : Result.LATE;
+            return failover.hold(index, h.site(), h.on(), h.after()) ? Result.DONE : Result.LATE;
         } else if (c instanceof Command.Drill d) {
-            return book.drill(index, d.site(), d.after()) ? Result.DONE : Result.LATE;
+            return failover.drill(index, d.site(), d.after()) ? Result.DONE : Result.LATE;
         }
         throw new IllegalArgumentException(c.toString());
     }
@@ -344,8 +344,8 @@
     }
 
     /** What is agreed on the sites. */
-    public FailoverState book() {
-        return book;
+    public FailoverState failover() {
+        return failover;
     }
 
     /** Members that take no duties for now. */
@@ -374,7 +374,7 @@
                 .setThousandths(w.thousandths())));
         loans.forEach((n, l) -> b.addLoan(DutyWire.Loan.newBuilder().setNumber(n).setTo(l.to()).setAsk(l.ask())
                 .setThousandths(l.thousandths())));
-        SiteCodec.encode(book, b);
+        SiteCodec.encode(failover, b);
         return b.build().toByteArray();
     }
 
@@ -394,7 +394,7 @@
                 new Ticket(t.getNumber(), t.getTarget(), t.getZone(), t.getBy(), t.getLet())));
         s.getWishList().forEach(w -> d.wishes.put(w.getBy(), new Wish(w.getAsk(), w.getThousandths())));
         s.getLoanList().forEach(l -> d.loans.put(l.getNumber(), new Loan(l.getTo(), l.getAsk(), l.getThousandths())));
-        SiteCodec.decode(s, d.book);
+        SiteCodec.decode(s, d.failover);
         return d;
     }
 }
--- a/src/main/java/pewtercourse/duty/SiteCodec.java
+++ b/src/main/java/pewtercourse/duty/SiteCodec.java
@@ -80,11 +80,11 @@
         return new Plan(cases);
     }
 
-    static void encode(FailoverState book, DutyWire.State.Builder to) {
-        book.statuses().forEach((site, s) -> to.addSite(DutyWire.SiteStatus.newBuilder().setSite(site)
+    static void encode(FailoverState failover, DutyWire.State.Builder to) {
+        failover.statuses().forEach((site, s) -> to.addSite(DutyWire.SiteStatus.newBuilder().setSite(site)
                 .setPhase(s.phase().name()).setHealth(s.health().name()).setStep(s.step()).setFlaps(s.flaps())
                 .setHeld(s.held()).setDrill(s.drill()).setEntry(s.entry())));
-        to.setPlan(encode(book.plan()));
+        to.setPlan(encode(failover.plan()));
     }
 
     static void decode(DutyWire.State from, FailoverState to) throws InvalidProtocolBufferException {
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -107,7 +107,7 @@
         Random random = new Random(seed);
         Sites sites = sites(5, random);
         FailoverController failoverController = new FailoverController(sites);
-        FailoverState book = new FailoverState();
+        FailoverState failover = new FailoverState();
         List<String> names = List.copyOf(sites.sites().keySet());
         long alarms = 0, entry = 0;
         double[] bad = new double[names.size()];
@@ -141,9 +141,9 @@
                 }
                 failoverController.detector().see(now, "d" + m, told);
             }
-            for (FailoverController.Declaration d : failoverController.orders(now, book, Set.of())) {
+            for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of())) {
                 alarms += d.phase() == Status.Phase.LOST ? 1 : 0;
-                book.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after());
+                failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after());
             }
         }
         return alarms;
@@ -190,13 +190,13 @@
         Sites sites = sites(5, random);
         Map<String, Double> loads = new TreeMap<>();
         sites.sites().keySet().forEach(s -> loads.put(s, 12.0));
-        FailoverState book = new FailoverState();
-        book.plan(new Planner().plan(sites, loads, Set.of(), Set.of(), Plan.NONE));
+        FailoverState failover = new FailoverState();
+        failover.plan(new Planner().plan(sites, loads, Set.of(), Set.of(), Plan.NONE));
         OverflowRouter overflowRouter = new OverflowRouter(sites, "s000", 500_000, 1);
-        overflowRouter.follow(0, book, 1);
+        overflowRouter.follow(0, failover, 1);
         double whole = nanos(overflowRouter);
-        book.declare(1, "s000", Status.Phase.LOST, Health.CACHES, 0, 0, 0);
-        overflowRouter.follow(0, book, 1);
+        failover.declare(1, "s000", Status.Phase.LOST, Health.CACHES, 0, 0, 0);
+        overflowRouter.follow(0, failover, 1);
         return String.format("A request's choice of a site takes %.0f ns while its site is whole and %.0f ns while it is lost.%n", whole,
                 nanos(overflowRouter));
     }
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -380,7 +380,7 @@
     private final Set<Integer> vanished = new HashSet<>(), cutFrom = new HashSet<>();
     private final UpstreamModel[] upstream = new UpstreamModel[SITES];
     private final double[] load = new double[SITES];
-    private FailoverState book = new FailoverState();
+    private FailoverState failover = new FailoverState();
     private int failoverController;
     long now, nextId = 1, entry, shed, crossed, overdue, declaredAt = -1, wholeAt = -1, falseAlarms;
     private long order, marks, keeperFrom;
@@ -507,19 +507,19 @@
                 absent.add(x.name);
             }
         });
-        for (FailoverController.Declaration o : d.failoverController.orders(now, book, absent)) {
+        for (FailoverController.Declaration o : d.failoverController.orders(now, failover, absent)) {
             if (way != Way.SEEING || o.phase() == Status.Phase.RETURNING || o.phase() == Status.Phase.WHOLE) {
                 declare(o);
             }
         }
-        FailoverController.Question q = d.failoverController.question(now, book);
+        FailoverController.Question q = d.failoverController.question(now, failover);
         if (q != null) {
             Plan plan = plan(q);
             d.failoverController.answered(now, plan);
-            Plan changed = d.failoverController.planned(book);
+            Plan changed = d.failoverController.planned(failover);
             if (changed != null) {
                 agree(() -> {
-                    book.plan(changed);
+                    failover.plan(changed);
                     follow();
                 });
             }
@@ -528,7 +528,7 @@
 
     private void declare(FailoverController.Declaration o) {
         agree(() -> {
-            if (book.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
+            if (failover.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
                 boolean lost = o.phase() == Status.Phase.LOST;
                 boolean dead = caches.stream().filter(c -> siteName(c.site).equals(o.site())).noneMatch(c -> c.model.up());
                 if (lost && declaredAt < 0) {
@@ -546,8 +546,8 @@
     private void follow() {
         directors.forEach(x -> {
             if (x.up) {
-                x.failoverController.see(now, book);
-                x.overflowRouter.follow(now, book, 1);
+                x.failoverController.see(now, failover);
+                x.overflowRouter.follow(now, failover, 1);
             }
         });
     }
@@ -652,7 +652,7 @@
                 d.open.clear();
             }
             if (way == Way.SEEING) {
-                book.declare(++entry, siteName(site), Status.Phase.LOST, Health.CACHES, 0, 0, book.status(siteName(site)).entry());
+                failover.declare(++entry, siteName(site), Status.Phase.LOST, Health.CACHES, 0, 0, failover.status(siteName(site)).entry());
                 declaredAt = declaredAt < 0 ? now : declaredAt;
                 follow();
             }
--- a/src/main/java/pewtercourse/site/FailoverController.java
+++ b/src/main/java/pewtercourse/site/FailoverController.java
@@ -52,9 +52,9 @@
     }
 
     /** Whether or not it keeps them: when each site's last change was seen. */
-    public void see(long now, FailoverState book) {
+    public void see(long now, FailoverState failover) {
         for (String s : sites.sites().keySet()) {
-            long entry = book.status(s).entry();
+            long entry = failover.status(s).entry();
             if (!Long.valueOf(entry).equals(entryOf.put(s, entry))) {
                 entrySeen.put(s, now);
                 ordered.remove(s);
@@ -63,13 +63,13 @@
     }
 
     /** What it has to have agreed now; to be asked only where it holds the duty. */
-    public List<Declaration> orders(long now, FailoverState book, Set<String> absent) {
-        see(now, book);
+    public List<Declaration> orders(long now, FailoverState failover, Set<String> absent) {
+        see(now, failover);
         detector.judge(now, absent);
         ordered.values().removeIf(at -> now - at >= ORDER_AGAIN);
         List<Declaration> orders = new ArrayList<>();
         for (String site : sites.sites().keySet()) {
-            Declaration d = next(now, site, book.status(site));
+            Declaration d = next(now, site, failover.status(site));
             if (d != null && ordered.putIfAbsent(site, now) == null) {
                 orders.add(d);
             }
@@ -146,8 +146,8 @@
     // ---- Plans: asked for here, made elsewhere ----
 
     /** What a plan is to be made from now, or null: none is due, or one is being made. */
-    public Question question(long now, FailoverState book) {
-        Set<String> lost = book.away();
+    public Question question(long now, FailoverState failover) {
+        Set<String> lost = failover.away();
         lost.retainAll(sites.sites().keySet());
         boolean waits = askedAt != Long.MIN_VALUE && now - askedAt < PLAN_MOST;
         // The first that is heard of a site's load counts at once: without it the plan has nothing to place.
@@ -160,12 +160,12 @@
         plannedFor = lost;
         askedAt = now;
         Set<String> unfit = new TreeSet<>();
-        book.statuses().forEach((name, s) -> {
+        failover.statuses().forEach((name, s) -> {
             if (s.phase() != Status.Phase.WHOLE) {
                 unfit.add(name);
             }
         });
-        return new Question(detector.loads(), lost, unfit, book.plan());
+        return new Question(detector.loads(), lost, unfit, failover.plan());
     }
 
     /** A plan was made; one that comes too late, or not at all, leaves the last one in force. */
@@ -177,9 +177,9 @@
     }
 
     /** The plan that is to be agreed on, or null. */
-    public Plan planned(FailoverState book) {
+    public Plan planned(FailoverState failover) {
         Plan p = answer;
         answer = null;
-        return p == null || p.equals(book.plan()) ? null : p;
+        return p == null || p.equals(failover.plan()) ? null : p;
     }
 }
--- a/src/main/java/pewtercourse/site/OverflowRouter.java
+++ b/src/main/java/pewtercourse/site/OverflowRouter.java
@@ -45,14 +45,14 @@
     }
 
     /** What is agreed has changed. {@code directors}: of the own site, that share what is lent to it; at least 1. */
-    public void follow(long now, FailoverState book, int directors) {
-        status = book.status(own);
+    public void follow(long now, FailoverState failover, int directors) {
+        status = failover.status(own);
         weights = new TreeMap<>();
         if (!status.away()) {
             shedders.clear();
             return;
         }
-        Plan.Shares shares = book.plan().when(book.away()).getOrDefault(own, Plan.Shares.NOTHING);
+        Plan.Shares shares = failover.plan().when(failover.away()).getOrDefault(own, Plan.Shares.NOTHING);
         for (Plan.Part p : shares.parts()) {
             weights.put(p.site(), p.work());
             shedders.computeIfAbsent(p.site(), s -> new Shedder(now)).limit(p.most() / Math.max(1, directors));
--- a/src/test/java/pewtercourse/site/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/site/FailoverControllerTest.java
@@ -24,14 +24,14 @@
             FAR_DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 6, 0, 0), FAR_WELL = new SiteObservation(4, 4, 2, 2, 6, 0, 0, 0, 0);
 
     private FailoverController failoverController;
-    private FailoverState book;
+    private FailoverState failover;
     private long now, entry;
     private final List<String> told = new ArrayList<>();
 
     @BeforeEach
     void start() {
         failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
-        book = new FailoverState();
+        failover = new FailoverState();
         now = 10 * SECOND;
         entry = 0;
         told.clear();
@@ -52,8 +52,8 @@
             }
             for (int t = 0; t < 10; t++) {
                 now += SECOND / 10;
-                for (FailoverController.Declaration d : failoverController.orders(now, book, Set.of(absent))) {
-                    assertTrue(book.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
+                for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of(absent))) {
+                    assertTrue(failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
                     told.add(d.site() + " " + d.phase() + " " + d.health() + " " + d.step());
                 }
             }
@@ -61,7 +61,7 @@
     }
 
     private Status.Phase phase() {
-        return book.status("s0").phase();
+        return failover.status("s0").phase();
     }
 
     @Test
@@ -78,7 +78,7 @@
     void aSiteWithItsDirectorsIsAnotherLossThanWithout() {
         pass(3, WELL, FAR);
         pass(6, null, FAR_DEAD, "d0");
-        assertEquals(Health.ALL, book.status("s0").health());
+        assertEquals(Health.ALL, failover.status("s0").health());
         assertEquals(Status.Phase.LOST, phase());
     }
 
@@ -86,7 +86,7 @@
     void silentDirectorsAreNoLossOfTheCaches() {
         pass(3, WELL, FAR);
         pass(6, null, FAR_WELL, "d0");
-        assertEquals(new Status(Status.Phase.IMPAIRED, Health.DIRECTORS, 0, 0, false, false, 1), book.status("s0"));
+        assertEquals(new Status(Status.Phase.IMPAIRED, Health.DIRECTORS, 0, 0, false, false, 1), failover.status("s0"));
         pass(3, WELL, FAR_WELL);
         assertEquals(Status.Phase.WHOLE, phase());
     }
@@ -110,12 +110,12 @@
     @Test
     void aSlowSiteAndOneWithoutParentsAreImpaired() {
         pass(3, SLOW, FAR);
-        assertEquals(Health.SLOW, book.status("s0").health());
+        assertEquals(Health.SLOW, failover.status("s0").health());
         pass(4, WELL, FAR);
         assertEquals(Status.Phase.WHOLE, phase());
         pass(3, NO_PARENTS, NO_PARENTS);
-        assertEquals(Health.PARENTS, book.status("s0").health());
-        assertFalse(book.away().contains("s0"));
+        assertEquals(Health.PARENTS, failover.status("s0").health());
+        assertFalse(failover.away().contains("s0"));
     }
 
     @Test
@@ -127,9 +127,9 @@
         assertEquals(List.of("s0 RETURNING CACHES 0", "s0 RETURNING CACHES 1", "s0 RETURNING CACHES 2", "s0 WHOLE WELL 0"), told);
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
-        int before = book.status("s0").step();
+        int before = failover.status("s0").step();
         pass(2, new SiteObservation(4, 4, 2, 2, 15, 0, 6, 0, 10), FAR);
-        assertTrue(book.status("s0").step() < before || phase() == Status.Phase.LOST, told::toString);
+        assertTrue(failover.status("s0").step() < before || phase() == Status.Phase.LOST, told::toString);
     }
 
     @Test
@@ -137,10 +137,10 @@
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
         assertEquals(Status.Phase.RETURNING, phase());
-        int step = book.status("s0").step();
+        int step = failover.status("s0").step();
         pass(6, new SiteObservation(4, 4, 2, 2, 6, 14, 0, 0, 10), FAR);
         assertEquals(Status.Phase.RETURNING, phase());
-        assertTrue(book.status("s0").step() <= step + 1, told::toString);
+        assertTrue(failover.status("s0").step() <= step + 1, told::toString);
     }
 
     @Test
@@ -163,12 +163,12 @@
     @Test
     void aDrillTakesItOutByStepsAndLettingGoBringsItBack() {
         pass(3, WELL, FAR);
-        assertTrue(book.drill(++entry, "s0", 0));
+        assertTrue(failover.drill(++entry, "s0", 0));
         pass(6, WELL, FAR);
         assertEquals(List.of("s0 RETURNING WELL 1", "s0 RETURNING WELL 0", "s0 LOST WELL 0"), told);
         pass(10, WELL, FAR);
         assertEquals(Status.Phase.LOST, phase(), "until it is let go");
-        assertTrue(book.hold(++entry, "s0", false, book.status("s0").entry()));
+        assertTrue(failover.hold(++entry, "s0", false, failover.status("s0").entry()));
         pass(12, WELL, FAR);
         assertEquals(Status.Phase.WHOLE, phase());
     }
@@ -176,16 +176,16 @@
     @Test
     void oneThatIsHeldStaysWhereItIs() {
         pass(4, DEAD, FAR);
-        assertTrue(book.hold(++entry, "s0", true, book.status("s0").entry()));
+        assertTrue(failover.hold(++entry, "s0", true, failover.status("s0").entry()));
         pass(20, WELL, FAR);
         assertEquals(Status.Phase.LOST, phase());
     }
 
     @Test
     void aChangeThatBuildsOnAnOlderOneIsRefused() {
-        assertTrue(book.declare(1, "s0", Status.Phase.LOST, Health.CACHES, 0, 0, 0));
-        assertFalse(book.declare(2, "s0", Status.Phase.WHOLE, Health.WELL, 0, 0, 0));
-        assertFalse(book.hold(3, "s0", true, 0));
+        assertTrue(failover.declare(1, "s0", Status.Phase.LOST, Health.CACHES, 0, 0, 0));
+        assertFalse(failover.declare(2, "s0", Status.Phase.WHOLE, Health.WELL, 0, 0, 0));
+        assertFalse(failover.hold(3, "s0", true, 0));
         assertEquals(Status.Phase.LOST, phase());
     }
 
@@ -193,7 +193,7 @@
     void aNewKeeperGoesOnFromTheAgreedStep() {
         pass(4, DEAD, FAR);
         pass(5, WELL, FAR);
-        Status before = book.status("s0");
+        Status before = failover.status("s0");
         assertEquals(Status.Phase.RETURNING, before.phase());
         failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
         told.clear();
@@ -209,14 +209,14 @@
         Random random = new Random(seed);
         SiteObservation[] own = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, null};
         SiteObservation[] far = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, null};
-        Status before = book.status("s0");
+        Status before = failover.status("s0");
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
-                Status s = book.status("s0");
-                boolean done = random.nextBoolean() ? book.hold(++entry, "s0", random.nextBoolean(), s.entry())
-                        : book.drill(++entry, "s0", s.entry());
+                Status s = failover.status("s0");
+                boolean done = random.nextBoolean() ? failover.hold(++entry, "s0", random.nextBoolean(), s.entry())
+                        : failover.drill(++entry, "s0", s.entry());
                 assertTrue(done);
-                before = book.status("s0");
+                before = failover.status("s0");
             }
             SiteObservation mine = own[random.nextInt(own.length)];
             for (int s = 1 + random.nextInt(4); s > 0; s--) {
--- a/src/test/java/pewtercourse/site/OverflowRouterTest.java
+++ b/src/test/java/pewtercourse/site/OverflowRouterTest.java
@@ -18,18 +18,18 @@
     private static final long SECOND = 1_000_000;
     private static final Sites SITES = PlannerTest.sites(20, 20, 20, 20);
 
-    private static OverflowRouter overflowRouter(FailoverState book, long seed) {
+    private static OverflowRouter overflowRouter(FailoverState failover, long seed) {
         OverflowRouter g = new OverflowRouter(SITES, "s0", 500_000, seed);
         g.listed(false); // No trials at home.
-        g.follow(0, book, 1);
+        g.follow(0, failover, 1);
         return g;
     }
 
-    private static FailoverState book(Status.Phase phase, int step, double load) {
-        FailoverState book = new FailoverState();
-        book.plan(new Planner().plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
-        book.declare(1, "s0", phase, Health.CACHES, step, 0, 0);
-        return book;
+    private static FailoverState failover(Status.Phase phase, int step, double load) {
+        FailoverState failover = new FailoverState();
+        failover.plan(new Planner().plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
+        failover.declare(1, "s0", phase, Health.CACHES, step, 0, 0);
+        return failover;
     }
 
     private static OverflowRouter.Ask read(long object, double work) {
@@ -38,8 +38,8 @@
 
     @Test
     void eachObjectGoesToOneTakerByThePlanFromWhicheverDirector() {
-        FailoverState book = book(Status.Phase.LOST, 0, 20);
-        OverflowRouter a = overflowRouter(book, 1), b = overflowRouter(book, 2);
+        FailoverState failover = failover(Status.Phase.LOST, 0, 20);
+        OverflowRouter a = overflowRouter(failover, 1), b = overflowRouter(failover, 2);
         Map<String, Integer> count = new TreeMap<>();
         for (int i = 0; i < 20_000; i++) {
             long object = OverflowRouter.hash("o" + i), now = i * SECOND; // Far from any bound.
@@ -55,7 +55,7 @@
 
     @Test
     void aStepFurtherMovesNoObjectAwayAgain() {
-        OverflowRouter first = overflowRouter(book(Status.Phase.RETURNING, 0, 12), 1), second = overflowRouter(book(Status.Phase.RETURNING, 1, 12), 1);
+        OverflowRouter first = overflowRouter(failover(Status.Phase.RETURNING, 0, 12), 1), second = overflowRouter(failover(Status.Phase.RETURNING, 1, 12), 1);
         int home = 0;
         for (int i = 0; i < 10_000; i++) {
             long object = OverflowRouter.hash("o" + i), now = i * SECOND;
@@ -69,7 +69,7 @@
 
     @Test
     void nobodyIsAskedForMoreThanItLendsAndTheWorthlessIsRefusedFirst() {
-        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
+        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
         Random random = new Random(3);
         Map<String, Double> taken = new TreeMap<>();
         int[] asked = new int[2], served = new int[2];
@@ -96,7 +96,7 @@
 
     @Test
     void ordersAlwaysPass() {
-        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 40), 1);
+        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 40), 1);
         for (long now = 0; now < 20 * SECOND; now += 1_000) {
             g.choose(now, read(now, 300_000));
             OverflowRouter.Choice order = g.choose(now, new OverflowRouter.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
@@ -106,7 +106,7 @@
 
     @Test
     void whatCannotBeInTimeAndLargeOneOffsGoFirst() {
-        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 12), 1);
+        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 12), 1);
         assertEquals(null, g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false)).site());
         RequestPriorities w = new RequestPriorities();
         for (int i = 0; i < 1_000; i++) {
@@ -119,7 +119,7 @@
 
     @Test
     void whileTheListHasItsCachesOneIsTriedAtHomeNowAndThen() {
-        OverflowRouter g = overflowRouter(book(Status.Phase.LOST, 0, 12), 1);
+        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 12), 1);
         g.listed(true);
         int home = 0;
         for (long now = SECOND; now < 11 * SECOND; now += 10_000) {
@@ -151,16 +151,16 @@
 
     @Test
     void thePartIsSharedByTheDirectorsThatAreThere() {
-        FailoverState book = book(Status.Phase.LOST, 0, 40);
+        FailoverState failover = failover(Status.Phase.LOST, 0, 40);
         double[] taken = new double[2];
         for (int n = 1; n <= 2; n++) {
-            OverflowRouter g = overflowRouter(book, 1);
-            g.follow(0, book, n);
+            OverflowRouter g = overflowRouter(failover, 1);
+            g.follow(0, failover, n);
             for (long now = 0; now < 60 * SECOND; now += 2_000) {
                 taken[n - 1] += g.choose(now, read(now * 7919, 200_000)).site() != null ? 200_000 : 0;
             }
         }
         assertEquals(0.5, taken[1] / taken[0], 0.05);
-        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>) overflowRouter(book, 1).takers()));
+        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>) overflowRouter(failover, 1).takers()));
     }
 }
