--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -26,8 +26,8 @@
 class ShutdownTest {
     private static final String HOST = "127.83.17.7";
     // Together more than the sockets hold, so that the rest waits in the director, and less than it holds for one client.
-    private static final int SMALL_WINDOW = 4_096, LARGE = 200_000, LARGE_ANSWERS = 5;
-    private static final int SLOW_READER_MS = 100; // Its pace: so long before it reads each answer.
+    private static final int SMALL_WINDOW = 4_096, LARGE = 200_000, LARGE_ANSWERS = 24;
+    private static final int SLOW_READER_MS = 20; // Its pace: so long before it reads each answer.
     private static final String PAGE = "menu".repeat(50);
     // Over all bounds of a shutdown.
     private static final long END_SECONDS = 20;
