--- a/examples/ToySite.java
+++ b/examples/ToySite.java
@@ -1,5 +1,5 @@
-import com.sun.net.httpserver.HttpServer;
 import com.sun.net.httpserver.HttpExchange;
+import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -14,7 +14,7 @@
  * Start: java examples/ToySite.java
  */
 public final class ToySite {
-    private ToySite() { }
+    private ToySite() {}
 
     public static void main(String[] args) throws IOException {
         for (int port = 9001; port <= 9004; port++) {
@@ -39,7 +39,8 @@
     private static void answer(HttpExchange x, int port) throws IOException {
         x.getRequestBody().readAllBytes();
         String tag = "4be0c1927d55a6f3";
-        System.out.println(port + " " + x.getRequestURI() + " from " + x.getRequestHeaders().getFirst("X-Fill-From"));
+        System.out.println(port + " " + x.getRequestURI() + " from "
+                + x.getRequestHeaders().getFirst("X-Fill-From"));
         x.getResponseHeaders().set("ETag", tag);
         x.getResponseHeaders().set("X-Born-Ms", String.valueOf(System.currentTimeMillis()));
         x.getResponseHeaders().set("Outcome", "parent");
--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -57,20 +57,25 @@
         if (!cluster.hasWarden()) {
             return agreed("operator.out", target, () -> new Command.Out(target, now, lastWord(target)));
         }
-        return agreed("operator.asked", target, () -> new Command.Ask(target, zoneOf(target), now, lastWord(target))).compose(v -> {
-            if (v != Verdict.DONE) {
-                return Future.succeededFuture(v);
-            }
-            return cluster.let(target).compose(let -> let ? Future.succeededFuture(Verdict.DONE) : turnedDown(target));
-        });
+        return agreed("operator.asked", target, () -> new Command.Ask(target, zoneOf(target), now, lastWord(target)))
+                .compose(v -> {
+                    if (v != Verdict.DONE) {
+                        return Future.succeededFuture(v);
+                    }
+                    return cluster.let(target)
+                            .compose(let -> let ? Future.succeededFuture(Verdict.DONE) : turnedDown(target));
+                });
     }
 
     // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
     private Future<Verdict> turnedDown(String target) {
         DutyState.Ticket t = cluster.state().ticketOf(target);
         if (t == null || cluster.wardenWaits()) {
-            long before = t == null ? 0 : cluster.state().tickets().headMap(t.number()).values().stream()
-                    .filter(o -> !o.let() && o.zone().equals(t.zone())).count();
+            long before = t == null
+                    ? 0
+                    : cluster.state().tickets().headMap(t.number()).values().stream()
+                            .filter(o -> !o.let() && o.zone().equals(t.zone()))
+                            .count();
             return Future.succeededFuture(Verdict.refused("not out: as many of its zone are out as may be; it waits, "
                     + before + " before it: call again, or call it back"));
         }
@@ -90,7 +95,8 @@
     }
 
     private Future<Verdict> agreed(String event, String target, Supplier<Command> word) {
-        return cluster.agree(word).map(r -> r.done() ? Verdict.DONE : Verdict.refused(r.why()))
+        return cluster.agree(word)
+                .map(r -> r.done() ? Verdict.DONE : Verdict.refused(r.why()))
                 .otherwise(e -> Verdict.refused("not agreed: " + e.getMessage()))
                 .onSuccess(v -> {
                     if (v.refused() == null) {
@@ -104,7 +110,9 @@
     /** Figures of the cluster, a line for each, NAME=VALUE. */
     String figures() {
         StringBuilder out = new StringBuilder();
-        cluster.figures().forEach((name, value) -> out.append(name).append('=').append(value).append('\n'));
+        cluster.figures()
+                .forEach((name, value) ->
+                        out.append(name).append('=').append(value).append('\n'));
         return out.toString();
     }
 
@@ -152,13 +160,15 @@
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
         return cluster.agree(() -> {
-            long after = cluster.state().failover().status(name).entry();
-            return switch (call) {
-                case "drill" -> new Command.Drill(name, after);
-                case "hold" -> new Command.HoldSite(name, true, after);
-                default -> new Command.HoldSite(name, false, after);
-            };
-        }).map(DutyState.Result::why).onSuccess(why -> Log.info("operator.site", "call", call, "site", name, "why", why));
+                    long after = cluster.state().failover().status(name).entry();
+                    return switch (call) {
+                        case "drill" -> new Command.Drill(name, after);
+                        case "hold" -> new Command.HoldSite(name, true, after);
+                        default -> new Command.HoldSite(name, false, after);
+                    };
+                })
+                .map(DutyState.Result::why)
+                .onSuccess(why -> Log.info("operator.site", "call", call, "site", name, "why", why));
     }
 
     // ---- What the cluster asks ----
--- a/src/main/java/pewtercourse/Log.java
+++ b/src/main/java/pewtercourse/Log.java
@@ -12,7 +12,7 @@
 
     private static final Map<String, Second> COUNTED = new HashMap<>(); // One for each event that is counted.
 
-    private Log() { }
+    private Log() {}
 
     public static void info(String event, Object... pairs) {
         write("INFO", event, pairs);
@@ -48,8 +48,12 @@
     }
 
     private static void write(String level, String event, Object... pairs) {
-        StringBuilder line = new StringBuilder().append(System.currentTimeMillis()).append(' ').append(level)
-                .append(' ').append(event);
+        StringBuilder line = new StringBuilder()
+                .append(System.currentTimeMillis())
+                .append(' ')
+                .append(level)
+                .append(' ')
+                .append(event);
         for (int i = 0; i + 1 < pairs.length; i += 2) {
             line.append(' ').append(pairs[i]).append('=').append(pairs[i + 1]);
         }
--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -27,7 +27,7 @@
     private static final int UNUSABLE = 2;
     private static final int REHEARSAL_CONNECTIONS = 64;
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         switch (String.join(" ", args).replaceFirst(" .*", " ...")) {
@@ -66,8 +66,8 @@
         // The library warns when connections use up the descriptors. What the JVM reads from files for its first log
         // line must be read by then: else that line fails, and the thread that accepts connections ends with it.
         new SimpleFormatter().format(new LogRecord(Level.WARNING, "ready"));
-        FrontTransport transport = socket != null ? socket.transport()
-                : new FrontTransport(new LimitedListener(config.acceptedMost()));
+        FrontTransport transport =
+                socket != null ? socket.transport() : new FrontTransport(new LimitedListener(config.acceptedMost()));
         Vertx vertx = vertx(transport);
         vertx.exceptionHandler(e -> Log.error("loop.unexpected", e));
         vertx.getOrCreateContext().runOnContext(v -> start(vertx, config, cluster, socket, transport));
@@ -83,14 +83,21 @@
     }
 
     private static Vertx vertx(FrontTransport transport) {
-        VertxOptions options = new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setPreferNativeTransport(false)
-                .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
-                        .setClassPathResolvingEnabled(false));
+        VertxOptions options = new VertxOptions()
+                .setEventLoopPoolSize(1)
+                .setWorkerPoolSize(1)
+                .setInternalBlockingPoolSize(1)
+                .setPreferNativeTransport(false)
+                .setFileSystemOptions(
+                        new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false));
         return Vertx.builder().with(options).withTransport(transport).build();
     }
 
-    private static void start(Vertx vertx, DirectorConfig config, ClusterConfig cluster, InheritedSocket socket,
+    private static void start(
+            Vertx vertx,
+            DirectorConfig config,
+            ClusterConfig cluster,
+            InheritedSocket socket,
             FrontTransport transport) {
         Service service = new Service(vertx, config, socket, transport);
         // Before anybody can know that it listens: a signal that comes first would end the program at once.
@@ -104,15 +111,19 @@
         }
         Thread hook = new Thread(new Shutdown(vertx, service), "shutdown");
         Runtime.getRuntime().addShutdownHook(hook);
-        (cluster == null ? Future.<Void>succeededFuture() : service.join(cluster).onFailure(e -> {
-            Log.warn("cluster.unusable", "name", cluster.name(), "error", e.getMessage());
-            Runtime.getRuntime().halt(UNUSABLE);
-        })).compose(v -> service.start()).onComplete(done -> {
-            if (done.failed()) {
-                Log.warn("director.not_started", "listen", config.listen(), "error", done.cause());
-                Runtime.getRuntime().halt(1); // Not by the hook, which would wait for this thread.
-            }
-            Log.info("director.listening", "name", config.name(), "listen", config.listen());
-        });
+        (cluster == null
+                        ? Future.<Void>succeededFuture()
+                        : service.join(cluster).onFailure(e -> {
+                            Log.warn("cluster.unusable", "name", cluster.name(), "error", e.getMessage());
+                            Runtime.getRuntime().halt(UNUSABLE);
+                        }))
+                .compose(v -> service.start())
+                .onComplete(done -> {
+                    if (done.failed()) {
+                        Log.warn("director.not_started", "listen", config.listen(), "error", done.cause());
+                        Runtime.getRuntime().halt(1); // Not by the hook, which would wait for this thread.
+                    }
+                    Log.info("director.listening", "name", config.name(), "listen", config.listen());
+                });
     }
 }
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -53,12 +53,17 @@
         this.inherited = inherited;
         this.transport = transport;
         this.director = new Director(vertx, config);
-        this.warmup = new Warmup(vertx, config, figures.count(director, director::knowsClass),
+        this.warmup = new Warmup(
+                vertx,
+                config,
+                figures.count(director, director::knowsClass),
                 figures.count(Warmup.REFUSING, director::knowsClass));
-        this.turnedAway = figures.count((request, answer) -> {
-            answer.accept(Answer.refused(HOLD_OFF_MS));
-            return () -> { };
-        }, director::knowsClass);
+        this.turnedAway = figures.count(
+                (request, answer) -> {
+                    answer.accept(Answer.refused(HOLD_OFF_MS));
+                    return () -> {};
+                },
+                director::knowsClass);
         figures.show(config.site().classes().keySet());
         this.front = new FastCgiServer(vertx, new Gate(), director.clock(), config.front());
         this.state = config.stateFolder() == null ? null : new StateFile(config.stateFolder());
@@ -67,12 +72,16 @@
     Future<Void> start() {
         boolean upgrade = takeOver();
         director.start();
-        director.onPeerHeard(upgrade ? () -> { } : warmup::missed);
+        director.onPeerHeard(upgrade ? () -> {} : warmup::missed);
         SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
         transport.frontNext();
-        return front.listen(at).compose(v -> config.adminListen() == null ? Future.succeededFuture()
-                : new AdminServer(vertx, this).listen(SocketAddress.inetSocketAddress(config.adminListen()))
-                        .onFailure(e -> Log.warn("admin.not_listening", "listen", config.adminListen(), "error", e)))
+        return front.listen(at)
+                .compose(v -> config.adminListen() == null
+                        ? Future.succeededFuture()
+                        : new AdminServer(vertx, this)
+                                .listen(SocketAddress.inetSocketAddress(config.adminListen()))
+                                .onFailure(e ->
+                                        Log.warn("admin.not_listening", "listen", config.adminListen(), "error", e)))
                 .compose(v -> inherited == null ? warmup.run(at, config.startsWithFleet()) : warmInside(upgrade))
                 .onSuccess(v -> {
                     follow();
@@ -92,9 +101,18 @@
         if (before == null) {
             return false;
         }
-        boolean runs = inherited != null && before.pid() != ProcessHandle.current().pid()
+        boolean runs = inherited != null
+                && before.pid() != ProcessHandle.current().pid()
                 && ProcessHandle.of(before.pid()).map(ProcessHandle::isAlive).orElse(false);
-        Log.info("state.taken_over", "from", before.pid(), "runs", runs, "out", before.out().keySet(), "standby",
+        Log.info(
+                "state.taken_over",
+                "from",
+                before.pid(),
+                "runs",
+                runs,
+                "out",
+                before.out().keySet(),
+                "standby",
                 before.standby());
         heed(before);
         return runs;
@@ -104,9 +122,12 @@
     private Future<Void> warmInside(boolean upgrade) {
         FastCgiServer inside = new FastCgiServer(vertx, warmup, director.clock(), config.front());
         return inside.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                .compose(s -> warmup.run(SocketAddress.inetSocketAddress(s.actualPort(), "127.0.0.1"),
-                        upgrade || config.startsWithFleet(), upgrade ? UPGRADE_WARM_MS : Warmup.MOST_MS))
-                .compose(v -> inside.close()).compose(v -> inherited.accept(true));
+                .compose(s -> warmup.run(
+                        SocketAddress.inetSocketAddress(s.actualPort(), "127.0.0.1"),
+                        upgrade || config.startsWithFleet(),
+                        upgrade ? UPGRADE_WARM_MS : Warmup.MOST_MS))
+                .compose(v -> inside.close())
+                .compose(v -> inherited.accept(true));
     }
 
     // Another process of this director may have been told something: bans and drains count for both.
@@ -133,7 +154,11 @@
     }
 
     private void standby(boolean on) {
-        Log.info(on ? "operator.standby" : "operator.active", "open", director.open(), "connections",
+        Log.info(
+                on ? "operator.standby" : "operator.active",
+                "open",
+                director.open(),
+                "connections",
                 front.connections());
         if (on) {
             drain.begin(Drain.Cause.STANDBY, director.clock().getAsLong());
@@ -247,7 +272,9 @@
         if (inherited != null) {
             inherited.accept(false);
         }
-        drain.begin(inherited != null ? Drain.Cause.HANDOVER : Drain.Cause.SHUTDOWN, director.clock().getAsLong());
+        drain.begin(
+                inherited != null ? Drain.Cause.HANDOVER : Drain.Cause.SHUTDOWN,
+                director.clock().getAsLong());
         front.drain(drain);
     }
 
--- a/src/main/java/pewtercourse/Warmup.java
+++ b/src/main/java/pewtercourse/Warmup.java
@@ -37,7 +37,7 @@
 
     static final RequestHandler REFUSING = (request, answer) -> {
         answer.accept(Answer.refused(HOLD_OFF_MS));
-        return () -> { };
+        return () -> {};
     };
 
     private final Vertx vertx;
@@ -65,7 +65,12 @@
         this(vertx, config, service, REFUSING, mostMs, atWorkMs);
     }
 
-    private Warmup(Vertx vertx, DirectorConfig config, RequestHandler service, RequestHandler refusing, long mostMs,
+    private Warmup(
+            Vertx vertx,
+            DirectorConfig config,
+            RequestHandler service,
+            RequestHandler refusing,
+            long mostMs,
             long atWorkMs) {
         this.refusing = refusing;
         this.defaultMs = mostMs;
@@ -73,13 +78,16 @@
         this.vertx = vertx;
         this.service = service;
         this.classes = new ArrayList<>(config.site().classes().keySet());
-        JsonObject alone = config.source().copy().put("peers", new JsonArray()).putNull("peer_listen")
+        JsonObject alone = config.source()
+                .copy()
+                .put("peers", new JsonArray())
+                .putNull("peer_listen")
                 .putNull("feed");
         if (alone.getJsonObject("settings").getValue("Permissions") instanceof JsonObject p) {
             p.put("MayTell", false);
         }
-        this.director = new Director(vertx, DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), alone),
-                new CannedTransport(vertx));
+        this.director = new Director(
+                vertx, DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), alone), new CannedTransport(vertx));
     }
 
     /**
@@ -155,10 +163,23 @@
         out++;
         String id = String.format("%016x", random.nextLong());
         mine.add(id);
-        client.ask(Map.of("SCRIPT_NAME", "/ops/" + classes.get(left % classes.size()),
-                "REQUEST_METHOD", "GET", "HTTP_X_CORRELATION_ID", id,
-                "HTTP_X_SUBJECT", String.format("%016x", random.nextInt(100)), "HTTP_X_TAG", "17",
-                "HTTP_X_CHUNK", "0", "HTTP_X_NEED_KB", "200.5", "HTTP_X_DEADLINE_MS", "3000"))
+        client.ask(Map.of(
+                        "SCRIPT_NAME",
+                        "/ops/" + classes.get(left % classes.size()),
+                        "REQUEST_METHOD",
+                        "GET",
+                        "HTTP_X_CORRELATION_ID",
+                        id,
+                        "HTTP_X_SUBJECT",
+                        String.format("%016x", random.nextInt(100)),
+                        "HTTP_X_TAG",
+                        "17",
+                        "HTTP_X_CHUNK",
+                        "0",
+                        "HTTP_X_NEED_KB",
+                        "200.5",
+                        "HTTP_X_DEADLINE_MS",
+                        "3000"))
                 .onComplete(answer -> {
                     out--;
                     mine.remove(id);
--- a/src/main/java/pewtercourse/admin/AdminApi.java
+++ b/src/main/java/pewtercourse/admin/AdminApi.java
@@ -36,8 +36,9 @@
             case "/maintenance/enter", "/maintenance/exit":
                 return maintenance(call);
             case "/reload":
-                return director.reload().map(v -> v.refused() == null ? AdminReply.of(200, "reloaded")
-                        : AdminReply.of(422, v.refused()));
+                return director.reload()
+                        .map(v ->
+                                v.refused() == null ? AdminReply.of(200, "reloaded") : AdminReply.of(422, v.refused()));
             case "/standby":
                 director.standby();
                 return Future.succeededFuture(AdminReply.of(200, "standby"));
@@ -58,8 +59,11 @@
             return Future.succeededFuture(AdminReply.of(400, "target: the id of a cache is missing"));
         }
         boolean out = call.path().endsWith("/enter");
-        return (out ? director.enterMaintenance(name) : director.exitMaintenance(name)).map(v -> !v.known()
-                ? AdminReply.of(404, "target: unknown id") : v.refused() != null ? AdminReply.of(503, v.refused())
-                : AdminReply.of(200, (out ? "out: " : "in: ") + name));
+        return (out ? director.enterMaintenance(name) : director.exitMaintenance(name))
+                .map(v -> !v.known()
+                        ? AdminReply.of(404, "target: unknown id")
+                        : v.refused() != null
+                                ? AdminReply.of(503, v.refused())
+                                : AdminReply.of(200, (out ? "out: " : "in: ") + name));
     }
 }
--- a/src/main/java/pewtercourse/admin/AdminCall.java
+++ b/src/main/java/pewtercourse/admin/AdminCall.java
@@ -1,4 +1,4 @@
 package pewtercourse.admin;
 
 /** One call, whole. */
-record AdminCall(String method, String path, String body) { }
+record AdminCall(String method, String path, String body) {}
--- a/src/main/java/pewtercourse/admin/AdminServer.java
+++ b/src/main/java/pewtercourse/admin/AdminServer.java
@@ -22,9 +22,14 @@
     public AdminServer(Vertx vertx, Operations director) {
         api = new AdminApi(director);
         table = new CallTable<>(Timers.of(vertx), HttpConnection::close);
-        server = vertx.createHttpServer(new HttpServerOptions().setReuseAddress(true).setAcceptBacklog(64)
-                .setTcpNoDelay(true).setMaxHeaderSize(HEAD_MOST).setMaxInitialLineLength(LINE_MOST)
-                .setHandle100ContinueAutomatically(true).setHttp2ClearTextEnabled(false));
+        server = vertx.createHttpServer(new HttpServerOptions()
+                .setReuseAddress(true)
+                .setAcceptBacklog(64)
+                .setTcpNoDelay(true)
+                .setMaxHeaderSize(HEAD_MOST)
+                .setMaxInitialLineLength(LINE_MOST)
+                .setHandle100ContinueAutomatically(true)
+                .setHttp2ClearTextEnabled(false));
         server.connectionHandler(c -> {
             table.opened(c);
             c.closeHandler(v -> table.ended(c));
@@ -51,7 +56,8 @@
         r.exceptionHandler(e -> r.connection().close());
         r.endHandler(v -> {
             if (body.length() <= BODY_MOST) {
-                handle(new AdminCall(r.method().name(), r.path(), body.toString())).onSuccess(a -> reply(r, a))
+                handle(new AdminCall(r.method().name(), r.path(), body.toString()))
+                        .onSuccess(a -> reply(r, a))
                         .onFailure(e -> reply(r, unexpected(e)));
             }
         });
@@ -77,7 +83,11 @@
         if (a.allow() != null) {
             r.response().putHeader("Allow", a.allow());
         }
-        r.response().setStatusCode(a.status()).putHeader("Content-Type", "text/plain; charset=utf-8")
-                .putHeader("Connection", "close").end(a.text().endsWith("\n") ? a.text() : a.text() + "\n").onComplete(v -> r.connection().close());
+        r.response()
+                .setStatusCode(a.status())
+                .putHeader("Content-Type", "text/plain; charset=utf-8")
+                .putHeader("Connection", "close")
+                .end(a.text().endsWith("\n") ? a.text() : a.text() + "\n")
+                .onComplete(v -> r.connection().close());
     }
 }
--- a/src/main/java/pewtercourse/admin/ClusterApi.java
+++ b/src/main/java/pewtercourse/admin/ClusterApi.java
@@ -6,12 +6,17 @@
 
 /** The operators' calls on the cluster. 409 is a no for a reason that is told, 503 one that trying again may mend. */
 final class ClusterApi {
-    private ClusterApi() { }
+    private ClusterApi() {}
 
     static Future<AdminReply> handle(ClusterCalls cluster, AdminCall call) {
         String method = switch (call.path()) {
             case "/cluster/status", "/sites/status" -> "GET";
-            case "/cluster/hand-on", "/cluster/transfer", "/cluster/add", "/cluster/remove", "/sites/drill", "/sites/hold",
+            case "/cluster/hand-on",
+                    "/cluster/transfer",
+                    "/cluster/add",
+                    "/cluster/remove",
+                    "/sites/drill",
+                    "/sites/hold",
                     "/sites/release" -> "POST";
             default -> null;
         };
@@ -40,14 +45,25 @@
         String name = word(body, "name"), duty = word(body, "duty"), to = word(body, "to");
         String address = word(body, "address");
         return switch (call.path()) {
-            case "/cluster/hand-on" -> duty.isEmpty() ? missing("duty") : cluster.handOn(duty, to)
-                    .map(ClusterApi::verdict).otherwise(e -> AdminReply.of(503, e.getMessage()));
-            case "/sites/drill", "/sites/hold", "/sites/release" -> name.isEmpty() ? missing("name")
-                    : cluster.site(call.path().substring("/sites/".length()), name).map(ClusterApi::verdict)
-                            .otherwise(e -> AdminReply.of(503, e.getMessage()));
+            case "/cluster/hand-on" ->
+                duty.isEmpty()
+                        ? missing("duty")
+                        : cluster.handOn(duty, to)
+                                .map(ClusterApi::verdict)
+                                .otherwise(e -> AdminReply.of(503, e.getMessage()));
+            case "/sites/drill", "/sites/hold", "/sites/release" ->
+                name.isEmpty()
+                        ? missing("name")
+                        : cluster.site(call.path().substring("/sites/".length()), name)
+                                .map(ClusterApi::verdict)
+                                .otherwise(e -> AdminReply.of(503, e.getMessage()));
             case "/cluster/transfer" -> Future.succeededFuture(verdict(cluster.transfer(to)));
-            case "/cluster/add" -> name.isEmpty() ? missing("name") : address.isEmpty() ? missing("address")
-                    : Future.succeededFuture(verdict(cluster.add(name, address)));
+            case "/cluster/add" ->
+                name.isEmpty()
+                        ? missing("name")
+                        : address.isEmpty()
+                                ? missing("address")
+                                : Future.succeededFuture(verdict(cluster.add(name, address)));
             default -> name.isEmpty() ? missing("name") : Future.succeededFuture(verdict(cluster.remove(name)));
         };
     }
--- a/src/main/java/pewtercourse/bench/BenchLink.java
+++ b/src/main/java/pewtercourse/bench/BenchLink.java
@@ -36,8 +36,7 @@
         List<Router.Event> events = new ArrayList<>();
     }
 
-    private record Row(long id, String zone, String kind, int cell, Router.State state, double weight,
-            long since) { }
+    private record Row(long id, String zone, String kind, int cell, Router.State state, double weight, long since) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -152,31 +151,46 @@
                     throw malformed("field Profile: '" + shown(fields[3]) + "' is not in the settings");
                 }
                 int bits = (int) optional(10, "StateBits");
-                seat.events.add(new Router.Request(request(2), cls, text(5, "Object"),
-                        (int) optional(9, "Part"), (int) optional(8, "LabelNo"),
-                        optional(7, "LengthKb"), time(6, "Expires"), (bits & 2) != 0, (bits & 4) != 0));
+                seat.events.add(new Router.Request(
+                        request(2),
+                        cls,
+                        text(5, "Object"),
+                        (int) optional(9, "Part"),
+                        (int) optional(8, "LabelNo"),
+                        optional(7, "LengthKb"),
+                        time(6, "Expires"),
+                        (bits & 2) != 0,
+                        (bits & 4) != 0));
             }
             case "REMINDER" -> seat().events.add(new Router.TimerDue(text(2, "Handle")));
-            case "HEAD_RECEIVED" ->
-                seat().events.add(new Router.StreamBegun(request(2), (int) whole(3, "Trial")));
+            case "HEAD_RECEIVED" -> seat().events.add(new Router.StreamBegun(request(2), (int) whole(3, "Trial")));
             case "RESULT" -> {
                 Router.Ending ending = ending(text(5, "Reason"));
                 int note = (int) optional(8, "Remark");
                 Router.Note[] notes = Router.Note.values();
-                seat().events.add(new Router.Outcome(request(2), (int) whole(3, "Trial"), whole(4, "Node"),
-                        ending, time(6, "Latency"), bool(7, "Last"),
-                        note > 0 && note < notes.length ? notes[note] : Router.Note.NONE));
+                seat().events
+                        .add(new Router.Outcome(
+                                request(2),
+                                (int) whole(3, "Trial"),
+                                whole(4, "Node"),
+                                ending,
+                                time(6, "Latency"),
+                                bool(7, "Last"),
+                                note > 0 && note < notes.length ? notes[note] : Router.Note.NONE));
             }
-            case "INVALIDATED" -> seat().events.add(new Router.Purged(absent(2) ? null : fields[2],
-                    (int) optional(3, "BatchId"), micros(optional(4, "Age"))));
+            case "INVALIDATED" ->
+                seat().events
+                        .add(new Router.Purged(
+                                absent(2) ? null : fields[2],
+                                (int) optional(3, "BatchId"),
+                                micros(optional(4, "Age"))));
             case "RETIRE" -> {
                 seat();
                 int i = (int) whole(1, "I");
                 seats.remove(i);
                 touched.remove(i);
             }
-            case "MESSAGE" ->
-                seat().events.add(new Router.PeerMessage((int) whole(2, "OriginPeer"), bytes(3)));
+            case "MESSAGE" -> seat().events.add(new Router.PeerMessage((int) whole(2, "OriginPeer"), bytes(3)));
             case "LEFT" -> seat().events.add(new Router.ClientGone(request(2)));
             case "HEALTH_RESULT" -> seat();
             default -> throw malformed("'" + shown(verb) + "' is no message of the wire");
@@ -197,8 +211,13 @@
                 case "Gone" -> Router.State.GONE;
                 default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is no state");
             };
-            rows.add(new Row(whole(1, "Node"), text(2, "Campus"), text(3, "Kind"),
-                    (int) optional(4, "Cluster"), state, optional(6, "Weight"),
+            rows.add(new Row(
+                    whole(1, "Node"),
+                    text(2, "Campus"),
+                    text(3, "Kind"),
+                    (int) optional(4, "Cluster"),
+                    state,
+                    optional(6, "Weight"),
                     micros(optional(7, "OnlineSince"))));
         }
         lists.put(id, rows);
--- a/src/main/java/pewtercourse/cache/AnswerReader.java
+++ b/src/main/java/pewtercourse/cache/AnswerReader.java
@@ -45,11 +45,15 @@
 
         // As the library's pipeline would, without one: a channel for each connection cost more than its decoder.
         List<Object> read(byte[] bytes) {
-            rest = rest.isReadable() ? HEAP.heapBuffer(rest.readableBytes() + bytes.length).writeBytes(rest)
-                    .writeBytes(bytes) : Unpooled.wrappedBuffer(bytes);
+            rest = rest.isReadable()
+                    ? HEAP.heapBuffer(rest.readableBytes() + bytes.length)
+                            .writeBytes(rest)
+                            .writeBytes(bytes)
+                    : Unpooled.wrappedBuffer(bytes);
             List<Object> out = new ArrayList<>(4);
             try {
-                for (int left = -1, had = 0; rest.isReadable() && (left != rest.readableBytes() || had != out.size());) {
+                for (int left = -1, had = 0;
+                        rest.isReadable() && (left != rest.readableBytes() || had != out.size()); ) {
                     left = rest.readableBytes();
                     had = out.size();
                     decode(null, rest, out);
@@ -84,7 +88,9 @@
             String[] lines = LINE_END.split(head.toString().strip());
             for (int i = 1; i < lines.length; i++) {
                 int at = 0;
-                while (at < lines[i].length() && lines[i].charAt(at) > ' ' && lines[i].charAt(at) < 127
+                while (at < lines[i].length()
+                        && lines[i].charAt(at) > ' '
+                        && lines[i].charAt(at) < 127
                         && "\"(),/:;<=>?@[\\]{}".indexOf(lines[i].charAt(at)) < 0) {
                     at++;
                 }
@@ -173,9 +179,13 @@
         clean &= HttpUtil.isKeepAlive(head);
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
-        CacheAnswer a = CacheAnswer.decode(head.status().code(), "1".equals(head.headers().get("Never-Ran")),
-                head.headers().get(HttpHeaderNames.CONTENT_LENGTH), Buffer.buffer(bytes),
-                head.headers().get(HttpHeaderNames.ETAG), head.headers().get("Outcome"));
+        CacheAnswer a = CacheAnswer.decode(
+                head.status().code(),
+                "1".equals(head.headers().get("Never-Ran")),
+                head.headers().get(HttpHeaderNames.CONTENT_LENGTH),
+                Buffer.buffer(bytes),
+                head.headers().get(HttpHeaderNames.ETAG),
+                head.headers().get("Outcome"));
         // Nobody may be told that a copy holds that was not asked about.
         boolean wrongCopy = a.end() == End.NOT_MODIFIED && (known == null || !known.equals(a.tag()));
         return wrongCopy || a.end() == End.SERVED && repeated(a.tag(), bytes) ? broken() : a;
@@ -184,8 +194,11 @@
     // A second copy of the last answer that came so late that its connection was in use again.
     private boolean repeated(String tag, byte[] bytes) {
         int hash = tag != null ? tag.hashCode() : Arrays.hashCode(bytes);
-        boolean same = pathBefore != null && !pathBefore.equals(path) && bytes.length > 0
-                && Objects.equals(tag, tagBefore) && hash == hashBefore;
+        boolean same = pathBefore != null
+                && !pathBefore.equals(path)
+                && bytes.length > 0
+                && Objects.equals(tag, tagBefore)
+                && hash == hashBefore;
         tagBefore = tag;
         hashBefore = hash;
         return same;
--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -34,8 +34,16 @@
      * {@code until}: clock time at which it is given up. {@code stillRight} is asked just before the first byte
      * is written: what the feed has told meanwhile may forbid it.
      */
-    public Attempt(CachePool pool, Timers timers, LongSupplier clock, long cache, InetSocketAddress address,
-            CacheRequest request, long connectTimeout, long until, BooleanSupplier stillRight,
+    public Attempt(
+            CachePool pool,
+            Timers timers,
+            LongSupplier clock,
+            long cache,
+            InetSocketAddress address,
+            CacheRequest request,
+            long connectTimeout,
+            long until,
+            BooleanSupplier stillRight,
             Consumer<CacheAnswer> done) {
         this.pool = pool;
         this.timers = timers;
@@ -62,8 +70,8 @@
             return;
         }
         long left = until - clock.getAsLong();
-        timer = timers.set(Timers.millis(Math.min(connectTimeout, left)),
-                () -> end(CacheAnswer.of(End.CONNECT_TIMEOUT)));
+        timer = timers.set(
+                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheAnswer.of(End.CONNECT_TIMEOUT)));
         // After a late turn the client's close may stand unread behind the connection's coming up.
         connecting.onComplete(c -> timers.afterReads(() -> connected(c)));
     }
@@ -97,8 +105,9 @@
         pool.wrote();
         timer = timers.set(Timers.millis(left), () -> end(CacheAnswer.of(End.TIMEOUT)));
         // Once the request may have left, a connection that ends proves nothing: RESET, reused or not.
-        connection.exchange(request, Math.max(1, left / 1000)).onComplete(a ->
-                end(a.succeeded() ? a.result() : CacheAnswer.of(End.RESET)));
+        connection
+                .exchange(request, Math.max(1, left / 1000))
+                .onComplete(a -> end(a.succeeded() ? a.result() : CacheAnswer.of(End.RESET)));
     }
 
     /** Withdraws it. Its end is told as for every other. */
--- a/src/main/java/pewtercourse/cache/CacheAnswer.java
+++ b/src/main/java/pewtercourse/cache/CacheAnswer.java
@@ -9,11 +9,9 @@
     }
 
     /** The one place where a status is read. */
-    static CacheAnswer decode(int status, boolean neverRan, String length, Buffer body, String tag,
-            String outcome) {
+    static CacheAnswer decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcome) {
         End end = switch (status) {
-            case 200 -> length != null && !length.equals(String.valueOf(body.length())) ? End.MALFORMED
-                    : End.SERVED;
+            case 200 -> length != null && !length.equals(String.valueOf(body.length())) ? End.MALFORMED : End.SERVED;
             case 304 -> End.NOT_MODIFIED;
             case 404 -> End.MISS;
             case 503 -> neverRan ? End.FULL : End.ERROR;
--- a/src/main/java/pewtercourse/cache/CachePool.java
+++ b/src/main/java/pewtercourse/cache/CachePool.java
@@ -16,7 +16,7 @@
  * descriptors last.
  */
 public final class CachePool {
-    private record Idle(CacheConnection connection, long since) { }
+    private record Idle(CacheConnection connection, long since) {}
 
     // A connection rests after an answer: bytes that come behind it, a second copy or noise, would else be taken for
     // the answer to the next request. Two waits, since after a stall of the program the first may be over before
@@ -138,7 +138,7 @@
     }
 
     private boolean closeOneIdle() {
-        for (Iterator<Deque<Idle>> all = idle.values().iterator(); all.hasNext();) {
+        for (Iterator<Deque<Idle>> all = idle.values().iterator(); all.hasNext(); ) {
             Deque<Idle> of = all.next();
             if (!of.isEmpty()) {
                 of.pollFirst().connection.close();
--- a/src/main/java/pewtercourse/cache/CacheRequest.java
+++ b/src/main/java/pewtercourse/cache/CacheRequest.java
@@ -7,8 +7,19 @@
  * One attempt as it goes out. {@code source} null: no fill; {@code maxAgeMs} 0: as long as copies are fresh;
  * {@code known} null: no tag of the client's is passed on.
  */
-public record CacheRequest(String id, String className, String object, int part, Buffer body, String source,
-        int keep, long maxAgeMs, boolean join, boolean sourceHoldsOnly, boolean renew, String known) {
+public record CacheRequest(
+        String id,
+        String className,
+        String object,
+        int part,
+        Buffer body,
+        String source,
+        int keep,
+        long maxAgeMs,
+        boolean join,
+        boolean sourceHoldsOnly,
+        boolean renew,
+        String known) {
     private static final String SEGMENT_MARKS = "-._~!$&'()*+,;=:@";
 
     String path() {
@@ -31,7 +42,8 @@
 
     /** GET with a body too: caches answer 400 to any other method, whatever the client's was. */
     Buffer encode(String host, long timeoutMs) {
-        StringBuilder head = new StringBuilder(256).append("GET ").append(path()).append(" HTTP/1.1\r\n");
+        StringBuilder head =
+                new StringBuilder(256).append("GET ").append(path()).append(" HTTP/1.1\r\n");
         field(head, "Host", host);
         field(head, "Request-Id", id);
         field(head, "Timeout-Ms", String.valueOf(timeoutMs));
--- a/src/main/java/pewtercourse/cache/CannedTransport.java
+++ b/src/main/java/pewtercourse/cache/CannedTransport.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void onClose(Runnable then) { }
+        public void onClose(Runnable then) {}
 
         @Override
         public void close() {
--- a/src/main/java/pewtercourse/cache/HttpTransport.java
+++ b/src/main/java/pewtercourse/cache/HttpTransport.java
@@ -25,7 +25,8 @@
     @Override
     public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
         String host = to.getAddress().getHostAddress() + ':' + to.getPort();
-        ConnectOptions options = new ConnectOptions().setRemoteAddress(SocketAddress.inetSocketAddress(to))
+        ConnectOptions options = new ConnectOptions()
+                .setRemoteAddress(SocketAddress.inetSocketAddress(to))
                 .setTimeout((int) timeoutMs);
         return client.connect(options).map(s -> new Connection(s, host));
     }
@@ -36,13 +37,13 @@
         private final AnswerReader reader = new AnswerReader();
         private Promise<CacheAnswer> answer;
         private boolean open = true;
-        private Runnable onClose = () -> { };
+        private Runnable onClose = () -> {};
 
         Connection(NetSocket socket, String host) {
             this.socket = socket;
             this.host = host;
             socket.handler(this::read);
-            socket.exceptionHandler(e -> { });
+            socket.exceptionHandler(e -> {});
             socket.closeHandler(v -> {
                 open = false;
                 onClose.run();
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -41,8 +41,8 @@
 import pewtercourse.raft.store.Store;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
-import pewtercourse.site.FailoverState;
 import pewtercourse.site.FailoverController;
+import pewtercourse.site.FailoverState;
 import pewtercourse.site.Planner;
 import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
@@ -78,8 +78,15 @@
     private Disk disk;
     private MemberNet net;
     private Raft raft; // Null while the folder is not open.
-    private long timer = -1, reopenMs = REOPEN_FIRST_MS, nextRead = 1, applied, toldWords = -1, transferAt = -1,
-            diskFailures, toldSites = -1, sightAt;
+    private long timer = -1,
+            reopenMs = REOPEN_FIRST_MS,
+            nextRead = 1,
+            applied,
+            toldWords = -1,
+            transferAt = -1,
+            diskFailures,
+            toldSites = -1,
+            sightAt;
     private Set<String> toldAbsent = Set.of();
     private String toldLeader = "";
     private final Map<String, Long> toldTokens = new HashMap<>();
@@ -137,8 +144,8 @@
             return Future.failedFuture("ended meanwhile");
         }
         disk = new Disk(thread, loop, store, this::saved, this::diskFailed);
-        duties = new Duties(config.duties(), config.name(), new SecureRandom().nextLong() >>> 16, host::zoneOf,
-                host::zoneSize);
+        duties = new Duties(
+                config.duties(), config.name(), new SecureRandom().nextLong() >>> 16, host::zoneOf, host::zoneSize);
         if (sites != null) {
             duties.sites(now(), sites);
         }
@@ -146,11 +153,22 @@
         raft = new Raft(config.raft(), config.name(), saved, now(), random);
         applied = saved.snapshot().index();
         reopenMs = REOPEN_FIRST_MS;
-        Log.info("cluster.opened", "name", config.name(), "term", saved.term(), "snapshot", saved.snapshot().index(),
-                "last", raft.lastIndex(), "incarnation", Long.toHexString(saved.incarnation()), "members",
+        Log.info(
+                "cluster.opened",
+                "name",
+                config.name(),
+                "term",
+                saved.term(),
+                "snapshot",
+                saved.snapshot().index(),
+                "last",
+                raft.lastIndex(),
+                "incarnation",
+                Long.toHexString(saved.incarnation()),
+                "members",
                 raft.members().all().keySet());
-        net = new MemberNet(vertx, config.cluster(), config.name(), saved.incarnation(), random, this::address,
-                this::receive);
+        net = new MemberNet(
+                vertx, config.cluster(), config.name(), saved.incarnation(), random, this::address, this::receive);
         pump();
         return net.listen(SocketAddress.inetSocketAddress(config.listen())).mapEmpty();
     }
@@ -168,10 +186,12 @@
         }
         long in = reopenMs / 2 + (long) (random.nextDouble() * reopenMs);
         reopenMs = Math.min(REOPEN_MOST_MS, 2 * reopenMs);
-        timers.set(in, () -> start().onFailure(e -> {
-            Log.warn("cluster.not_opened", "error", e);
-            reopen();
-        }));
+        timers.set(
+                in,
+                () -> start().onFailure(e -> {
+                    Log.warn("cluster.not_opened", "error", e);
+                    reopen();
+                }));
     }
 
     private void shut(String why) {
@@ -342,8 +362,10 @@
         Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
         Duties.View view = new Duties.View(raft.members().all().keySet(), heard, System.currentTimeMillis());
         for (Command.Signed s : duties.tick(now, view)) {
-            if (s.command() instanceof Command.Let || s.command() instanceof Command.Lend
-                    || s.command() instanceof Command.Settle || s.command() instanceof Command.Withdraw
+            if (s.command() instanceof Command.Let
+                    || s.command() instanceof Command.Lend
+                    || s.command() instanceof Command.Settle
+                    || s.command() instanceof Command.Withdraw
                     || s.command() instanceof Command.Declare) {
                 Log.info("duty.act", "order", s.command(), "id", s.id());
             }
@@ -366,8 +388,11 @@
         if (raft.role() == Raft.Role.LEADER) {
             raft.propose(now(), command);
         } else if (raft.leader() != null) {
-            net.send(raft.leader(), Wire.Frame.newBuilder().setCall(Wire.Call.newBuilder().setId(id)
-                    .setCommand(ByteString.copyFrom(command))).build());
+            net.send(
+                    raft.leader(),
+                    Wire.Frame.newBuilder()
+                            .setCall(Wire.Call.newBuilder().setId(id).setCommand(ByteString.copyFrom(command)))
+                            .build());
         }
     }
 
@@ -388,7 +413,8 @@
 
     private void tellSites() {
         FailoverState failover = duties.state().failover();
-        if (sites == null || failover.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
+        if (sites == null
+                || failover.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
             return;
         }
         toldSites = failover.version();
@@ -396,8 +422,24 @@
         failover.statuses().forEach((name, s) -> {
             Status before = toldStatuses.put(name, s);
             if (!s.equals(before)) {
-                Log.info("site.status", "site", name, "phase", s.phase(), "health", s.health(), "step", s.step(), "flaps",
-                        s.flaps(), "held", s.held(), "drill", s.drill(), "entry", s.entry());
+                Log.info(
+                        "site.status",
+                        "site",
+                        name,
+                        "phase",
+                        s.phase(),
+                        "health",
+                        s.health(),
+                        "step",
+                        s.step(),
+                        "flaps",
+                        s.flaps(),
+                        "held",
+                        s.held(),
+                        "drill",
+                        s.drill(),
+                        "entry",
+                        s.entry());
             }
         });
         host.sites(failover, toldAbsent);
@@ -420,14 +462,15 @@
             return;
         }
         Sites of = sites;
-        vertx.executeBlocking(() -> new Planner().plan(of, q.loads(), q.lost(), q.unfit(), q.before())).onComplete(p -> {
-            if (p.failed()) {
-                Log.warn("site.not_planned", "error", p.cause());
-            } else if (raft != null && of == sites) {
-                duties.planned(now(), p.result());
-                pump();
-            }
-        });
+        vertx.executeBlocking(() -> new Planner().plan(of, q.loads(), q.lost(), q.unfit(), q.before()))
+                .onComplete(p -> {
+                    if (p.failed()) {
+                        Log.warn("site.not_planned", "error", p.cause());
+                    } else if (raft != null && of == sites) {
+                        duties.planned(now(), p.result());
+                        pump();
+                    }
+                });
     }
 
     private void sight(long now) {
@@ -455,7 +498,13 @@
         });
         duties.state().duties().forEach((name, d) -> {
             if (!Long.valueOf(d.token()).equals(toldTokens.put(name, d.token()))) {
-                Log.info("duty.assigned", "duty", name, "holder", d.holder().isEmpty() ? "none" : d.holder(), "token",
+                Log.info(
+                        "duty.assigned",
+                        "duty",
+                        name,
+                        "holder",
+                        d.holder().isEmpty() ? "none" : d.holder(),
+                        "token",
                         d.token());
             }
         });
@@ -541,12 +590,15 @@
     }
 
     private void tellLet() {
-        letWaits.keySet().stream().filter(state().out()::containsKey).toList()
+        letWaits.keySet().stream()
+                .filter(state().out()::containsKey)
+                .toList()
                 .forEach(t -> List.copyOf(letWaits.get(t)).forEach(p -> p.tryComplete(true)));
     }
 
     private String noMajority() {
-        return raft == null || raft.leader() == null ? "no leader: a majority of the members is not reached"
+        return raft == null || raft.leader() == null
+                ? "no leader: a majority of the members is not reached"
                 : "not agreed in time by a majority; the leader is " + raft.leader();
     }
 
@@ -631,7 +683,8 @@
     /** By an operator at the leader: a new member, which learns first and votes then. Null, or why not. */
     public String add(String name, String address) {
         Membership.Member before = raft == null ? null : raft.members().all().get(name);
-        return led(() -> before != null ? Raft.Refusal.UNFIT
+        return led(() -> before != null
+                ? Raft.Refusal.UNFIT
                 : raft.addMember(now(), name, address, 0).refusal());
     }
 
@@ -646,13 +699,17 @@
         raft.tick(now());
         Raft.Refusal no = what.get();
         pump();
-        return no == null ? null : switch (no) {
-            case NOT_LEADER -> "not the leader, which is " + (raft.leader() == null ? "not known" : raft.leader());
-            case CHANGING -> "another change is under way, or the leader is new: try again";
-            case HANDING_ON -> "leadership is being handed on: try again";
-            case BUSY -> "too much is under way: try again";
-            case UNFIT -> "that is not possible: the member is unknown or there already, does not answer or has no vote";
-        };
+        return no == null
+                ? null
+                : switch (no) {
+                    case NOT_LEADER ->
+                        "not the leader, which is " + (raft.leader() == null ? "not known" : raft.leader());
+                    case CHANGING -> "another change is under way, or the leader is new: try again";
+                    case HANDING_ON -> "leadership is being handed on: try again";
+                    case BUSY -> "too much is under way: try again";
+                    case UNFIT ->
+                        "that is not possible: the member is unknown or there already, does not answer or has no vote";
+                };
     }
 
     public boolean knowsSite(String name) {
--- a/src/main/java/pewtercourse/cluster/ClusterHost.java
+++ b/src/main/java/pewtercourse/cluster/ClusterHost.java
@@ -25,7 +25,7 @@
     }
 
     /** What is agreed on the sites has changed, or how many directors of its own site are there. */
-    default void sites(FailoverState failover, Set<String> absent) { }
+    default void sites(FailoverState failover, Set<String> absent) {}
 
     /** How much of its part it could use in addition, as a share of a part; 0 if it needs no more. */
     double coldWanted();
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -38,8 +38,11 @@
         Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
         JsonArray all = new JsonArray();
         sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
-        return new JsonObject().put("open", raft != null).put("keeper", agreed().duty(DutyState.SITES).holder())
-                .put("leader", raft == null ? null : raft.leader()).put("planned", failover.plan().cases().size())
+        return new JsonObject()
+                .put("open", raft != null)
+                .put("keeper", agreed().duty(DutyState.SITES).holder())
+                .put("leader", raft == null ? null : raft.leader())
+                .put("planned", failover.plan().cases().size())
                 .put("sites", all);
     }
 
@@ -49,12 +52,24 @@
         lost.add(name);
         Plan.Shares shares = failover.plan().when(lost).getOrDefault(name, Plan.Shares.NOTHING);
         JsonArray takers = new JsonArray();
-        shares.parts().forEach(part -> takers.add(new JsonObject().put("site", part.site()).put("work", part.work())
-                .put("most", part.most())));
-        return new JsonObject().put("site", name).put("phase", lowerCase(status.phase()))
-                .put("health", lowerCase(status.health())).put("step", status.step()).put("flaps", status.flaps())
-                .put("held", status.held()).put("drill", status.drill()).put("load", load).put("bears", site.bears())
-                .put("spare", site.spare(load)).put("takers", takers).put("refused", shares.refused());
+        shares.parts()
+                .forEach(part -> takers.add(new JsonObject()
+                        .put("site", part.site())
+                        .put("work", part.work())
+                        .put("most", part.most())));
+        return new JsonObject()
+                .put("site", name)
+                .put("phase", lowerCase(status.phase()))
+                .put("health", lowerCase(status.health()))
+                .put("step", status.step())
+                .put("flaps", status.flaps())
+                .put("held", status.held())
+                .put("drill", status.drill())
+                .put("load", load)
+                .put("bears", site.bears())
+                .put("spare", site.spare(load))
+                .put("takers", takers)
+                .put("refused", shares.refused());
     }
 
     private static String lowerCase(Enum<?> value) {
@@ -90,12 +105,20 @@
 
     private void addDutyFigures(Map<String, Long> figures, long now) {
         DutyState agreed = agreed();
-        figures.put("duty.held", config.duties().names().stream().filter(duty -> duties.token(duty, now) > 0).count());
+        figures.put(
+                "duty.held",
+                config.duties().names().stream()
+                        .filter(duty -> duties.token(duty, now) > 0)
+                        .count());
         figures.put("duty.acts", duties.acts());
         figures.put("duty.part_thousandths", duties.part(now));
         figures.put("duty.lent_thousandths", agreed.lent());
         figures.put("duty.out", (long) agreed.out().size());
-        figures.put("duty.waiting", agreed.tickets().values().stream().filter(ticket -> !ticket.let()).count());
+        figures.put(
+                "duty.waiting",
+                agreed.tickets().values().stream()
+                        .filter(ticket -> !ticket.let())
+                        .count());
     }
 
     /** {@code confirmed}: whether a majority has just said that nothing newer is agreed. */
@@ -105,15 +128,26 @@
             return json.put("open", false);
         }
         DutyState agreed = agreed();
-        return json.put("open", true).put("role", lowerCase(raft.role())).put("leader", raft.leader())
-                .put("term", raft.term()).put("commit", raft.commit()).put("applied", applied)
-                .put("snapshot", raft.snapshotIndex()).put("confirmed", confirmed).put("removed", raft.stranger())
-                .put("members", members(now)).put("duties", leases(now))
-                .put("out", new JsonObject(new TreeMap<>(agreed.out()))).put("tickets", tickets())
-                .put("part", duties.part(now)).put("lent", agreed.lent()).put("dropped_frames", net.dropped());
+        return json.put("open", true)
+                .put("role", lowerCase(raft.role()))
+                .put("leader", raft.leader())
+                .put("term", raft.term())
+                .put("commit", raft.commit())
+                .put("applied", applied)
+                .put("snapshot", raft.snapshotIndex())
+                .put("confirmed", confirmed)
+                .put("removed", raft.stranger())
+                .put("members", members(now))
+                .put("duties", leases(now))
+                .put("out", new JsonObject(new TreeMap<>(agreed.out())))
+                .put("tickets", tickets())
+                .put("part", duties.part(now))
+                .put("lent", agreed.lent())
+                .put("dropped_frames", net.dropped());
     }
 
-    // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by it.
+    // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by
+    // it.
     private JsonArray members(long now) {
         Map<String, Long> lag = raft.lag();
         Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
@@ -121,7 +155,10 @@
         names.addAll(raft.members().all().keySet());
         JsonArray members = new JsonArray();
         for (String name : names) {
-            members.add(new JsonObject().put("name", name).put("voter", raft.agreedVoter(name)).put("lag", lag.get(name))
+            members.add(new JsonObject()
+                    .put("name", name)
+                    .put("voter", raft.agreedVoter(name))
+                    .put("lag", lag.get(name))
                     .put("heard", heard == null ? null : heard.contains(name)));
         }
         return members;
@@ -132,7 +169,10 @@
         for (String name : new TreeSet<>(agreed().duties().keySet())) {
             DutyState.Duty duty = agreed().duty(name);
             boolean own = duty.holder().equals(config.name());
-            leases.add(new JsonObject().put("duty", name).put("holder", duty.holder()).put("token", duty.token())
+            leases.add(new JsonObject()
+                    .put("duty", name)
+                    .put("holder", duty.holder())
+                    .put("token", duty.token())
                     .put("left_ms", own ? duties.left(name, now) / 1_000 : null));
         }
         return leases;
@@ -140,8 +180,13 @@
 
     private JsonArray tickets() {
         JsonArray tickets = new JsonArray();
-        agreed().tickets().values().forEach(ticket -> tickets.add(new JsonObject().put("target", ticket.target())
-                .put("zone", ticket.zone()).put("by", ticket.by()).put("out", ticket.let())));
+        agreed().tickets()
+                .values()
+                .forEach(ticket -> tickets.add(new JsonObject()
+                        .put("target", ticket.target())
+                        .put("zone", ticket.zone())
+                        .put("by", ticket.by())
+                        .put("out", ticket.let())));
         return tickets;
     }
 }
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -22,10 +22,26 @@
  * which there are three, five or seven, with addresses as this member reaches them. {@code sites}: what GW_SITES
  * names, or null.
  */
-public record ClusterConfig(String cluster, String name, InetSocketAddress listen, Path data,
-        Map<String, String> members, RaftSettings raft, DutySettings duties, Sites sites) {
-    private static final Set<String> KEYS = Set.of("cluster", "name", "listen", "data", "members", "heartbeat_ms",
-            "election_ms", "lease_ms", "drift", "duties");
+public record ClusterConfig(
+        String cluster,
+        String name,
+        InetSocketAddress listen,
+        Path data,
+        Map<String, String> members,
+        RaftSettings raft,
+        DutySettings duties,
+        Sites sites) {
+    private static final Set<String> KEYS = Set.of(
+            "cluster",
+            "name",
+            "listen",
+            "data",
+            "members",
+            "heartbeat_ms",
+            "election_ms",
+            "lease_ms",
+            "drift",
+            "duties");
     private static final int MEMBERS_MOST = 7, NAME_MOST = 64;
     private static final long SECOND = 1_000_000;
 
@@ -46,8 +62,21 @@
     private ClusterConfig with(Sites of) {
         Set<String> names = new TreeSet<>(duties.names());
         names.add(DutyState.SITES);
-        return new ClusterConfig(cluster, name, listen, data, members, raft, new DutySettings(duties.lease(), duties.drift(),
-                duties.again(), names, duties.maintenanceBudget(), duties.quotaAllocator()), of);
+        return new ClusterConfig(
+                cluster,
+                name,
+                listen,
+                data,
+                members,
+                raft,
+                new DutySettings(
+                        duties.lease(),
+                        duties.drift(),
+                        duties.again(),
+                        names,
+                        duties.maintenanceBudget(),
+                        duties.quotaAllocator()),
+                of);
     }
 
     public static ClusterConfig fromFile(Path path) {
@@ -70,9 +99,11 @@
             throw new ConfigException("name", "'" + name + "' is not among the members");
         }
         long heartbeat = millis(json, "heartbeat_ms", 50, 5, 5_000);
-        JsonArray election = json.getValue("election_ms") == null ? new JsonArray().add(300).add(600)
+        JsonArray election = json.getValue("election_ms") == null
+                ? new JsonArray().add(300).add(600)
                 : json.getValue("election_ms") instanceof JsonArray a ? a : new JsonArray();
-        if (election.size() != 2 || !(election.getValue(0) instanceof Number from)
+        if (election.size() != 2
+                || !(election.getValue(0) instanceof Number from)
                 || !(election.getValue(1) instanceof Number to)) {
             throw new ConfigException("election_ms", "is not a list of two numbers, from and to");
         }
@@ -90,11 +121,15 @@
         if (drift < 0 || drift > 0.2) {
             throw new ConfigException("drift", "is not from 0 to 0.2");
         }
-        return new ClusterConfig(name("cluster", json.getValue("cluster")), name,
+        return new ClusterConfig(
+                name("cluster", json.getValue("cluster")),
+                name,
                 DirectorConfig.address("listen", text("listen", json.getValue("listen"))),
-                Path.of(text("data", json.getValue("data"))), members,
+                Path.of(text("data", json.getValue("data"))),
+                members,
                 RaftSettings.of(heartbeat, from.longValue() * 1_000, to.longValue() * 1_000),
-                duties(json.getValue("duties"), lease, drift, from.longValue() * 1_000), null);
+                duties(json.getValue("duties"), lease, drift, from.longValue() * 1_000),
+                null);
     }
 
     private static Map<String, String> members(JsonObject json) {
@@ -113,8 +148,10 @@
             }
         }
         if (members.size() < 3 || members.size() % 2 == 0 || members.size() > MEMBERS_MOST) {
-            throw new ConfigException("members", "are " + members.size() + ": three, five or seven are of use, as an even"
-                    + " number bears no more losses than one less");
+            throw new ConfigException(
+                    "members",
+                    "are " + members.size() + ": three, five or seven are of use, as an even"
+                            + " number bears no more losses than one less");
         }
         return members;
     }
@@ -134,11 +171,13 @@
             switch (duty) {
                 case DutyState.WARDEN -> maintenanceBudget = maintenanceBudget(key + ".", d);
                 case DutyState.DIVIDER -> quotaAllocator = quotaAllocator(key + ".", d);
-                default -> throw new ConfigException(key, "is no duty: there are " + DutyState.WARDEN + " and "
-                        + DutyState.DIVIDER);
+                default ->
+                    throw new ConfigException(
+                            key, "is no duty: there are " + DutyState.WARDEN + " and " + DutyState.DIVIDER);
             }
         }
-        return new DutySettings(lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaAllocator);
+        return new DutySettings(
+                lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaAllocator);
     }
 
     private static DutySettings.MaintenanceBudget maintenanceBudget(String key, JsonObject d) {
@@ -152,8 +191,8 @@
         if (!beyond.equals("wait") && !beyond.equals("refuse")) {
             throw new ConfigException(key + "beyond", "'" + beyond + "' is neither wait nor refuse");
         }
-        return new DutySettings.MaintenanceBudget(most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L),
-                beyond.equals("wait"));
+        return new DutySettings.MaintenanceBudget(
+                most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L), beyond.equals("wait"));
     }
 
     private static DutySettings.QuotaAllocator quotaAllocator(String key, JsonObject d) {
@@ -186,7 +225,8 @@
     private static String name(String key, Object v) {
         String s = text(key, v);
         if (s.length() > NAME_MOST || !s.matches("[A-Za-z0-9._-]+")) {
-            throw new ConfigException(key, "'" + s + "' is not up to " + NAME_MOST + " letters, digits, '.', '_' and '-'");
+            throw new ConfigException(
+                    key, "'" + s + "' is not up to " + NAME_MOST + " letters, digits, '.', '_' and '-'");
         }
         return s;
     }
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -23,10 +23,22 @@
  * where they are read, checked and given defaults. {@code inherits}: the clients' socket is held by the platform.
  * {@code stateFolder}: where processes of one director leave word for one another, or null.
  */
-public record DirectorConfig(String name, InetSocketAddress listen, long seed, int sockets, int memoryMb,
-        InetSocketAddress adminListen, InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress feed, JsonArray known,
-        long knownNumber, SiteSettings site, boolean inherits,
-        Path stateFolder, JsonObject source) {
+public record DirectorConfig(
+        String name,
+        InetSocketAddress listen,
+        long seed,
+        int sockets,
+        int memoryMb,
+        InetSocketAddress adminListen,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress feed,
+        JsonArray known,
+        long knownNumber,
+        SiteSettings site,
+        boolean inherits,
+        Path stateFolder,
+        JsonObject source) {
 
     private static final int DEFAULT_SOCKETS = 1024, DEFAULT_MEMORY = 192;
     // Of flattened lists: names may hold any character but control characters.
@@ -80,15 +92,22 @@
         }
         usable(site, settings);
         JsonObject limits = object(json, "limits", new JsonObject());
-        return new DirectorConfig(name, address("GW_LISTEN", listen), seed(string(json, "seed", "0")),
+        return new DirectorConfig(
+                name,
+                address("GW_LISTEN", listen),
+                seed(string(json, "seed", "0")),
                 (int) number(limits, "limits.", "sockets", DEFAULT_SOCKETS),
                 (int) number(limits, "limits.", "memory_mb", DEFAULT_MEMORY),
                 admin.isEmpty() ? null : address("GW_ADMIN_ADDR", admin),
-                peerListen == null ? null : address("peer_listen", peerListen), peers,
+                peerListen == null ? null : address("peer_listen", peerListen),
+                peers,
                 feed == null ? null : address("feed", feed),
-                array(known, "events"), number(known, "known.", "n", 0), site,
+                array(known, "events"),
+                number(known, "known.", "n", 0),
+                site,
                 !env.getOrDefault("GW_SOCKET_FD", "").isEmpty(),
-                admin.isEmpty() || env.getOrDefault("TMPDIR", "").isEmpty() ? null : Path.of(env.get("TMPDIR")), json);
+                admin.isEmpty() || env.getOrDefault("TMPDIR", "").isEmpty() ? null : Path.of(env.get("TMPDIR")),
+                json);
     }
 
     // What would make every request fail, or be made twice, if it were read as a default.
@@ -128,9 +147,11 @@
      * waiting for this director. One that comes into a fleet at work is missed until it is ready.
      */
     public boolean startsWithFleet() {
-        return known.stream().noneMatch(e -> e instanceof JsonObject event
-                && event.getValue("members") instanceof JsonObject m
-                && m.getValue("seq") instanceof Number seq && seq.longValue() > 0);
+        return known.stream()
+                .noneMatch(e -> e instanceof JsonObject event
+                        && event.getValue("members") instanceof JsonObject m
+                        && m.getValue("seq") instanceof Number seq
+                        && seq.longValue() > 0);
     }
 
     // The program itself holds about 15 descriptors; a burst of connections is accepted 16 at a time, before one
--- a/src/main/java/pewtercourse/config/JsonFields.java
+++ b/src/main/java/pewtercourse/config/JsonFields.java
@@ -2,7 +2,7 @@
 
 /** Reads single values of a JSON file; what can't be used is a {@link ConfigException} that names the key. */
 public final class JsonFields {
-    private JsonFields() { }
+    private JsonFields() {}
 
     /**
      * A number within bounds.
--- a/src/main/java/pewtercourse/config/Reloading.java
+++ b/src/main/java/pewtercourse/config/Reloading.java
@@ -13,7 +13,7 @@
     // New with each file, and only of use at a start.
     private static final Set<String> FREE = Set.of("known", "seed");
 
-    private Reloading() { }
+    private Reloading() {}
 
     /** Throws a ConfigException that names the first key that is missing or of another type. */
     static void check(JsonObject running, JsonObject next) {
@@ -38,7 +38,11 @@
             classes(path, before, (JsonArray) is);
         } else if (was instanceof JsonObject o) {
             for (String key : o.fieldNames()) {
-                same(path + "." + key, o.getValue(key), ((JsonObject) is).getValue(key), ((JsonObject) is).containsKey(key));
+                same(
+                        path + "." + key,
+                        o.getValue(key),
+                        ((JsonObject) is).getValue(key),
+                        ((JsonObject) is).containsKey(key));
             }
         }
     }
@@ -61,8 +65,12 @@
     }
 
     private static String kind(Object value) {
-        return value instanceof JsonObject ? "an object" : value instanceof JsonArray ? "a list"
-                : value instanceof Number ? "a number" : value instanceof Boolean ? "true or false"
-                : value == null ? "nothing" : "text";
+        return value instanceof JsonObject
+                ? "an object"
+                : value instanceof JsonArray
+                        ? "a list"
+                        : value instanceof Number
+                                ? "a number"
+                                : value instanceof Boolean ? "true or false" : value == null ? "nothing" : "text";
     }
 }
--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -13,11 +13,18 @@
  * in this form; the configuration of a real director is flattened to it, so that both go through these checks.
  * Unknown keys are ignored. Times are microseconds, as in the decision module.
  */
-public record SiteSettings(Router.Settings router, Map<String, Integer> classes, Map<String, Integer> zones,
-        String parentKind, String originKind, long connectTimeout, long idleClose, long answerSlack,
+public record SiteSettings(
+        Router.Settings router,
+        Map<String, Integer> classes,
+        Map<String, Integer> zones,
+        String parentKind,
+        String originKind,
+        long connectTimeout,
+        long idleClose,
+        long answerSlack,
         Map<String, Worth> worths) {
     /** What a request of a class is worth, and how long past its fresh time a copy may still be served. */
-    public record Worth(double worth, long grace) { }
+    public record Worth(double worth, long grace) {}
 
     /** The module's settings for requests of this director's clients that go to the caches of another zone. */
     public Router.Settings guestsAt(String zone) {
@@ -26,8 +33,17 @@
             Router.RequestClass c = others[i];
             // An ageing copy before a refusal.
             long goodFor = c.goodFor() == 0 ? 0 : c.goodFor() + worths.get(name).grace();
-            others[i] = new Router.RequestClass(c.effect(), c.group(), c.memorySpan(), c.aim(), c.aimStretch(), c.deadline(),
-                    c.stream(), goodFor, c.inParts(), c.goesThrough());
+            others[i] = new Router.RequestClass(
+                    c.effect(),
+                    c.group(),
+                    c.memorySpan(),
+                    c.aim(),
+                    c.aimStretch(),
+                    c.deadline(),
+                    c.stream(),
+                    goodFor,
+                    c.inParts(),
+                    c.goesThrough());
         });
         return router.guest(zones.getOrDefault(zone, -1), others);
     }
@@ -56,13 +72,14 @@
         }
         Router.RequestClass[] all = Arrays.copyOf(before.router.classes(), next);
         classes.forEach((name, i) -> all[at.get(name)] = router.classes()[i]);
-        return new SiteSettings(router.with(all), at, zones, parentKind, originKind, connectTimeout, idleClose,
-                answerSlack, worths);
+        return new SiteSettings(
+                router.with(all), at, zones, parentKind, originKind, connectTimeout, idleClose, answerSlack, worths);
     }
 
     /** Whether a line of the list means the same under these. */
     public boolean namesAlike(SiteSettings other) {
-        return zones.equals(other.zones) && Objects.equals(parentKind, other.parentKind)
+        return zones.equals(other.zones)
+                && Objects.equals(parentKind, other.parentKind)
                 && Objects.equals(originKind, other.originKind);
     }
 
@@ -76,9 +93,10 @@
     }
 
     /** A line of the list, with the names of zone and kind resolved. */
-    public Router.Member member(long id, String zone, String kind, int cell, Router.State state, double weight,
-            long since) {
-        Router.Role role = kind.equals(parentKind) ? Router.Role.PARENT
+    public Router.Member member(
+            long id, String zone, String kind, int cell, Router.State state, double weight, long since) {
+        Router.Role role = kind.equals(parentKind)
+                ? Router.Role.PARENT
                 : kind.equals(originKind) ? Router.Role.ORIGIN : Router.Role.CACHE;
         return new Router.Member(id, zones.getOrDefault(zone, -1), role, cell, state, weight, since);
     }
@@ -94,29 +112,49 @@
                 classes[c] = requestClass(c);
             }
             int zone = zones.getOrDefault(info.getOrDefault("Zone", ""), -1);
-            Router.Settings s = new Router.Settings((int) number("Me", 0), (int) number("Instances", 1), zone,
-                    seats(), classes, number("Domain.ClientKbPerS", 0),
-                    zone < 0 ? 0 : item("Domain.PipeKbPerS", zone), flag("Domain.CanJoin"),
-                    flag("Domain.MayPassBy"), flag("Permissions.MayTell"),
-                    flag("Permissions.ParallelTries"), flag("Permissions.Cancel"),
+            Router.Settings s = new Router.Settings(
+                    (int) number("Me", 0),
+                    (int) number("Instances", 1),
+                    zone,
+                    seats(),
+                    classes,
+                    number("Domain.ClientKbPerS", 0),
+                    zone < 0 ? 0 : item("Domain.PipeKbPerS", zone),
+                    flag("Domain.CanJoin"),
+                    flag("Domain.MayPassBy"),
+                    flag("Permissions.MayTell"),
+                    flag("Permissions.ParallelTries"),
+                    flag("Permissions.Cancel"),
                     span("Permissions.MaxRetryAfter"),
                     (int) number("Permissions.TryLimit", 1),
-                    !info.getOrDefault("Discovery", "push").equals("ask"), weightsTold(), siblings(), notes(),
-                    new Router.ColdRule(number("Rules.ColdFrom", 1), span("Rules.WarmUp"),
-                            number("Rules.FallMultiple", 1)),
-                    new Router.ColdRule(number("Domain.ParentColdFrom", 1), span("Domain.ParentWarmsIn"),
+                    !info.getOrDefault("Discovery", "push").equals("ask"),
+                    weightsTold(),
+                    siblings(),
+                    notes(),
+                    new Router.ColdRule(
+                            number("Rules.ColdFrom", 1), span("Rules.WarmUp"), number("Rules.FallMultiple", 1)),
+                    new Router.ColdRule(
+                            number("Domain.ParentColdFrom", 1),
+                            span("Domain.ParentWarmsIn"),
                             number("Domain.ParentLimitFactor", 1)),
-                    span("Rules.TipAfter"), span("Domain.PurgeTakes"));
-            return new SiteSettings(s, names, zones, kind(kinds, (int) number("Domain.MidKind", -1)),
+                    span("Rules.TipAfter"),
+                    span("Domain.PurgeTakes"));
+            return new SiteSettings(
+                    s,
+                    names,
+                    zones,
+                    kind(kinds, (int) number("Domain.MidKind", -1)),
                     kind(kinds, (int) number("Domain.MasterKind", -1)),
                     micros(number("Permissions.ConnectTimeout", 1000)),
-                    micros(number("Permissions.IdleClose", 15_000)), span("Rules.AnswerSlack"), worths(names));
+                    micros(number("Permissions.IdleClose", 15_000)),
+                    span("Rules.AnswerSlack"),
+                    worths(names));
         }
 
         private Map<String, Worth> worths(Map<String, Integer> names) {
             Map<String, Worth> worths = new HashMap<>();
-            names.forEach((name, c) -> worths.put(name,
-                    new Worth(number("Classes." + c + ".Worth", 1), micros(item("Domain.ClassGrace", c)))));
+            names.forEach((name, c) -> worths.put(
+                    name, new Worth(number("Classes." + c + ".Worth", 1), micros(item("Domain.ClassGrace", c)))));
             return worths;
         }
 
@@ -132,9 +170,16 @@
                 case "cell" -> Router.Group.CELL;
                 default -> Router.Group.ALL;
             };
-            return new Router.RequestClass(effect, group, span(p + "MemorySpan"), span(p + "Aim"),
-                    number(p + "AimStretch", 0), span(p + "Deadline"), flag(p + "Stream"),
-                    micros(item("Domain.GoodFor", c)), truth("Domain.InParts", c),
+            return new Router.RequestClass(
+                    effect,
+                    group,
+                    span(p + "MemorySpan"),
+                    span(p + "Aim"),
+                    number(p + "AimStretch", 0),
+                    span(p + "Deadline"),
+                    flag(p + "Stream"),
+                    micros(item("Domain.GoodFor", c)),
+                    truth("Domain.InParts", c),
                     truth("Domain.GoesThrough", c));
         }
 
@@ -219,8 +264,8 @@
             } catch (NumberFormatException e) {
                 // told below
             }
-            throw new ConfigException(path, "'" + (v.length() <= 40 ? v : v.substring(0, 40) + "...")
-                    + "' is not a number");
+            throw new ConfigException(
+                    path, "'" + (v.length() <= 40 ? v : v.substring(0, 40) + "...") + "' is not a number");
         }
 
         private static long micros(double ms) {
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -19,13 +19,14 @@
 
 /** The file that GW_SITES names (JSON): the sites, who may serve whose clients, and how losses are judged. */
 public final class SitesConfig {
-    private static final Set<String> KEYS = Set.of("lost_after_ms", "back_after_ms", "flap_most_ms", "step_ms", "steps", "miss",
-            "sites");
-    private static final Set<String> SITE_KEYS = Set.of("name", "hub", "directors", "bears", "lends", "floor", "link", "takers");
+    private static final Set<String> KEYS =
+            Set.of("lost_after_ms", "back_after_ms", "flap_most_ms", "step_ms", "steps", "miss", "sites");
+    private static final Set<String> SITE_KEYS =
+            Set.of("name", "hub", "directors", "bears", "lends", "floor", "link", "takers");
     private static final Set<String> TAKER_KEYS = Set.of("site", "distance");
     private static final long FRESH = 3_000_000;
 
-    private SitesConfig() { }
+    private SitesConfig() {}
 
     /** Throws a ConfigException that names the first key that can't be used. */
     public static Sites fromFile(Path path) {
@@ -61,8 +62,16 @@
             throw new ConfigException("sites", "are " + sites.size() + ": 2 to " + Sites.MOST + " are of use");
         }
         together(inOrder, sites);
-        return new Sites(sites, number("miss", json.getValue("miss"), 0.5, 0.01, 1), new Sites.Timing(lostAfter, back, flapMost,
-                millis(json, "step_ms", 2_000, 100, 600_000), steps(json.getValue("steps")), FRESH));
+        return new Sites(
+                sites,
+                number("miss", json.getValue("miss"), 0.5, 0.01, 1),
+                new Sites.Timing(
+                        lostAfter,
+                        back,
+                        flapMost,
+                        millis(json, "step_ms", 2_000, 100, 600_000),
+                        steps(json.getValue("steps")),
+                        FRESH));
     }
 
     // What one site says of others.
@@ -74,8 +83,9 @@
             for (int t = 0; t < s.takers().size(); t++) {
                 String to = s.takers().get(t).site();
                 if (!sites.containsKey(to) || to.equals(s.name())) {
-                    throw new ConfigException(key + "takers[" + t + "].site", "'" + to + "' is "
-                            + (to.equals(s.name()) ? "the site itself" : "no site of this file"));
+                    throw new ConfigException(
+                            key + "takers[" + t + "].site",
+                            "'" + to + "' is " + (to.equals(s.name()) ? "the site itself" : "no site of this file"));
                 }
             }
             for (String d : s.directors()) {
@@ -90,7 +100,8 @@
         known(key, s, SITE_KEYS);
         String name = text(key + "name", s.getValue("name"), null);
         Set<String> directors = new HashSet<>();
-        JsonArray list = s.getValue("directors") == null ? new JsonArray() : list(key + "directors", s.getValue("directors"));
+        JsonArray list =
+                s.getValue("directors") == null ? new JsonArray() : list(key + "directors", s.getValue("directors"));
         for (int i = 0; i < list.size(); i++) {
             if (!directors.add(text(key + "directors[" + i + "]", list.getValue(i), null))) {
                 throw new ConfigException(key + "directors[" + i + "]", "is there twice");
@@ -103,16 +114,22 @@
             String at = key + "takers[" + i + "].";
             JsonObject t = object(at, given.getValue(i));
             known(at, t, TAKER_KEYS);
-            takers.add(new Site.Taker(text(at + "site", t.getValue("site"), null),
+            takers.add(new Site.Taker(
+                    text(at + "site", t.getValue("site"), null),
                     number(at + "distance", t.getValue("distance"), 1, 0.001, 1_000_000)));
             if (!once.add(takers.get(i).site())) {
                 throw new ConfigException(at + "site", "is there twice");
             }
         }
-        return new Site(name, text(key + "hub", s.getValue("hub"), ""), Set.copyOf(directors),
+        return new Site(
+                name,
+                text(key + "hub", s.getValue("hub"), ""),
+                Set.copyOf(directors),
                 number(key + "bears", s.getValue("bears"), Double.NaN, 0.001, 1_000_000),
-                number(key + "lends", s.getValue("lends"), 0.5, 0, 1), number(key + "floor", s.getValue("floor"), 0.5, 0, 1),
-                number(key + "link", s.getValue("link"), 0, 0, 1_000_000), List.copyOf(takers));
+                number(key + "lends", s.getValue("lends"), 0.5, 0, 1),
+                number(key + "floor", s.getValue("floor"), 0.5, 0, 1),
+                number(key + "link", s.getValue("link"), 0, 0, 1_000_000),
+                List.copyOf(takers));
     }
 
     private static List<Double> steps(Object value) {
@@ -134,9 +151,13 @@
     }
 
     private static void known(String key, JsonObject o, Set<String> keys) {
-        o.fieldNames().stream().filter(k -> !keys.contains(k)).sorted().findFirst().ifPresent(k -> {
-            throw new ConfigException(key + k, "is no key of this file");
-        });
+        o.fieldNames().stream()
+                .filter(k -> !keys.contains(k))
+                .sorted()
+                .findFirst()
+                .ifPresent(k -> {
+                    throw new ConfigException(key + k, "is no key of this file");
+                });
     }
 
     private static JsonArray list(String key, Object v) {
@@ -159,7 +180,8 @@
             return otherwise;
         }
         if (!(v instanceof String s) || !s.matches("[A-Za-z0-9._-]{1,64}")) {
-            throw new ConfigException(key, v == null ? "missing" : "'" + v + "' is not up to 64 letters, digits, '.', '_' and '-'");
+            throw new ConfigException(
+                    key, v == null ? "missing" : "'" + v + "' is not up to 64 letters, digits, '.', '_' and '-'");
         }
         return s;
     }
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -32,9 +32,9 @@
 import pewtercourse.peer.PeerSocket;
 import pewtercourse.site.FailoverState;
 import pewtercourse.site.OverflowRouter;
+import pewtercourse.site.Site;
 import pewtercourse.site.SiteObservation;
 import pewtercourse.site.SiteObservations;
-import pewtercourse.site.Site;
 import pewtercourse.site.Sites;
 
 /**
@@ -61,7 +61,8 @@
     private final Vertx vertx;
     private final Context context;
     private final RouterQueue home;
-    private final Map<String, RouterQueue> abroad = new HashMap<>(); // By zone: for requests that its caches take as guests.
+    private final Map<String, RouterQueue> abroad =
+            new HashMap<>(); // By zone: for requests that its caches take as guests.
     private final PeerSocket peers;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
     private final Set<Long> answered = Collections.newSetFromMap(new LinkedHashMap<>() {
@@ -76,7 +77,7 @@
     private Sites sites; // Null where no site takes another's clients.
     private OverflowRouter overflowRouter;
     private SiteObservations siteObservations;
-    private Runnable peerHeard = () -> { };
+    private Runnable peerHeard = () -> {};
     private boolean stopped;
 
     /** Must be called on the event loop's context. */
@@ -94,7 +95,8 @@
         this.config = config;
         this.site = config.site();
         this.timers = timers;
-        this.pool = new CachePool(transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
+        this.pool = new CachePool(
+                transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
         this.registry = new ServiceRegistry(site, pool);
         this.home = queue(site.router(), false);
         this.peers = new PeerSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
@@ -126,8 +128,8 @@
     }
 
     private void follow(InetSocketAddress at) {
-        feed = new FeedClient(new HttpFeedTransport(vertx), timers, at, config.knownNumber(),
-                new Random(config.seed()), this::feed);
+        feed = new FeedClient(
+                new HttpFeedTransport(vertx), timers, at, config.knownNumber(), new Random(config.seed()), this::feed);
         feed.start();
     }
 
@@ -156,8 +158,14 @@
         } else if (to.feed() != null) {
             follow(to.feed());
         }
-        Log.info("config.reloaded", "feed", to.feed(), "classes", String.join(",", new TreeSet<>(next.classes().keySet())),
-                "attempts", next.router().tryLimit());
+        Log.info(
+                "config.reloaded",
+                "feed",
+                to.feed(),
+                "classes",
+                String.join(",", new TreeSet<>(next.classes().keySet())),
+                "attempts",
+                next.router().tryLimit());
     }
 
     /** Takes a member out by hand; false if none of this name is known. */
@@ -204,7 +212,10 @@
 
     /** What another process has to know. */
     public OperatorState operatorState(boolean standby) {
-        return new OperatorState(ProcessHandle.current().pid(), standby, Map.copyOf(registry.byHand().out()),
+        return new OperatorState(
+                ProcessHandle.current().pid(),
+                standby,
+                Map.copyOf(registry.byHand().out()),
                 Map.copyOf(registry.byHand().back()));
     }
 
@@ -217,7 +228,12 @@
 
     /** The figures of the parts behind the front. */
     public Figures.Gauges gauges(long accepted, long invalid) {
-        return new Figures.Gauges(pool.written(), registry.size(), registry.listedOut() + home.router().insight().avoided(), accepted, invalid);
+        return new Figures.Gauges(
+                pool.written(),
+                registry.size(),
+                registry.listedOut() + home.router().insight().avoided(),
+                accepted,
+                invalid);
     }
 
     public boolean knowsClass(String name) {
@@ -238,8 +254,7 @@
             noteListed();
         } else if (e instanceof FeedEvent.Purge p) {
             requests.values().forEach(x -> x.purged(p));
-            tell(new Router.Purged(p.object(), p.group(),
-                    Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
+            tell(new Router.Purged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
         }
     }
 
@@ -248,10 +263,12 @@
         Integer cls = site.classes().get(request.className());
         // Looked up before the exchange is made: one that is turned away must leave no timer behind, which would
         // end the request that holds the id.
-        if (cls == null || requests.containsKey(ProxiedRequest.id(request)) || answered.contains(ProxiedRequest.id(request))) {
+        if (cls == null
+                || requests.containsKey(ProxiedRequest.id(request))
+                || answered.contains(ProxiedRequest.id(request))) {
             Log.counted("request.unusable", "id", request.id(), "class", cls == null ? "unknown" : request.className());
             answer.accept(Answer.failed());
-            return () -> { };
+            return () -> {};
         }
         ProxiedRequest x = new ProxiedRequest(this, request, cls, answer);
         requests.put(x.id, x);
@@ -308,13 +325,19 @@
             return;
         }
         Site own = sites.sites().get(config.zone());
-        int there = own == null ? 1 : (int) own.directors().stream().filter(d -> !absent.contains(d)).count();
+        int there = own == null
+                ? 1
+                : (int) own.directors().stream()
+                        .filter(d -> !absent.contains(d))
+                        .count();
         overflowRouter.follow(clock.getAsLong(), failover, there);
     }
 
     /** What was seen of sites in the last seconds. */
     public Map<String, SiteObservation> siteObservations() {
-        return sites == null ? Map.of() : siteObservations.told(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
+        return sites == null
+                ? Map.of()
+                : siteObservations.told(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
     }
 
     SiteObservations sightsOrNull() {
@@ -328,15 +351,25 @@
         }
         long now = clock.getAsLong();
         Router.RequestClass c = site.router().classes()[cls];
-        double work = r.sizeKb() > 0 && site.router().clientKbPerS() > 0 ? r.sizeKb() / site.router().clientKbPerS() * 1e6
+        double work = r.sizeKb() > 0 && site.router().clientKbPerS() > 0
+                ? r.sizeKb() / site.router().clientKbPerS() * 1e6
                 : c.aim() / 2.0;
         siteObservations.asked(now, work);
         if (!overflowRouter.away()) {
             return null;
         }
         boolean must = c.effect() == Router.Effect.SIDE_EFFECT || c.goesThrough();
-        return overflowRouter.choose(now, new OverflowRouter.Ask(OverflowRouter.hash(r.object()), site.worths().get(r.className()).worth(), work, c.aim(),
-                expires, (long) work, must, false));
+        return overflowRouter.choose(
+                now,
+                new OverflowRouter.Ask(
+                        OverflowRouter.hash(r.object()),
+                        site.worths().get(r.className()).worth(),
+                        work,
+                        c.aim(),
+                        expires,
+                        (long) work,
+                        must,
+                        false));
     }
 
     /** The module for a site's caches. */
@@ -353,8 +386,12 @@
     }
 
     private RouterQueue queue(Router.Settings settings, boolean guest) {
-        return new RouterQueue(new Logic(settings, config.seed()), guest, clock,
-                queue -> context.runOnContext(v -> decide(queue)), this::forget);
+        return new RouterQueue(
+                new Logic(settings, config.seed()),
+                guest,
+                clock,
+                queue -> context.runOnContext(v -> decide(queue)),
+                this::forget);
     }
 
     RouterQueue home() {
--- a/src/main/java/pewtercourse/director/Endings.java
+++ b/src/main/java/pewtercourse/director/Endings.java
@@ -6,7 +6,7 @@
 
 /** The one place where what happened on a socket becomes an outcome of the decision module. */
 final class Endings {
-    private Endings() { }
+    private Endings() {}
 
     /** What proves that nothing ran is FULL, MISS, CONNECT_FAILED or MOOT; all else may have run. */
     static Ending of(End end) {
--- a/src/main/java/pewtercourse/director/Figures.java
+++ b/src/main/java/pewtercourse/director/Figures.java
@@ -15,7 +15,7 @@
  */
 public final class Figures {
     /** The figures that others own, as of now. */
-    public record Gauges(long relayed, int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid) { }
+    public record Gauges(long relayed, int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid) {}
 
     private static final class Operations {
         long fulfilled, throttled, faulted;
@@ -93,8 +93,10 @@
         StringBuilder out = new StringBuilder();
         classes.forEach((name, o) -> {
             String prefix = "operations." + name + '.';
-            line(line(line(out, prefix + "fulfilled", o.fulfilled), prefix + "throttled", o.throttled),
-                    prefix + "faulted", o.faulted);
+            line(
+                    line(line(out, prefix + "fulfilled", o.fulfilled), prefix + "throttled", o.throttled),
+                    prefix + "faulted",
+                    o.faulted);
         });
         line(out, "relayed", g.relayed());
         line(out, "open_requests", open);
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -20,7 +20,8 @@
 final class ProxiedRequest {
     // The module answers at the deadline by itself; if it has not by then, something went wrong here.
     private static final long BACKSTOP = 15_000;
-    // What can't be in time is given up a little before the client's time is over: of 169,000 answers of a fleet's day 20
+    // What can't be in time is given up a little before the client's time is over: of 169,000 answers of a fleet's day
+    // 20
     // came in the last 100 ms, while 283 clients got their refusal some milliseconds after their time, and one whose
     // director ended just then got none at all.
     private static final long SPARE_MOST = 100_000;
@@ -48,8 +49,8 @@
         this.expires = expires(request);
         this.answer = answer;
         this.queue = director.home();
-        this.backstop = director.timers.set(
-                Timers.millis(expires + BACKSTOP - director.clock.getAsLong()), this::unanswered);
+        this.backstop =
+                director.timers.set(Timers.millis(expires + BACKSTOP - director.clock.getAsLong()), this::unanswered);
     }
 
     static long id(ClientRequest request) {
@@ -72,8 +73,16 @@
         if (choice != null) {
             queue = director.queue(choice.site());
         }
-        arrival = new Router.Request(id, cls, request.object(), request.part(), request.group(),
-                request.sizeKb(), expires, false, director.site.router().classes()[cls].goesThrough());
+        arrival = new Router.Request(
+                id,
+                cls,
+                request.object(),
+                request.part(),
+                request.group(),
+                request.sizeKb(),
+                expires,
+                false,
+                director.site.router().classes()[cls].goesThrough());
         queue.tell(arrival);
     }
 
@@ -88,18 +97,40 @@
         long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
         boolean unlisted = to == null || source == null && s.source() != s.member();
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
-        if (over || attempt != null || unlisted || until <= now
+        if (over
+                || attempt != null
+                || unlisted
+                || until <= now
                 || attempts > director.site.router().tryLimit()) {
             queue.tell(outcome(attempts - 1, s, End.OVERTAKEN, null));
             return;
         }
         purged = false;
-        CacheRequest out = new CacheRequest(request.id(), request.className(), request.object(),
-                request.part(), request.body(), source == null ? null : source.name(), keep(s),
-                (s.maxAge() + 999) / 1000, s.join(), s.sourceHoldsOnly(), s.renew(), request.known());
+        CacheRequest out = new CacheRequest(
+                request.id(),
+                request.className(),
+                request.object(),
+                request.part(),
+                request.body(),
+                source == null ? null : source.name(),
+                keep(s),
+                (s.maxAge() + 999) / 1000,
+                s.join(),
+                s.sourceHoldsOnly(),
+                s.renew(),
+                request.known());
         int number = attempts - 1;
-        attempt = new Attempt(director.pool, director.timers, director.clock, s.member(), to.address(), out,
-                director.site.connectTimeout(), until, () -> stillRight(s), a -> ended(number, s, a));
+        attempt = new Attempt(
+                director.pool,
+                director.timers,
+                director.clock,
+                s.member(),
+                to.address(),
+                out,
+                director.site.connectTimeout(),
+                until,
+                () -> stillRight(s),
+                a -> ended(number, s, a));
         attempt.start();
     }
 
@@ -110,7 +141,9 @@
 
     // The feed may have spoken while a connection came up.
     private boolean stillRight(Router.Send s) {
-        return !over && !purged && director.registry.ready(s.member())
+        return !over
+                && !purged
+                && director.registry.ready(s.member())
                 && (s.source() == s.member() || director.registry.ready(s.source()));
     }
 
@@ -134,9 +167,25 @@
             finish(Answer.same(a.tag()));
         }
         if (director.tracing) {
-            Log.info("attempt.ended", "id", request.id(), "number", number, "cache",
-                    Long.toHexString(s.member()), "source", Long.toHexString(s.source()),
-                    "end", a.end(), "outcome", a.outcome(), "bytes", a.body() == null ? 0 : a.body().length(), "kb", request.sizeKb(), "ms",
+            Log.info(
+                    "attempt.ended",
+                    "id",
+                    request.id(),
+                    "number",
+                    number,
+                    "cache",
+                    Long.toHexString(s.member()),
+                    "source",
+                    Long.toHexString(s.source()),
+                    "end",
+                    a.end(),
+                    "outcome",
+                    a.outcome(),
+                    "bytes",
+                    a.body() == null ? 0 : a.body().length(),
+                    "kb",
+                    request.sizeKb(),
+                    "ms",
                     (director.clock.getAsLong() - sentAt) / 1000);
         }
         if (director.sightsOrNull() != null) {
@@ -151,14 +200,16 @@
         if (at != null) {
             long now = director.clock.getAsLong();
             Router.RequestClass c = director.site.router().classes()[cls];
-            double work = director.site.router().clientKbPerS() > 0 ? request.sizeKb() / director.site.router().clientKbPerS() * 1e6 : 0;
+            double work = director.site.router().clientKbPerS() > 0
+                    ? request.sizeKb() / director.site.router().clientKbPerS() * 1e6
+                    : 0;
             director.sightsOrNull().ended(now, at.zone(), end, now - sentAt > c.aim() + c.aimStretch() * work);
         }
     }
 
     private Router.Outcome outcome(int number, Router.Send s, End end, String note) {
-        return new Router.Outcome(id, number, s.member(), Endings.of(end), director.clock.getAsLong() - sentAt,
-                over, Endings.note(note));
+        return new Router.Outcome(
+                id, number, s.member(), Endings.of(end), director.clock.getAsLong() - sentAt, over, Endings.note(note));
     }
 
     // ---- The module gives up ----
@@ -200,8 +251,18 @@
     }
 
     private void unanswered() {
-        Log.warn("request.unanswered", "id", request.id(), "class", request.className(), "attempts", attempts,
-                "out", attempt != null, "late_ms", (director.clock.getAsLong() - expires) / 1000);
+        Log.warn(
+                "request.unanswered",
+                "id",
+                request.id(),
+                "class",
+                request.className(),
+                "attempts",
+                attempts,
+                "out",
+                attempt != null,
+                "late_ms",
+                (director.clock.getAsLong() - expires) / 1000);
         abandon();
     }
 
@@ -217,8 +278,18 @@
             over = true;
             director.timers.cancel(backstop);
             if (director.tracing) {
-                Log.info("request.answered", "id", request.id(), "class", request.className(), "kind", a.kind(),
-                        "attempts", attempts, "ms", (director.clock.getAsLong() - request.takenAt()) / 1000);
+                Log.info(
+                        "request.answered",
+                        "id",
+                        request.id(),
+                        "class",
+                        request.className(),
+                        "kind",
+                        a.kind(),
+                        "attempts",
+                        attempts,
+                        "ms",
+                        (director.clock.getAsLong() - request.takenAt()) / 1000);
             }
             director.answered(this);
             answer.accept(a);
--- a/src/main/java/pewtercourse/director/RouterQueue.java
+++ b/src/main/java/pewtercourse/director/RouterQueue.java
@@ -25,7 +25,12 @@
     private long scheduledAt;
 
     /** {@code scheduler} runs {@link #nextBatch} in a turn of its own; {@code forget} is told of requests that have ended. */
-    RouterQueue(Router router, boolean guest, LongSupplier clock, Consumer<RouterQueue> scheduler, Consumer<ProxiedRequest> forget) {
+    RouterQueue(
+            Router router,
+            boolean guest,
+            LongSupplier clock,
+            Consumer<RouterQueue> scheduler,
+            Consumer<ProxiedRequest> forget) {
         this.router = router;
         this.guest = guest;
         this.clock = clock;
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -31,7 +31,8 @@
 
     /** The whole list in the module's terms. */
     Router.Listed whole() {
-        return new Router.Listed(Router.ListKind.WHOLE, hosts.values().stream().map(this::member).toList());
+        return new Router.Listed(
+                Router.ListKind.WHOLE, hosts.values().stream().map(this::member).toList());
     }
 
     /** Applies a change and returns it in the module's terms. */
@@ -61,8 +62,8 @@
     // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
     private Router.Member member(FeedEvent.Host h) {
         Router.State state = out.isOut(h.name()) && h.state() == Router.State.READY ? Router.State.DRAINING : h.state();
-        return site.member(h.id(), h.zone(), h.kind(), h.cell(), state, h.weight(),
-                out.started(h.name(), h.startedMs()) * 1000);
+        return site.member(
+                h.id(), h.zone(), h.kind(), h.cell(), state, h.weight(), out.started(h.name(), h.startedMs()) * 1000);
     }
 
     private void forget(long id) {
@@ -74,7 +75,10 @@
     }
 
     private FeedEvent.Host named(String name) {
-        return hosts.values().stream().filter(h -> h.name().equals(name)).findFirst().orElse(null);
+        return hosts.values().stream()
+                .filter(h -> h.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 
     boolean knows(String name) {
@@ -87,7 +91,9 @@
     }
 
     int zoneSize(String zone) {
-        return (int) hosts.values().stream().filter(h -> zone.equals(h.zone()) && site.isCache(h.kind())).count();
+        return (int) hosts.values().stream()
+                .filter(h -> zone.equals(h.zone()) && site.isCache(h.kind()))
+                .count();
     }
 
     /** Caches that may serve now, by zone. */
@@ -102,7 +108,8 @@
 
     private Map<String, Integer> ready(boolean caches) {
         Map<String, Integer> ready = new HashMap<>();
-        hosts.values().stream().filter(h -> ready(h.id()) && (caches ? site.isCache(h.kind()) : site.isParent(h.kind())))
+        hosts.values().stream()
+                .filter(h -> ready(h.id()) && (caches ? site.isCache(h.kind()) : site.isParent(h.kind())))
                 .forEach(h -> ready.merge(h.zone(), 1, Integer::sum));
         return ready;
     }
--- a/src/main/java/pewtercourse/duty/Assigner.java
+++ b/src/main/java/pewtercourse/duty/Assigner.java
@@ -16,7 +16,8 @@
  * without a break for long.
  */
 final class Assigner {
-    // Of a lease: unheard for so long a member counts as absent; heard for so long it counts again, and gets duties back.
+    // Of a lease: unheard for so long a member counts as absent; heard for so long it counts again, and gets duties
+    // back.
     private static final double ABSENT_LEASES = 2, PRESENT_LEASES = 1, SETTLED_LEASES = 10;
 
     private final DutySettings set;
@@ -111,7 +112,11 @@
         }
         for (Map.Entry<String, String> w : wanted.entrySet()) {
             if (!w.getValue().equals(holders.get(w.getKey()))) {
-                order(now, orders, "move", new Command.Prefer(w.getKey(), state.duty(w.getKey()).token(), w.getValue()));
+                order(
+                        now,
+                        orders,
+                        "move",
+                        new Command.Prefer(w.getKey(), state.duty(w.getKey()).token(), w.getValue()));
                 return;
             }
         }
--- a/src/main/java/pewtercourse/duty/Command.java
+++ b/src/main/java/pewtercourse/duty/Command.java
@@ -11,65 +11,65 @@
  */
 public sealed interface Command {
     /** The duty goes to {@code to}, if its token and renewals still are these: nobody has renewed it meanwhile. */
-    record Assign(String duty, String to, long token, long renewals) implements Command { }
+    record Assign(String duty, String to, long token, long renewals) implements Command {}
 
     /** By the holder: its lease begins anew. {@code renewals}: as many as there have been. */
-    record Renew(String duty, long token, long renewals) implements Command { }
+    record Renew(String duty, long token, long renewals) implements Command {}
 
     /** By the holder, which acts no more. {@code to}: who gets it, or empty. */
-    record HandOn(String duty, long token, String to) implements Command { }
+    record HandOn(String duty, long token, String to) implements Command {}
 
     /** The holder of this token is to hand on, to {@code to} or, if that is empty, to whoever is best. */
-    record Prefer(String duty, long token, String to) implements Command { }
+    record Prefer(String duty, long token, String to) implements Command {}
 
     /** By the leader: it has not heard this member for long, or hears it again. */
-    record Absent(String member, boolean absent) implements Command { }
+    record Absent(String member, boolean absent) implements Command {}
 
     /**
      * An operator's word: this cache is out, since Unix milliseconds. {@code after}: the entry of the last word on this
      * cache that its asker knows, 0 for none; the state refuses it once there is a later one.
      */
-    record Out(String target, long atMs, long after) implements Command { }
+    record Out(String target, long atMs, long after) implements Command {}
 
     /** A member may serve again. */
-    record Back(String target, long atMs, long after) implements Command { }
+    record Back(String target, long atMs, long after) implements Command {}
 
     /** A cache is to be out once the warden lets it. */
-    record Ask(String target, String zone, long atMs, long after) implements Command { }
+    record Ask(String target, String zone, long atMs, long after) implements Command {}
 
     /** By the warden: the cache with this ticket is out from now on. */
-    record Let(String target, long ticket, long token, long atMs) implements Command { }
+    record Let(String target, long ticket, long token, long atMs) implements Command {}
 
     /** The ticket is void, and its cache back if it was out. By the warden; or with token 0 by whoever asked for it. */
-    record Withdraw(String target, long ticket, long token, long atMs) implements Command { }
+    record Withdraw(String target, long ticket, long token, long atMs) implements Command {}
 
     /** A member could use so much more, in thousandths of what one director's part of a cold budget is. */
-    record Borrow(long thousandths) implements Command { }
+    record Borrow(long thousandths) implements Command {}
 
     /** By the divider. {@code pool}: all that may be lent at once. */
-    record Lend(String to, long ask, long thousandths, long token, long pool) implements Command { }
+    record Lend(String to, long ask, long thousandths, long token, long pool) implements Command {}
 
     /** By the divider: the loan's time is over for certain. */
-    record Settle(long loan, long token) implements Command { }
+    record Settle(long loan, long token) implements Command {}
 
     /** Whether the member that says so takes duties: not while it drains or stands by. */
-    record Standing(boolean willing) implements Command { }
+    record Standing(boolean willing) implements Command {}
 
     /** What a member has seen of sites of late, by site. Nothing is kept of it; each member judges by it. */
-    record Sighted(Map<String, SiteObservation> siteObservations) implements Command { }
+    record Sighted(Map<String, SiteObservation> siteObservations) implements Command {}
 
     /** By the keeper of the sites. */
-    record Declare(FailoverController.Declaration what, long token) implements Command { }
+    record Declare(FailoverController.Declaration what, long token) implements Command {}
 
     /** By the keeper of the sites: where loads go. */
-    record Planned(Plan plan, long token) implements Command { }
+    record Planned(Plan plan, long token) implements Command {}
 
     /** An operator's word: this site is not to return ({@code on}), or may. {@code after}: the entry of its last change. */
-    record HoldSite(String site, boolean on, long after) implements Command { }
+    record HoldSite(String site, boolean on, long after) implements Command {}
 
     /** An operator's word: this site is to be lost, step by step. */
-    record Drill(String site, long after) implements Command { }
+    record Drill(String site, long after) implements Command {}
 
     /** With who asked for it and its number there. */
-    record Signed(String by, long id, Command command) { }
+    record Signed(String by, long id, Command command) {}
 }
--- a/src/main/java/pewtercourse/duty/Duties.java
+++ b/src/main/java/pewtercourse/duty/Duties.java
@@ -21,10 +21,10 @@
  */
 public final class Duties {
     /** What a member sees around it at a tick. {@code heard} is null where it does not lead. */
-    public record View(Set<String> members, Set<String> heard, long unixMs) { }
+    public record View(Set<String> members, Set<String> heard, long unixMs) {}
 
     /** A director's loan, by its own clock: {@code until} it may use the amount. */
-    private record MyLoan(long until, long thousandths) { }
+    private record MyLoan(long until, long thousandths) {}
 
     private final DutySettings set;
     private final String self;
@@ -43,7 +43,11 @@
     private LongBinaryOperator from = (asked, answered) -> asked;
 
     /** {@code firstId}: numbers of commands begin there; drawn at random, so that two runs' do not meet. */
-    public Duties(DutySettings set, String self, long firstId, Function<String, String> zoneOf,
+    public Duties(
+            DutySettings set,
+            String self,
+            long firstId,
+            Function<String, String> zoneOf,
             ToIntFunction<String> zoneSize) {
         this.set = set;
         this.self = self;
@@ -55,7 +59,8 @@
 
     /** The sites as this member's operators describe them, from now on. */
     public void sites(long now, Sites sites) {
-        failoverController = failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
+        failoverController =
+                failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
         failoverController.see(now, state.failover());
     }
 
@@ -66,7 +71,9 @@
 
     /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
     public FailoverController.Question question(long now) {
-        return failoverController == null || token(DutyState.SITES, now) == 0 ? null : failoverController.question(now, state.failover());
+        return failoverController == null || token(DutyState.SITES, now) == 0
+                ? null
+                : failoverController.question(now, state.failover());
     }
 
     /** The plan for the last {@link #question}. */
@@ -78,7 +85,9 @@
 
     /** What each site's clients ask for, as far as this member has heard. */
     public Map<String, Double> loads() {
-        return failoverController == null ? Map.of() : failoverController.detector().loads();
+        return failoverController == null
+                ? Map.of()
+                : failoverController.detector().loads();
     }
 
     /** To see checks fail, and as a baseline: counts leases and loans from another time than when they were asked for. */
@@ -102,7 +111,9 @@
     public DutyState.Result applied(long now, long index, Command.Signed s) {
         DutyState.Result r = state.apply(index, s);
         if (r.done()) {
-            if (s.command() instanceof Command.Renew n && s.by().equals(self) && mine.containsKey(n.duty())
+            if (s.command() instanceof Command.Renew n
+                    && s.by().equals(self)
+                    && mine.containsKey(n.duty())
                     && mine.get(n.duty()).token == n.token()) {
                 mine.get(n.duty()).renewed(s.id(), asked -> from.applyAsLong(asked, now));
             } else if (s.command() instanceof Command.Borrow && s.by().equals(self)) {
@@ -116,8 +127,12 @@
             } else if (s.command() instanceof Command.Lend l && l.to().equals(self) && set.quotaAllocator() != null) {
                 Long at = myAsks.remove(l.ask());
                 if (at != null) {
-                    myLoans.put(index, new MyLoan(from.applyAsLong(at, now) + (long) (set.quotaAllocator().loan() * (1 - set.drift())),
-                            l.thousandths()));
+                    myLoans.put(
+                            index,
+                            new MyLoan(
+                                    from.applyAsLong(at, now)
+                                            + (long) (set.quotaAllocator().loan() * (1 - set.drift())),
+                                    l.thousandths()));
                 }
             }
         }
@@ -178,8 +193,11 @@
      * {@code now}. 1,000 without a divider.
      */
     public long part(long now) {
-        return set.kept() + myLoans.values().stream().filter(l -> now < l.until())
-                .mapToLong(MyLoan::thousandths).sum();
+        return set.kept()
+                + myLoans.values().stream()
+                        .filter(l -> now < l.until())
+                        .mapToLong(MyLoan::thousandths)
+                        .sum();
     }
 
     /** It could use so many thousandths more; null where there is nothing to ask for, or it was asked just now. */
@@ -243,7 +261,9 @@
 
     private List<Command> maintenanceBudget(long now, View view) {
         long token = token(DutyState.WARDEN, now);
-        return token == 0 || set.maintenanceBudget() == null ? List.of() : maintenanceBudget.orders(now, view.unixMs(), token, state);
+        return token == 0 || set.maintenanceBudget() == null
+                ? List.of()
+                : maintenanceBudget.orders(now, view.unixMs(), token, state);
     }
 
     private List<Command> sites(long now, View view) {
@@ -253,7 +273,9 @@
         }
         failoverController.detector().members(view.members());
         List<Command> orders = new ArrayList<>();
-        failoverController.orders(now, state.failover(), state.absent()).forEach(d -> orders.add(new Command.Declare(d, token)));
+        failoverController
+                .orders(now, state.failover(), state.absent())
+                .forEach(d -> orders.add(new Command.Declare(d, token)));
         Plan plan = failoverController.planned(state.failover());
         if (plan != null) {
             orders.add(new Command.Planned(plan, token));
@@ -263,7 +285,8 @@
 
     private List<Command> quotaAllocator(long now, View view) {
         long token = token(DutyState.DIVIDER, now);
-        return token == 0 || set.quotaAllocator() == null ? List.of()
+        return token == 0 || set.quotaAllocator() == null
+                ? List.of()
                 : quotaAllocator.orders(now, token, state, view.members().size());
     }
 }
--- a/src/main/java/pewtercourse/duty/DutySettings.java
+++ b/src/main/java/pewtercourse/duty/DutySettings.java
@@ -7,7 +7,13 @@
  * difference of two members' clock rates, as a share; {@code again}: after how long an order that showed no effect is
  * given again; {@code names}: the duties that are given out. {@code warden} and {@code divider} may be null.
  */
-public record DutySettings(long lease, double drift, long again, Set<String> names, MaintenanceBudget maintenanceBudget, QuotaAllocator quotaAllocator) {
+public record DutySettings(
+        long lease,
+        double drift,
+        long again,
+        Set<String> names,
+        MaintenanceBudget maintenanceBudget,
+        QuotaAllocator quotaAllocator) {
     /** {@code most} caches of a zone out at once, or this {@code share} of them (at least one) where it is 0. */
     public record MaintenanceBudget(int most, double share, long outMost, boolean waits) {
         public int limit(int zoneSize) {
@@ -19,7 +25,7 @@
      * In thousandths of one director's part: what each keeps without asking; and the longest loan. {@code drift} holds
      * for loans too.
      */
-    public record QuotaAllocator(long reserve, long loan) { }
+    public record QuotaAllocator(long reserve, long loan) {}
 
     /** A director's part of a cold budget without any loan, in thousandths; 1,000 where nothing is divided. */
     public long kept() {
--- a/src/main/java/pewtercourse/duty/DutyState.java
+++ b/src/main/java/pewtercourse/duty/DutyState.java
@@ -20,7 +20,11 @@
     public static final String WARDEN = "warden", DIVIDER = "divider", SITES = "sites";
 
     // Bounds on what operators and members can make it keep.
-    private static final int OUT_MOST = 1_024, TICKETS_MOST = 1_024, WISHES_MOST = 64, LOANS_MOST = 256, WORDS_MOST = 4_096;
+    private static final int OUT_MOST = 1_024,
+            TICKETS_MOST = 1_024,
+            WISHES_MOST = 64,
+            LOANS_MOST = 256,
+            WORDS_MOST = 4_096;
 
     /**
      * {@code holder} empty: nobody's. {@code renewals} 0: assigned, and not taken up yet. {@code moves}: the holder is to
@@ -36,13 +40,13 @@
     }
 
     /** A call to take a cache out: {@code let} once the warden has. */
-    public record Ticket(long number, String target, String zone, String by, boolean let) { }
+    public record Ticket(long number, String target, String zone, String by, boolean let) {}
 
     /** What a director asked for, in thousandths of an equal part. */
-    public record Wish(long ask, long thousandths) { }
+    public record Wish(long ask, long thousandths) {}
 
     /** What a director got of that, and from which request. */
-    public record Loan(String to, long ask, long thousandths) { }
+    public record Loan(String to, long ask, long thousandths) {}
 
     /**
      * What became of a command. {@code why} null: it was done, or had been done before. {@code late}: a later word on the
@@ -99,8 +103,9 @@
             return lend(index, l);
         } else if (c instanceof Command.Settle t) {
             boolean holds = duty(DIVIDER).token() == t.token();
-            return !holds ? new Result("an older token") : loans.remove(t.loan()) == null ? new Result("settled before")
-                    : Result.DONE;
+            return !holds
+                    ? new Result("an older token")
+                    : loans.remove(t.loan()) == null ? new Result("settled before") : Result.DONE;
         } else if (c instanceof Command.Standing t) {
             return among(unwilling, s.by(), !t.willing());
         } else if (c instanceof Command.Prefer p) {
@@ -115,9 +120,18 @@
         if (c instanceof Command.Sighted) {
             return Result.DONE;
         } else if (c instanceof Command.Declare d) {
-            return duty(SITES).token() != d.token() ? new Result("an older token")
-                    : failover.declare(index, d.what().site(), d.what().phase(), d.what().health(), d.what().step(), d.what().flaps(),
-                            d.what().after()) ? Result.DONE : new Result("another change of this site came first");
+            return duty(SITES).token() != d.token()
+                    ? new Result("an older token")
+                    : failover.declare(
+                                    index,
+                                    d.what().site(),
+                                    d.what().phase(),
+                                    d.what().health(),
+                                    d.what().step(),
+                                    d.what().flaps(),
+                                    d.what().after())
+                            ? Result.DONE
+                            : new Result("another change of this site came first");
         } else if (c instanceof Command.Planned p) {
             if (duty(SITES).token() != p.token()) {
                 return new Result("an older token");
@@ -133,7 +147,8 @@
     }
 
     private static Result among(Set<String> names, String name, boolean in) {
-        return (in ? names.size() < WISHES_MOST && names.add(name) : names.remove(name)) ? Result.DONE
+        return (in ? names.size() < WISHES_MOST && names.add(name) : names.remove(name))
+                ? Result.DONE
                 : new Result("known");
     }
 
@@ -190,7 +205,8 @@
         if (r.done()) {
             lastWords.put(target, index);
             if (lastWords.size() > WORDS_MOST) {
-                lastWords.remove(Collections.min(lastWords.entrySet(), Map.Entry.comparingByValue()).getKey());
+                lastWords.remove(Collections.min(lastWords.entrySet(), Map.Entry.comparingByValue())
+                        .getKey());
             }
         }
         return r;
@@ -212,7 +228,8 @@
     private Result comeBack(String target, long atMs) {
         if (out.remove(target) != null) {
             if (back.size() >= OUT_MOST) {
-                back.remove(Collections.min(back.entrySet(), Map.Entry.comparingByValue()).getKey());
+                back.remove(Collections.min(back.entrySet(), Map.Entry.comparingByValue())
+                        .getKey());
             }
             back.put(target, atMs);
             words++;
@@ -253,7 +270,8 @@
         if (t == null || !t.target().equals(w.target())) {
             return new Result("withdrawn before");
         }
-        boolean may = w.token() == 0 ? t.by().equals(by) && !t.let() : duty(WARDEN).token() == w.token();
+        boolean may =
+                w.token() == 0 ? t.by().equals(by) && !t.let() : duty(WARDEN).token() == w.token();
         if (!may) {
             return new Result("an older token, or another's ticket");
         }
@@ -328,7 +346,10 @@
     }
 
     public Ticket ticketOf(String target) {
-        return tickets.values().stream().filter(t -> t.target().equals(target)).findFirst().orElse(null);
+        return tickets.values().stream()
+                .filter(t -> t.target().equals(target))
+                .findFirst()
+                .orElse(null);
     }
 
     public Map<String, Wish> wishes() {
@@ -361,18 +382,36 @@
     // ---- Snapshots ----
 
     public byte[] encode() {
-        DutyWire.State.Builder b = DutyWire.State.newBuilder().setLastToken(lastToken).addAllUnwilling(unwilling)
+        DutyWire.State.Builder b = DutyWire.State.newBuilder()
+                .setLastToken(lastToken)
+                .addAllUnwilling(unwilling)
                 .addAllAbsent(absent);
-        duties.forEach((name, d) -> b.addDuty(DutyWire.Duty.newBuilder().setName(name).setHolder(d.holder())
-                .setToken(d.token()).setRenewals(d.renewals()).setMoves(d.moves()).setPreferred(d.preferred())));
-        out.forEach((name, at) -> b.addOut(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
-        back.forEach((name, at) -> b.addBack(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
-        lastWords.forEach((name, entry) -> b.addWord(DutyWire.Word.newBuilder().setTarget(name).setEntry(entry)));
-        tickets.values().forEach(t -> b.addTicket(DutyWire.Ticket.newBuilder().setNumber(t.number())
-                .setTarget(t.target()).setZone(t.zone()).setBy(t.by()).setLet(t.let())));
-        wishes.forEach((by, w) -> b.addWish(DutyWire.Wish.newBuilder().setBy(by).setAsk(w.ask())
-                .setThousandths(w.thousandths())));
-        loans.forEach((n, l) -> b.addLoan(DutyWire.Loan.newBuilder().setNumber(n).setTo(l.to()).setAsk(l.ask())
+        duties.forEach((name, d) -> b.addDuty(DutyWire.Duty.newBuilder()
+                .setName(name)
+                .setHolder(d.holder())
+                .setToken(d.token())
+                .setRenewals(d.renewals())
+                .setMoves(d.moves())
+                .setPreferred(d.preferred())));
+        out.forEach(
+                (name, at) -> b.addOut(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
+        back.forEach((name, at) ->
+                b.addBack(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
+        lastWords.forEach((name, entry) ->
+                b.addWord(DutyWire.Word.newBuilder().setTarget(name).setEntry(entry)));
+        tickets.values()
+                .forEach(t -> b.addTicket(DutyWire.Ticket.newBuilder()
+                        .setNumber(t.number())
+                        .setTarget(t.target())
+                        .setZone(t.zone())
+                        .setBy(t.by())
+                        .setLet(t.let())));
+        wishes.forEach((by, w) ->
+                b.addWish(DutyWire.Wish.newBuilder().setBy(by).setAsk(w.ask()).setThousandths(w.thousandths())));
+        loans.forEach((n, l) -> b.addLoan(DutyWire.Loan.newBuilder()
+                .setNumber(n)
+                .setTo(l.to())
+                .setAsk(l.ask())
                 .setThousandths(l.thousandths())));
         SiteCodec.encode(failover, b);
         return b.build().toByteArray();
@@ -385,13 +424,16 @@
         d.lastToken = s.getLastToken();
         d.unwilling.addAll(s.getUnwillingList());
         d.absent.addAll(s.getAbsentList());
-        s.getDutyList().forEach(x -> d.duties.put(x.getName(), new Duty(x.getHolder(), x.getToken(), x.getRenewals(),
-                x.getMoves(), x.getPreferred())));
+        s.getDutyList()
+                .forEach(x -> d.duties.put(
+                        x.getName(),
+                        new Duty(x.getHolder(), x.getToken(), x.getRenewals(), x.getMoves(), x.getPreferred())));
         s.getOutList().forEach(x -> d.out.put(x.getName(), x.getAtMs()));
         s.getBackList().forEach(x -> d.back.put(x.getName(), x.getAtMs()));
         s.getWordList().forEach(x -> d.lastWords.put(x.getTarget(), x.getEntry()));
-        s.getTicketList().forEach(t -> d.tickets.put(t.getNumber(),
-                new Ticket(t.getNumber(), t.getTarget(), t.getZone(), t.getBy(), t.getLet())));
+        s.getTicketList()
+                .forEach(t -> d.tickets.put(
+                        t.getNumber(), new Ticket(t.getNumber(), t.getTarget(), t.getZone(), t.getBy(), t.getLet())));
         s.getWishList().forEach(w -> d.wishes.put(w.getBy(), new Wish(w.getAsk(), w.getThousandths())));
         s.getLoanList().forEach(l -> d.loans.put(l.getNumber(), new Loan(l.getTo(), l.getAsk(), l.getThousandths())));
         SiteCodec.decode(s, d.failover);
--- a/src/main/java/pewtercourse/duty/LeaseWatch.java
+++ b/src/main/java/pewtercourse/duty/LeaseWatch.java
@@ -8,7 +8,7 @@
  * renewal, which is later than when its holder asked for it (Gray and Cheriton, "Leases", 1989, without comparing clocks).
  */
 final class LeaseWatch {
-    private record Seen(long token, long renewals, long at) { }
+    private record Seen(long token, long renewals, long at) {}
 
     private final Map<String, Seen> seen = new HashMap<>();
 
--- a/src/main/java/pewtercourse/duty/MaintenanceBudget.java
+++ b/src/main/java/pewtercourse/duty/MaintenanceBudget.java
@@ -45,7 +45,8 @@
         });
         for (DutyState.Ticket t : state.tickets().values()) {
             if (t.let()) {
-                if (now - seenOut.getOrDefault(t.number(), now) > set.maintenanceBudget().outMost()) {
+                if (now - seenOut.getOrDefault(t.number(), now)
+                        > set.maintenanceBudget().outMost()) {
                     order(now, orders, t, new Command.Withdraw(t.target(), t.number(), token, unixMs));
                 }
             } else if (state.absent().contains(t.by())) {
--- a/src/main/java/pewtercourse/duty/QuotaAllocator.java
+++ b/src/main/java/pewtercourse/duty/QuotaAllocator.java
@@ -68,7 +68,8 @@
         Map<String, Long> gets = new TreeMap<>();
         List<String> left = new ArrayList<>(wishes.keySet());
         // What a member has counts against its share, so that one that asks often does not get all.
-        left.sort((a, b) -> Long.compare(wishes.get(a) + has.getOrDefault(a, 0L), wishes.get(b) + has.getOrDefault(b, 0L)));
+        left.sort((a, b) ->
+                Long.compare(wishes.get(a) + has.getOrDefault(a, 0L), wishes.get(b) + has.getOrDefault(b, 0L)));
         while (!left.isEmpty() && free > 0) {
             String m = left.remove(0);
             long held = left.stream().mapToLong(x -> has.getOrDefault(x, 0L)).sum() + has.getOrDefault(m, 0L);
--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -19,14 +19,20 @@
      * @param warmsIn  how long until it is warm, in a line
      * @param multiple over so many times what it bears now, asked for during {@code tipAfter}, it falls while cold
      */
-    public record Settings(double bears, double queue, int copies, double coldFrom, long warmsIn, double multiple,
-            long tipAfter) { }
+    public record Settings(
+            double bears, double queue, int copies, double coldFrom, long warmsIn, double multiple, long tipAfter) {}
 
     /** What becomes of a request at a modelled cache. */
-    public enum Verdict { HIT, FILL, MISS, FULL, DOWN }
+    public enum Verdict {
+        HIT,
+        FILL,
+        MISS,
+        FULL,
+        DOWN
+    }
 
     /** {@code takes}: until its answer has been sent, the fill not counted. */
-    public record Answer(Verdict verdict, long takes, long bornAt) { }
+    public record Answer(Verdict verdict, long takes, long bornAt) {}
 
     private static final class Copy {
         int rank;
--- a/src/main/java/pewtercourse/emulator/Catalogue.java
+++ b/src/main/java/pewtercourse/emulator/Catalogue.java
@@ -8,16 +8,25 @@
 /** What clients ask for: objects by popularity, with sizes that belong to them. */
 final class Catalogue {
     /** {@code through}: runs at the origin, may not be repeated and is kept nowhere. */
-    record RequestClass(String name, double share, double meanWorkMs, double aimMs, double stretch, double deadlineMs, double worth,
-            boolean through) { }
+    record RequestClass(
+            String name,
+            double share,
+            double meanWorkMs,
+            double aimMs,
+            double stretch,
+            double deadlineMs,
+            double worth,
+            boolean through) {}
 
-    static final RequestClass[] CLASSES = {new RequestClass("menu-media", 0.54, 300, 600, 2, 5_000, 2, false),
+    static final RequestClass[] CLASSES = {
+        new RequestClass("menu-media", 0.54, 300, 600, 2, 5_000, 2, false),
         new RequestClass("menu-page", 0.43, 50, 400, 2, 3_000, 1, false),
-        new RequestClass("place-order", 0.03, 30, 600, 0, 3_000, 3, true)};
+        new RequestClass("place-order", 0.03, 30, 600, 0, 3_000, 3, true)
+    };
     static final double KB_PER_MS = 3.4;
     private static final double SIGMA = 0.6, EXPONENT = 0.9;
 
-    record Pick(RequestClass cls, String object, double sizeKb) { }
+    record Pick(RequestClass cls, String object, double sizeKb) {}
 
     private final ZipfDistribution popularity;
     private final Well19937c random;
@@ -33,8 +42,10 @@
         for (RequestClass c : CLASSES) {
             u -= c.share();
             if (u < 0) {
-                String object = String.format("%016x", OverflowRouter.hash(c.name() + (c.through() ? "#" + orders++ + random.nextLong()
-                        : "/" + popularity.sample())));
+                String object = String.format(
+                        "%016x",
+                        OverflowRouter.hash(c.name()
+                                + (c.through() ? "#" + orders++ + random.nextLong() : "/" + popularity.sample())));
                 return new Pick(c, object, sizeKb(c, object));
             }
         }
--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -31,7 +31,14 @@
     private boolean over;
     private int connections, open;
 
-    Clients(Vertx vertx, String site, List<String> directors, long seed, int objects, double perSecond, Findings findings) {
+    Clients(
+            Vertx vertx,
+            String site,
+            List<String> directors,
+            long seed,
+            int objects,
+            double perSecond,
+            Findings findings) {
         this.vertx = vertx;
         this.site = site;
         this.directors = directors;
@@ -84,8 +91,12 @@
         }
         connections++;
         int colon = at.indexOf(':');
-        FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(at.substring(colon + 1)), at.substring(0, colon)))
-                .onSuccess(n -> asked(p, n, at)).onFailure(e -> {
+        FastCgiClient.connect(
+                        vertx,
+                        SocketAddress.inetSocketAddress(
+                                Integer.parseInt(at.substring(colon + 1)), at.substring(0, colon)))
+                .onSuccess(n -> asked(p, n, at))
+                .onFailure(e -> {
                     connections--;
                     send(p, tried + 1);
                 });
@@ -98,10 +109,23 @@
         t.worth += p.cls().worth();
         open++;
         boolean[] ended = new boolean[1];
-        Map<String, String> params = new HashMap<>(Map.of("SCRIPT_NAME", "/ops/" + p.cls().name(), "REQUEST_METHOD", "GET",
-                "HTTP_X_CORRELATION_ID", String.format("%016x", random.nextLong()), "HTTP_X_SUBJECT", p.object(), "HTTP_X_TAG", "17",
-                "HTTP_X_CHUNK", "0", "HTTP_X_NEED_KB", String.valueOf(p.sizeKb()),
-                "HTTP_X_DEADLINE_MS", String.valueOf((long) p.cls().deadlineMs())));
+        Map<String, String> params = new HashMap<>(Map.of(
+                "SCRIPT_NAME",
+                "/ops/" + p.cls().name(),
+                "REQUEST_METHOD",
+                "GET",
+                "HTTP_X_CORRELATION_ID",
+                String.format("%016x", random.nextLong()),
+                "HTTP_X_SUBJECT",
+                p.object(),
+                "HTTP_X_TAG",
+                "17",
+                "HTTP_X_CHUNK",
+                "0",
+                "HTTP_X_NEED_KB",
+                String.valueOf(p.sizeKb()),
+                "HTTP_X_DEADLINE_MS",
+                String.valueOf((long) p.cls().deadlineMs())));
         long timer = vertx.setTimer((long) (p.cls().deadlineMs() + SLACK_MS), x -> {
             ended[0] = true;
             open--;
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -37,7 +37,8 @@
     }
 
     Future<Void> listen() {
-        server = vertx.createHttpServer(new HttpServerOptions().setHost(HOST).setReuseAddress(true).setTcpNoDelay(true));
+        server = vertx.createHttpServer(
+                new HttpServerOptions().setHost(HOST).setReuseAddress(true).setTcpNoDelay(true));
         server.connectionHandler(c -> {
             connections.add(c);
             c.closeHandler(v -> connections.remove(c));
@@ -91,11 +92,17 @@
         double kb = Catalogue.sizeKb(cls, object);
         long work = (long) (kb / Catalogue.KB_PER_MS * 1_000);
         int keep = number(r.getHeader("X-Keep"));
-        CacheModel.Answer a = model.ask(now, Long.parseUnsignedLong(object, 16), work, r.getHeader("X-Fill-From") != null,
-                cls.through() ? 0 : keep, number(r.getHeader("X-Max-Age-Ms")) * 1_000L);
+        CacheModel.Answer a = model.ask(
+                now,
+                Long.parseUnsignedLong(object, 16),
+                work,
+                r.getHeader("X-Fill-From") != null,
+                cls.through() ? 0 : keep,
+                number(r.getHeader("X-Max-Age-Ms")) * 1_000L);
         switch (a.verdict()) {
             case DOWN -> r.connection().close();
-            case FULL -> r.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
+            case FULL ->
+                r.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
             case MISS -> r.response().setStatusCode(404).end();
             default -> serve(r, cls, object, kb, a);
         }
@@ -120,8 +127,11 @@
             }
             model.done();
             if (!r.response().closed()) {
-                r.response().putHeader("ETag", object).putHeader("X-Born-Ms", String.valueOf(System.currentTimeMillis()
-                        - (now() - a.bornAt()) / 1_000)).putHeader("Outcome", hit ? "mem" : "parent")
+                r.response()
+                        .putHeader("ETag", object)
+                        .putHeader(
+                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - a.bornAt()) / 1_000))
+                        .putHeader("Outcome", hit ? "mem" : "parent")
                         .putHeader("Load-Report", "inflight:" + model.out() + ";x0:0.5")
                         .end(Buffer.buffer(new byte[(int) Math.min(200_000, Math.max(1, kb * BYTES_PER_KB))]));
             }
--- a/src/main/java/pewtercourse/emulator/EmulatedFeed.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedFeed.java
@@ -67,6 +67,9 @@
     static JsonObject hosts(boolean whole, long seq, List<JsonObject> hosts) {
         JsonArray list = new JsonArray();
         hosts.forEach(list::add);
-        return new JsonObject().put("members", new JsonObject().put("seq", seq).put("whole", whole).put("hosts", list));
+        return new JsonObject()
+                .put(
+                        "members",
+                        new JsonObject().put("seq", seq).put("whole", whole).put("hosts", list));
     }
 }
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -24,7 +24,7 @@
      * @param perSecond requests of its clients
      * @param directors addresses that its clients ask first, and then those of other sites
      */
-    public record SiteSpec(String name, int caches, double bears, double perSecond, List<String> directors) { }
+    public record SiteSpec(String name, int caches, double bears, double perSecond, List<String> directors) {}
 
     private static final String HUB = "hub";
     private static final int OBJECTS = 500;
@@ -36,7 +36,8 @@
     private final Context loop;
     private final List<SiteSpec> specs;
     private final Map<String, List<EmulatedCache>> caches = new TreeMap<>();
-    private final Map<String, EmulatedFeed> feeds = new TreeMap<>(); // One for each site's directors, so that they may differ.
+    private final Map<String, EmulatedFeed> feeds =
+            new TreeMap<>(); // One for each site's directors, so that they may differ.
     private final Map<String, Clients> clients = new TreeMap<>();
     private final Findings findings = new Findings();
     private long seq = 1;
@@ -46,14 +47,20 @@
         this.loop = vertx.getOrCreateContext();
         this.specs = List.copyOf(specs);
         List<Future<?>> up = new ArrayList<>();
-        UpstreamModel upstream = new UpstreamModel(new UpstreamModel.Settings(6 * specs.size(), 0.8, 30_000, 25_000, 8 * specs.size()));
+        UpstreamModel upstream =
+                new UpstreamModel(new UpstreamModel.Settings(6 * specs.size(), 0.8, 30_000, 25_000, 8 * specs.size()));
         on(() -> {
             int number = 1;
             for (SiteSpec s : specs) {
                 List<EmulatedCache> of = new ArrayList<>();
                 for (int i = 0; i < s.caches(); i++) {
-                    EmulatedCache c = new EmulatedCache(vertx, String.format("s-%08x", number++), s.name(),
-                            new CacheModel(new CacheModel.Settings(s.bears(), 2.5, 400, 0.23, WARMS_IN, 2, TIP_AFTER)), upstream, findings);
+                    EmulatedCache c = new EmulatedCache(
+                            vertx,
+                            String.format("s-%08x", number++),
+                            s.name(),
+                            new CacheModel(new CacheModel.Settings(s.bears(), 2.5, 400, 0.23, WARMS_IN, 2, TIP_AFTER)),
+                            upstream,
+                            findings);
                     up.add(c.listen());
                     of.add(c);
                 }
@@ -61,7 +68,10 @@
                 EmulatedFeed feed = new EmulatedFeed(vertx);
                 up.add(feed.listen());
                 feeds.put(s.name(), feed);
-                clients.put(s.name(), new Clients(vertx, s.name(), s.directors(), seed * 31 + number, OBJECTS, s.perSecond(), findings));
+                clients.put(
+                        s.name(),
+                        new Clients(
+                                vertx, s.name(), s.directors(), seed * 31 + number, OBJECTS, s.perSecond(), findings));
             }
             return null;
         });
@@ -97,47 +107,114 @@
     }
 
     private static JsonObject host(EmulatedCache c, String health, long bornMs) {
-        return new JsonObject().put("host", c.name).put("dial", c.dial()).put("site", c.site).put("class", "box").put("block", 0)
-                .put("health", health).put("share", 1).put("born_ms", bornMs);
+        return new JsonObject()
+                .put("host", c.name)
+                .put("dial", c.dial())
+                .put("site", c.site)
+                .put("class", "box")
+                .put("block", 0)
+                .put("health", health)
+                .put("share", 1)
+                .put("born_ms", bornMs);
     }
 
     // A parent or the origin: caches fill from it by themselves, so nobody calls its address.
     private static JsonObject fixed(String name, String kind) {
-        return new JsonObject().put("host", name).put("dial", "127.0.0.1:9").put("site", HUB).put("class", kind).put("block", 0)
-                .put("health", "Ready").put("share", 1).put("born_ms", 0);
+        return new JsonObject()
+                .put("host", name)
+                .put("dial", "127.0.0.1:9")
+                .put("site", HUB)
+                .put("class", kind)
+                .put("block", 0)
+                .put("health", "Ready")
+                .put("share", 1)
+                .put("born_ms", 0);
     }
 
     /** A director's configuration file, at one of the sites. */
     public JsonObject config(String name, String site, String listen) {
         JsonArray classes = new JsonArray(), zones = new JsonArray().add(HUB), seats = new JsonArray().add(0);
         for (Catalogue.RequestClass c : Catalogue.CLASSES) {
-            classes.add(new JsonObject().put("Name", c.name()).put("Effect", c.through() ? "side_effect" : "pure").put("Aim", c.aimMs())
-                    .put("AimStretch", c.stretch()).put("Deadline", c.deadlineMs()).put("Worth", c.worth()));
+            classes.add(new JsonObject()
+                    .put("Name", c.name())
+                    .put("Effect", c.through() ? "side_effect" : "pure")
+                    .put("Aim", c.aimMs())
+                    .put("AimStretch", c.stretch())
+                    .put("Deadline", c.deadlineMs())
+                    .put("Worth", c.worth()));
         }
         for (SiteSpec s : specs) {
             zones.add(s.name());
             seats.add(1);
         }
-        JsonObject settings = new JsonObject().put("Me", 0).put("Instances", specs.size()).put("Zone", site).put("Zones", zones)
-                .put("Skus", new JsonArray().add("box").add("parent").add("origin")).put("Discovery", "push").put("Weights", "silent")
+        JsonObject settings = new JsonObject()
+                .put("Me", 0)
+                .put("Instances", specs.size())
+                .put("Zone", site)
+                .put("Zones", zones)
+                .put("Skus", new JsonArray().add("box").add("parent").add("origin"))
+                .put("Discovery", "push")
+                .put("Weights", "silent")
                 .put("Classes", classes)
-                .put("Domain", new JsonObject().put("CanJoin", true).put("ClientKbPerS", Catalogue.KB_PER_MS * 1_000)
-                        .put("GoesThrough", new JsonArray().add(false).add(false).add(true))
-                        .put("GoodFor", new JsonArray().add(0.0).add(8_000.0).add(0.0))
-                        .put("ClassGrace", new JsonArray().add(0.0).add(20_000.0).add(0.0))
-                        .put("InParts", new JsonArray().add(false).add(false).add(false)).put("MasterKind", 2).put("MidKind", 1)
-                        .put("MayPassBy", false).put("ParentColdFrom", 0.065).put("ParentLimitFactor", 2.0).put("ParentWarmsIn", 21_000.0)
-                        .put("PurgeTakes", 6_000.0).put("Says", "hit").put("SeatsByZone", seats).put("Siblings", "location"))
-                .put("Permissions", new JsonObject().put("Cancel", true).put("ConnectTimeout", 400.0).put("IdleClose", 15_000.0)
-                        .put("MaxRetryAfter", 500.0).put("MayTell", false).put("ParallelTries", false).put("RetryAfter", true)
-                        .put("TryLimit", 6))
-                .put("Rules", new JsonObject().put("AnswerSlack", 8.0).put("ColdFrom", 0.23).put("DrainGrace", 500.0)
-                        .put("FallMultiple", 2.0).put("TipAfter", TIP_AFTER / 1e3).put("WarmUp", WARMS_IN / 1e3));
+                .put(
+                        "Domain",
+                        new JsonObject()
+                                .put("CanJoin", true)
+                                .put("ClientKbPerS", Catalogue.KB_PER_MS * 1_000)
+                                .put(
+                                        "GoesThrough",
+                                        new JsonArray().add(false).add(false).add(true))
+                                .put(
+                                        "GoodFor",
+                                        new JsonArray().add(0.0).add(8_000.0).add(0.0))
+                                .put(
+                                        "ClassGrace",
+                                        new JsonArray().add(0.0).add(20_000.0).add(0.0))
+                                .put(
+                                        "InParts",
+                                        new JsonArray().add(false).add(false).add(false))
+                                .put("MasterKind", 2)
+                                .put("MidKind", 1)
+                                .put("MayPassBy", false)
+                                .put("ParentColdFrom", 0.065)
+                                .put("ParentLimitFactor", 2.0)
+                                .put("ParentWarmsIn", 21_000.0)
+                                .put("PurgeTakes", 6_000.0)
+                                .put("Says", "hit")
+                                .put("SeatsByZone", seats)
+                                .put("Siblings", "location"))
+                .put(
+                        "Permissions",
+                        new JsonObject()
+                                .put("Cancel", true)
+                                .put("ConnectTimeout", 400.0)
+                                .put("IdleClose", 15_000.0)
+                                .put("MaxRetryAfter", 500.0)
+                                .put("MayTell", false)
+                                .put("ParallelTries", false)
+                                .put("RetryAfter", true)
+                                .put("TryLimit", 6))
+                .put(
+                        "Rules",
+                        new JsonObject()
+                                .put("AnswerSlack", 8.0)
+                                .put("ColdFrom", 0.23)
+                                .put("DrainGrace", 500.0)
+                                .put("FallMultiple", 2.0)
+                                .put("TipAfter", TIP_AFTER / 1e3)
+                                .put("WarmUp", WARMS_IN / 1e3));
         // As after a change of the list: a start into a fleet at work, without the long warm-up.
         JsonObject known = on(() -> feeds.get(site).known());
-        return new JsonObject().put("name", name).put("listen", listen).put("seed", String.format("%016x", name.hashCode()))
-                .put("limits", new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", 1_024))
-                .put("feed", on(() -> feeds.get(site).address())).put("known", known).put("settings", settings);
+        return new JsonObject()
+                .put("name", name)
+                .put("listen", listen)
+                .put("seed", String.format("%016x", name.hashCode()))
+                .put(
+                        "limits",
+                        new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", 1_024))
+                .put("feed", on(() -> feeds.get(site).address()))
+                .put("known", known)
+                .put("settings", settings);
     }
 
     public void startClients() {
@@ -169,7 +246,8 @@
 
     /** They start again, cold and empty, and the list tells. */
     public void revive(String site) throws Exception {
-        List<Future<Void>> up = on(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
+        List<Future<Void>> up =
+                on(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
         for (Future<Void> f : up) {
             f.toCompletionStage().toCompletableFuture().get(WAIT_S, TimeUnit.SECONDS);
         }
@@ -181,7 +259,9 @@
         on(() -> {
             List<JsonObject> hosts = new ArrayList<>();
             caches.get(site).forEach(c -> {
-                long born = c.model.startedAt() == 0 ? 0 : System.currentTimeMillis() - (EmulatedCache.now() - c.model.startedAt()) / 1_000;
+                long born = c.model.startedAt() == 0
+                        ? 0
+                        : System.currentTimeMillis() - (EmulatedCache.now() - c.model.startedAt()) / 1_000;
                 hosts.add(host(c, health, born));
                 c.drainingSince = health.equals("Ready") || to.length > 0 ? Long.MAX_VALUE : EmulatedCache.now();
             });
--- a/src/main/java/pewtercourse/emulator/Findings.java
+++ b/src/main/java/pewtercourse/emulator/Findings.java
@@ -100,8 +100,10 @@
 
     /** A table of what clients got. */
     public String text() {
-        StringBuilder t = new StringBuilder("site             class          asked  in time   late  refused  failed   lost   worth\n");
-        tallies.forEach((site, classes) -> classes.forEach((cls, x) -> t.append(String.format("%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
+        StringBuilder t = new StringBuilder(
+                "site             class          asked  in time   late  refused  failed   lost   worth\n");
+        tallies.forEach((site, classes) -> classes.forEach((cls, x) -> t.append(String.format(
+                "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
                 site, cls, x.asked, x.inTime, x.late, x.refused, x.failed, x.lost, 100 * x.share()))));
         broken.forEach(b -> t.append("RULE BROKEN: ").append(b).append('\n'));
         return t.append(broken.isEmpty() ? "rules kept\n" : "").toString();
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -22,7 +22,7 @@
  * slow), {@code site} and, for list, {@code health}, for slow, {@code times}.
  */
 public final class Scenario {
-    private record Fault(double atS, String what, String site, String health, double times) { }
+    private record Fault(double atS, String what, String site, String health, double times) {}
 
     private final List<Emulation.SiteSpec> sites = new ArrayList<>();
     private final List<Fault> faults = new ArrayList<>();
@@ -41,9 +41,12 @@
             String key = "sites[" + i + "].";
             List<String> order = new ArrayList<>(List.of(all.get(i)));
             all.stream().filter(a -> !a.equals(order.get(0))).forEach(order::add);
-            sites.add(new Emulation.SiteSpec(text(key + "name", s.getValue("name")), (int) number(key + "caches", s.getValue("caches"), 3, 1, 64),
+            sites.add(new Emulation.SiteSpec(
+                    text(key + "name", s.getValue("name")),
+                    (int) number(key + "caches", s.getValue("caches"), 3, 1, 64),
                     number(key + "bears", s.getValue("bears"), 6, 0.5, 1_000),
-                    number(key + "requests_per_s", s.getValue("requests_per_s"), 20, 0.1, 500), order));
+                    number(key + "requests_per_s", s.getValue("requests_per_s"), 20, 0.1, 500),
+                    order));
         }
         if (sites.isEmpty()) {
             throw new ConfigException("sites", "there is none");
@@ -51,7 +54,9 @@
         JsonArray given = json.getValue("faults") == null ? new JsonArray() : array("faults", json.getValue("faults"));
         for (int i = 0; i < given.size(); i++) {
             JsonObject f = object(given, "faults", i);
-            String key = "faults[" + i + "].", what = text(key + "what", f.getValue("what")), site = text(key + "site", f.getValue("site"));
+            String key = "faults[" + i + "].",
+                    what = text(key + "what", f.getValue("what")),
+                    site = text(key + "site", f.getValue("site"));
             if (!List.of("lose", "revive", "list", "slow").contains(what)) {
                 throw new ConfigException(key + "what", "'" + what + "' is none of lose, revive, list, slow");
             }
@@ -62,7 +67,11 @@
             if (!List.of("Ready", "Terminating", "Gone").contains(health)) {
                 throw new ConfigException(key + "health", "'" + health + "' is none of Ready, Terminating, Gone");
             }
-            faults.add(new Fault(number(key + "at_s", f.getValue("at_s"), Double.NaN, 0, 86_400), what, site, health,
+            faults.add(new Fault(
+                    number(key + "at_s", f.getValue("at_s"), Double.NaN, 0, 86_400),
+                    what,
+                    site,
+                    health,
                     number(key + "times", f.getValue("times"), 4, 0.1, 1_000)));
         }
         faults.sort(Comparator.comparingDouble(Fault::atS));
@@ -87,7 +96,8 @@
         try (Emulation e = new Emulation(sites, seed)) {
             for (Emulation.SiteSpec s : sites) {
                 Path file = into.resolve("director-" + s.name() + ".json");
-                Files.writeString(file, e.config(s.name(), s.name(), s.directors().get(0)).encodePrettily());
+                Files.writeString(
+                        file, e.config(s.name(), s.name(), s.directors().get(0)).encodePrettily());
                 out.println("for the director of " + s.name() + ": GW_CONFIG=" + file);
             }
             for (Emulation.SiteSpec s : sites) {
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -14,10 +14,10 @@
      * @param origin   what it takes longer where the origin is asked, alone
      * @param bears    requests at once that the origin answers at full pace; over that it slows by the square
      */
-    public record Settings(double link, double holds, long parent, long origin, double bears) { }
+    public record Settings(double link, double holds, long parent, long origin, double bears) {}
 
     /** A fill: how long it takes, and whether the origin was asked. */
-    public record Fill(long takes, boolean fromOrigin) { }
+    public record Fill(long takes, boolean fromOrigin) {}
 
     private final Settings set;
     private int fills, asked;
@@ -32,7 +32,9 @@
         boolean origin = through || (OverflowRouter.hash("held" + object) >>> 11) * 0x1.0p-53 >= set.holds();
         asked += origin ? 1 : 0;
         double crowd = Math.max(1, asked / set.bears());
-        return new Fill((long) (set.parent() * Math.max(1, fills / set.link()) + (origin ? set.origin() * crowd * crowd : 0)), origin);
+        return new Fill(
+                (long) (set.parent() * Math.max(1, fills / set.link()) + (origin ? set.origin() * crowd * crowd : 0)),
+                origin);
     }
 
     public void end(Fill f) {
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -34,13 +34,22 @@
  */
 final class ClusterSim {
     /** Faults of the program itself, to see that the checks find them. */
-    enum Planted { NONE, SAID_BEFORE_SAVED, LEASE_FROM_ANSWER, TOKEN_UNCHECKED, NO_PRE_VOTE, LOAN_FROM_ANSWER, WORD_UNCHECKED }
+    enum Planted {
+        NONE,
+        SAID_BEFORE_SAVED,
+        LEASE_FROM_ANSWER,
+        TOKEN_UNCHECKED,
+        NO_PRE_VOTE,
+        LOAN_FROM_ANSWER,
+        WORD_UNCHECKED
+    }
 
     static final long MS = 1_000, SECOND = 1_000_000;
     static final int CACHES = 12;
-    private static final RaftSettings RAFT = new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 256, 64, 1 << 20, 8);
+    private static final RaftSettings RAFT =
+            new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 256, 64, 1 << 20, 8);
 
-    private record Event(long at, long order, int node, int life, Runnable run) { }
+    private record Event(long at, long order, int node, int life, Runnable run) {}
 
     /** What outlives a crash. */
     private static final class DiskModel {
@@ -70,7 +79,12 @@
         }
 
         Saved read() {
-            return new Saved(incarnation, term, votedFor, commit, snapshot,
+            return new Saved(
+                    incarnation,
+                    term,
+                    votedFor,
+                    commit,
+                    snapshot,
                     new ArrayList<>(entries.tailMap(snapshot.index(), false).values()));
         }
     }
@@ -107,7 +121,12 @@
             syncing = false;
             unsynced.clear();
             raft = new Raft(RAFT, name, disk.read(), clock(), new Random(random.nextLong()));
-            duties = new Duties(set, name, (long) life * 1_000_000_000L, t -> "z" + Math.floorMod(t.hashCode(), 2), z -> CACHES / 2);
+            duties = new Duties(
+                    set,
+                    name,
+                    (long) life * 1_000_000_000L,
+                    t -> "z" + Math.floorMod(t.hashCode(), 2),
+                    z -> CACHES / 2);
             if (planted == Planted.LEASE_FROM_ANSWER || planted == Planted.LOAN_FROM_ANSWER) {
                 duties.countFrom((asked, answered) -> answered);
             }
@@ -130,7 +149,10 @@
         void pump() {
             if (planted == Planted.NO_PRE_VOTE && raft.role() == Raft.Role.PRE_CANDIDATE) {
                 for (Node n : nodes) {
-                    raft.receive(clock(), n.name, n.disk.incarnation,
+                    raft.receive(
+                            clock(),
+                            n.name,
+                            n.disk.incarnation,
                             new Message.VoteReply(raft.term() + 1, true, true, false));
                 }
             }
@@ -148,8 +170,8 @@
                 boolean asked = false;
                 if (!raft.members().all().isEmpty()) {
                     Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(clock()) : null;
-                    for (Command.Signed s : duties.tick(clock(),
-                            new Duties.View(raft.members().all().keySet(), heard, now / MS))) {
+                    for (Command.Signed s : duties.tick(
+                            clock(), new Duties.View(raft.members().all().keySet(), heard, now / MS))) {
                         offer(s);
                         asked = true;
                     }
@@ -172,18 +194,27 @@
                     check(e.index() == applied + 1, "out of order: " + e.index() + " after " + applied);
                     applied = e.index();
                     Entry before = agreed.putIfAbsent(e.index(), e);
-                    check(before == null || before.term() == e.term()
-                            && java.util.Arrays.equals(before.command(), e.command()), "two entries agreed at " + e.index());
+                    check(
+                            before == null
+                                    || before.term() == e.term()
+                                            && java.util.Arrays.equals(before.command(), e.command()),
+                            "two entries agreed at " + e.index());
                     if (e.kind() == Entry.Kind.COMMAND) {
                         Command.Signed s = DutyCodec.decode(e.command());
                         long held = duties.state().duty(DutyState.WARDEN).token();
-                        DutyState.Result result = duties.applied(clock(), e.index(),
-                                planted == Planted.TOKEN_UNCHECKED || planted == Planted.WORD_UNCHECKED ? forged(s) : s);
-                        if (before == null && result.done() && (s.command() instanceof Command.Ask
-                                || s.command() instanceof Command.Back)) {
+                        DutyState.Result result = duties.applied(
+                                clock(),
+                                e.index(),
+                                planted == Planted.TOKEN_UNCHECKED || planted == Planted.WORD_UNCHECKED
+                                        ? forged(s)
+                                        : s);
+                        if (before == null
+                                && result.done()
+                                && (s.command() instanceof Command.Ask || s.command() instanceof Command.Back)) {
                             check(counted.add(s.by() + ' ' + s.id()), "an operator's word counted twice");
                         }
-                        check(!(s.command() instanceof Command.Let l) || l.token() == held || !result.done(),
+                        check(
+                                !(s.command() instanceof Command.Let l) || l.token() == held || !result.done(),
                                 "an order with an older token took effect");
                         changed = true;
                     }
@@ -207,8 +238,13 @@
             DutyState state = duties.state();
             Command c = s.command();
             if (planted == Planted.TOKEN_UNCHECKED) {
-                c = c instanceof Command.Let l ? new Command.Let(l.target(), l.ticket(), state.duty(DutyState.WARDEN).token(),
-                        l.atMs()) : c;
+                c = c instanceof Command.Let l
+                        ? new Command.Let(
+                                l.target(),
+                                l.ticket(),
+                                state.duty(DutyState.WARDEN).token(),
+                                l.atMs())
+                        : c;
             } else if (c instanceof Command.Back b) {
                 c = new Command.Back(b.target(), b.atMs(), state.lastWord(b.target()));
             } else if (c instanceof Command.Ask a) {
@@ -226,10 +262,12 @@
                 raft.propose(clock(), bytes);
             } else if (raft.leader() != null) {
                 Node to = node(raft.leader());
-                at(now + stopped(s.command()), () -> carry(this, to, () -> {
-                    to.raft.propose(to.clock(), bytes);
-                    to.pump();
-                }));
+                at(
+                        now + stopped(s.command()),
+                        () -> carry(this, to, () -> {
+                            to.raft.propose(to.clock(), bytes);
+                            to.pump();
+                        }));
             }
         }
 
@@ -271,12 +309,17 @@
 
     final Random random;
     final Planted planted;
-    final DutySettings set = new DutySettings(800 * MS, 0.02, 150 * MS, Set.of(DutyState.WARDEN, DutyState.DIVIDER),
-            new DutySettings.MaintenanceBudget(2, 0, 3 * SECOND, true), new DutySettings.QuotaAllocator(400, 500 * MS));
+    final DutySettings set = new DutySettings(
+            800 * MS,
+            0.02,
+            150 * MS,
+            Set.of(DutyState.WARDEN, DutyState.DIVIDER),
+            new DutySettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
+            new DutySettings.QuotaAllocator(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
     final Map<Long, Entry> agreed = new HashMap<>();
-    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> queue = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final Map<Long, String> leaders = new HashMap<>(); // By term.
     private final Set<Long> cut = new HashSet<>(); // Links, as from * 100 + to.
     private final Map<String, Long> greatestToken = new HashMap<>();
@@ -442,7 +485,9 @@
             lentMost = Math.max(lentMost, n.duties.state().lent());
             for (int z = 0; z < 2; z++) {
                 String zone = "z" + z;
-                long out = n.duties.state().tickets().values().stream().filter(t -> t.let() && t.zone().equals(zone)).count();
+                long out = n.duties.state().tickets().values().stream()
+                        .filter(t -> t.let() && t.zone().equals(zone))
+                        .count();
                 check(out <= set.maintenanceBudget().most(), out + " out in " + zone);
             }
         }
@@ -455,6 +500,8 @@
         for (Node n : nodes) {
             named.add(n.up ? String.valueOf(n.raft.leader()) : "down");
         }
-        return named.size() == 1 && !named.contains("null") && !named.contains("down") ? named.iterator().next() : null;
+        return named.size() == 1 && !named.contains("null") && !named.contains("down")
+                ? named.iterator().next()
+                : null;
     }
 }
--- a/src/main/java/pewtercourse/experiment/ColumnFile.java
+++ b/src/main/java/pewtercourse/experiment/ColumnFile.java
@@ -18,9 +18,9 @@
 /** A table in Arrow's file format. */
 final class ColumnFile {
     /** A column of texts or of numbers. */
-    record Column(String name, List<?> values) { }
+    record Column(String name, List<?> values) {}
 
-    private ColumnFile() { }
+    private ColumnFile() {}
 
     static Column text(String name, List<String> values) {
         return new Column(name, values);
@@ -35,7 +35,10 @@
             List<FieldVector> vectors = new ArrayList<>();
             columns.forEach(c -> vectors.add(vector(c, memory)));
             try (VectorSchemaRoot root = new VectorSchemaRoot(vectors);
-                    FileChannel out = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+                    FileChannel out = FileChannel.open(
+                            file,
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE,
                             StandardOpenOption.TRUNCATE_EXISTING);
                     ArrowFileWriter writer = new ArrowFileWriter(root, null, out)) {
                 root.setRowCount(columns.get(0).values().size());
--- a/src/main/java/pewtercourse/experiment/DutiesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/DutiesExperiment.java
@@ -17,20 +17,32 @@
  * baselines, rank among those alive, and a lease that counts from its answer. On the virtual clock; times in milliseconds.
  */
 final class DutiesExperiment {
-    enum Fault { KILL, STALL, CUT, HAND_ON }
+    enum Fault {
+        KILL,
+        STALL,
+        CUT,
+        HAND_ON
+    }
 
-    enum Way { AGREED, LEASE_FROM_ANSWER, RANK }
+    enum Way {
+        AGREED,
+        LEASE_FROM_ANSWER,
+        RANK
+    }
 
     /** One run. {@code gapMs} -1: nobody held it again within the patience. */
-    record Run(Way way, Fault fault, long seed, double gapMs, boolean twice) { }
+    record Run(Way way, Fault fault, long seed, double gapMs, boolean twice) {}
 
     /** One run of divided budgets: the share of what was wanted, and there, that could be used. */
-    record Use(long seed, double fixed, double divided) { }
+    record Use(long seed, double fixed, double divided) {}
 
-    private static final long MS = ClusterSim.MS, SECOND = ClusterSim.SECOND, PATIENCE = 15 * SECOND, STALL = 6 * SECOND;
+    private static final long MS = ClusterSim.MS,
+            SECOND = ClusterSim.SECOND,
+            PATIENCE = 15 * SECOND,
+            STALL = 6 * SECOND;
     private static final int MEMBERS = 3;
 
-    private DutiesExperiment() { }
+    private DutiesExperiment() {}
 
     static List<Run> handOver(int seeds) {
         List<Run> runs = new ArrayList<>();
@@ -39,21 +51,26 @@
                 if (way == Way.RANK && fault == Fault.HAND_ON) {
                     continue; // It has none.
                 }
-                IntStream.range(0, seeds).parallel().mapToObj(seed -> way == Way.RANK ? rank(fault, seed)
-                        : agreed(way, fault, seed)).sequential().forEachOrdered(runs::add);
+                IntStream.range(0, seeds)
+                        .parallel()
+                        .mapToObj(seed -> way == Way.RANK ? rank(fault, seed) : agreed(way, fault, seed))
+                        .sequential()
+                        .forEachOrdered(runs::add);
             }
         }
         return runs;
     }
 
     private static ClusterSim.Node holder(ClusterSim sim, Predicate<ClusterSim.Node> of) {
-        return sim.nodes.stream().filter(n -> n.up && of.test(n) && n.duties.token(DutyState.WARDEN, n.clock()) > 0)
-                .findFirst().orElse(null);
+        return sim.nodes.stream()
+                .filter(n -> n.up && of.test(n) && n.duties.token(DutyState.WARDEN, n.clock()) > 0)
+                .findFirst()
+                .orElse(null);
     }
 
     private static Run agreed(Way way, Fault fault, long seed) {
-        ClusterSim sim = new ClusterSim(seed, MEMBERS, way == Way.AGREED ? ClusterSim.Planted.NONE
-                : ClusterSim.Planted.LEASE_FROM_ANSWER);
+        ClusterSim sim = new ClusterSim(
+                seed, MEMBERS, way == Way.AGREED ? ClusterSim.Planted.NONE : ClusterSim.Planted.LEASE_FROM_ANSWER);
         sim.until(PATIENCE, () -> holder(sim, n -> true) != null);
         sim.play(sim.now + SECOND + new Random(seed).nextInt((int) SECOND));
         sim.until(PATIENCE, () -> holder(sim, n -> true) != null);
@@ -65,13 +82,14 @@
                 sim.stop(old);
                 sim.at(sim.now + STALL, () -> sim.goOn(old));
             }
-            case CUT -> sim.nodes.forEach(x -> {
-                sim.cut(old, x, true);
-                sim.cut(x, old, true);
-            });
+            case CUT ->
+                sim.nodes.forEach(x -> {
+                    sim.cut(old, x, true);
+                    sim.cut(x, old, true);
+                });
             case HAND_ON -> {
-                old.offer(old.duties.sign(new Command.Prefer(DutyState.WARDEN,
-                        old.duties.token(DutyState.WARDEN, old.clock()), "")));
+                old.offer(old.duties.sign(
+                        new Command.Prefer(DutyState.WARDEN, old.duties.token(DutyState.WARDEN, old.clock()), "")));
                 old.pump();
             }
         }
@@ -116,7 +134,10 @@
 
     /** Directors whose need of cold budget changes every two seconds, most of it at one of them. */
     static List<Use> budgets(int seeds) {
-        return IntStream.range(0, seeds).parallel().mapToObj(DutiesExperiment::budget).toList();
+        return IntStream.range(0, seeds)
+                .parallel()
+                .mapToObj(DutiesExperiment::budget)
+                .toList();
     }
 
     private static Use budget(long seed) {
@@ -130,7 +151,7 @@
             for (int i = 0; i < MEMBERS; i++) {
                 wants[i] = i == busy ? 1_000 + random.nextInt(2_000) : random.nextInt(700);
             }
-            for (long end = sim.now + 2 * SECOND; sim.now < end;) {
+            for (long end = sim.now + 2 * SECOND; sim.now < end; ) {
                 for (ClusterSim.Node n : sim.nodes) {
                     Command.Signed s = n.duties.borrow(n.clock(), wants[n.number] - n.duties.part(n.clock()));
                     if (s != null) {
@@ -149,24 +170,38 @@
 
     /** The tables as text, for a page; what each run gave is in the files beside it. */
     static String tables(List<Run> runs, List<Use> uses) {
-        StringBuilder t = new StringBuilder("| way | fault | runs | median ms | 99th | greatest | not taken up | two at once |\n"
-                + "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
+        StringBuilder t =
+                new StringBuilder("| way | fault | runs | median ms | 99th | greatest | not taken up | two at once |\n"
+                        + "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
         for (Way way : Way.values()) {
             for (Fault fault : Fault.values()) {
-                List<Run> of = runs.stream().filter(r -> r.way() == way && r.fault() == fault).toList();
-                double[] gaps = of.stream().mapToDouble(Run::gapMs).filter(g -> g >= 0).toArray();
+                List<Run> of = runs.stream()
+                        .filter(r -> r.way() == way && r.fault() == fault)
+                        .toList();
+                double[] gaps =
+                        of.stream().mapToDouble(Run::gapMs).filter(g -> g >= 0).toArray();
                 if (of.isEmpty() || gaps.length == 0) {
                     continue;
                 }
                 Percentile p = new Percentile();
-                t.append(String.format("| %s | %s | %d | %.1f | %.1f | %.1f | %d | %d |%n", word(way), word(fault), of.size(),
-                        p.evaluate(gaps, 50), p.evaluate(gaps, 99), java.util.Arrays.stream(gaps).max().orElse(0),
-                        of.size() - gaps.length, of.stream().filter(Run::twice).count()));
+                t.append(String.format(
+                        "| %s | %s | %d | %.1f | %.1f | %.1f | %d | %d |%n",
+                        word(way),
+                        word(fault),
+                        of.size(),
+                        p.evaluate(gaps, 50),
+                        p.evaluate(gaps, 99),
+                        java.util.Arrays.stream(gaps).max().orElse(0),
+                        of.size() - gaps.length,
+                        of.stream().filter(Run::twice).count()));
             }
         }
-        t.append(String.format("%nShare of the cold budget that was wanted and there, used: %.3f by fixed parts, %.3f divided"
-                + " (means of %d runs).%n", uses.stream().mapToDouble(Use::fixed).average().orElse(0),
-                uses.stream().mapToDouble(Use::divided).average().orElse(0), uses.size()));
+        t.append(String.format(
+                "%nShare of the cold budget that was wanted and there, used: %.3f by fixed parts, %.3f divided"
+                        + " (means of %d runs).%n",
+                uses.stream().mapToDouble(Use::fixed).average().orElse(0),
+                uses.stream().mapToDouble(Use::divided).average().orElse(0),
+                uses.size()));
         return t.toString();
     }
 
@@ -178,16 +213,30 @@
         Files.createDirectories(into);
         List<Run> runs = handOver(seeds);
         List<Use> uses = budgets(Math.min(seeds, 50));
-        ColumnFile.write(into.resolve("duties-hand-over.arrow"), List.of(
-                ColumnFile.text("way", runs.stream().map(r -> word(r.way())).toList()),
-                ColumnFile.text("fault", runs.stream().map(r -> word(r.fault())).toList()),
-                ColumnFile.number("seed", runs.stream().map(r -> (double) r.seed()).toList()),
-                ColumnFile.number("gap_ms", runs.stream().map(Run::gapMs).toList()),
-                ColumnFile.number("two_at_once", runs.stream().map(r -> r.twice() ? 1.0 : 0.0).toList())));
-        ColumnFile.write(into.resolve("duties-budget.arrow"), List.of(
-                ColumnFile.number("seed", uses.stream().map(u -> (double) u.seed()).toList()),
-                ColumnFile.number("fixed", uses.stream().map(Use::fixed).toList()),
-                ColumnFile.number("divided", uses.stream().map(Use::divided).toList())));
+        ColumnFile.write(
+                into.resolve("duties-hand-over.arrow"),
+                List.of(
+                        ColumnFile.text(
+                                "way", runs.stream().map(r -> word(r.way())).toList()),
+                        ColumnFile.text(
+                                "fault", runs.stream().map(r -> word(r.fault())).toList()),
+                        ColumnFile.number(
+                                "seed",
+                                runs.stream().map(r -> (double) r.seed()).toList()),
+                        ColumnFile.number(
+                                "gap_ms", runs.stream().map(Run::gapMs).toList()),
+                        ColumnFile.number(
+                                "two_at_once",
+                                runs.stream().map(r -> r.twice() ? 1.0 : 0.0).toList())));
+        ColumnFile.write(
+                into.resolve("duties-budget.arrow"),
+                List.of(
+                        ColumnFile.number(
+                                "seed",
+                                uses.stream().map(u -> (double) u.seed()).toList()),
+                        ColumnFile.number("fixed", uses.stream().map(Use::fixed).toList()),
+                        ColumnFile.number(
+                                "divided", uses.stream().map(Use::divided).toList())));
         Charts.handOver(into.resolve("duties-hand-over.png"), runs);
         String tables = tables(runs, uses);
         Files.writeString(into.resolve("duties-hand-over.md"), tables);
--- a/src/main/java/pewtercourse/experiment/Experiments.java
+++ b/src/main/java/pewtercourse/experiment/Experiments.java
@@ -6,7 +6,7 @@
 
 /** Entry of the experiments; their libraries are in the jar of tools alone. */
 public final class Experiments {
-    private Experiments() { }
+    private Experiments() {}
 
     /** {@code start}: time to be ready and memory of programs, by name, with and without a cluster. */
     public static void start(Path into, Map<String, Path> jars, int rounds, Path config) throws Exception {
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -30,11 +30,11 @@
     private static final String HOST = "127.0.0.1";
     private static final long WARM_MS = 2_000, RUN_MS = 4_000;
 
-    private LogExperiment() { }
+    private LogExperiment() {}
 
     private static final ClusterHost NOBODY = new ClusterHost() {
         @Override
-        public void agreed(Map<String, Long> out, Map<String, Long> back) { }
+        public void agreed(Map<String, Long> out, Map<String, Long> back) {}
 
         @Override
         public String zoneOf(String target) {
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void part(double factor) { }
+        public void part(double factor) {}
 
         @Override
         public double coldWanted() {
@@ -70,9 +70,15 @@
         List<Cluster> clusters = new ArrayList<>();
         List<Context> loops = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Path file = Files.writeString(folder.resolve("d" + i + ".json"), new JsonObject().put("cluster", "experiment")
-                    .put("name", "d" + i).put("listen", HOST + ":" + ports.get(i)).put("data", folder.resolve("d" + i).toString())
-                    .put("members", members).encode());
+            Path file = Files.writeString(
+                    folder.resolve("d" + i + ".json"),
+                    new JsonObject()
+                            .put("cluster", "experiment")
+                            .put("name", "d" + i)
+                            .put("listen", HOST + ":" + ports.get(i))
+                            .put("data", folder.resolve("d" + i).toString())
+                            .put("members", members)
+                            .encode());
             ClusterConfig config = ClusterConfig.fromFile(file);
             Store.found(config.data(), config.cluster(), config.name(), Membership.founding(config.members()));
             var started = new java.util.concurrent.CompletableFuture<Void>();
@@ -85,7 +91,8 @@
             });
             started.get(30, TimeUnit.SECONDS);
         }
-        StringBuilder t = new StringBuilder("| callers at once | agreed a second | median ms | 99th ms |\n| --- | --- | --- | --- |\n");
+        StringBuilder t = new StringBuilder(
+                "| callers at once | agreed a second | median ms | 99th ms |\n| --- | --- | --- | --- |\n");
         for (int callers : new int[] {1, 8, 64, 240}) {
             ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
             AtomicLong done = new AtomicLong();
@@ -97,8 +104,12 @@
                 }
             });
             Thread.sleep(WARM_MS + RUN_MS + 1_500);
-            t.append(String.format("| %d | %.0f | %.2f | %.2f |%n", callers, done.get() * 1_000.0 / RUN_MS,
-                    times.getValueAtPercentile(50) / 1_000.0, times.getValueAtPercentile(99) / 1_000.0));
+            t.append(String.format(
+                    "| %d | %.0f | %.2f | %.2f |%n",
+                    callers,
+                    done.get() * 1_000.0 / RUN_MS,
+                    times.getValueAtPercentile(50) / 1_000.0,
+                    times.getValueAtPercentile(99) / 1_000.0));
         }
         for (int i = 0; i < clusters.size(); i++) {
             Cluster c = clusters.get(i);
@@ -116,20 +127,23 @@
         }
         boolean out = (done.get() & 1) == 0;
         String target = "c" + caller;
-        c.agree(() -> out ? new Command.Out(target, 1, c.state().lastWord(target))
-                : new Command.Back(target, 1, c.state().lastWord(target))).onComplete(r -> {
-            long now = System.nanoTime();
-            if (r.succeeded() && from >= begin && now < end) {
-                times.recordValue((now - from) / 1_000);
-                done.incrementAndGet();
-            }
-            call(c, caller, begin, end, times, done);
-        });
+        c.agree(() -> out
+                        ? new Command.Out(target, 1, c.state().lastWord(target))
+                        : new Command.Back(target, 1, c.state().lastWord(target)))
+                .onComplete(r -> {
+                    long now = System.nanoTime();
+                    if (r.succeeded() && from >= begin && now < end) {
+                        times.recordValue((now - from) / 1_000);
+                        done.incrementAndGet();
+                    }
+                    call(c, caller, begin, end, times, done);
+                });
     }
 
     /** A line for each length of the log. */
     static String recovery() throws IOException {
-        StringBuilder t = new StringBuilder("| entries after the snapshot | MB | start, ms (median of five) |\n| --- | --- | --- |\n");
+        StringBuilder t = new StringBuilder(
+                "| entries after the snapshot | MB | start, ms (median of five) |\n| --- | --- | --- |\n");
         for (int entries : new int[] {1_000, 10_000, 100_000}) {
             Path folder = Files.createTempDirectory("experiment").resolve("d");
             Store.found(folder, "c", "m", Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
@@ -138,8 +152,11 @@
                 for (int i = 0; i < entries; i += 100) {
                     List<Entry> list = new ArrayList<>();
                     for (int j = 1; j <= 100; j++) {
-                        list.add(Entry.command(i + j, 1, DutyCodec.encode(new Command.Signed("d1", i + j,
-                                new Command.Out("s-" + j, 1_700_000_000_000L, 0)))));
+                        list.add(Entry.command(
+                                i + j,
+                                1,
+                                DutyCodec.encode(new Command.Signed(
+                                        "d1", i + j, new Command.Out("s-" + j, 1_700_000_000_000L, 0)))));
                     }
                     s.save(List.of(new Save(i, 1, "m", i, null, list)));
                 }
--- a/src/main/java/pewtercourse/experiment/RankSim.java
+++ b/src/main/java/pewtercourse/experiment/RankSim.java
@@ -11,7 +11,7 @@
 final class RankSim {
     private static final int BEAT_MS = 50, ALIVE_MS = 300;
 
-    private record Beat(long at, int from, int to) { }
+    private record Beat(long at, int from, int to) {}
 
     private final Random random;
     private final long[][] heard; // By listener and speaker: when last.
