--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -19,15 +19,15 @@
 import pewtercourse.decision.Router;
 import pewtercourse.emulator.CacheModel;
 import pewtercourse.emulator.UpstreamModel;
+import pewtercourse.site.FailoverController;
 import pewtercourse.site.FailoverState;
-import pewtercourse.site.OverflowRouter;
 import pewtercourse.site.Health;
-import pewtercourse.site.FailoverController;
+import pewtercourse.site.OverflowRouter;
 import pewtercourse.site.Plan;
 import pewtercourse.site.Planner;
+import pewtercourse.site.Site;
 import pewtercourse.site.SiteObservation;
 import pewtercourse.site.SiteObservations;
-import pewtercourse.site.Site;
 import pewtercourse.site.Sites;
 import pewtercourse.site.Status;
 
@@ -51,28 +51,53 @@
     }
 
     /** What goes wrong. */
-    enum Trouble { ONE, TWO, WHOLE, FLAPS, SEEN_BY_HALF, CACHES_VANISH, SLOW, TAKER_TOO, COPIES_VOID, SCAN, OVERSIZED, LIST_SHRINKS }
+    enum Trouble {
+        ONE,
+        TWO,
+        WHOLE,
+        FLAPS,
+        SEEN_BY_HALF,
+        CACHES_VANISH,
+        SLOW,
+        TAKER_TOO,
+        COPIES_VOID,
+        SCAN,
+        OVERSIZED,
+        LIST_SHRINKS
+    }
 
     /** Faults of the program itself, to see that checks find them. */
-    enum Planted { NONE, RETURNS_AT_ONCE, NO_BOUND }
+    enum Planted {
+        NONE,
+        RETURNS_AT_ONCE,
+        NO_BOUND
+    }
 
     static final long MS = 1_000, SECOND = 1_000_000;
     private static final long LOST_AT = 20 * SECOND, BACK_AT = 38 * SECOND, END = 90 * SECOND;
     private static final int SITES = 5, CACHES = 4, OBJECTS = 3_000;
     private static final double BEARS = 5; // Of one cache.
-    // What its operators say that a site bears is what it serves in time, fills among it; and what it lends of the rest.
+    // What its operators say that a site bears is what it serves in time, fills among it; and what it lends of the
+    // rest.
     private static final double IN_TIME = 0.85, LENDS = 0.5;
-    private static final CacheModel.Settings CACHE = new CacheModel.Settings(BEARS, 2.5, 700, 0.23, 16 * SECOND, 2, 1_500 * MS);
+    private static final CacheModel.Settings CACHE =
+            new CacheModel.Settings(BEARS, 2.5, 700, 0.23, 16 * SECOND, 2, 1_500 * MS);
     private static final UpstreamModel.Settings UPSTREAM = new UpstreamModel.Settings(8, 0.75, 45 * MS, 60 * MS, 4);
     private static final long AGREED_IN = 6 * MS, TICK = 20 * MS, TAKEN_OVER_IN = 1_300 * MS;
     private static final Router.RequestClass[] CLASSES = {
-        new Router.RequestClass(Router.Effect.PURE, Router.Group.ALL, 0, 600 * MS, 2, 5 * SECOND, false, 0, false, false),
-        new Router.RequestClass(Router.Effect.PURE, Router.Group.ALL, 0, 400 * MS, 2, 3 * SECOND, false, 8 * SECOND, false, false),
-        new Router.RequestClass(Router.Effect.SIDE_EFFECT, Router.Group.ALL, 0, 600 * MS, 0, 3 * SECOND, false, 0, false, true)};
-    private static final double[] WORTH = {2, 1, 3}, SHARE = {0.54, 0.97, 1.0}, MEAN_WORK = {300 * MS, 50 * MS, 30 * MS};
+        new Router.RequestClass(
+                Router.Effect.PURE, Router.Group.ALL, 0, 600 * MS, 2, 5 * SECOND, false, 0, false, false),
+        new Router.RequestClass(
+                Router.Effect.PURE, Router.Group.ALL, 0, 400 * MS, 2, 3 * SECOND, false, 8 * SECOND, false, false),
+        new Router.RequestClass(
+                Router.Effect.SIDE_EFFECT, Router.Group.ALL, 0, 600 * MS, 0, 3 * SECOND, false, 0, false, true)
+    };
+    private static final double[] WORTH = {2, 1, 3},
+            SHARE = {0.54, 0.97, 1.0},
+            MEAN_WORK = {300 * MS, 50 * MS, 30 * MS};
     private static final double PACE = 1; // KB for a millisecond of work.
 
-    private record Event(long at, long order, Runnable run) { }
+    private record Event(long at, long order, Runnable run) {}
 
     /** What became of one client's request. */
     static final class Asked {
@@ -202,8 +227,8 @@
 
         private Router.Listed listed() {
             List<Router.Member> list = new ArrayList<>();
-            listedReady.forEach(c -> list.add(new Router.Member(c.id, c.site, Router.Role.CACHE, 0, Router.State.READY, 1,
-                    c.model.startedAt())));
+            listedReady.forEach(c -> list.add(
+                    new Router.Member(c.id, c.site, Router.Role.CACHE, 0, Router.State.READY, 1, c.model.startedAt())));
             list.add(new Router.Member(900, SITES, Router.Role.PARENT, 0, Router.State.READY, 1, 0));
             list.add(new Router.Member(901, SITES, Router.Role.PARENT, 0, Router.State.READY, 1, 0));
             list.add(new Router.Member(999, SITES, Router.Role.ORIGIN, 0, Router.State.READY, 1, 0));
@@ -228,8 +253,10 @@
             });
             siteObservations.asked(now, q.work);
             boolean must = CLASSES[q.cls].effect() == Router.Effect.SIDE_EFFECT;
-            OverflowRouter.Choice c = overflowRouter.choose(now, new OverflowRouter.Ask(q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires,
-                    q.work, must, false));
+            OverflowRouter.Choice c = overflowRouter.choose(
+                    now,
+                    new OverflowRouter.Ask(
+                            q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires, q.work, must, false));
             if (c.site() == null) {
                 shed++;
                 end(q.id, false);
@@ -239,14 +266,24 @@
             if (to != site) {
                 crossed++;
             }
-            Desk desk = to == site ? home : abroad.computeIfAbsent(to, t -> {
-                Desk d = new Desk(this, new Logic(settings(site).guest(t, CLASSES), random.nextLong()));
-                d.tell(new Router.Parted(0));
-                d.tell(listed());
-                return d;
-            });
-            desk.tell(new Router.Request(q.id, q.cls, Long.toHexString(q.object), 0, 0, q.work / (double) MS * PACE,
-                    q.expires - 100 * MS, false, CLASSES[q.cls].goesThrough()));
+            Desk desk = to == site
+                    ? home
+                    : abroad.computeIfAbsent(to, t -> {
+                        Desk d = new Desk(this, new Logic(settings(site).guest(t, CLASSES), random.nextLong()));
+                        d.tell(new Router.Parted(0));
+                        d.tell(listed());
+                        return d;
+                    });
+            desk.tell(new Router.Request(
+                    q.id,
+                    q.cls,
+                    Long.toHexString(q.object),
+                    0,
+                    0,
+                    q.work / (double) MS * PACE,
+                    q.expires - 100 * MS,
+                    false,
+                    CLASSES[q.cls].goesThrough()));
         }
 
         void send(Desk desk, Router.Send s) {
@@ -260,15 +297,25 @@
             Cache c = byId.get(s.member());
             boolean unreached = cutFrom.contains(site * 100 + c.site);
             boolean fills = s.source() != s.member();
-            CacheModel.Answer a = unreached ? new CacheModel.Answer(CacheModel.Verdict.DOWN, 0, 0)
-                    : c.model.ask(now, q.object, q.work, fills, desk == home ? s.keep() : Math.min(1, s.keep()), s.maxAge());
+            CacheModel.Answer a = unreached
+                    ? new CacheModel.Answer(CacheModel.Verdict.DOWN, 0, 0)
+                    : c.model.ask(
+                            now, q.object, q.work, fills, desk == home ? s.keep() : Math.min(1, s.keep()), s.maxAge());
             boolean silent = unreached || c.model.up() == false && vanished.contains(c.site);
             int cacheLife = c.life;
             long slow = slowSite == c.site ? 3 : 1;
             long until = s.timeout() > 0 ? Math.min(q.expires - 40 * MS, now + s.timeout()) : q.expires - 40 * MS;
             switch (a.verdict()) {
-                case DOWN -> ended(desk, s, number, mark, began, now + (silent ? 400 * MS : MS),
-                        silent ? End.CONNECT_TIMEOUT : End.REFUSED, Router.Note.NONE);
+                case DOWN ->
+                    ended(
+                            desk,
+                            s,
+                            number,
+                            mark,
+                            began,
+                            now + (silent ? 400 * MS : MS),
+                            silent ? End.CONNECT_TIMEOUT : End.REFUSED,
+                            Router.Note.NONE);
                 case FULL -> ended(desk, s, number, mark, began, now + MS, End.FULL, Router.Note.NONE);
                 case MISS -> ended(desk, s, number, mark, began, now + MS, End.MISS, Router.Note.NONE);
                 default -> {
@@ -276,7 +323,8 @@
                         q.effects++;
                     }
                     boolean fill = a.verdict() == CacheModel.Verdict.FILL;
-                    UpstreamModel.Fill up = fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].goesThrough()) : null;
+                    UpstreamModel.Fill up =
+                            fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].goesThrough()) : null;
                     long filling = fill ? up.takes() + q.work / 3 : 0;
                     long at = now + slow * (a.takes() + filling) + (c.site == site ? 0 : 8 * MS);
                     at(Math.min(at, until), () -> {
@@ -292,7 +340,13 @@
                     } else {
                         at(at, () -> {
                             boolean died = c.life != cacheLife;
-                            close(desk, s, number, mark, began, died ? End.RESET : End.SERVED,
+                            close(
+                                    desk,
+                                    s,
+                                    number,
+                                    mark,
+                                    began,
+                                    died ? End.RESET : End.SERVED,
                                     died ? Router.Note.NONE : fill ? Router.Note.FILLED : Router.Note.HIT);
                         });
                     }
@@ -300,7 +354,8 @@
             }
         }
 
-        private void ended(Desk desk, Router.Send s, int number, long mark, long began, long at, End end, Router.Note note) {
+        private void ended(
+                Desk desk, Router.Send s, int number, long mark, long began, long at, End end, Router.Note note) {
             at(at, () -> close(desk, s, number, mark, began, end, note));
         }
 
@@ -342,7 +397,13 @@
                     long[] still = out.get(c.id());
                     if (still != null && still[1] == mark) {
                         out.remove(c.id());
-                        desk.tell(new Router.Outcome(c.id(), (int) still[0], still[2], Router.Ending.CANCELLED, 0, q == null,
+                        desk.tell(new Router.Outcome(
+                                c.id(),
+                                (int) still[0],
+                                still[2],
+                                Router.Ending.CANCELLED,
+                                0,
+                                q == null,
                                 Router.Note.NONE));
                     }
                 });
@@ -371,8 +432,8 @@
     private final RandomGenerator draws;
     private final LogNormalDistribution[] sizes = new LogNormalDistribution[2];
     private final ZipfDistribution popularity;
-    private final PriorityQueue<Event> queue = new PriorityQueue<>((a, b) -> a.at() != b.at()
-            ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Event> queue = new PriorityQueue<>(
+            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
     private final List<Cache> caches = new ArrayList<>();
     private final Map<Long, Cache> byId = new HashMap<>();
     private final List<Cache> listedReady = new ArrayList<>();
@@ -409,11 +470,21 @@
                 takers.add(new Site.Taker(siteName((i + d) % SITES), step));
             }
             takers.sort((a, b) -> Double.compare(a.distance(), b.distance()));
-            all.put(siteName(i), new Site(siteName(i), "hub", Set.of("d" + i), IN_TIME * BEARS * CACHES, LENDS, 0.5, 0, takers));
+            all.put(
+                    siteName(i),
+                    new Site(siteName(i), "hub", Set.of("d" + i), IN_TIME * BEARS * CACHES, LENDS, 0.5, 0, takers));
         }
         boolean steps = way == Way.PLANNED || way == Way.SEEING;
-        this.sites = new Sites(all, 0.5, new Sites.Timing(1_500 * MS, 2 * SECOND, 120 * SECOND, 1_500 * MS,
-                steps && planted != Planted.RETURNS_AT_ONCE ? List.of(0.15, 0.3, 0.5, 0.75, 1.0) : List.of(1.0), 3 * SECOND));
+        this.sites = new Sites(
+                all,
+                0.5,
+                new Sites.Timing(
+                        1_500 * MS,
+                        2 * SECOND,
+                        120 * SECOND,
+                        1_500 * MS,
+                        steps && planted != Planted.RETURNS_AT_ONCE ? List.of(0.15, 0.3, 0.5, 0.75, 1.0) : List.of(1.0),
+                        3 * SECOND));
         for (int s = 0; s < SITES; s++) {
             upstream[s] = new UpstreamModel(UPSTREAM); // The part of it that this site's link and hub have.
             for (int c = 0; c < CACHES; c++) {
@@ -441,9 +512,29 @@
     private static Router.Settings settings(int site) {
         int[] seats = new int[SITES + 1];
         java.util.Arrays.fill(seats, 0, SITES, 1);
-        return new Router.Settings(site, SITES, site, seats, CLASSES, PACE * 1_000, 0, true, false, false, false, true, 500 * MS, 6,
-                true, false, Router.Siblings.OWN_ZONE, Router.Notes.HITS, new Router.ColdRule(0.23, 16 * SECOND, 2),
-                new Router.ColdRule(0.065, 21 * SECOND, 2), 1_500 * MS, 6 * SECOND);
+        return new Router.Settings(
+                site,
+                SITES,
+                site,
+                seats,
+                CLASSES,
+                PACE * 1_000,
+                0,
+                true,
+                false,
+                false,
+                false,
+                true,
+                500 * MS,
+                6,
+                true,
+                false,
+                Router.Siblings.OWN_ZONE,
+                Router.Notes.HITS,
+                new Router.ColdRule(0.23, 16 * SECOND, 2),
+                new Router.ColdRule(0.065, 21 * SECOND, 2),
+                1_500 * MS,
+                6 * SECOND);
     }
 
     void at(long time, Runnable run) {
@@ -458,7 +549,8 @@
 
     private void ask(int site) {
         double busy = 1 + 0.15 * Math.sin(now / 1e6 / 90 * Math.PI); // The busiest minute is in the middle.
-        double meanWork = SHARE[0] * MEAN_WORK[0] + (SHARE[1] - SHARE[0]) * MEAN_WORK[1] + (1 - SHARE[1]) * MEAN_WORK[2];
+        double meanWork =
+                SHARE[0] * MEAN_WORK[0] + (SHARE[1] - SHARE[0]) * MEAN_WORK[1] + (1 - SHARE[1]) * MEAN_WORK[2];
         double perS = load[site] / 1.12 * busy / meanWork * 1e6;
         at(now + (long) (-Math.log(1 - random.nextDouble()) / perS * 1e6), () -> {
             double u = random.nextDouble();
@@ -530,7 +622,9 @@
         agree(() -> {
             if (failover.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
                 boolean lost = o.phase() == Status.Phase.LOST;
-                boolean dead = caches.stream().filter(c -> siteName(c.site).equals(o.site())).noneMatch(c -> c.model.up());
+                boolean dead = caches.stream()
+                        .filter(c -> siteName(c.site).equals(o.site()))
+                        .noneMatch(c -> c.model.up());
                 if (lost && declaredAt < 0) {
                     declaredAt = now;
                 }
@@ -580,8 +674,13 @@
         TreeMap<String, java.util.SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
         p.cases().forEach((k, c) -> {
             java.util.SortedMap<String, Plan.Shares> shares = new TreeMap<>();
-            c.forEach((s, x) -> shares.put(s, new Plan.Shares(x.parts().stream()
-                    .map(y -> new Plan.Part(y.site(), y.work(), 1e6)).toList(), x.refused())));
+            c.forEach((s, x) -> shares.put(
+                    s,
+                    new Plan.Shares(
+                            x.parts().stream()
+                                    .map(y -> new Plan.Part(y.site(), y.work(), 1e6))
+                                    .toList(),
+                            x.refused())));
             cases.put(k, shares);
         });
         return new Plan(cases);
@@ -652,7 +751,14 @@
                 d.open.clear();
             }
             if (way == Way.SEEING) {
-                failover.declare(++entry, siteName(site), Status.Phase.LOST, Health.CACHES, 0, 0, failover.status(siteName(site)).entry());
+                failover.declare(
+                        ++entry,
+                        siteName(site),
+                        Status.Phase.LOST,
+                        Health.CACHES,
+                        0,
+                        0,
+                        failover.status(siteName(site)).entry());
                 declaredAt = declaredAt < 0 ? now : declaredAt;
                 follow();
             }
@@ -719,13 +825,19 @@
 
     /** Requests of living directors that got no answer in their time. */
     long unanswered() {
-        return asked.stream().filter(q -> !q.answered && q.id > 0 && q.expires < END).count() - abandoned();
+        return asked.stream()
+                        .filter(q -> !q.answered && q.id > 0 && q.expires < END)
+                        .count()
+                - abandoned();
     }
 
     // Those that a dying director held.
     private long abandoned() {
-        return kind != Trouble.WHOLE ? 0 : asked.stream().filter(q -> !q.answered && q.id > 0 && q.expires < END && q.site == 0
-                && q.at < LOST_AT).count();
+        return kind != Trouble.WHOLE
+                ? 0
+                : asked.stream()
+                        .filter(q -> !q.answered && q.id > 0 && q.expires < END && q.site == 0 && q.at < LOST_AT)
+                        .count();
     }
 
     /** Worth answered in time over worth asked for, of requests in this time, of one site or (-1) all. */
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -29,7 +29,7 @@
     private static final long READY_MOST_MS = 30_000, SETTLE_MS = 2_000;
 
     /** {@code cpuMs}: processor time used until it was ready; divided by a share of a core, the least that a start takes there. */
-    private record Sample(double readyMs, double cpuMs, double residentMb, double peakMb) { }
+    private record Sample(double readyMs, double cpuMs, double residentMb, double peakMb) {}
 
     private final Path folder;
 
@@ -57,7 +57,8 @@
                 others.add(e.serve(newest, config, file, port(), port()));
             }
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            samples.computeIfAbsent(name + CLUSTER, k -> new ArrayList<>()).add(e.sample(newest, config, members.get(2)));
+            samples.computeIfAbsent(name + CLUSTER, k -> new ArrayList<>())
+                    .add(e.sample(newest, config, members.get(2)));
             for (Process p : others) {
                 p.destroyForcibly().waitFor();
             }
@@ -65,7 +66,10 @@
         StringBuilder t = new StringBuilder("| program | starts | ready, ms (median; least to greatest)"
                 + " | processor time until ready, ms | resident MB, settled | greatest MB |\n"
                 + "| --- | --- | --- | --- | --- | --- |\n");
-        samples.forEach((way, of) -> t.append(String.format("| %s | %d | %s | %s | %s | %s |%n", way, of.size(),
+        samples.forEach((way, of) -> t.append(String.format(
+                "| %s | %d | %s | %s | %s | %s |%n",
+                way,
+                of.size(),
                 spread(of.stream().mapToDouble(Sample::readyMs).toArray(), "%.0f"),
                 spread(of.stream().mapToDouble(Sample::cpuMs).toArray(), "%.0f"),
                 spread(of.stream().mapToDouble(Sample::residentMb).toArray(), "%.1f"),
@@ -75,7 +79,10 @@
 
     private static String spread(double[] of, String form) {
         Percentile p = new Percentile();
-        return String.format(form + "; " + form + " to " + form, p.evaluate(of, 50), java.util.Arrays.stream(of).min().orElse(0),
+        return String.format(
+                form + "; " + form + " to " + form,
+                p.evaluate(of, 50),
+                java.util.Arrays.stream(of).min().orElse(0),
                 java.util.Arrays.stream(of).max().orElse(0));
     }
 
@@ -89,10 +96,20 @@
         }
         List<Path> files = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            Path file = Files.writeString(folder.resolve("d" + i + ".json"), new JsonObject().put("cluster", "experiment")
-                    .put("name", "d" + i).put("listen", HOST + ":" + ports.get(i)).put("data", folder.resolve("d" + i).toString())
-                    .put("members", all).put("duties", new JsonObject().put("warden", new JsonObject().put("most", 1))
-                            .put("divider", new JsonObject())).encode());
+            Path file = Files.writeString(
+                    folder.resolve("d" + i + ".json"),
+                    new JsonObject()
+                            .put("cluster", "experiment")
+                            .put("name", "d" + i)
+                            .put("listen", HOST + ":" + ports.get(i))
+                            .put("data", folder.resolve("d" + i).toString())
+                            .put("members", all)
+                            .put(
+                                    "duties",
+                                    new JsonObject()
+                                            .put("warden", new JsonObject().put("most", 1))
+                                            .put("divider", new JsonObject()))
+                            .encode());
             ClusterConfig c = ClusterConfig.fromFile(file);
             Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
             files.add(file);
@@ -107,12 +124,17 @@
         try {
             while (!ready(admin)) {
                 if (!p.isAlive() || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MOST_MS)) {
-                    throw new IOException(jar + " is not ready" + (p.isAlive() ? "" : ", it ended with " + p.exitValue()));
+                    throw new IOException(
+                            jar + " is not ready" + (p.isAlive() ? "" : ", it ended with " + p.exitValue()));
                 }
                 TimeUnit.MILLISECONDS.sleep(2);
             }
             double readyMs = (System.nanoTime() - from) / 1e6;
-            double cpuMs = p.info().totalCpuDuration().map(Duration::toMillis).map(Long::doubleValue).orElse(Double.NaN);
+            double cpuMs = p.info()
+                    .totalCpuDuration()
+                    .map(Duration::toMillis)
+                    .map(Long::doubleValue)
+                    .orElse(Double.NaN);
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
             return new Sample(readyMs, cpuMs, statusMb(p, "VmRSS:"), statusMb(p, "VmHWM:"));
         } finally {
@@ -121,8 +143,16 @@
     }
 
     private Process serve(Path jar, Path config, Path cluster, int listen, int admin) throws IOException {
-        ProcessBuilder b = new ProcessBuilder("java", "-XX:+UseSerialGC", "-XX:-UsePerfData", "-XX:TieredStopAtLevel=1", "-Xmx76m",
-                "-jar", jar.toString(), "serve").redirectOutput(ProcessBuilder.Redirect.DISCARD)
+        ProcessBuilder b = new ProcessBuilder(
+                        "java",
+                        "-XX:+UseSerialGC",
+                        "-XX:-UsePerfData",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx76m",
+                        "-jar",
+                        jar.toString(),
+                        "serve")
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD);
         b.environment().put("GW_CONFIG", config.toString());
         b.environment().put("GW_LISTEN", HOST + ":" + listen);
@@ -144,8 +174,11 @@
     }
 
     private static double statusMb(Process p, String field) throws IOException {
-        return Files.readAllLines(Path.of("/proc", String.valueOf(p.pid()), "status")).stream().filter(l -> l.startsWith(field))
-                .mapToDouble(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1_024.0).findFirst().orElse(Double.NaN);
+        return Files.readAllLines(Path.of("/proc", String.valueOf(p.pid()), "status")).stream()
+                .filter(l -> l.startsWith(field))
+                .mapToDouble(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1_024.0)
+                .findFirst()
+                .orElse(Double.NaN);
     }
 
     private static int port() throws IOException {
--- a/src/main/java/pewtercourse/feed/FeedClient.java
+++ b/src/main/java/pewtercourse/feed/FeedClient.java
@@ -32,8 +32,13 @@
     private int asked;
     private Link current, before;
 
-    public FeedClient(FeedTransport transport, Timers timers, InetSocketAddress address, long seen,
-            Random random, Consumer<FeedEvent> handler) {
+    public FeedClient(
+            FeedTransport transport,
+            Timers timers,
+            InetSocketAddress address,
+            long seen,
+            Random random,
+            Consumer<FeedEvent> handler) {
         this.random = random;
         this.transport = transport;
         this.timers = timers;
--- a/src/main/java/pewtercourse/feed/FeedEvent.java
+++ b/src/main/java/pewtercourse/feed/FeedEvent.java
@@ -14,17 +14,25 @@
     long number();
 
     /** A line of the list. {@code id} is the number that stands for {@code name} at every director. */
-    record Host(long id, String name, InetSocketAddress address, String zone, String kind, int cell,
-            Router.State state, double weight, long startedMs) { }
+    record Host(
+            long id,
+            String name,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            Router.State state,
+            double weight,
+            long startedMs) {}
 
     /** The whole list, or changes of it. */
-    record Members(long number, boolean whole, List<Host> hosts) implements FeedEvent { }
+    record Members(long number, boolean whole, List<Host> hosts) implements FeedEvent {}
 
     /** {@code object} null: every object of the group. {@code atMs}: Unix time of the purge. */
-    record Purge(long number, String object, int group, long atMs) implements FeedEvent { }
+    record Purge(long number, String object, int group, long atMs) implements FeedEvent {}
 
     /** Not known here: passed over, but counted. */
-    record Other(long number) implements FeedEvent { }
+    record Other(long number) implements FeedEvent {}
 
     /** Throws a RuntimeException on an event that can't be used. */
     static FeedEvent decode(JsonObject json) {
@@ -54,9 +62,16 @@
             default -> throw new IllegalArgumentException("health '" + h.getString("health") + "' is no state");
         };
         String dial = h.getString("dial");
-        return new Host(number(name), name, dial == null ? null : DirectorConfig.address("dial", dial),
-                h.getString("site", ""), h.getString("class", ""), number(h, "block").intValue(), state,
-                number(h, "share").doubleValue(), number(h, "born_ms").longValue());
+        return new Host(
+                number(name),
+                name,
+                dial == null ? null : DirectorConfig.address("dial", dial),
+                h.getString("site", ""),
+                h.getString("class", ""),
+                number(h, "block").intValue(),
+                state,
+                number(h, "share").doubleValue(),
+                number(h, "born_ms").longValue());
     }
 
     private static Number number(JsonObject h, String key) {
--- a/src/main/java/pewtercourse/feed/HttpFeedTransport.java
+++ b/src/main/java/pewtercourse/feed/HttpFeedTransport.java
@@ -18,23 +18,35 @@
     private final HttpClientAgent client;
 
     public HttpFeedTransport(Vertx vertx) {
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS)
-                .setTcpNoDelay(true).setIdleTimeout(0));
+        client = vertx.createHttpClient(new HttpClientOptions()
+                .setConnectTimeout(CONNECT_MS)
+                .setTcpNoDelay(true)
+                .setIdleTimeout(0));
     }
 
     @Override
     public Runnable follow(InetSocketAddress feed, long last, Listener to) {
         Call call = new Call();
         String host = feed.getAddress().getHostAddress();
-        client.connect(new HttpConnectOptions().setServer(SocketAddress.inetSocketAddress(feed)).setHost(host)
-                .setPort(feed.getPort()).setSsl(false)).compose(c -> {
+        client.connect(new HttpConnectOptions()
+                        .setServer(SocketAddress.inetSocketAddress(feed))
+                        .setHost(host)
+                        .setPort(feed.getPort())
+                        .setSsl(false))
+                .compose(c -> {
                     call.up(c);
                     c.closeHandler(v -> to.ended("closed"));
-                    return c.request(new RequestOptions().setMethod(HttpMethod.GET).setHost(host)
-                            .setPort(feed.getPort()).setURI("/v1/events"));
-                }).compose(r -> r.putHeader("Accept", "text/event-stream")
-                        .putHeader("Last-Event-ID", String.valueOf(last)).send())
-                .onSuccess(in -> read(in, to)).onFailure(e -> to.ended(String.valueOf(e.getMessage())));
+                    return c.request(new RequestOptions()
+                            .setMethod(HttpMethod.GET)
+                            .setHost(host)
+                            .setPort(feed.getPort())
+                            .setURI("/v1/events"));
+                })
+                .compose(r -> r.putHeader("Accept", "text/event-stream")
+                        .putHeader("Last-Event-ID", String.valueOf(last))
+                        .send())
+                .onSuccess(in -> read(in, to))
+                .onFailure(e -> to.ended(String.valueOf(e.getMessage())));
         return call::close;
     }
 
--- a/src/main/java/pewtercourse/front/Answer.java
+++ b/src/main/java/pewtercourse/front/Answer.java
@@ -5,7 +5,12 @@
 /** The one final answer to a client. {@code holdOffMs} 0: no advice when to come again. */
 public record Answer(Kind kind, Buffer body, String tag, long holdOffMs) {
     /** {@code SAME}: served, by telling the client that its own copy holds. */
-    public enum Kind { SERVED, SAME, REFUSED, FAILED }
+    public enum Kind {
+        SERVED,
+        SAME,
+        REFUSED,
+        FAILED
+    }
 
     private static final Buffer NOTHING = Buffer.buffer();
 
--- a/src/main/java/pewtercourse/front/ClientRequest.java
+++ b/src/main/java/pewtercourse/front/ClientRequest.java
@@ -7,5 +7,14 @@
  * byte, {@code deadlineMs} how long the client waits from then on, {@code known} the tag of a copy that the
  * client holds, or null.
  */
-public record ClientRequest(String id, String className, String object, int part, int group, double sizeKb,
-        String known, Buffer body, long takenAt, double deadlineMs) { }
+public record ClientRequest(
+        String id,
+        String className,
+        String object,
+        int part,
+        int group,
+        double sizeKb,
+        String known,
+        Buffer body,
+        long takenAt,
+        double deadlineMs) {}
--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -9,7 +9,12 @@
  */
 public final class Drain {
     /** What happens to kept connections: nothing, closed after a rest, closed once empty, and new requests refused. */
-    public enum Step { OPEN, CLOSE_RESTING, CLOSE_EMPTY, REFUSE }
+    public enum Step {
+        OPEN,
+        CLOSE_RESTING,
+        CLOSE_EMPTY,
+        REFUSE
+    }
 
     /**
      * {@code STANDBY}: new connections come for 0.3 s, and 4 s after the call nothing may be held that came in its
@@ -17,7 +22,9 @@
      * {@code SHUTDOWN}: clients come as ever until the cut-off; what is read after it is refused and never sent on.
      */
     public enum Cause {
-        STANDBY(400, 1_200, 1_800), HANDOVER(0, 350, 650), SHUTDOWN(750, 750, 750);
+        STANDBY(400, 1_200, 1_800),
+        HANDOVER(0, 350, 650),
+        SHUTDOWN(750, 750, 750);
 
         private final long[] afterMs;
 
--- a/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
+++ b/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
@@ -15,14 +15,13 @@
     private static final int GROUP_MOST = 255, KNOWN_MOST = 64;
     private static final Pattern PLAIN = Pattern.compile("[0-9]+(\\.[0-9]+)?");
 
-    private CgiRequest() { }
+    private CgiRequest() {}
 
     static boolean isHealthCheck(Map<String, String> params) {
         return HEALTH.equals(params.get("SCRIPT_NAME"));
     }
 
-    static ClientRequest decode(Map<String, String> params, Buffer body, long now)
-            throws MalformedRecordException {
+    static ClientRequest decode(Map<String, String> params, Buffer body, long now) throws MalformedRecordException {
         String script = params.getOrDefault("SCRIPT_NAME", "");
         if (!script.startsWith(PREFIX) || script.length() == PREFIX.length()) {
             throw new MalformedRecordException("SCRIPT_NAME names no class");
@@ -31,10 +30,17 @@
         if (left < 0) {
             throw new MalformedRecordException("HTTP_X_DEADLINE_MS is missing");
         }
-        return new ClientRequest(hex(params, "HTTP_X_CORRELATION_ID"), script.substring(PREFIX.length()),
-                hex(params, "HTTP_X_SUBJECT"), whole(params, "HTTP_X_CHUNK", Integer.MAX_VALUE),
-                whole(params, "HTTP_X_TAG", GROUP_MOST), number(params, "HTTP_X_NEED_KB", SIZE_MOST, 0),
-                known(params.get("HTTP_X_KNOWN")), body, now, left);
+        return new ClientRequest(
+                hex(params, "HTTP_X_CORRELATION_ID"),
+                script.substring(PREFIX.length()),
+                hex(params, "HTTP_X_SUBJECT"),
+                whole(params, "HTTP_X_CHUNK", Integer.MAX_VALUE),
+                whole(params, "HTTP_X_TAG", GROUP_MOST),
+                number(params, "HTTP_X_NEED_KB", SIZE_MOST, 0),
+                known(params.get("HTTP_X_KNOWN")),
+                body,
+                now,
+                left);
     }
 
     // It goes on into a header: what isn't a plain word could end that header and begin another.
--- a/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
+++ b/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
@@ -16,7 +16,13 @@
      * {@code NEW}: no request has come whole yet. {@code WORKING}: one is open that has. {@code CLOSING}: its output is
      * shut, and it waits for the client to close.
      */
-    enum State { NEW, WORKING, IDLE, CLOSING, ENDED }
+    enum State {
+        NEW,
+        WORKING,
+        IDLE,
+        CLOSING,
+        ENDED
+    }
 
     // A client that has just connected is still about to speak.
     private static final long ABOUT_TO_SPEAK = 500_000;
@@ -74,7 +80,7 @@
             case NEW -> fresh.add(c);
             case IDLE -> idle.add(c);
             case CLOSING -> closing.add(c);
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -31,7 +31,8 @@
     // From its connection on, or its first record, a request must come whole within this; the usual clients send it
     // at once. A connection that has been of use may be idle for a second longer than they keep theirs.
     static final long SPEAK_MS = 2_500, IDLE_MS = 5_000;
-    // While the director drains: so long after its answer a client has read it, and nothing of its next request is here.
+    // While the director drains: so long after its answer a client has read it, and nothing of its next request is
+    // here.
     // SETTLE_MS: the loop reads what has come before a timer runs, so that nothing that is here is cut off.
     // NEW_REST_MS: the same for a connection on which nothing has come yet.
     static final long REST_MS = 30, SETTLE_MS = 1, NEW_REST_MS = 100;
@@ -85,8 +86,14 @@
     private int working;
     private boolean closed, closing, closeWhenWritten, paused, spoke, strayed;
 
-    FastCgiConnection(NetSocket socket, RequestHandler handler, LongSupplier clock, Timers timers,
-            ConnectionTable table, Backlog backlog, Runnable gone) {
+    FastCgiConnection(
+            NetSocket socket,
+            RequestHandler handler,
+            LongSupplier clock,
+            Timers timers,
+            ConnectionTable table,
+            Backlog backlog,
+            Runnable gone) {
         this.socket = socket;
         this.handler = handler;
         this.clock = clock;
@@ -129,7 +136,7 @@
             case NEW -> unused = timers.set(SPEAK_MS, this::close);
             case IDLE -> rest();
             case CLOSING -> unused = timers.set(LINGER_MS, this::close);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -238,7 +245,8 @@
         }
     }
 
-    // What belongs to no request: legal behind an abort, but no reason to stay. A request must begin in time, or this would
+    // What belongs to no request: legal behind an abort, but no reason to stay. A request must begin in time, or this
+    // would
     // go on for as long as an idle connection may.
     private void passedOver() {
         if (state == ConnectionTable.State.IDLE && !strayed && table.draining() == Drain.Step.OPEN) {
@@ -397,14 +405,17 @@
         try {
             Map<String, String> params = Record.pairs(in.params);
             if (CgiRequest.isHealthCheck(params)) {
-                answer(id, in, handler.ready() ? Answer.served(Buffer.buffer("ok\n"), null)
-                        : Answer.refused(HOLD_OFF_MS));
+                answer(
+                        id,
+                        in,
+                        handler.ready() ? Answer.served(Buffer.buffer("ok\n"), null) : Answer.refused(HOLD_OFF_MS));
                 return;
             }
             ClientRequest request = CgiRequest.decode(params, in.body, in.wholeAt);
             Runnable gone = handler.handle(request, a -> answer(id, in, a));
             in.gone = gone;
-            // Answered on the spot: it could not be used, unless the director drains. What a client that is not read from
+            // Answered on the spot: it could not be used, unless the director drains. What a client that is not read
+            // from
             // has sent would then be lost with the connection.
             if (open.get(id) != in && table.draining() != Drain.Step.REFUSE) {
                 punish();
@@ -450,7 +461,7 @@
                 case "FCGI_MAX_CONNS" -> known.put(name, "300");
                 case "FCGI_MAX_REQS" -> known.put(name, String.valueOf(300 * OPEN_MOST));
                 case "FCGI_MPXS_CONNS" -> known.put(name, "1");
-                default -> { }
+                default -> {}
             }
         }
         return Record.pairs(known);
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
@@ -30,8 +30,8 @@
         this.clock = clock;
         this.table = new ConnectionTable(limits.connections(), limits.requestBytes());
         this.backlog = new FastCgiConnection.Backlog(limits.answerBytes());
-        server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setAcceptBacklog(512)
-                .setReuseAddress(true));
+        server = vertx.createNetServer(
+                new NetServerOptions().setTcpNoDelay(true).setAcceptBacklog(512).setReuseAddress(true));
         server.connectHandler(this::accept);
         server.exceptionHandler(e -> Log.counted("front.accept_error", "error", e));
     }
--- a/src/main/java/pewtercourse/front/fastcgi/Record.java
+++ b/src/main/java/pewtercourse/front/fastcgi/Record.java
@@ -7,8 +7,15 @@
 
 /** One FastCGI 1.0 record, its padding already gone, and how such records are written. */
 record Record(int version, int type, int id, Buffer content) {
-    static final int BEGIN = 1, ABORT = 2, END = 3, PARAMS = 4, STDIN = 5, STDOUT = 6, GET_VALUES = 9,
-            GET_VALUES_RESULT = 10, UNKNOWN_TYPE = 11;
+    static final int BEGIN = 1,
+            ABORT = 2,
+            END = 3,
+            PARAMS = 4,
+            STDIN = 5,
+            STDOUT = 6,
+            GET_VALUES = 9,
+            GET_VALUES_RESULT = 10,
+            UNKNOWN_TYPE = 11;
     static final int HEADER = 8, CONTENT_MOST = 65_535;
     static final int RESPONDER = 1, KEEP_CONN = 1;
     static final int REQUEST_COMPLETE = 0, OVERLOADED = 2, UNKNOWN_ROLE = 3;
@@ -17,14 +24,22 @@
 
     static Buffer encode(int type, int id, Buffer content) {
         int padding = -content.length() & 7;
-        return Buffer.buffer(HEADER + content.length() + padding).appendByte((byte) 1).appendByte((byte) type)
-                .appendUnsignedShort(id).appendUnsignedShort(content.length()).appendByte((byte) padding)
-                .appendByte((byte) 0).appendBuffer(content).appendBytes(new byte[padding]);
+        return Buffer.buffer(HEADER + content.length() + padding)
+                .appendByte((byte) 1)
+                .appendByte((byte) type)
+                .appendUnsignedShort(id)
+                .appendUnsignedShort(content.length())
+                .appendByte((byte) padding)
+                .appendByte((byte) 0)
+                .appendBuffer(content)
+                .appendBytes(new byte[padding]);
     }
 
     static Buffer end(int id, int protocolStatus) {
-        return encode(END, id, Buffer.buffer(8).appendInt(0).appendByte((byte) protocolStatus)
-                .appendBytes(new byte[3]));
+        return encode(
+                END,
+                id,
+                Buffer.buffer(8).appendInt(0).appendByte((byte) protocolStatus).appendBytes(new byte[3]));
     }
 
     static Buffer unknownType(int type) {
@@ -41,7 +56,8 @@
             if ((long) at[0] + name + value > in.length()) {
                 throw new MalformedRecordException("a name-value pair ends past its stream");
             }
-            pairs.put(in.getString(at[0], at[0] + name, StandardCharsets.UTF_8.name()),
+            pairs.put(
+                    in.getString(at[0], at[0] + name, StandardCharsets.UTF_8.name()),
                     in.getString(at[0] + name, at[0] + name + value, StandardCharsets.UTF_8.name()));
             at[0] += name + value;
         }
--- a/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
+++ b/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
@@ -12,7 +12,8 @@
             rest = bytes;
         } else {
             rest = Buffer.buffer(rest.length() - at + bytes.length())
-                    .appendBuffer(rest, at, rest.length() - at).appendBuffer(bytes);
+                    .appendBuffer(rest, at, rest.length() - at)
+                    .appendBuffer(bytes);
         }
         at = 0;
     }
@@ -36,7 +37,10 @@
         if (rest.length() < end) {
             return null;
         }
-        Record r = new Record(version, rest.getUnsignedByte(at + 1), rest.getUnsignedShort(at + 2),
+        Record r = new Record(
+                version,
+                rest.getUnsignedByte(at + 1),
+                rest.getUnsignedShort(at + 2),
                 rest.getBuffer(at + Record.HEADER, at + Record.HEADER + length));
         at = end;
         return r;
--- a/src/main/java/pewtercourse/handover/OperatorState.java
+++ b/src/main/java/pewtercourse/handover/OperatorState.java
@@ -12,8 +12,12 @@
     private static final int VERSION = 1, NAMES_MOST = 2_048, NAME_MOST = 256;
 
     String encode() {
-        return new JsonObject().put("version", VERSION).put("pid", pid).put("standby", standby)
-                .put("out", new JsonObject(new TreeMap<>(out))).put("back", new JsonObject(new TreeMap<>(back)))
+        return new JsonObject()
+                .put("version", VERSION)
+                .put("pid", pid)
+                .put("standby", standby)
+                .put("out", new JsonObject(new TreeMap<>(out)))
+                .put("back", new JsonObject(new TreeMap<>(back)))
                 .encode();
     }
 
@@ -36,7 +40,9 @@
             throw new IllegalArgumentException(key + " is missing or too long");
         }
         for (String name : o.fieldNames()) {
-            if (name.isEmpty() || name.length() > NAME_MOST || !(o.getValue(name) instanceof Number at)
+            if (name.isEmpty()
+                    || name.length() > NAME_MOST
+                    || !(o.getValue(name) instanceof Number at)
                     || at.longValue() < 0) {
                 throw new IllegalArgumentException(key + "." + name + " is no time");
             }
--- a/src/main/java/pewtercourse/peer/PeerSocket.java
+++ b/src/main/java/pewtercourse/peer/PeerSocket.java
@@ -28,7 +28,8 @@
         this.peers = peers;
         this.handler = handler;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.putIfAbsent(key(peers.get(i).getAddress().getHostAddress(), peers.get(i).getPort()), i);
+            numbers.putIfAbsent(
+                    key(peers.get(i).getAddress().getHostAddress(), peers.get(i).getPort()), i);
         }
     }
 
--- a/src/main/java/pewtercourse/raft/Entry.java
+++ b/src/main/java/pewtercourse/raft/Entry.java
@@ -6,7 +6,11 @@
  */
 public record Entry(long index, long term, Kind kind, byte[] command, Membership members) {
     /** What an entry holds: nothing, as at the start of a term, a command, or a set of members. */
-    public enum Kind { EMPTY, COMMAND, MEMBERS }
+    public enum Kind {
+        EMPTY,
+        COMMAND,
+        MEMBERS
+    }
 
     private static final byte[] NOTHING = {};
 
--- a/src/main/java/pewtercourse/raft/Membership.java
+++ b/src/main/java/pewtercourse/raft/Membership.java
@@ -12,10 +12,11 @@
 public record Membership(Map<String, Member> all) {
     /** The incarnation of every member at the founding; later ones are drawn at random. */
     public static final long FOUNDING = 1;
+
     public static final Membership NONE = new Membership(Map.of());
 
     /** {@code address}: where the others reach it, unless their own file says otherwise; may be empty. */
-    public record Member(String address, long incarnation, boolean voter) { }
+    public record Member(String address, long incarnation, boolean voter) {}
 
     public Membership {
         all = java.util.Collections.unmodifiableMap(new TreeMap<>(all));
@@ -54,7 +55,9 @@
 
     /** Whether these names hold a majority of the votes. */
     public boolean majority(Collection<String> names) {
-        long yes = all.entrySet().stream().filter(e -> e.getValue().voter() && names.contains(e.getKey())).count();
+        long yes = all.entrySet().stream()
+                .filter(e -> e.getValue().voter() && names.contains(e.getKey()))
+                .count();
         return 2 * yes > voters();
     }
 }
--- a/src/main/java/pewtercourse/raft/Raft.java
+++ b/src/main/java/pewtercourse/raft/Raft.java
@@ -21,22 +21,33 @@
  */
 public final class Raft {
     /** The state of a server, by the Raft paper, with the pre-vote of the dissertation. */
-    public enum Role { FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER }
+    public enum Role {
+        FOLLOWER,
+        PRE_CANDIDATE,
+        CANDIDATE,
+        LEADER
+    }
 
     /** Why a leader takes in nothing: another leads, it hands on, it has too much under way, or a change is under way. */
-    public enum Refusal { NOT_LEADER, HANDING_ON, BUSY, CHANGING, UNFIT }
+    public enum Refusal {
+        NOT_LEADER,
+        HANDING_ON,
+        BUSY,
+        CHANGING,
+        UNFIT
+    }
 
     /** Where a proposal will stand if it is agreed; or why it was not taken in. */
-    public record Proposed(long index, long term, Refusal refusal) { }
+    public record Proposed(long index, long term, Refusal refusal) {}
 
     private static final int HELD_MOST = 1_024, VOTERS_LEAST = 2;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private record Held(long after, Ready.Addressed message) { }
+    private record Held(long after, Ready.Addressed message) {}
 
-    private record SaveEnd(long seq, long index, long term) { }
+    private record SaveEnd(long seq, long index, long term) {}
 
-    private record PendingRead(long id, long index, long seq) { }
+    private record PendingRead(long id, long index, long seq) {}
 
     /** What a leader knows of another member. */
     private static final class Progress {
@@ -310,7 +321,8 @@
                 .filter(e -> members.votes(e.getKey(), e.getValue().incarnation)
                         && now - e.getValue().heardAt <= set.electionFrom())
                 .max(Map.Entry.comparingByValue((a, b) -> Long.compare(a.match, b.match)))
-                .map(Map.Entry::getKey).orElse(null);
+                .map(Map.Entry::getKey)
+                .orElse(null);
     }
 
     /** The leader asks a majority whether it still leads; {@link Ready#reads} tells. Null, or why not. */
@@ -330,7 +342,8 @@
 
     /** A snapshot after the entry {@code index}, which was applied; null if there is nothing new to take. */
     public Snapshot snapshotAt(long index, byte[] state) {
-        return index <= log.snapshot().index() || index > applied ? null
+        return index <= log.snapshot().index() || index > applied
+                ? null
                 : new Snapshot(index, log.term(index), log.members(index), state);
     }
 
@@ -347,7 +360,8 @@
         Save save = null;
         if (stateDirty || commitDue || dirtySnapshot != null || dirtyFrom <= log.lastIndex()) {
             long from = Math.max(dirtyFrom, log.baseIndex() + 1);
-            List<Entry> entries = dirtyFrom > log.lastIndex() ? List.of()
+            List<Entry> entries = dirtyFrom > log.lastIndex()
+                    ? List.of()
                     : log.slice(from, log.lastIndex(), Integer.MAX_VALUE, Integer.MAX_VALUE);
             save = new Save(++saveSeq, term, votedFor, commit, dirtySnapshot, entries);
             saves.add(new SaveEnd(saveSeq, log.lastIndex(), log.lastTerm()));
@@ -404,8 +418,8 @@
     private void voteRequest(long now, String from, long of, Message.VoteRequest v) {
         // A member that no longer hears its leader must not unseat one that the others hear (dissertation, 4.2.3).
         boolean led = role == Role.LEADER && heardMajority(now) || now - heardLeader < set.electionFrom();
-        boolean upToDate = v.lastTerm() > log.lastTerm()
-                || v.lastTerm() == log.lastTerm() && v.lastIndex() >= log.lastIndex();
+        boolean upToDate =
+                v.lastTerm() > log.lastTerm() || v.lastTerm() == log.lastTerm() && v.lastIndex() >= log.lastIndex();
         if (v.pre()) {
             boolean yes = !led && v.term() > term && upToDate;
             boolean strange = !agreedMembers().has(from, of) && commit > v.lastIndex();
@@ -432,7 +446,8 @@
 
     private void voteReply(long now, String from, long of, Message.VoteReply v) {
         stranger |= v.stranger();
-        boolean mine = v.pre() ? role == Role.PRE_CANDIDATE && v.term() == term + 1
+        boolean mine = v.pre()
+                ? role == Role.PRE_CANDIDATE && v.term() == term + 1
                 : role == Role.CANDIDATE && v.term() == term;
         if (!mine || !v.granted() || !members.votes(from, of)) {
             return;
@@ -488,8 +503,7 @@
     }
 
     private void waitAnew(long now) {
-        electionDue = now + set.electionFrom()
-                + (long) (random.nextDouble() * (set.electionTo() - set.electionFrom()));
+        electionDue = now + set.electionFrom() + (long) (random.nextDouble() * (set.electionTo() - set.electionFrom()));
     }
 
     private boolean heardMajority(long now) {
@@ -528,8 +542,11 @@
         long known = a.prevIndex() < log.baseIndex() ? -1 : log.term(a.prevIndex());
         if (a.prevIndex() >= log.baseIndex() && known != a.prevTerm()) {
             // The next try goes back by a whole term at once.
-            say(from, new Message.AppendReply(term, false,
-                    Math.max(commit, log.lastNotAfter(a.prevIndex() - 1, a.prevTerm())), a.seq()), true);
+            say(
+                    from,
+                    new Message.AppendReply(
+                            term, false, Math.max(commit, log.lastNotAfter(a.prevIndex() - 1, a.prevTerm())), a.seq()),
+                    true);
             return;
         }
         for (Entry e : a.entries()) {
@@ -594,13 +611,15 @@
         if (role != Role.LEADER || !heardMajority(now)) {
             return Refusal.NOT_LEADER;
         }
-        return transferTo != null ? Refusal.HANDING_ON
+        return transferTo != null
+                ? Refusal.HANDING_ON
                 : log.lastIndex() - commit >= set.uncommittedMost() ? Refusal.BUSY : null;
     }
 
     private Proposed change(long now, Membership to) {
         Refusal no = refusal(now);
-        // Not before an entry of this term is agreed: two leaders' changes could else both hold (Ongaro, raft-dev, 2015).
+        // Not before an entry of this term is agreed: two leaders' changes could else both hold (Ongaro, raft-dev,
+        // 2015).
         if (no == null && (membersAt > commit || commit < termStart)) {
             no = Refusal.CHANGING;
         }
@@ -634,7 +653,8 @@
             members.all().forEach((name, m) -> {
                 Progress p = progress.get(name);
                 if (!name.equals(self) && (p == null || p.incarnation != m.incarnation())) {
-                    progress.put(name, new Progress(m.incarnation(), log.lastIndex() + 1, p == null ? NEVER : p.heardAt));
+                    progress.put(
+                            name, new Progress(m.incarnation(), log.lastIndex() + 1, p == null ? NEVER : p.heardAt));
                 }
             });
         }
@@ -663,7 +683,8 @@
         }
         boolean room = p.out < (p.probing ? 1 : set.inFlight());
         List<Entry> entries = room && p.next <= log.lastIndex()
-                ? log.slice(p.next, log.lastIndex(), set.batchEntries(), set.batchBytes()) : List.of();
+                ? log.slice(p.next, log.lastIndex(), set.batchEntries(), set.batchBytes())
+                : List.of();
         if (entries.isEmpty() && !must) {
             return;
         }
@@ -689,8 +710,18 @@
         }
         int from = (int) p.partAt, to = Math.min(s.state().length, from + set.partBytes());
         p.sentAt = now;
-        say(name, new Message.Install(term, s.index(), s.term(), s.members(), from,
-                java.util.Arrays.copyOfRange(s.state(), from, to), s.state().length, ++seq), false);
+        say(
+                name,
+                new Message.Install(
+                        term,
+                        s.index(),
+                        s.term(),
+                        s.members(),
+                        from,
+                        java.util.Arrays.copyOfRange(s.state(), from, to),
+                        s.state().length,
+                        ++seq),
+                false);
     }
 
     private Progress answered(long now, String from, long of, long itsTerm, long itsSeq) {
@@ -826,7 +857,10 @@
     private void promote(long now) {
         for (Map.Entry<String, Membership.Member> e : members.all().entrySet()) {
             Progress p = progress.get(e.getKey());
-            if (p != null && !e.getValue().voter() && p.match >= commit && p.match > 0
+            if (p != null
+                    && !e.getValue().voter()
+                    && p.match >= commit
+                    && p.match > 0
                     && now - p.heardAt <= set.electionTo()) {
                 Membership.Member m = e.getValue();
                 change(now, members.with(e.getKey(), new Membership.Member(m.address(), m.incarnation(), true)));
--- a/src/main/java/pewtercourse/raft/RaftLog.java
+++ b/src/main/java/pewtercourse/raft/RaftLog.java
@@ -32,9 +32,11 @@
 
     /** -1 where there is none or it is only in the snapshot. */
     long term(long index) {
-        return index == baseIndex ? baseTerm
-                : index > baseIndex && index <= lastIndex() ? get(index).term()
-                : index == snapshot.index() ? snapshot.term() : -1;
+        return index == baseIndex
+                ? baseTerm
+                : index > baseIndex && index <= lastIndex()
+                        ? get(index).term()
+                        : index == snapshot.index() ? snapshot.term() : -1;
     }
 
     Entry get(long index) {
--- a/src/main/java/pewtercourse/raft/RaftSettings.java
+++ b/src/main/java/pewtercourse/raft/RaftSettings.java
@@ -7,9 +7,19 @@
  * a snapshot; {@code snapshotMost}: the largest one that is taken; {@code trailing}: entries kept behind a snapshot
  * for members that are a little late.
  */
-public record RaftSettings(long heartbeat, long electionFrom, long electionTo, int batchBytes, int batchEntries,
-        int inFlight, int uncommittedMost, int partBytes, long snapshotMost, int trailing) {
+public record RaftSettings(
+        long heartbeat,
+        long electionFrom,
+        long electionTo,
+        int batchBytes,
+        int batchEntries,
+        int inFlight,
+        int uncommittedMost,
+        int partBytes,
+        long snapshotMost,
+        int trailing) {
     public static RaftSettings of(long heartbeat, long electionFrom, long electionTo) {
-        return new RaftSettings(heartbeat, electionFrom, electionTo, 128 << 10, 256, 4, 4_096, 64 << 10, 64L << 20, 512);
+        return new RaftSettings(
+                heartbeat, electionFrom, electionTo, 128 << 10, 256, 4, 4_096, 64 << 10, 64L << 20, 512);
     }
 }
--- a/src/main/java/pewtercourse/raft/Ready.java
+++ b/src/main/java/pewtercourse/raft/Ready.java
@@ -9,8 +9,8 @@
  */
 public record Ready(Save save, List<Addressed> send, Snapshot install, List<Entry> committed, List<Read> reads) {
     /** A message and the member that it is for. */
-    public record Addressed(String to, Message message) { }
+    public record Addressed(String to, Message message) {}
 
     /** A read that a majority has confirmed: it may be answered from the state once {@code index} is applied. */
-    public record Read(long id, long index, boolean confirmed) { }
+    public record Read(long id, long index, boolean confirmed) {}
 }
--- a/src/main/java/pewtercourse/raft/net/MemberLink.java
+++ b/src/main/java/pewtercourse/raft/net/MemberLink.java
@@ -86,7 +86,7 @@
 
     private void up(NetSocket s) {
         socket = s;
-        s.exceptionHandler(e -> { });
+        s.exceptionHandler(e -> {});
         // A byte for each read on the other side, from the hello on: without it the connection only looks alive.
         s.handler(b -> {
             waitMs = WAIT_FIRST_MS;
--- a/src/main/java/pewtercourse/raft/net/MemberNet.java
+++ b/src/main/java/pewtercourse/raft/net/MemberNet.java
@@ -46,8 +46,14 @@
     private final Set<NetSocket> unnamed = new HashSet<>(); // Without their hello.
 
     /** {@code addresses}: where a member is reached, or null for one that is unknown. */
-    public MemberNet(Vertx vertx, String cluster, String self, long incarnation, Random random,
-            Function<String, SocketAddress> addresses, Receiver receiver) {
+    public MemberNet(
+            Vertx vertx,
+            String cluster,
+            String self,
+            long incarnation,
+            Random random,
+            Function<String, SocketAddress> addresses,
+            Receiver receiver) {
         this.cluster = cluster;
         this.self = self;
         this.incarnation = incarnation;
@@ -55,8 +61,10 @@
         this.addresses = addresses;
         this.receiver = receiver;
         this.timers = Timers.of(vertx);
-        this.server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true));
-        this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MS).setTcpNoDelay(true));
+        this.server =
+                vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true));
+        this.client = vertx.createNetClient(
+                new NetClientOptions().setConnectTimeout(CONNECT_MS).setTcpNoDelay(true));
         server.connectHandler(this::accept);
         server.exceptionHandler(e -> Log.counted("cluster.accept_error", "error", e));
     }
@@ -75,8 +83,14 @@
     }
 
     private MemberLink link(String to) {
-        Wire.Frame hello = Wire.Frame.newBuilder().setHello(Wire.Hello.newBuilder().setVersion(VERSION)
-                .setCluster(cluster).setFrom(self).setTo(to).setIncarnation(incarnation)).build();
+        Wire.Frame hello = Wire.Frame.newBuilder()
+                .setHello(Wire.Hello.newBuilder()
+                        .setVersion(VERSION)
+                        .setCluster(cluster)
+                        .setFrom(self)
+                        .setTo(to)
+                        .setIncarnation(incarnation))
+                .build();
         return new MemberLink(client, timers, random, () -> addresses.apply(to), hello);
     }
 
@@ -90,7 +104,7 @@
         FrameReader reader = new FrameReader();
         Inbound in = new Inbound();
         long timer = timers.set(HELLO_MS, () -> end(s, "no hello in time"));
-        s.exceptionHandler(e -> { });
+        s.exceptionHandler(e -> {});
         s.closeHandler(v -> {
             timers.cancel(timer);
             unnamed.remove(s);
@@ -125,9 +139,15 @@
 
     private boolean hello(NetSocket s, Inbound in, Wire.Frame f) {
         Wire.Hello h = f.getHello();
-        String why = !f.hasHello() ? "no hello" : h.getVersion() != VERSION ? "version " + h.getVersion()
-                : !h.getCluster().equals(cluster) ? "another cluster" : !h.getTo().equals(self) ? "meant for another member"
-                : addresses.apply(h.getFrom()) == null ? "unknown name" : null;
+        String why = !f.hasHello()
+                ? "no hello"
+                : h.getVersion() != VERSION
+                        ? "version " + h.getVersion()
+                        : !h.getCluster().equals(cluster)
+                                ? "another cluster"
+                                : !h.getTo().equals(self)
+                                        ? "meant for another member"
+                                        : addresses.apply(h.getFrom()) == null ? "unknown name" : null;
         if (why != null) {
             end(s, why);
             return false;
--- a/src/main/java/pewtercourse/raft/store/Frames.java
+++ b/src/main/java/pewtercourse/raft/store/Frames.java
@@ -8,11 +8,14 @@
     static final int HEAD = 8;
     private static final int MOST = 80 << 20;
 
-    private Frames() { }
+    private Frames() {}
 
     static ByteBuffer encode(byte[] content) {
         ByteBuffer b = ByteBuffer.allocate(HEAD + content.length);
-        b.putInt(content.length).putInt(checksum(content.length, content, 0)).put(content).flip();
+        b.putInt(content.length)
+                .putInt(checksum(content.length, content, 0))
+                .put(content)
+                .flip();
         return b;
     }
 
--- a/src/main/java/pewtercourse/raft/store/Store.java
+++ b/src/main/java/pewtercourse/raft/store/Store.java
@@ -73,7 +73,8 @@
 
     /** Whether something of a cluster is in there already. */
     public static boolean used(Path folder) throws IOException {
-        return Files.isDirectory(folder) && !(numbers(folder, LOG).isEmpty() && numbers(folder, SNAPSHOT).isEmpty());
+        return Files.isDirectory(folder)
+                && !(numbers(folder, LOG).isEmpty() && numbers(folder, SNAPSHOT).isEmpty());
     }
 
     /** Lays the folder of a founding member: all of them are laid with the same membership before any of them starts. */
@@ -115,8 +116,9 @@
         }
         after(snapshot, entries);
         if (!entries.isEmpty() && entries.get(0).index() != snapshot.index() + 1) {
-            throw new StoreException("'" + folder + "' has entry " + entries.get(0).index() + " after snapshot "
-                    + snapshot.index() + ": empty the folder and let the member learn anew");
+            throw new StoreException(
+                    "'" + folder + "' has entry " + entries.get(0).index() + " after snapshot " + snapshot.index()
+                            + ": empty the folder and let the member learn anew");
         }
         if (incarnation == 0) {
             SecureRandom random = new SecureRandom();
@@ -124,7 +126,9 @@
                 incarnation = random.nextLong();
             }
         }
-        last = entries.isEmpty() ? snapshot.index() : entries.get(entries.size() - 1).index();
+        last = entries.isEmpty()
+                ? snapshot.index()
+                : entries.get(entries.size() - 1).index();
         begin(numbers.isEmpty() ? 1 : numbers.get(numbers.size() - 1) + 1);
         return new Saved(incarnation, term, votedFor.isEmpty() ? null : votedFor, commit, snapshot, entries);
     }
@@ -142,8 +146,8 @@
                 s.read(n, n == numbers.get(numbers.size() - 1), snapshot, entries);
             }
             s.after(snapshot, entries);
-            return new Saved(s.incarnation, s.term, s.votedFor.isEmpty() ? null : s.votedFor, s.commit, snapshot,
-                    entries);
+            return new Saved(
+                    s.incarnation, s.term, s.votedFor.isEmpty() ? null : s.votedFor, s.commit, snapshot, entries);
         }
     }
 
@@ -222,12 +226,26 @@
         }
         number = n;
         written = 0;
-        out = FileChannel.open(folder.resolve(LOG + n), StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
+        out = FileChannel.open(
+                folder.resolve(LOG + n),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
                 StandardOpenOption.WRITE);
-        put(Wire.SegmentHead.newBuilder().setVersion(VERSION).setCluster(cluster).setMember(member)
-                .setIncarnation(incarnation).setNumber(n).build().toByteArray());
-        put(Wire.Batch.newBuilder().setTerm(term).setVotedFor(votedFor).setCommit(commit)
-                .setResetTo(strays ? last : 0).build().toByteArray());
+        put(Wire.SegmentHead.newBuilder()
+                .setVersion(VERSION)
+                .setCluster(cluster)
+                .setMember(member)
+                .setIncarnation(incarnation)
+                .setNumber(n)
+                .build()
+                .toByteArray());
+        put(Wire.Batch.newBuilder()
+                .setTerm(term)
+                .setVotedFor(votedFor)
+                .setCommit(commit)
+                .setResetTo(strays ? last : 0)
+                .build()
+                .toByteArray());
         strays = false;
         out.force(true);
         syncFolder();
@@ -254,11 +272,17 @@
 
     private void writeSnapshot(Snapshot s) throws IOException {
         Path partial = folder.resolve(SNAPSHOT + s.index() + PARTIAL);
-        ByteBuffer b = Frames.encode(Wire.SnapshotFile.newBuilder().setVersion(VERSION).setCluster(cluster)
-                .setIndex(s.index()).setTerm(s.term()).setMembers(Codec.encode(s.members()))
-                .setState(UnsafeByteOperations.unsafeWrap(s.state())).build().toByteArray());
-        try (FileChannel f = FileChannel.open(partial, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE)) {
+        ByteBuffer b = Frames.encode(Wire.SnapshotFile.newBuilder()
+                .setVersion(VERSION)
+                .setCluster(cluster)
+                .setIndex(s.index())
+                .setTerm(s.term())
+                .setMembers(Codec.encode(s.members()))
+                .setState(UnsafeByteOperations.unsafeWrap(s.state()))
+                .build()
+                .toByteArray());
+        try (FileChannel f = FileChannel.open(
+                partial, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             while (b.hasRemaining()) {
                 f.write(b);
             }
@@ -289,7 +313,11 @@
         }
         Wire.SnapshotFile f = Wire.SnapshotFile.parseFrom(content);
         check(file, f.getVersion(), f.getCluster(), null);
-        return new Snapshot(f.getIndex(), f.getTerm(), Codec.decode(f.getMembers()), f.getState().toByteArray());
+        return new Snapshot(
+                f.getIndex(),
+                f.getTerm(),
+                Codec.decode(f.getMembers()),
+                f.getState().toByteArray());
     }
 
     /** -1 if all of it is whole, else how many bytes at its beginning are. */
@@ -381,15 +409,18 @@
             throw new StoreException("'" + file + "' has version " + version + ", this program reads " + VERSION
                     + ": start it with the program that wrote it");
         }
-        if (cluster != null && !cluster.equals(ofCluster) || member != null && ofMember != null && !member.equals(ofMember)) {
-            throw new StoreException("'" + file + "' belongs to " + (ofMember == null ? "" : "member '" + ofMember + "' of ")
-                    + "cluster '" + ofCluster + "': name the folder of this member");
+        if (cluster != null && !cluster.equals(ofCluster)
+                || member != null && ofMember != null && !member.equals(ofMember)) {
+            throw new StoreException(
+                    "'" + file + "' belongs to " + (ofMember == null ? "" : "member '" + ofMember + "' of ")
+                            + "cluster '" + ofCluster + "': name the folder of this member");
         }
     }
 
     private static StoreException damaged(Path file, int at) {
-        return new StoreException("'" + file + "' is damaged at byte " + at + ", before data that was saved: keep a copy,"
-                + " empty the folder and let the member learn anew from the others");
+        return new StoreException(
+                "'" + file + "' is damaged at byte " + at + ", before data that was saved: keep a copy,"
+                        + " empty the folder and let the member learn anew from the others");
     }
 
     private static List<Path> list(Path folder, String word, boolean atEnd) throws IOException {
--- a/src/main/java/pewtercourse/site/Detector.java
+++ b/src/main/java/pewtercourse/site/Detector.java
@@ -15,12 +15,13 @@
 public final class Detector {
     // Fewer ends than these prove nothing.
     private static final int ENDS_LEAST = 4, REFUSED_LEAST = 8;
-    // Shares of failed attempts from which caches fail, and up to which they are well; of slow answers, from which a site is slow.
+    // Shares of failed attempts from which caches fail, and up to which they are well; of slow answers, from which a
+    // site is slow.
     private static final double FAILS = 0.8, WELL = 0.25, SLOW = 0.7, HALF = 0.5;
 
-    private record Seen(long at, Map<String, SiteObservation> siteObservations) { }
+    private record Seen(long at, Map<String, SiteObservation> siteObservations) {}
 
-    private record Since(Health health, long at) { }
+    private record Since(Health health, long at) {}
 
     private final Sites sites;
     private final Map<String, Seen> seen = new HashMap<>(); // By member.
@@ -45,7 +46,8 @@
     public void see(long now, String member, Map<String, SiteObservation> siteObservations) {
         seen.put(member, new Seen(now, Map.copyOf(siteObservations)));
         siteObservations.forEach((site, s) -> {
-            boolean told = s.ends() >= ENDS_LEAST || s.bad() > 0 && s.good() + s.late() == 0 && s.refused() >= REFUSED_LEAST;
+            boolean told =
+                    s.ends() >= ENDS_LEAST || s.bad() > 0 && s.good() + s.late() == 0 && s.refused() >= REFUSED_LEAST;
             if (told && s.bad() >= FAILS * s.ends() || s.usual() > 0 && s.ready() == 0) {
                 long[] last = failing.computeIfAbsent(site, n -> new long[] {Long.MIN_VALUE / 2, Long.MIN_VALUE / 2});
                 last[0] = last[1];
@@ -56,7 +58,8 @@
             if (s.directors().contains(member) && siteObservations.containsKey(s.name())) {
                 double load = 0;
                 for (String d : s.directors()) {
-                    SiteObservation of = seen.containsKey(d) ? seen.get(d).siteObservations().get(s.name()) : null;
+                    SiteObservation of =
+                            seen.containsKey(d) ? seen.get(d).siteObservations().get(s.name()) : null;
                     load += of == null ? 0 : of.load();
                 }
                 loads.put(s.name(), load);
@@ -124,7 +127,9 @@
 
     private SiteObservation fresh(long now, String member, String site) {
         Seen s = seen.get(member);
-        return s == null || now - s.at() > sites.timing().fresh() ? null : s.siteObservations().get(site);
+        return s == null || now - s.at() > sites.timing().fresh()
+                ? null
+                : s.siteObservations().get(site);
     }
 
     private Health raw(long now, Site s, Set<String> absent) {
@@ -133,7 +138,9 @@
         for (Map.Entry<String, Seen> e : seen.entrySet()) {
             SiteObservation sight = fresh(now, e.getKey(), s.name());
             boolean own = s.directors().contains(e.getKey());
-            heard |= own && !absent.contains(e.getKey()) && now - e.getValue().at() <= sites.timing().fresh();
+            heard |= own
+                    && !absent.contains(e.getKey())
+                    && now - e.getValue().at() <= sites.timing().fresh();
             if (sight == null || absent.contains(e.getKey())) {
                 continue;
             }
@@ -155,8 +162,10 @@
         // Lists come late and shrink by mistake: an empty one counts where most have it and no attempt says otherwise.
         boolean unlisted = listeners > 0 && 2 * empty > listeners && (!told || bad > WELL * ends);
         boolean fails = told && bad >= FAILS * ends && !ownWell || unlisted;
-        boolean silent = staffed && !heard && !seen.isEmpty() && s.directors().stream().allMatch(d -> absent.contains(d)
-                || seen.containsKey(d));
+        boolean silent = staffed
+                && !heard
+                && !seen.isEmpty()
+                && s.directors().stream().allMatch(d -> absent.contains(d) || seen.containsKey(d));
         if (fails) {
             return silent ? Health.ALL : Health.CACHES;
         }
--- a/src/main/java/pewtercourse/site/FailoverController.java
+++ b/src/main/java/pewtercourse/site/FailoverController.java
@@ -14,12 +14,13 @@
  */
 public final class FailoverController {
     /** A change to be agreed on. {@code after}: the entry that it builds on. */
-    public record Declaration(String site, Status.Phase phase, Health health, int step, int flaps, long after) { }
+    public record Declaration(String site, Status.Phase phase, Health health, int step, int flaps, long after) {}
 
     /** What a plan is made from. */
-    public record Question(SortedMap<String, Double> loads, Set<String> lost, Set<String> unfit, Plan before) { }
+    public record Question(SortedMap<String, Double> loads, Set<String> lost, Set<String> unfit, Plan before) {}
 
-    // Of its ends at a step: failed ones from which it steps back, and up to which it goes on; slow ones up to which it does.
+    // Of its ends at a step: failed ones from which it steps back, and up to which it goes on; slow ones up to which it
+    // does.
     private static final double TROUBLE = 0.2, FINE = 0.05, LATE_FINE = 0.5;
     private static final int ENDS_LEAST = 4;
     // Without any ends, as where nobody asks, a step lasts so many times as long.
@@ -93,10 +94,12 @@
                 if (h == Health.WELL) {
                     boolean calm = s.flaps() > 0 && lasts >= t.flapMost() && stood >= t.flapMost();
                     return calm || s.phase() == Status.Phase.IMPAIRED && lasts >= t.lostAfter()
-                            ? new Declaration(site, Status.Phase.WHOLE, h, 0, calm ? 0 : s.flaps(), s.entry()) : null;
+                            ? new Declaration(site, Status.Phase.WHOLE, h, 0, calm ? 0 : s.flaps(), s.entry())
+                            : null;
                 }
                 return h != s.health() && lasts >= t.lostAfter() / 2
-                        ? new Declaration(site, Status.Phase.IMPAIRED, h, 0, s.flaps(), s.entry()) : null;
+                        ? new Declaration(site, Status.Phase.IMPAIRED, h, 0, s.flaps(), s.entry())
+                        : null;
             }
             case LOST -> {
                 boolean well = !h.lost() && h != Health.SLOW && h != Health.PARENTS;
@@ -109,7 +112,8 @@
         }
     }
 
-    private Declaration onTheWay(String site, Status s, Health h, long lasts, long stood, SiteObservation ends, int last) {
+    private Declaration onTheWay(
+            String site, Status s, Health h, long lasts, long stood, SiteObservation ends, int last) {
         Sites.Timing t = sites.timing();
         if (h.lost() && lasts >= t.lostAfter() / 2) {
             return lost(site, s, h, s.flaps() + 1);
@@ -119,7 +123,9 @@
             return null;
         }
         if (s.drill()) {
-            return stood < t.step() ? null : s.step() == 0 ? lost(site, s, Health.WELL, s.flaps()) : step(site, s, s.step() - 1);
+            return stood < t.step()
+                    ? null
+                    : s.step() == 0 ? lost(site, s, Health.WELL, s.flaps()) : step(site, s, s.step() - 1);
         }
         boolean told = ends.ends() >= ENDS_LEAST;
         if (told && ends.bad() >= TROUBLE * ends.ends()) {
@@ -127,12 +133,13 @@
         }
         // What is refused for lack of room is as good as late: cold caches can't bear the next step yet.
         int slow = ends.late() + ends.refused(), all = ends.ends() + ends.refused();
-        boolean fine = told ? ends.bad() <= FINE * ends.ends() && slow <= LATE_FINE * all
-                : stood >= BLIND * t.step();
+        boolean fine = told ? ends.bad() <= FINE * ends.ends() && slow <= LATE_FINE * all : stood >= BLIND * t.step();
         if (s.held() || stood < t.step() || !fine) {
             return null;
         }
-        return s.step() >= last ? new Declaration(site, Status.Phase.WHOLE, h, 0, s.flaps(), s.entry()) : step(site, s, s.step() + 1);
+        return s.step() >= last
+                ? new Declaration(site, Status.Phase.WHOLE, h, 0, s.flaps(), s.entry())
+                : step(site, s, s.step() + 1);
     }
 
     private static Declaration lost(String site, Status s, Health h, int flaps) {
--- a/src/main/java/pewtercourse/site/FailoverState.java
+++ b/src/main/java/pewtercourse/site/FailoverState.java
@@ -47,7 +47,8 @@
     }
 
     /** By the holder of the duty. False if it builds on an older entry, or there are too many sites. */
-    public boolean declare(long entry, String site, Status.Phase phase, Health health, int step, int flaps, long after) {
+    public boolean declare(
+            long entry, String site, Status.Phase phase, Health health, int step, int flaps, long after) {
         return put(site, after, status(site).to(phase, health, step, flaps, entry));
     }
 
--- a/src/main/java/pewtercourse/site/OverflowRouter.java
+++ b/src/main/java/pewtercourse/site/OverflowRouter.java
@@ -15,10 +15,18 @@
      * A request. {@code must}: may not be made twice, and only the origin can serve it: it is never refused here.
      * {@code work}: how long its answer takes to send. {@code needs}: how long it takes in all, where all is well.
      */
-    public record Ask(long object, double worth, double work, long aim, long expires, long needs, boolean must, boolean renewal) { }
+    public record Ask(
+            long object,
+            double worth,
+            double work,
+            long aim,
+            long expires,
+            long needs,
+            boolean must,
+            boolean renewal) {}
 
     /** {@code site} null: refused, and to come again after {@code holdOff}. */
-    public record Choice(String site, long holdOff) { }
+    public record Choice(String site, long holdOff) {}
 
     // While the own site is lost, one request so often is tried there: else nobody would see it come back.
     private static final long TRIAL_EVERY = 300_000;
@@ -93,7 +101,8 @@
     private boolean atHome(long now, Ask a) {
         if (status.phase() == Status.Phase.RETURNING) {
             // Objects come back in one order, so that a further step moves none away again.
-            return unit(a.object() ^ 0x9e3779b97f4a7c15L) < sites.timing().steps().get(status.step());
+            return unit(a.object() ^ 0x9e3779b97f4a7c15L)
+                    < sites.timing().steps().get(status.step());
         }
         if (!listed || a.must() || a.renewal() || now < trialAt || status.drill()) {
             return false;
--- a/src/main/java/pewtercourse/site/Plan.java
+++ b/src/main/java/pewtercourse/site/Plan.java
@@ -18,7 +18,7 @@
      * {@code work}: transfers at once that go to {@code site}; {@code most}: what may go there at most, where more is asked
      * for than was planned.
      */
-    public record Part(String site, double work, double most) { }
+    public record Part(String site, double work, double most) {}
 
     /** {@code refused}: transfers at once for which there is no room. */
     public record Shares(List<Part> parts, double refused) {
@@ -46,11 +46,20 @@
         for (String s : new TreeSet<>(lost)) {
             Shares of = cases.getOrDefault(s, Collections.emptySortedMap()).getOrDefault(s, Shares.NOTHING);
             double whole = of.taken() + of.refused();
-            List<Part> parts = of.parts().stream().filter(p -> !lost.contains(p.site())).map(p -> {
-                long leaning = lost.stream().filter(o -> cases.getOrDefault(o, Collections.emptySortedMap())
-                        .getOrDefault(o, Shares.NOTHING).parts().stream().anyMatch(q -> q.site().equals(p.site()))).count();
-                return new Part(p.site(), p.work() / leaning, p.most() / leaning);
-            }).toList();
+            List<Part> parts = of.parts().stream()
+                    .filter(p -> !lost.contains(p.site()))
+                    .map(p -> {
+                        long leaning = lost.stream()
+                                .filter(o -> cases
+                                        .getOrDefault(o, Collections.emptySortedMap())
+                                        .getOrDefault(o, Shares.NOTHING)
+                                        .parts()
+                                        .stream()
+                                        .anyMatch(q -> q.site().equals(p.site())))
+                                .count();
+                        return new Part(p.site(), p.work() / leaning, p.most() / leaning);
+                    })
+                    .toList();
             Shares cut = new Shares(parts, 0);
             single.put(s, new Shares(parts, Math.max(0, whole - cut.taken())));
         }
--- a/src/main/java/pewtercourse/site/Planner.java
+++ b/src/main/java/pewtercourse/site/Planner.java
@@ -28,7 +28,8 @@
     // Refusing costs this many times the farthest crossing: only what nobody can take is refused.
     private static final double REFUSED = 1_000;
     private static final int PAIRS_UP_TO = 16, ITERATIONS = 20_000;
-    // A plan stays while a new one would save less than this share of its costs, and while it asks of no taker more than
+    // A plan stays while a new one would save less than this share of its costs, and while it asks of no taker more
+    // than
     // this share beyond what that has to lend. Guards against a plan that moves copies about with each change of load.
     private static final double WORTH_A_CHANGE = 0.1, STRETCH = 0.05;
     private static final double NOTHING = 1e-6;
@@ -58,7 +59,8 @@
             Problem p = new Problem(sites, loads, c, unfit);
             SortedMap<String, Plan.Shares> fresh = p.solve(iterations);
             SortedMap<String, Plan.Shares> old = before.cases().get(key);
-            boolean stays = old != null && p.bears(old) && p.cost(old) <= p.cost(fresh) * (1 + WORTH_A_CHANGE) + NOTHING;
+            boolean stays =
+                    old != null && p.bears(old) && p.cost(old) <= p.cost(fresh) * (1 + WORTH_A_CHANGE) + NOTHING;
             cases.put(key, stays ? old : fresh);
         }
         return new Plan(cases);
@@ -89,7 +91,7 @@
 
     /** One set of lost sites. */
     private static final class Problem {
-        private record Way(int lost, String taker, double distance) { }
+        private record Way(int lost, String taker, double distance) {}
 
         private final List<String> lost;
         private final double[] load;
@@ -106,9 +108,11 @@
                     if (taker != null && !lost.contains(t.site()) && !unfit.contains(t.site())) {
                         double own = loads.getOrDefault(t.site(), 0.0), spare = taker.spare(own);
                         // What its link carries beside the fills for its own clients; guests miss more often.
-                        double link = taker.link() == 0 ? spare : Math.max(0, taker.link() - own * sites.miss() / 2) / sites.miss();
+                        double link = taker.link() == 0
+                                ? spare
+                                : Math.max(0, taker.link() - own * sites.miss() / 2) / sites.miss();
                         // What has to be filled holds its place about twice as long.
-                    room.put(t.site(), Math.min(spare / (1 + sites.miss()), link));
+                        room.put(t.site(), Math.min(spare / (1 + sites.miss()), link));
                         ways.add(new Way(i, t.site(), t.distance()));
                     }
                 }
@@ -146,8 +150,14 @@
                 bounds.add(new LinearConstraint(row, Relationship.LEQ, most));
             });
             try {
-                double[] found = new SimplexSolver().optimize(new MaxIter(iterations), new LinearObjectiveFunction(costs, 0),
-                        new LinearConstraintSet(bounds), GoalType.MINIMIZE, new NonNegativeConstraint(true)).getPoint();
+                double[] found = new SimplexSolver()
+                        .optimize(
+                                new MaxIter(iterations),
+                                new LinearObjectiveFunction(costs, 0),
+                                new LinearConstraintSet(bounds),
+                                GoalType.MINIMIZE,
+                                new NonNegativeConstraint(true))
+                        .getPoint();
                 return Arrays.copyOf(found, n);
             } catch (MathIllegalStateException e) {
                 return null;
@@ -184,7 +194,8 @@
                 for (int i = 0; i < work.length; i++) {
                     Way w = ways.get(i);
                     if (w.lost() == l && work[i] > NOTHING) {
-                        parts.add(new Plan.Part(w.taker(), work[i], room.get(w.taker()) * work[i] / asked.get(w.taker())));
+                        parts.add(new Plan.Part(
+                                w.taker(), work[i], room.get(w.taker()) * work[i] / asked.get(w.taker())));
                         taken += work[i];
                     }
                 }
@@ -195,7 +206,8 @@
 
         /** What these shares would cost with the loads of now: they keep their proportions. */
         double cost(SortedMap<String, Plan.Shares> shares) {
-            double cost = 0, farthest = ways.stream().mapToDouble(Way::distance).max().orElse(1);
+            double cost = 0,
+                    farthest = ways.stream().mapToDouble(Way::distance).max().orElse(1);
             for (int l = 0; l < load.length; l++) {
                 Plan.Shares s = shares.getOrDefault(lost.get(l), Plan.Shares.NOTHING);
                 double taken = 0;
@@ -215,7 +227,10 @@
         }
 
         private double distance(int l, String taker) {
-            return ways.stream().filter(w -> w.lost() == l && w.taker().equals(taker)).mapToDouble(Way::distance).findFirst()
+            return ways.stream()
+                    .filter(w -> w.lost() == l && w.taker().equals(taker))
+                    .mapToDouble(Way::distance)
+                    .findFirst()
                     .orElse(0);
         }
 
@@ -228,7 +243,8 @@
                     asked.merge(p.site(), Math.max(work(l, s, p), p.most()), Double::sum);
                 }
             }
-            return asked.entrySet().stream().allMatch(a -> a.getValue() <= room.getOrDefault(a.getKey(), 0.0) * (1 + STRETCH) + NOTHING);
+            return asked.entrySet().stream()
+                    .allMatch(a -> a.getValue() <= room.getOrDefault(a.getKey(), 0.0) * (1 + STRETCH) + NOTHING);
         }
     }
 }
--- a/src/main/java/pewtercourse/site/Shedder.java
+++ b/src/main/java/pewtercourse/site/Shedder.java
@@ -8,7 +8,8 @@
 final class Shedder {
     // Work of so long at the full pace waits in the bucket at most; of it the least worthy must leave this share.
     private static final double BURST = 1_000_000, LEAVES = 0.8;
-    // A request larger than this share of the bucket counts as so large when it asks, and leaves a debt: else it could never pass.
+    // A request larger than this share of the bucket counts as so large when it asks, and leaves a debt: else it could
+    // never pass.
     private static final double LARGE = 0.2;
 
     private double limit, level;
--- a/src/main/java/pewtercourse/site/Site.java
+++ b/src/main/java/pewtercourse/site/Site.java
@@ -14,10 +14,17 @@
  * @param link      fills at once that its link carries; 0 for no bound
  * @param takers    who may serve its clients when it is lost; empty where nothing may cross
  */
-public record Site(String name, String hub, Set<String> directors, double bears, double lends, double floor, double link,
+public record Site(
+        String name,
+        String hub,
+        Set<String> directors,
+        double bears,
+        double lends,
+        double floor,
+        double link,
         List<Taker> takers) {
     /** {@code distance}: what a crossing costs, beside others; over 0. */
-    public record Taker(String site, double distance) { }
+    public record Taker(String site, double distance) {}
 
     /** What it can lend while its own clients ask for so much. */
     public double spare(double load) {
--- a/src/main/java/pewtercourse/site/SiteObservation.java
+++ b/src/main/java/pewtercourse/site/SiteObservation.java
@@ -12,8 +12,8 @@
  * @param refused requests of its own clients that its module turned away for lack of room
  * @param load    transfers at once that its own clients ask for; 0 where the member is not of this site
  */
-public record SiteObservation(int usual, int ready, int parents, int up, int good, int late, int bad, int refused,
-        double load) {
+public record SiteObservation(
+        int usual, int ready, int parents, int up, int good, int late, int bad, int refused, double load) {
     /** Attempts that tell something. */
     public int ends() {
         return good + late + bad;
--- a/src/main/java/pewtercourse/site/SiteObservations.java
+++ b/src/main/java/pewtercourse/site/SiteObservations.java
@@ -71,7 +71,7 @@
             case CANCELLED -> c.late += slow ? 1 : 0;
             case REFUSED, CONNECT_TIMEOUT, RESET, MALFORMED, TIMEOUT -> c.bad++;
             // What the origin may have caused, or this director, says nothing of the site.
-            case ERROR, EXPIRED, OVERTAKEN, NO_DESCRIPTOR, CANCELLED_UNSENT -> { }
+            case ERROR, EXPIRED, OVERTAKEN, NO_DESCRIPTOR, CANCELLED_UNSENT -> {}
         }
     }
 
@@ -81,7 +81,8 @@
     }
 
     /** By site. {@code caches}, {@code parents}: those listed as ready, by zone. */
-    public Map<String, SiteObservation> told(long now, Sites sites, Map<String, Integer> caches, Map<String, Integer> parents) {
+    public Map<String, SiteObservation> told(
+            long now, Sites sites, Map<String, Integer> caches, Map<String, Integer> parents) {
         counts(now, own);
         Map<String, SiteObservation> told = new TreeMap<>();
         Set<String> names = new TreeSet<>(sites.sites().keySet());
@@ -90,9 +91,21 @@
             int ready = caches.getOrDefault(name, 0), up = s.hub().isEmpty() ? 0 : parents.getOrDefault(s.hub(), 0);
             Counts a = before.getOrDefault(name, new Counts()), b = current.getOrDefault(name, new Counts());
             long over = Math.max(1, Math.min(COVERS, now - turnedAt + COVERS / 2));
-            told.put(name, new SiteObservation(usual.computeIfAbsent(name, n -> new Usual()).of(now, ready), ready,
-                    s.hub().isEmpty() ? 0 : usual.computeIfAbsent("hub " + s.hub(), n -> new Usual()).of(now, up), up,
-                    a.good + b.good, a.late + b.late, a.bad + b.bad, a.refused + b.refused, name.equals(own) ? (a.work + b.work) / over : 0));
+            told.put(
+                    name,
+                    new SiteObservation(
+                            usual.computeIfAbsent(name, n -> new Usual()).of(now, ready),
+                            ready,
+                            s.hub().isEmpty()
+                                    ? 0
+                                    : usual.computeIfAbsent("hub " + s.hub(), n -> new Usual())
+                                            .of(now, up),
+                            up,
+                            a.good + b.good,
+                            a.late + b.late,
+                            a.bad + b.bad,
+                            a.refused + b.refused,
+                            name.equals(own) ? (a.work + b.work) / over : 0));
         }
         return told;
     }
--- a/src/main/java/pewtercourse/site/Sites.java
+++ b/src/main/java/pewtercourse/site/Sites.java
@@ -20,5 +20,5 @@
      * @param steps     shares of its load that come back, growing, the last one 1
      * @param fresh     how long a member's sight counts
      */
-    public record Timing(long lostAfter, long backAfter, long flapMost, long step, List<Double> steps, long fresh) { }
+    public record Timing(long lostAfter, long backAfter, long flapMost, long step, List<Double> steps, long fresh) {}
 }
--- a/src/main/java/pewtercourse/site/Status.java
+++ b/src/main/java/pewtercourse/site/Status.java
@@ -11,7 +11,12 @@
  */
 public record Status(Phase phase, Health health, int step, int flaps, boolean held, boolean drill, long entry) {
     /** Where a site stands between whole and whole again. */
-    public enum Phase { WHOLE, IMPAIRED, LOST, RETURNING }
+    public enum Phase {
+        WHOLE,
+        IMPAIRED,
+        LOST,
+        RETURNING
+    }
 
     /** Of a site of which nothing was ever said. */
     public static final Status WHOLE = new Status(Phase.WHOLE, Health.WELL, 0, 0, false, false, 0);
--- a/src/main/java/pewtercourse/zone/Account.java
+++ b/src/main/java/pewtercourse/zone/Account.java
@@ -11,12 +11,18 @@
  */
 public final class Account {
     /** What an answer's bytes were good for. */
-    public enum Use { SERVED, LATE, WASTED }
+    public enum Use {
+        SERVED,
+        LATE,
+        WASTED
+    }
 
     /** One line of the account: a class, a route and what became of the bytes. */
     public record Line(String cls, Route route, Use use) {
         private static final Comparator<Line> ORDER = Comparator.comparing(Line::cls)
-                .thenComparing(l -> l.route.kind()).thenComparing(l -> l.route.steps()).thenComparing(Line::use);
+                .thenComparing(l -> l.route.kind())
+                .thenComparing(l -> l.route.steps())
+                .thenComparing(Line::use);
     }
 
     /** Bytes and answers of one line. {@code certain}: seen whole; {@code estimated}: thought to have crossed besides. */
@@ -56,7 +62,9 @@
     public Cost crossed() {
         long link = 0, step = 0, origin = 0;
         for (Map.Entry<Line, Sum> e : lines.entrySet()) {
-            Cost c = e.getKey().route().cost(e.getValue().certain() + e.getValue().estimated());
+            Cost c = e.getKey()
+                    .route()
+                    .cost(e.getValue().certain() + e.getValue().estimated());
             link += c.link();
             step += c.hubStep();
             origin += c.origin();
--- a/src/main/java/pewtercourse/zone/Ledger.java
+++ b/src/main/java/pewtercourse/zone/Ledger.java
@@ -32,13 +32,15 @@
             level += fills ? room : Math.min(room, bound.bytesPerS() * micros);
         }
 
-        // Debts stay, and no bucket holds more than its burst: a smaller budget binds at once, a larger one fills in time.
+        // Debts stay, and no bucket holds more than its burst: a smaller budget binds at once, a larger one fills in
+        // time.
         private void rebind(Budget.Bound to) {
             bound = to;
             level = Math.min(level, to.burst() * PARTS);
         }
 
-        // One larger than the burst can go once the bucket is full: it leaves a debt instead of never being let through.
+        // One larger than the burst can go once the bucket is full: it leaves a debt instead of never being let
+        // through.
         private boolean affords(long bytes, double leave) {
             long need = Math.min(bytes, bound.burst());
             return level >= (need + (long) (leave * (bound.burst() - need))) * PARTS;
@@ -83,9 +85,11 @@
         }
         for (Crossing c : Crossing.values()) {
             long bytes = cost.of(c);
-            Bucket common = all.get(c), own = classes.getOrDefault(cls, Map.of()).get(c);
-            if (bytes > 0 && (common != null && !common.affords(bytes, rules.leave())
-                    || own != null && !own.affords(bytes, 0))) {
+            Bucket common = all.get(c),
+                    own = classes.getOrDefault(cls, Map.of()).get(c);
+            if (bytes > 0
+                    && (common != null && !common.affords(bytes, rules.leave())
+                            || own != null && !own.affords(bytes, 0))) {
                 return false;
             }
         }
@@ -99,7 +103,9 @@
         }
         Reservation r = new Reservation(estimate);
         for (Crossing c : Crossing.values()) {
-            for (Bucket b : new Bucket[] {all.get(c), classes.getOrDefault(cls, Map.of()).get(c)}) {
+            for (Bucket b : new Bucket[] {
+                all.get(c), classes.getOrDefault(cls, Map.of()).get(c)
+            }) {
                 if (b != null) {
                     b.move(-estimate.of(c));
                     r.from.put(b, c);
@@ -132,12 +138,14 @@
         budget = to;
         bind(all, to.all());
         classes.keySet().retainAll(to.classes().keySet());
-        to.classes().forEach((name, c) -> bind(classes.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)), c.own()));
+        to.classes()
+                .forEach((name, c) -> bind(classes.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)), c.own()));
     }
 
     private static void bind(Map<Crossing, Bucket> buckets, Map<Crossing, Budget.Bound> to) {
         buckets.keySet().retainAll(to.keySet());
-        to.forEach((c, bound) -> buckets.computeIfAbsent(c, k -> new Bucket(bound)).rebind(bound));
+        to.forEach(
+                (c, bound) -> buckets.computeIfAbsent(c, k -> new Bucket(bound)).rebind(bound));
     }
 
     // A clock that steps back brings nothing until it has caught up.
--- a/src/main/java/pewtercourse/zone/Route.java
+++ b/src/main/java/pewtercourse/zone/Route.java
@@ -3,7 +3,12 @@
 /** The way on which the bytes of an answer came into the canteen. {@code steps}: hubs beyond the canteen's own. */
 public record Route(Kind kind, int steps) {
     /** Where the bytes of an answer came from. */
-    public enum Kind { OWN, SIBLING, PARENT, ORIGIN }
+    public enum Kind {
+        OWN,
+        SIBLING,
+        PARENT,
+        ORIGIN
+    }
 
     public static final Route OWN = new Route(Kind.OWN, 0), SIBLING = new Route(Kind.SIBLING, 0);
 
--- a/src/test/java/pewtercourse/CacheStormTest.java
+++ b/src/test/java/pewtercourse/CacheStormTest.java
@@ -34,6 +34,7 @@
 
     @TempDir
     Path folder;
+
     private final Map<String, Integer> mayHaveRun = new ConcurrentHashMap<>();
     private ScriptedCache cache;
     private DirectorProcess director;
@@ -122,8 +123,11 @@
         try (Socket s = new Socket(HOST, adminPort)) {
             s.getOutputStream().write("GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
             Map<String, String> figures = new HashMap<>();
-            new String(s.getInputStream().readAllBytes()).lines().filter(line -> line.contains("="))
-                    .forEach(line -> figures.put(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1)));
+            new String(s.getInputStream().readAllBytes())
+                    .lines()
+                    .filter(line -> line.contains("="))
+                    .forEach(line ->
+                            figures.put(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1)));
             return figures;
         }
     }
--- a/src/test/java/pewtercourse/DirectorProcess.java
+++ b/src/test/java/pewtercourse/DirectorProcess.java
@@ -51,8 +51,11 @@
         JsonObject config = new JsonObject(Files.readString(Path.of("examples/config.json")));
         config.remove("feed");
         config.put("listen", host + ":" + freePort(host));
-        JsonArray members = config.getJsonObject("known").getJsonArray("events").getJsonObject(0)
-                .getJsonObject("members").getJsonArray("hosts");
+        JsonArray members = config.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
+                .getJsonArray("hosts");
         members.forEach(member -> ((JsonObject) member).put("dial", dial));
         return config;
     }
@@ -66,14 +69,21 @@
     /** {@code shell}: what the shell does before it becomes the program, such as a limit or an ignored signal. */
     static DirectorProcess start(Path folder, JsonObject config, String shell) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config.encode());
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", shell + " exec \"$0\" \"$@\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-cp", System.getProperty("java.class.path"), "pewtercourse.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                shell + " exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "pewtercourse.Main",
+                "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().remove("GW_LISTEN");
         String[] at = config.getString("listen").split(":");
-        return new DirectorProcess(builder.redirectErrorStream(true).start(),
-                new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+        return new DirectorProcess(
+                builder.redirectErrorStream(true).start(), new InetSocketAddress(at[0], Integer.parseInt(at[1])));
     }
 
     private void readLog() {
@@ -125,7 +135,11 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Waits for its end, for at most so long; returns its exit code. */
@@ -142,8 +156,10 @@
         }
         long connections = 0;
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
-            connections += Files.readAllLines(Path.of(table)).stream().map(line -> line.strip().split("\\s+"))
-                    .filter(fields -> !fields[TCP_STATE].equals(TCP_LISTEN) && own.contains(fields[TCP_INODE])).count();
+            connections += Files.readAllLines(Path.of(table)).stream()
+                    .map(line -> line.strip().split("\\s+"))
+                    .filter(fields -> !fields[TCP_STATE].equals(TCP_LISTEN) && own.contains(fields[TCP_INODE]))
+                    .count();
         }
         return connections;
     }
--- a/src/test/java/pewtercourse/DiscoveryTest.java
+++ b/src/test/java/pewtercourse/DiscoveryTest.java
@@ -29,6 +29,7 @@
 
     @TempDir
     Path folder;
+
     private ScriptedFeed feed;
     private ScriptedCache first;
     private ScriptedCache second;
@@ -60,23 +61,34 @@
     }
 
     private JsonArray members() {
-        return config.getJsonObject("known").getJsonArray("events").getJsonObject(0).getJsonObject("members")
+        return config.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
                 .getJsonArray("hosts");
     }
 
     /** The first cache in this state, as a change of the list. */
     private String change(long number, String state) {
         JsonObject host = members().getJsonObject(0).copy().put("health", state);
-        return new JsonObject().put("n", number).put("members", new JsonObject().put("seq", number).put("whole", false)
-                .put("hosts", new JsonArray().add(host))).encode();
+        return new JsonObject()
+                .put("n", number)
+                .put(
+                        "members",
+                        new JsonObject().put("seq", number).put("whole", false).put("hosts", new JsonArray().add(host)))
+                .encode();
     }
 
     /** The whole list, with the first cache in this state. */
     private String whole(long number, String state) {
         JsonArray hosts = members().copy();
         hosts.getJsonObject(0).put("health", state);
-        return new JsonObject().put("n", number).put("members", new JsonObject().put("seq", number).put("whole", true)
-                .put("hosts", hosts)).encode();
+        return new JsonObject()
+                .put("n", number)
+                .put(
+                        "members",
+                        new JsonObject().put("seq", number).put("whole", true).put("hosts", hosts))
+                .encode();
     }
 
     /** Asks for many objects; returns how many of the requests came to the first cache. */
@@ -112,7 +124,9 @@
     @Test
     void aWatchThatFallsSilentAfterAMoveIsLeft() throws Exception {
         try (ScriptedFeed moved = new ScriptedFeed(HOST)) {
-            Files.writeString(folder.resolve("config.json"), config.copy().put("feed", moved.dial()).encode());
+            Files.writeString(
+                    folder.resolve("config.json"),
+                    config.copy().put("feed", moved.dial()).encode());
             director.signal("HUP");
             Watch silent = moved.next();
             Watch next = moved.next(); // The first one stays open, and nothing is written on it.
@@ -161,7 +175,8 @@
                 RawFrontClient client = new RawFrontClient(director.address())) {
             order.write(RawFrontClient.request(1, "place-order", "00000000000f0001", 20_000));
             Socket answers = held.get(30, TimeUnit.SECONDS); // The process stays until this one is answered.
-            assertEquals(before + 1, first.requestIds().size() + second.requestIds().size());
+            assertEquals(
+                    before + 1, first.requestIds().size() + second.requestIds().size());
             first.play(ScriptedCache.serve("menu"));
             second.play(ScriptedCache.serve("menu"));
             director.signal("TERM");
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
 import java.io.BufferedReader;
 import java.io.File;
@@ -44,6 +44,7 @@
 
     @TempDir
     Path folder;
+
     private Process process;
     private BufferedReader log;
     private JsonObject config;
@@ -58,14 +59,21 @@
         }
         config.put("limits", new JsonObject().put("sockets", DESCRIPTORS));
         Files.writeString(file, config.encode());
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"",
+        ProcessBuilder b = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "pewtercourse.Main", "serve");
+                "-cp",
+                System.getProperty("java.class.path"),
+                "pewtercourse.Main",
+                "serve");
         b.environment().put("GW_CONFIG", file.toString());
         b.environment().remove("GW_LISTEN");
         process = b.redirectErrorStream(true).start();
         log = process.inputReader();
-        // A line that never comes must fail the test, not hang it: reading ends with the process. Far over what any of these
+        // A line that never comes must fail the test, not hang it: reading ends with the process. Far over what any of
+        // these
         // takes: a full table of descriptors alone takes half a minute.
         CompletableFuture.delayedExecutor(180, TimeUnit.SECONDS).execute(process::destroyForcibly);
         heard("director.listening");
@@ -86,7 +94,11 @@
     }
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     @Test
@@ -94,7 +106,9 @@
         Files.writeString(file, config.copy().put("feed", "nowhere").encode());
         signal("HUP");
         assertTrue(heard("config.kept").contains("key=feed:"));
-        Files.writeString(file, config.put("feed", HOST + ":2").put("peer_listen", HOST + ":3").encode());
+        Files.writeString(
+                file,
+                config.put("feed", HOST + ":2").put("peer_listen", HOST + ":3").encode());
         signal("HUP");
         assertTrue(heard("config.needs_restart").contains("keys=peer_listen"));
         assertTrue(heard("feed.moved").contains(HOST + ":2"));
@@ -105,15 +119,25 @@
     @Test
     void aFileThatIsCutOffOrLacksAKeyLeavesTheSettingsWhole() throws Exception {
         JsonObject classless = config.copy();
-        classless.getJsonObject("settings").getJsonArray("Classes").getJsonObject(0).remove("Deadline");
+        classless
+                .getJsonObject("settings")
+                .getJsonArray("Classes")
+                .getJsonObject(0)
+                .remove("Deadline");
         for (String broken : List.of("", config.encode().substring(0, 500), classless.encode())) {
             Files.writeString(file, broken);
             signal("HUP");
             heard("config.kept");
         }
         JsonObject next = config.copy();
-        next.getJsonObject("settings").getJsonArray("Classes").add(new JsonObject().put("Name", "menu-v2")
-                .put("Effect", "pure").put("Aim", 400.0).put("Deadline", 3000.0).put("Worth", 1.0));
+        next.getJsonObject("settings")
+                .getJsonArray("Classes")
+                .add(new JsonObject()
+                        .put("Name", "menu-v2")
+                        .put("Effect", "pure")
+                        .put("Aim", 400.0)
+                        .put("Deadline", 3000.0)
+                        .put("Worth", 1.0));
         Files.writeString(file, next.encode());
         signal("HUP");
         assertTrue(heard("config.reloaded").contains("classes=menu-media,menu-page,menu-v2,place-order"));
@@ -121,7 +145,7 @@
 
     @Test
     void moreConnectionsThanDescriptorsDoNotEndTheListener() throws Exception {
-        CompletableFuture.runAsync(() -> log.lines().forEach(l -> { })); // A full pipe would stop it.
+        CompletableFuture.runAsync(() -> log.lines().forEach(l -> {})); // A full pipe would stop it.
         String[] at = config.getString("listen").split(":");
         List<Socket> open = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
@@ -144,8 +168,11 @@
         while (!answer.startsWith("Status: 200") && process.isAlive()) {
             try {
                 answer = FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(at[1]), at[0]))
-                        .compose(c -> c.ask(Map.of("SCRIPT_NAME", "/alive"))).toCompletionStage()
-                        .toCompletableFuture().get(3, TimeUnit.SECONDS).toString();
+                        .compose(c -> c.ask(Map.of("SCRIPT_NAME", "/alive")))
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(3, TimeUnit.SECONDS)
+                        .toString();
             } catch (Exception e) {
                 // asked again
             }
@@ -157,12 +184,20 @@
     @Test
     void aConfigurationThatCannotBeUsedEndsItBeforeItListens() throws Exception {
         JsonObject broken = DirectorProcess.config(HOST, HOST + ":1");
-        broken.getJsonObject("settings").getJsonArray("Classes").getJsonObject(1).put("Deadline", "soon");
+        broken.getJsonObject("settings")
+                .getJsonArray("Classes")
+                .getJsonObject(1)
+                .put("Deadline", "soon");
         Path other = Files.createDirectory(folder.resolve("broken"));
         try (DirectorProcess ended = DirectorProcess.start(other, broken, "")) {
             assertTrue(ended.line("config.unusable").contains("key=Classes.1.Deadline:"));
             assertEquals(2, ended.ended(60));
-            assertThrows(IOException.class, () -> new Socket(ended.address().getAddress(), ended.address().getPort()).close());
+            assertThrows(
+                    IOException.class,
+                    () -> new Socket(
+                                    ended.address().getAddress(),
+                                    ended.address().getPort())
+                            .close());
         }
     }
 
@@ -174,13 +209,22 @@
             ScriptedCache.serve("menu").answer(socket, line, id);
         });
         JsonObject odd = DirectorProcess.config(HOST, cache.dial());
-        odd.getJsonObject("settings").put("Classes", new JsonArray().add(new JsonObject().put("Name", "menú, día/2")
-                .put("Effect", "side_effect").put("Aim", 400.0).put("Deadline", 3000.0).put("Worth", 0.25)));
+        odd.getJsonObject("settings")
+                .put(
+                        "Classes",
+                        new JsonArray()
+                                .add(new JsonObject()
+                                        .put("Name", "menú, día/2")
+                                        .put("Effect", "side_effect")
+                                        .put("Aim", 400.0)
+                                        .put("Deadline", 3000.0)
+                                        .put("Worth", 0.25)));
         Path other = Files.createDirectory(folder.resolve("odd"));
         try (DirectorProcess director = DirectorProcess.start(other, odd, "")) {
             director.heard("director.listening");
             try (RawFrontClient client = new RawFrontClient(director.address())) {
-                String answer = client.write(RawFrontClient.request(1, "menú, día/2", "00000000000000aa", 20_000)).readAnswer();
+                String answer = client.write(RawFrontClient.request(1, "menú, día/2", "00000000000000aa", 20_000))
+                        .readAnswer();
                 assertTrue(answer.startsWith("Status: 200"), answer);
             }
         }
@@ -213,12 +257,17 @@
     private static String post(int port, String path) throws IOException {
         try (Socket s = new Socket(HOST, port)) {
             s.setSoTimeout(30_000);
-            s.getOutputStream().write(("POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").getBytes());
-            return new String(s.getInputStream().readAllBytes()).lines().findFirst().orElse("");
+            s.getOutputStream()
+                    .write(("POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").getBytes());
+            return new String(s.getInputStream().readAllBytes())
+                    .lines()
+                    .findFirst()
+                    .orElse("");
         }
     }
 
-    // The library accepts on a thread of its own: clients had all descriptors before the event loop had seen them, and the
+    // The library accepts on a thread of its own: clients had all descriptors before the event loop had seen them, and
+    // the
     // feed could not be called again.
     @Test
     void theFeedIsCalledAgainWhileIdleClientsTakeAllTheyCanGet() throws Exception {
@@ -229,7 +278,8 @@
             Path other = Files.createDirectory(folder.resolve("crowded"));
             // The program is one file; here it holds a descriptor for each of its libraries besides.
             int libraries = System.getProperty("java.class.path").split(File.pathSeparator).length;
-            try (DirectorProcess crowded = DirectorProcess.start(other, next, "ulimit -n " + (DESCRIPTORS + libraries) + ";");
+            try (DirectorProcess crowded =
+                            DirectorProcess.start(other, next, "ulimit -n " + (DESCRIPTORS + libraries) + ";");
                     Crowd crowd = new Crowd(crowded)) {
                 Socket watch = feed.accept();
                 crowd.start();
@@ -240,7 +290,8 @@
                 }
                 watch.close();
                 assertTrue(crowded.isAlive());
-                assertEquals(List.of(), crowded.logged("Too many open files"), () -> String.join("\n", crowded.logged("")));
+                assertEquals(
+                        List.of(), crowded.logged("Too many open files"), () -> String.join("\n", crowded.logged("")));
             }
         }
     }
--- a/src/test/java/pewtercourse/RunScriptTest.java
+++ b/src/test/java/pewtercourse/RunScriptTest.java
@@ -46,7 +46,8 @@
     // Where each call of the system is slow, 35,000 of them were a start that took too long: a crash of all directors.
     @Test
     void aLongFileIsReadInBlocks() throws Exception {
-        assertTrue(Files.readString(Path.of("deploy/balancer.toml")).contains("run = \"exec bash deploy/run.sh\""),
+        assertTrue(
+                Files.readString(Path.of("deploy/balancer.toml")).contains("run = \"exec bash deploy/run.sh\""),
                 "other shells read byte by byte");
         String list = "{\"host\":\"s-00000001\",\"dial\":\"127.0.0.1:9001\"},".repeat(2_000);
         String of100 = run("{\"limits\":{\"memory_mb\":100}}");
--- a/src/test/java/pewtercourse/ScriptedCache.java
+++ b/src/test/java/pewtercourse/ScriptedCache.java
@@ -41,13 +41,15 @@
 
     /** 200 with this body. */
     static Play serve(String body) {
-        return (socket, line, id) -> write(socket, "HTTP/1.1 200 OK\r\nETag: t" + line.hashCode()
-                + "\r\nOutcome: mem\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        return (socket, line, id) -> write(
+                socket,
+                "HTTP/1.1 200 OK\r\nETag: t" + line.hashCode() + "\r\nOutcome: mem\r\nContent-Length: " + body.length()
+                        + "\r\n\r\n" + body);
     }
 
     /** Takes the request and says nothing. */
     static Play hang() {
-        return (socket, line, id) -> { };
+        return (socket, line, id) -> {};
     }
 
     static void write(Socket to, String text) throws IOException {
@@ -86,8 +88,8 @@
 
     private void read(Socket connection) {
         try {
-            BufferedReader in = new BufferedReader(new InputStreamReader(connection.getInputStream(),
-                    StandardCharsets.ISO_8859_1));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.ISO_8859_1));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String id = "";
                 for (String field = in.readLine(); field != null && !field.isEmpty(); field = in.readLine()) {
--- a/src/test/java/pewtercourse/ScriptedFeed.java
+++ b/src/test/java/pewtercourse/ScriptedFeed.java
@@ -44,10 +44,13 @@
         private Watch(Socket socket) throws IOException {
             this.socket = socket;
             socket.setTcpNoDelay(true);
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             String last = "";
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-                last = line.toLowerCase().startsWith("last-event-id:") ? line.substring("last-event-id:".length()).strip() : last;
+                last = line.toLowerCase().startsWith("last-event-id:")
+                        ? line.substring("last-event-id:".length()).strip()
+                        : last;
             }
             this.after = Long.parseLong(last);
         }
--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -25,7 +25,8 @@
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownTest {
     private static final String HOST = "127.83.17.7";
-    // Together more than the sockets hold, so that the rest waits in the director, and less than it holds for one client.
+    // Together more than the sockets hold, so that the rest waits in the director, and less than it holds for one
+    // client.
     private static final int SMALL_WINDOW = 4_096, LARGE = 200_000, LARGE_ANSWERS = 24;
     private static final int SLOW_READER_MS = 20; // Its pace: so long before it reads each answer.
     private static final String PAGE = "menu".repeat(50);
@@ -34,6 +35,7 @@
 
     @TempDir
     Path folder;
+
     private ScriptedCache cache;
     private DirectorProcess director;
     private JsonObject config;
@@ -122,7 +124,8 @@
         CompletableFuture<Socket> held = new CompletableFuture<>();
         start();
         cache.play((socket, line, id) -> held.complete(socket));
-        try (RawFrontClient slow = connect(); RawFrontClient late = connect()) {
+        try (RawFrontClient slow = connect();
+                RawFrontClient late = connect()) {
             slow.write(page(1));
             held.get(30, TimeUnit.SECONDS);
             cache.play(ScriptedCache.serve(PAGE));
@@ -264,7 +267,9 @@
     void aSignalDuringAReloadWhileTheFeedCanNotBeReachedEndsIt() throws Exception {
         config.put("feed", HOST + ":1");
         start();
-        Files.writeString(folder.resolve("config.json"), config.copy().put("feed", HOST + ":2").encode());
+        Files.writeString(
+                folder.resolve("config.json"),
+                config.copy().put("feed", HOST + ":2").encode());
         director.signal("HUP");
         terminate();
         assertEquals(0, director.ended(END_SECONDS));
--- a/src/test/java/pewtercourse/SilentListener.java
+++ b/src/test/java/pewtercourse/SilentListener.java
@@ -49,8 +49,10 @@
     }
 
     private static long dialling(String table, String port) throws IOException {
-        return Files.readAllLines(Path.of(table)).stream().map(line -> line.strip().split("\\s+"))
-                .filter(fields -> fields[REMOTE].endsWith(port) && fields[STATE].equals(SYN_SENT)).count();
+        return Files.readAllLines(Path.of(table)).stream()
+                .map(line -> line.strip().split("\\s+"))
+                .filter(fields -> fields[REMOTE].endsWith(port) && fields[STATE].equals(SYN_SENT))
+                .count();
     }
 
     @Override
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -52,6 +52,7 @@
 
     @TempDir
     Path folder;
+
     private final Vertx vertx = Vertx.vertx();
     private final Map<String, AtomicInteger> ran = new ConcurrentHashMap<>(); // How often each id came to a member.
     private final Queue<String> toBanned = new ConcurrentLinkedQueue<>();
@@ -65,16 +66,22 @@
 
     @BeforeEach
     void start() throws Exception {
-        platform = new ProcessBuilder("perl", "-e", PLATFORM, HOST).redirectErrorStream(true).start();
+        platform = new ProcessBuilder("perl", "-e", PLATFORM, HOST)
+                .redirectErrorStream(true)
+                .start();
         log = platform.inputReader();
         CompletableFuture.delayedExecutor(90, TimeUnit.SECONDS).execute(platform::destroyForcibly);
         port = Integer.parseInt(log.readLine());
         int first = member(true), other = member(false);
         config = new JsonObject(Files.readString(Path.of("examples/config.json")))
-                .put("listen", HOST + ":" + port).put("peer_listen", HOST + ":" + (20_000 + port % 40_000));
+                .put("listen", HOST + ":" + port)
+                .put("peer_listen", HOST + ":" + (20_000 + port % 40_000));
         config.remove("feed");
-        JsonArray hosts = config.getJsonObject("known").getJsonArray("events").getJsonObject(0)
-                .getJsonObject("members").getJsonArray("hosts");
+        JsonArray hosts = config.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
+                .getJsonArray("hosts");
         for (int i = 0; i < hosts.size(); i++) {
             hosts.getJsonObject(i).put("dial", "127.0.0.1:" + (i == 0 ? first : other));
         }
@@ -89,15 +96,24 @@
     }
 
     private int member(boolean banned) throws Exception {
-        HttpServer server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
+        HttpServer server = vertx.createHttpServer(
+                new HttpServerOptions().setHost("127.0.0.1").setPort(0));
         server.requestHandler(r -> {
-            ran.computeIfAbsent(r.getHeader("Request-Id"), i -> new AtomicInteger()).incrementAndGet();
+            ran.computeIfAbsent(r.getHeader("Request-Id"), i -> new AtomicInteger())
+                    .incrementAndGet();
             if (banned) {
                 toBanned.add(r.getHeader("Request-Id"));
             }
-            r.response().putHeader("ETag", "t" + r.uri().hashCode()).putHeader("Outcome", "mem").end(r.uri());
+            r.response()
+                    .putHeader("ETag", "t" + r.uri().hashCode())
+                    .putHeader("Outcome", "mem")
+                    .end(r.uri());
         });
-        return server.listen().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS).actualPort();
+        return server.listen()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(30, TimeUnit.SECONDS)
+                .actualPort();
     }
 
     private String heard(String event) throws IOException {
@@ -130,8 +146,9 @@
     private String call(int adminPort, String line, String body) throws IOException {
         try (Socket s = new Socket(HOST, adminPort)) {
             s.setSoTimeout(30_000);
-            s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n"
-                    + body).getBytes(StandardCharsets.UTF_8));
+            s.getOutputStream()
+                    .write((line + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                            .getBytes(StandardCharsets.UTF_8));
             return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -149,21 +166,33 @@
             return;
         }
         boolean order = id.hashCode() % 4 == 0;
-        c.ask(Map.of("SCRIPT_NAME", order ? "/ops/place-order" : "/ops/menu-page", "HTTP_X_CORRELATION_ID", id,
-                "HTTP_X_SUBJECT", String.format("%016x", id.hashCode() % 50 + 50), "HTTP_X_DEADLINE_MS", "20000",
-                "HTTP_X_NEED_KB", "10")).onComplete(answer -> {
+        c.ask(Map.of(
+                        "SCRIPT_NAME",
+                        order ? "/ops/place-order" : "/ops/menu-page",
+                        "HTTP_X_CORRELATION_ID",
+                        id,
+                        "HTTP_X_SUBJECT",
+                        String.format("%016x", id.hashCode() % 50 + 50),
+                        "HTTP_X_DEADLINE_MS",
+                        "20000",
+                        "HTTP_X_NEED_KB",
+                        "10"))
+                .onComplete(answer -> {
                     if (answer.failed()) {
                         // It crossed the end of its connection: sent again once, on a new one, with its own id.
                         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
-                                .onSuccess(again -> ask(again, id, done)).onFailure(done::completeExceptionally);
+                                .onSuccess(again -> ask(again, id, done))
+                                .onFailure(done::completeExceptionally);
                     } else if (answer.result().toString().startsWith("Status: 200")) {
                         served.incrementAndGet();
-                        vertx.setTimer(1 + Math.floorMod(id.hashCode(), 60),
+                        vertx.setTimer(
+                                1 + Math.floorMod(id.hashCode(), 60),
                                 t -> ask(c, String.format("%016x", serial.incrementAndGet()), done));
                     } else if (answer.result().toString().startsWith("Status: 503")) {
                         vertx.setTimer(20, t -> ask(c, String.format("%016x", serial.incrementAndGet()), done));
                     } else {
-                        done.completeExceptionally(new AssertionError(answer.result().toString()));
+                        done.completeExceptionally(
+                                new AssertionError(answer.result().toString()));
                     }
                 });
     }
@@ -188,20 +217,26 @@
         }
         untilServed(50);
         assertFalse(toBanned.isEmpty(), "in use before the ban");
-        assertTrue(call(admin[0], "POST /maintenance/enter", "{\"target\":\"s-00000001\"}").startsWith("HTTP/1.1 200"));
+        assertTrue(call(admin[0], "POST /maintenance/enter", "{\"target\":\"s-00000001\"}")
+                .startsWith("HTTP/1.1 200"));
         untilServed(2 * CONNECTIONS); // What was under way is done.
         int banned = toBanned.size();
         for (int i = 1; i < admin.length; i++) {
             long next = run(admin[i]);
             heard("director.listening");
             assertTrue(call(admin[i], "GET /status", "").startsWith("HTTP/1.1 200"));
-            assertEquals(0, new ProcessBuilder("kill", "-TERM", String.valueOf(before)).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-TERM", String.valueOf(before))
+                            .start()
+                            .waitFor());
             heard("director.stopped open=0");
             before = next;
             untilServed(50);
         }
         assertEquals(banned, toBanned.size(), "out by hand, and used after an upgrade");
-        assertTrue(call(admin[2], "POST /maintenance/exit", "{\"target\":\"s-00000001\"}").startsWith("HTTP/1.1 200"));
+        assertTrue(call(admin[2], "POST /maintenance/exit", "{\"target\":\"s-00000001\"}")
+                .startsWith("HTTP/1.1 200"));
         while (toBanned.size() == banned) {
             untilServed(10);
         }
@@ -214,9 +249,18 @@
 
     @Test
     void aDescriptorThatIsNoListeningSocketIsRefused() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "pewtercourse.Main", "serve").redirectErrorStream(true);
-        b.environment().put("GW_CONFIG", Files.writeString(folder.resolve("c.json"), config.encode()).toString());
+        ProcessBuilder b = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "pewtercourse.Main",
+                        "serve")
+                .redirectErrorStream(true);
+        b.environment()
+                .put(
+                        "GW_CONFIG",
+                        Files.writeString(folder.resolve("c.json"), config.encode())
+                                .toString());
         b.environment().put("GW_SOCKET_FD", "0");
         Process refused = b.start();
         String out = new String(refused.getInputStream().readAllBytes());
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -40,17 +40,19 @@
 
     @Test
     void noneOfItsRequestsReachesTheServiceAndNoClientIsToldToComeBefore() throws Exception {
-        DirectorConfig config = DirectorConfig.read(Map.of(),
-                new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
         CompletableFuture<Warmup> made = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> made.complete(new Warmup(vertx, config, (r, answer) -> {
-            served.add(r);
-            answer.accept(Answer.served(Buffer.buffer("menu"), null));
-            return () -> { };
-        })));
+        vertx.getOrCreateContext()
+                .runOnContext(v -> made.complete(new Warmup(vertx, config, (r, answer) -> {
+                    served.add(r);
+                    answer.accept(Answer.served(Buffer.buffer("menu"), null));
+                    return () -> {};
+                })));
         Warmup warmup = made.get(30, TimeUnit.SECONDS);
         int port = get(new FastCgiServer(vertx, warmup, () -> System.currentTimeMillis() * 1000, config.front())
-                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))).actualPort();
+                        .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1")))
+                .actualPort();
         SocketAddress at = SocketAddress.inetSocketAddress(port, "127.0.0.1");
         FastCgiClient client = get(FastCgiClient.connect(vertx, at));
         Map<String, String> alive = Map.of("SCRIPT_NAME", "/alive");
@@ -60,22 +62,41 @@
         done.get(30, TimeUnit.SECONDS);
         assertEquals(List.of(), served);
         assertTrue(get(client.ask(alive)).toString().startsWith("Status: 200"));
-        assertTrue(get(client.ask(Map.of("SCRIPT_NAME", "/ops/menu-page", "HTTP_X_CORRELATION_ID",
-                "9b1f03aa5c7e2d41", "HTTP_X_SUBJECT", "7f3a9c21e0b4d655", "HTTP_X_DEADLINE_MS", "3000")))
-                .toString().endsWith("menu"));
+        assertTrue(get(client.ask(Map.of(
+                        "SCRIPT_NAME",
+                        "/ops/menu-page",
+                        "HTTP_X_CORRELATION_ID",
+                        "9b1f03aa5c7e2d41",
+                        "HTTP_X_SUBJECT",
+                        "7f3a9c21e0b4d655",
+                        "HTTP_X_DEADLINE_MS",
+                        "3000")))
+                .toString()
+                .endsWith("menu"));
         assertEquals(1, served.size());
     }
 
     @Test
     void aClientThatComesBeforeIsRefusedAndNeverGetsAnAnswerThatNoCacheMade() throws Exception {
-        DirectorConfig config = DirectorConfig.read(Map.of(),
-                new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
         CompletableFuture<Answer> got = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
-            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> { });
+            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
             w.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), true);
-            w.handle(new ClientRequest("9b1f03aa5c7e2d41", "menu-page", "7f3a9c21e0b4d655", 0, 0, 1, null,
-                    Buffer.buffer(), System.currentTimeMillis() * 1000, 3_000), got::complete);
+            w.handle(
+                    new ClientRequest(
+                            "9b1f03aa5c7e2d41",
+                            "menu-page",
+                            "7f3a9c21e0b4d655",
+                            0,
+                            0,
+                            1,
+                            null,
+                            Buffer.buffer(),
+                            System.currentTimeMillis() * 1000,
+                            3_000),
+                    got::complete);
         });
         Answer a = got.get(30, TimeUnit.SECONDS);
         assertEquals(Answer.Kind.REFUSED, a.kind());
@@ -86,22 +107,33 @@
     // the time that is left to it then.
     @Test
     void aRestartIntoAFleetAtWorkTakesTheShorterTime() throws Exception {
-        DirectorConfig config = DirectorConfig.read(Map.of(),
-                new JsonObject(Files.readString(Path.of("examples/config.json"))));
-        NetServer deaf = get(vertx.createNetServer().connectHandler(s -> { }).listen(0, "127.0.0.1"));
+        DirectorConfig config =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        NetServer deaf = get(vertx.createNetServer().connectHandler(s -> {}).listen(0, "127.0.0.1"));
         for (int sign = 0; sign < 3; sign++) {
             int kind = sign;
             CompletableFuture<Boolean> readyBefore = new CompletableFuture<>();
             CompletableFuture<Void> done = new CompletableFuture<>();
             vertx.getOrCreateContext().runOnContext(v -> {
-                Warmup w = new Warmup(vertx, config, (r, answer) -> () -> { }, 3_600_000, 50);
+                Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {}, 3_600_000, 50);
                 w.run(SocketAddress.inetSocketAddress(deaf.actualPort(), "127.0.0.1"), true)
                         .onComplete(d -> done.complete(null));
                 if (kind == 0) {
                     w.missed();
                 } else if (kind == 1) {
-                    w.handle(new ClientRequest("9b1f03aa5c7e2d41", "menu-page", "7f3a9c21e0b4d655", 0, 0, 1, null,
-                            Buffer.buffer(), System.currentTimeMillis() * 1000, 3_000), a -> { });
+                    w.handle(
+                            new ClientRequest(
+                                    "9b1f03aa5c7e2d41",
+                                    "menu-page",
+                                    "7f3a9c21e0b4d655",
+                                    0,
+                                    0,
+                                    1,
+                                    null,
+                                    Buffer.buffer(),
+                                    System.currentTimeMillis() * 1000,
+                                    3_000),
+                            a -> {});
                 } else {
                     vertx.setTimer(100, t -> w.missed()); // Later than the time that is left.
                 }
@@ -114,11 +146,11 @@
 
     @Test
     void withoutTimeItIsReadyAtOnce() throws Exception {
-        DirectorConfig config = DirectorConfig.read(Map.of(),
-                new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
         CompletableFuture<Boolean> ready = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
-            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> { });
+            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
             w.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), false);
             ready.complete(w.ready());
         });
--- a/src/test/java/pewtercourse/admin/AdminServerTest.java
+++ b/src/test/java/pewtercourse/admin/AdminServerTest.java
@@ -38,20 +38,22 @@
 
             @Override
             public Future<Verdict> enterMaintenance(String target) {
-                return Future.succeededFuture(target.equals("s-1") && done.add("out " + target) ? Verdict.DONE
-                        : Verdict.UNKNOWN);
+                return Future.succeededFuture(
+                        target.equals("s-1") && done.add("out " + target) ? Verdict.DONE : Verdict.UNKNOWN);
             }
 
             @Override
             public Future<Verdict> exitMaintenance(String target) {
-                return Future.succeededFuture(target.equals("s-1") && done.add("in " + target) ? Verdict.DONE
-                        : Verdict.UNKNOWN);
+                return Future.succeededFuture(
+                        target.equals("s-1") && done.add("in " + target) ? Verdict.DONE : Verdict.UNKNOWN);
             }
 
             @Override
             public Future<Verdict> reload() {
-                return Future.succeededFuture(done.add("reload") && serves ? Verdict.DONE
-                        : Verdict.refused("feed: 'nowhere' is not ADDRESS:PORT"));
+                return Future.succeededFuture(
+                        done.add("reload") && serves
+                                ? Verdict.DONE
+                                : Verdict.refused("feed: 'nowhere' is not ADDRESS:PORT"));
             }
 
             @Override
@@ -64,8 +66,12 @@
                 done.add("active");
             }
         };
-        port = new AdminServer(vertx, director).listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                .toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS).actualPort();
+        port = new AdminServer(vertx, director)
+                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(30, TimeUnit.SECONDS)
+                .actualPort();
     }
 
     @AfterEach
@@ -83,8 +89,8 @@
     }
 
     private int status(String method, String path, String body) throws Exception {
-        String answer = say(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body);
+        String answer = say(
+                method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
         return Integer.parseInt(answer.substring(9, 12));
     }
--- a/src/test/java/pewtercourse/admin/CallTableTest.java
+++ b/src/test/java/pewtercourse/admin/CallTableTest.java
@@ -18,20 +18,22 @@
     void theOldestMakeRoomAndNoWaitIsLeft(@ForAll List<@IntRange(max = 5) Integer> steps) {
         TreeMap<Long, Runnable> timers = new TreeMap<>();
         List<Integer> model = new ArrayList<>(), closed = new ArrayList<>();
-        CallTable<Integer> table = new CallTable<>(new Timers() {
-            private long next;
+        CallTable<Integer> table = new CallTable<>(
+                new Timers() {
+                    private long next;
 
-            @Override
-            public long set(long delayMs, Runnable then) {
-                timers.put(++next, then);
-                return next;
-            }
+                    @Override
+                    public long set(long delayMs, Runnable then) {
+                        timers.put(++next, then);
+                        return next;
+                    }
 
-            @Override
-            public void cancel(long timer) {
-                timers.remove(timer);
-            }
-        }, closed::add);
+                    @Override
+                    public void cancel(long timer) {
+                        timers.remove(timer);
+                    }
+                },
+                closed::add);
         int serial = 0;
         for (int s : steps) {
             int expected = closed.size();
--- a/src/test/java/pewtercourse/bench/BenchLinkTest.java
+++ b/src/test/java/pewtercourse/bench/BenchLinkTest.java
@@ -33,8 +33,9 @@
 
     @Test
     void aRequestIsSentOnAndItsOutcomeTakenIn() throws Exception {
-        String out = talk(START + "ROUND\t101.5\nNEW_REQUEST\t3\tc406fa035d3a91c4\tdoc\t-\tc/k\t3000.25\t640\t11\t3\t1\n"
-                + "EOB\nROUND\t130\nRESULT\t3\tc406fa035d3a91c4\t0\t5\tok\t18.5\t1\t2\t9.4\t7,0.4,1.25\t-\nEOB\n");
+        String out = talk(
+                START + "ROUND\t101.5\nNEW_REQUEST\t3\tc406fa035d3a91c4\tdoc\t-\tc/k\t3000.25\t640\t11\t3\t1\n"
+                        + "EOB\nROUND\t130\nRESULT\t3\tc406fa035d3a91c4\t0\t5\tok\t18.5\t1\t2\t9.4\t7,0.4,1.25\t-\nEOB\n");
         assertTrue(out.contains("OBTAIN\t3\tc406fa035d3a91c4\t5\t"), out);
         assertTrue(out.contains("\t6\t1\t0.000\t1\n"), out);
         assertTrue(out.endsWith("EOR\nEOR\n"), out);
@@ -68,20 +69,23 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "REMINDER~9~x | field I",
-        "NEW_REQUEST~3~xyz~doc~-~k~10 | field Xid",
-        "NEW_REQUEST~3~c406fa035d3a91c4~none~-~k~10 | field Profile",
-        "NEW_REQUEST~3~c406fa035d3a91c4~doc~-~k~soon | field Expires",
-        "NEW_REQUEST~3~c406fa035d3a91c4~doc~-~k | field Expires",
-        "RESULT~3~c406fa035d3a91c4~0~5~fine~1~1 | field Reason",
-        "RESULT~3~c406fa035d3a91c4~0~5~ok~1~yes | field Last",
-        "MESSAGE~3~1~abc | field Content",
-        "PEERS_KNOWN~3~9~1~diff | field SetId",
-        "PEERS_KNOWN~3~0~1~half | field Mode",
-        "DIRECTORY~0~2 | field NodesList",
-        "NONSENSE~3 | no message",
-        "ROUND~5 | inside a batch"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "REMINDER~9~x | field I",
+                "NEW_REQUEST~3~xyz~doc~-~k~10 | field Xid",
+                "NEW_REQUEST~3~c406fa035d3a91c4~none~-~k~10 | field Profile",
+                "NEW_REQUEST~3~c406fa035d3a91c4~doc~-~k~soon | field Expires",
+                "NEW_REQUEST~3~c406fa035d3a91c4~doc~-~k | field Expires",
+                "RESULT~3~c406fa035d3a91c4~0~5~fine~1~1 | field Reason",
+                "RESULT~3~c406fa035d3a91c4~0~5~ok~1~yes | field Last",
+                "MESSAGE~3~1~abc | field Content",
+                "PEERS_KNOWN~3~9~1~diff | field SetId",
+                "PEERS_KNOWN~3~0~1~half | field Mode",
+                "DIRECTORY~0~2 | field NodesList",
+                "NONSENSE~3 | no message",
+                "ROUND~5 | inside a batch"
+            })
     void aMalformedLineIsToldWithItsNumberAndField(String line, String field) {
         String in = START + "ROUND\t101\n" + line.replace('~', '\t') + "\nEOB\n";
         Exception e = assertThrows(BenchLink.MalformedException.class, () -> talk(in));
--- a/src/test/java/pewtercourse/cache/AnswerReaderTest.java
+++ b/src/test/java/pewtercourse/cache/AnswerReaderTest.java
@@ -16,9 +16,11 @@
 
 /** What caches send, cut anywhere: only a whole answer counts, and what follows it is noticed. */
 class AnswerReaderTest {
-    private static final String BODY = "x".repeat(300), OK = "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n"
-            + "ETag: t\r\nOutcome: mem\r\n\r\n" + BODY;
-    private static final List<String> BEFORE = List.of("", "HTTP/1.1 100 Continue\r\n\r\n",
+    private static final String BODY = "x".repeat(300),
+            OK = "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n" + "ETag: t\r\nOutcome: mem\r\n\r\n" + BODY;
+    private static final List<String> BEFORE = List.of(
+            "",
+            "HTTP/1.1 100 Continue\r\n\r\n",
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
     private static final List<String> BEHIND = List.of("", OK, "noise that nobody asked for\r\n\r\n", "\0\1\2HTTP");
 
@@ -26,7 +28,8 @@
 
     @Property(tries = 400, seed = "7")
     void aGoodAnswerIsServedWhateverCameBeforeAndWhatFollowsEndsTheConnection(
-            @ForAll @IntRange(max = 2) int before, @ForAll @IntRange(max = 3) int behind,
+            @ForAll @IntRange(max = 2) int before,
+            @ForAll @IntRange(max = 3) int behind,
             @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 120) Integer> cuts) {
         AnswerReader r = new AnswerReader();
         r.expect(request("1", null));
@@ -116,14 +119,17 @@
 
     @Example
     void chunksWithoutEndAreGivenUpPastTheLargestObject() {
-        broken("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + ("1000\r\n" + "x".repeat(4096) + "\r\n")
-                .repeat(60));
+        broken("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(60));
     }
 
     @Example
     void chunksWithAnEndAreWhole() {
-        assertEquals("menu", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n")
-                .body().toString());
+        assertEquals(
+                "menu",
+                answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n")
+                        .body()
+                        .toString());
     }
 
     @Example
@@ -133,7 +139,9 @@
 
     @Example
     void onlyTheCopyThatWasAskedAboutCanHold() {
-        assertEquals(End.NOT_MODIFIED, answer("HTTP/1.1 304 Not Modified\r\nETag: abc\r\n\r\n").end());
+        assertEquals(
+                End.NOT_MODIFIED,
+                answer("HTTP/1.1 304 Not Modified\r\nETag: abc\r\n\r\n").end());
         broken("HTTP/1.1 304 Not Modified\r\nETag: other\r\n\r\n");
     }
 
@@ -147,7 +155,10 @@
 
     @Example
     void anAnswerThatSaysItIsTheLastEndsTheConnection() {
-        assertEquals(End.MISS, answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").end());
+        assertEquals(
+                End.MISS,
+                answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                        .end());
         assertFalse(reader.clean());
     }
 }
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -28,8 +28,8 @@
 /** Attempts and the pool under random steps: connections come up, fail, die, fall silent; timers run out. */
 class AttemptModelTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 9);
-    private static final Set<End> UNSENT = EnumSet.of(End.REFUSED, End.CONNECT_TIMEOUT, End.NO_DESCRIPTOR,
-            End.OVERTAKEN, End.CANCELLED_UNSENT);
+    private static final Set<End> UNSENT =
+            EnumSet.of(End.REFUSED, End.CONNECT_TIMEOUT, End.NO_DESCRIPTOR, End.OVERTAKEN, End.CANCELLED_UNSENT);
     private static final int CONNECTIONS_MOST = 4;
     private static final long IDLE_MOST = 40_000;
 
@@ -37,7 +37,7 @@
         final long cache;
         Promise<CacheAnswer> answer;
         boolean open = true;
-        Runnable onClose = () -> { };
+        Runnable onClose = () -> {};
 
         Line(long cache) {
             this.cache = cache;
@@ -88,10 +88,15 @@
         long now, nextTimer;
         Try starting;
         final Map<Long, Runnable> settling = new TreeMap<>();
-        final CachePool pool = new CachePool((to, timeoutMs) -> {
-            starting.connecting = Promise.promise();
-            return starting.connecting.future();
-        }, timers(settling), () -> now, IDLE_MOST, CONNECTIONS_MOST);
+        final CachePool pool = new CachePool(
+                (to, timeoutMs) -> {
+                    starting.connecting = Promise.promise();
+                    return starting.connecting.future();
+                },
+                timers(settling),
+                () -> now,
+                IDLE_MOST,
+                CONNECTIONS_MOST);
 
         Model() {
             pool.admit(0);
@@ -124,8 +129,17 @@
             Try t = new Try();
             t.cache = cache;
             starting = t;
-            t.attempt = new Attempt(pool, timers(timers), () -> now, cache, ANY, new CacheRequest("id", "c", "o", 0, Buffer.buffer(), null, 0, 0, false,
-                    false, false, null), 400_000, now + 1_000_000, () -> t.right, a -> {
+            t.attempt = new Attempt(
+                    pool,
+                    timers(timers),
+                    () -> now,
+                    cache,
+                    ANY,
+                    new CacheRequest("id", "c", "o", 0, Buffer.buffer(), null, 0, 0, false, false, false, null),
+                    400_000,
+                    now + 1_000_000,
+                    () -> t.right,
+                    a -> {
                         assertEquals(null, t.end, "ended twice");
                         t.end = a.end();
                     });
@@ -134,8 +148,10 @@
         }
 
         Line lineOf(Try t) {
-            return lines.stream().filter(l -> l.answer != null && !l.answer.future().isComplete() && l.open
-                    && l.cache == t.cache).findFirst().orElse(null);
+            return lines.stream()
+                    .filter(l -> l.answer != null && !l.answer.future().isComplete() && l.open && l.cache == t.cache)
+                    .findFirst()
+                    .orElse(null);
         }
 
         void connected(int i, boolean up) {
@@ -169,7 +185,9 @@
             if (l != null) {
                 long resets = tries.stream().filter(t -> t.end == End.RESET).count();
                 l.close();
-                assertEquals(resets + 1, tries.stream().filter(t -> t.end == End.RESET).count());
+                assertEquals(
+                        resets + 1,
+                        tries.stream().filter(t -> t.end == End.RESET).count());
             }
         }
 
@@ -194,8 +212,7 @@
             if (t != null) {
                 End before = t.end;
                 t.attempt.cancel();
-                assertTrue(before != null ? t.end == before
-                        : t.end == End.CANCELLED || t.end == End.CANCELLED_UNSENT);
+                assertTrue(before != null ? t.end == before : t.end == End.CANCELLED || t.end == End.CANCELLED_UNSENT);
             }
         }
 
@@ -210,8 +227,12 @@
         void replaced(long cache) {
             pool.drop(cache, true);
             settle();
-            assertTrue(lines.stream().noneMatch(l -> l.cache == cache && l.open
-                    && (l.answer == null || l.answer.future().isComplete())), "idle connections to a gone cache");
+            assertTrue(
+                    lines.stream()
+                            .noneMatch(l -> l.cache == cache
+                                    && l.open
+                                    && (l.answer == null || l.answer.future().isComplete())),
+                    "idle connections to a gone cache");
             pool.admit(cache);
         }
 
@@ -220,17 +241,24 @@
         }
 
         private Line pickLine(int i) {
-            List<Line> busy = lines.stream().filter(l -> l.open && l.answer != null
-                    && !l.answer.future().isComplete()).toList();
+            List<Line> busy = lines.stream()
+                    .filter(l ->
+                            l.open && l.answer != null && !l.answer.future().isComplete())
+                    .toList();
             return busy.isEmpty() ? null : busy.get(i % busy.size());
         }
 
         void check() {
-            long busy = lines.stream().filter(l -> l.open && l.answer != null
-                    && !l.answer.future().isComplete()).count();
+            long busy = lines.stream()
+                    .filter(l ->
+                            l.open && l.answer != null && !l.answer.future().isComplete())
+                    .count();
             long running = tries.stream().filter(t -> t.end == null).count();
-            long connecting = tries.stream().filter(t -> t.end == null && t.connecting != null
-                    && !t.connecting.future().isComplete()).count();
+            long connecting = tries.stream()
+                    .filter(t -> t.end == null
+                            && t.connecting != null
+                            && !t.connecting.future().isComplete())
+                    .count();
             assertEquals(running - connecting, busy, "a connection is busy only for an attempt that is out");
             assertEquals(running, timers.size(), "one timer for each attempt that is out, none besides");
             assertTrue(lines.stream().filter(Line::isOpen).count() <= CONNECTIONS_MOST, "too many connections");
@@ -253,8 +281,10 @@
         return ActionChain.startWith(Model::new)
                 .withAction(6, step(n.map(i -> Transformer.mutate("start", m -> m.start(i % 2)))))
                 .withAction(6, step(n.map(i -> Transformer.mutate("connected " + i, m -> m.connected(i, i % 4 > 0)))))
-                .withAction(5, step(n.flatMap(i -> heard.map(e ->
-                        Transformer.mutate("answered " + e, m -> m.answered(i, e))))))
+                .withAction(
+                        5,
+                        step(n.flatMap(i ->
+                                heard.map(e -> Transformer.mutate("answered " + e, m -> m.answered(i, e))))))
                 .withAction(2, step(n.map(i -> Transformer.mutate("dies " + i, m -> m.dies(i)))))
                 .withAction(2, step(n.map(i -> Transformer.mutate("idle dies " + i, m -> m.idleDies(i)))))
                 .withAction(2, step(n.map(i -> Transformer.mutate("timer " + i, m -> m.timer(i)))))
@@ -283,7 +313,8 @@
         assertTrue(m.tries.get(1).connecting != null);
     }
 
-    // The list may tell of a new process of the same name, at another address, while a connection to the old one comes up.
+    // The list may tell of a new process of the same name, at another address, while a connection to the old one comes
+    // up.
     @Example
     void aConnectionThatWasDialledToAnEarlierProcessIsNeitherUsedNorKept() {
         Model m = new Model();
@@ -328,9 +359,13 @@
     @Example
     void anAnswerThatIsNotWholeIsNeverServed() {
         Buffer b = Buffer.buffer("1234");
-        assertEquals(End.SERVED, CacheAnswer.decode(200, false, "4", b, "t", "mem").end());
-        assertEquals(End.MALFORMED, CacheAnswer.decode(200, false, "5", b, "t", "mem").end());
-        assertEquals(End.ERROR, CacheAnswer.decode(503, false, "0", b, null, null).end());
+        assertEquals(
+                End.SERVED, CacheAnswer.decode(200, false, "4", b, "t", "mem").end());
+        assertEquals(
+                End.MALFORMED,
+                CacheAnswer.decode(200, false, "5", b, "t", "mem").end());
+        assertEquals(
+                End.ERROR, CacheAnswer.decode(503, false, "0", b, null, null).end());
         assertEquals(End.FULL, CacheAnswer.decode(503, true, "0", b, null, null).end());
         assertTrue(UNSENT.contains(End.REFUSED));
     }
--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -30,16 +30,23 @@
  * act is checked: no token is held by two, and none acts after a later one.
  */
 class ClusterFaultTest {
-    private static final JsonObject SETTINGS = new JsonObject().put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500)).put("lease_ms", 1_000).put("drift", 0.01)
-            .put("duties", new JsonObject().put("warden", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
-                    .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+    private static final JsonObject SETTINGS = new JsonObject()
+            .put("heartbeat_ms", 40)
+            .put("election_ms", new JsonArray().add(250).add(500))
+            .put("lease_ms", 1_000)
+            .put("drift", 0.01)
+            .put(
+                    "duties",
+                    new JsonObject()
+                            .put("warden", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
+                            .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
     private static final Pattern ACT = Pattern.compile("^(\\S+) (\\d+) INFO duty\\.act order=(\\w+)\\[.*token=(\\d+)"),
             ASSIGNED = Pattern.compile("^(\\S+) \\d+ INFO duty\\.assigned duty=(\\w+) holder=(\\S+) token=(\\d+)");
     private static final String CACHE = "s-00000001", OTHER = "s-00000002";
 
     @TempDir
     Path folder;
+
     private ClusterProcesses fleet;
 
     @BeforeEach
@@ -76,8 +83,11 @@
             }
         }
         long[] greatest = {0};
-        lines.stream().map(ACT::matcher).filter(Matcher::find)
-                .sorted(Comparator.comparingLong(m -> Long.parseLong(m.group(2)))).forEach(m -> {
+        lines.stream()
+                .map(ACT::matcher)
+                .filter(Matcher::find)
+                .sorted(Comparator.comparingLong(m -> Long.parseLong(m.group(2))))
+                .forEach(m -> {
                     long token = Long.parseLong(m.group(4));
                     assertEquals(m.group(1), holders.get(token), "acts with another's token: " + m.group());
                     if (m.group(3).equals("Let") || m.group(3).equals("Withdraw")) {
@@ -89,7 +99,8 @@
     }
 
     private void everywhereOut(List<ClusterProcesses.Member> among, int count) throws InterruptedException {
-        until(count + " out at " + among.stream().map(m -> m.name).toList(),
+        until(
+                count + " out at " + among.stream().map(m -> m.name).toList(),
                 () -> among.stream().allMatch(m -> m.outOfRotation() == count));
     }
 
@@ -103,11 +114,16 @@
         until("back", () -> fleet.members.get(2).exit(CACHE));
         until("the next is let", () -> fleet.members.stream().allMatch(m -> m.out(OTHER)));
         everywhereOut(fleet.members, 1);
-        assertEquals(0, fleet.run("cluster", "status", "--admin", ClusterProcesses.HOST + ":" + fleet.members.get(0).admin));
+        assertEquals(
+                0, fleet.run("cluster", "status", "--admin", ClusterProcesses.HOST + ":" + fleet.members.get(0).admin));
         assertTrue(fleet.logged("line out " + OTHER));
         String figures = fleet.members.get(1).call("GET /status/metrics", "");
-        assertTrue(figures.contains("\nout_of_rotation=1\n") && figures.contains("\ncluster.open=1\n")
-                && figures.contains("\nduty.out=1\n") && figures.contains("\ncluster.members=3\n"), figures);
+        assertTrue(
+                figures.contains("\nout_of_rotation=1\n")
+                        && figures.contains("\ncluster.open=1\n")
+                        && figures.contains("\nduty.out=1\n")
+                        && figures.contains("\ncluster.members=3\n"),
+                figures);
     }
 
     @Test
@@ -132,7 +148,9 @@
         ClusterProcesses.Member next = fleet.awaitHolder("warden", rest);
         until("the next one acts", () -> rest.get(0).enter(CACHE));
         maintenanceBudget.signal("CONT");
-        until("it sees who holds the duty", () -> maintenanceBudget.out(CACHE) && fleet.holder("warden", List.of(maintenanceBudget)) == null);
+        until(
+                "it sees who holds the duty",
+                () -> maintenanceBudget.out(CACHE) && fleet.holder("warden", List.of(maintenanceBudget)) == null);
         until("back", () -> maintenanceBudget.exit(CACHE));
         until("and out again by the next one", () -> rest.get(1).enter(CACHE));
         assertTrue(next.process.isAlive());
@@ -197,11 +215,14 @@
             delete(lost.data);
             lost.start(); // Not laid again: a newcomer.
             until("it votes again", () -> {
-                // Its state first: the leader's status from before it was seen to be new shows the vote of its old folder.
+                // Its state first: the leader's status from before it was seen to be new shows the vote of its old
+                // folder.
                 boolean learned = lost.out(CACHE);
                 JsonObject s = learned ? fleet.confirmed(fleet.members) : null;
-                return s != null && s.getJsonArray("members").stream().map(o -> (JsonObject) o)
-                        .allMatch(o -> o.getBoolean("voter"));
+                return s != null
+                        && s.getJsonArray("members").stream()
+                                .map(o -> (JsonObject) o)
+                                .allMatch(o -> o.getBoolean("voter"));
             });
         }
         everywhereOut(fleet.members, 1);
@@ -231,8 +252,10 @@
             of.start();
             long led = term;
             ClusterProcesses.Member by = leader;
-            until("noticed, unless another leads by now", () -> fleet.logged("cluster.member_regressed name=" + of.name)
-                    || by.status() != null && by.status().getLong("term") != led);
+            until(
+                    "noticed, unless another leads by now",
+                    () -> fleet.logged("cluster.member_regressed name=" + of.name)
+                            || by.status() != null && by.status().getLong("term") != led);
         } while (!fleet.logged("cluster.member_regressed name=" + old.name));
         ClusterProcesses.Member third = fleet.but(leader, old).get(0), back = old;
         third.kill();
@@ -260,7 +283,8 @@
         List<ClusterProcesses.Member> fresh = fleet.grow(2);
         ClusterProcesses.Member d = fresh.get(0), e = fresh.get(1);
         until("out", () -> a.enter(CACHE));
-        try (RandomOperators words = new RandomOperators(fleet, 5, OTHER)) { // It waits in line all the while, or is withdrawn.
+        try (RandomOperators words =
+                new RandomOperators(fleet, 5, OTHER)) { // It waits in line all the while, or is withdrawn.
             d.start();
             e.start();
             stop(a);
@@ -281,12 +305,17 @@
         }
         List<ClusterProcesses.Member> now = List.of(a, d, e);
         fleet.awaitLeader(now);
-        until("they know of themselves alone", () -> now.stream().allMatch(m -> {
-            JsonObject s = m.status();
-            return s != null && s.getJsonArray("members").stream().map(o -> ((JsonObject) o)).allMatch(o ->
-                    o.getBoolean("voter") && now.stream().anyMatch(x -> x.name.equals(o.getString("name"))))
-                    && s.getJsonArray("members").size() == 3;
-        }));
+        until(
+                "they know of themselves alone",
+                () -> now.stream().allMatch(m -> {
+                    JsonObject s = m.status();
+                    return s != null
+                            && s.getJsonArray("members").stream()
+                                    .map(o -> ((JsonObject) o))
+                                    .allMatch(o -> o.getBoolean("voter")
+                                            && now.stream().anyMatch(x -> x.name.equals(o.getString("name"))))
+                            && s.getJsonArray("members").size() == 3;
+                }));
         until("what was said is kept", () -> now.stream().allMatch(m -> m.out(CACHE)));
         fleet.awaitHolder("warden", now);
         ClusterProcesses.Member leader = fleet.awaitLeader(now);
@@ -303,8 +332,10 @@
     private void swapIn(ClusterProcesses.Member m, List<ClusterProcesses.Member> by) throws Exception {
         until(m.name + " votes", () -> {
             if (!fleet.among(by, m, false)) {
-                fleet.change(by, "/cluster/add", new JsonObject().put("name", m.name).put("address",
-                        ClusterProcesses.HOST + ":" + m.port));
+                fleet.change(
+                        by,
+                        "/cluster/add",
+                        new JsonObject().put("name", m.name).put("address", ClusterProcesses.HOST + ":" + m.port));
             }
             return fleet.among(by, m, true);
         });
@@ -316,7 +347,8 @@
             if (s == null) {
                 return false;
             }
-            if (s.getJsonArray("members").stream().noneMatch(o -> ((JsonObject) o).getString("name").equals(m.name))) {
+            if (s.getJsonArray("members").stream()
+                    .noneMatch(o -> ((JsonObject) o).getString("name").equals(m.name))) {
                 return true;
             }
             fleet.change(by, "/cluster/remove", new JsonObject().put("name", m.name));
@@ -329,7 +361,8 @@
         ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
         maintenanceBudget.signal("TERM");
         assertEquals(0, maintenanceBudget.process.waitFor());
-        assertTrue(fleet.log.stream().noneMatch(l -> l.startsWith(maintenanceBudget.name + " ") && l.contains("ERROR")));
+        assertTrue(
+                fleet.log.stream().noneMatch(l -> l.startsWith(maintenanceBudget.name + " ") && l.contains("ERROR")));
         fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
         // A stand-by hands on too, and keeps its vote.
         ClusterProcesses.Member next = fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
@@ -342,8 +375,15 @@
         assertTrue(next.call("POST /active", "").startsWith("HTTP/1.1 200"), () -> fleet.told());
         until("handed on by an operator", () -> {
             try {
-                return fleet.run("cluster", "hand-on", "warden", "--to", next.name, "--admin",
-                        ClusterProcesses.HOST + ":" + holder.admin) == 0;
+                return fleet.run(
+                                "cluster",
+                                "hand-on",
+                                "warden",
+                                "--to",
+                                next.name,
+                                "--admin",
+                                ClusterProcesses.HOST + ":" + holder.admin)
+                        == 0;
             } catch (Exception e) {
                 return false;
             }
@@ -369,7 +409,8 @@
 
     @Test
     void aFullDiskSilencesTheMemberAndNotTheDirector() throws Exception {
-        ClusterProcesses.Member full = fleet.but(fleet.awaitLeader(fleet.members)).get(0);
+        ClusterProcesses.Member full =
+                fleet.but(fleet.awaitLeader(fleet.members)).get(0);
         List<ClusterProcesses.Member> rest = fleet.but(full);
         full.kill();
         full.blocks = 8; // No file over 8 KB: soon there is no room for the log.
@@ -377,8 +418,8 @@
         until("the disk is full", () -> {
             rest.get(0).enter(CACHE);
             rest.get(1).exit(CACHE);
-            return fleet.logged(full.name + " ") && fleet.log.stream().anyMatch(l -> l.startsWith(full.name)
-                    && l.contains("cluster.disk_failed"));
+            return fleet.logged(full.name + " ")
+                    && fleet.log.stream().anyMatch(l -> l.startsWith(full.name) && l.contains("cluster.disk_failed"));
         });
         until("the others agree on", () -> rest.get(0).enter(CACHE));
         assertTrue(full.call("GET /status", "").startsWith("HTTP/1.1 200"), "the director serves on");
@@ -408,7 +449,8 @@
         Path log;
         try (Stream<Path> files = Files.list(m.data)) {
             log = files.filter(f -> f.getFileName().toString().startsWith("log-"))
-                    .max(Comparator.comparingLong(f -> f.toFile().length())).orElseThrow();
+                    .max(Comparator.comparingLong(f -> f.toFile().length()))
+                    .orElseThrow();
         }
         try (FileChannel f = FileChannel.open(log, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             f.write(java.nio.ByteBuffer.wrap(new byte[] {7, 7, 7}), f.size() / 2);
@@ -426,11 +468,16 @@
         fleet.write(m, fleet.members);
         m.start();
         assertEquals(2, m.process.waitFor());
-        until("told", () -> fleet.log.stream().anyMatch(l -> l.contains("cluster.unusable") && l.contains("/proc/pewtercourse")));
+        until(
+                "told",
+                () -> fleet.log.stream()
+                        .anyMatch(l -> l.contains("cluster.unusable") && l.contains("/proc/pewtercourse")));
         m.data = usable;
         fleet.write(m, fleet.members);
         m.start();
-        until("as a newcomer it comes back", () -> m.status() != null && m.status().getString("leader") != null);
+        until(
+                "as a newcomer it comes back",
+                () -> m.status() != null && m.status().getString("leader") != null);
     }
 
     @Test
@@ -439,7 +486,8 @@
                 second = "d1 20 INFO duty.assigned duty=warden holder=d1 token=2",
                 act = " INFO duty.act order=Let[target=s-1, ticket=5, token=";
         checkActs(List.of(first, second, "d0 15" + act + "1]", "d1 25" + act + "2]"));
-        for (List<String> wrong : List.of(List.of(first, "d1 20 INFO duty.assigned duty=warden holder=d1 token=1"),
+        for (List<String> wrong : List.of(
+                List.of(first, "d1 20 INFO duty.assigned duty=warden holder=d1 token=1"),
                 List.of(second, "d1 30 INFO duty.assigned duty=warden holder=d0 token=1"),
                 List.of(first, second, "d1 25" + act + "2]", "d0 26" + act + "1]"),
                 List.of(first, second, "d0 26" + act + "2]"))) {
--- a/src/test/java/pewtercourse/cluster/ClusterProcesses.java
+++ b/src/test/java/pewtercourse/cluster/ClusterProcesses.java
@@ -64,16 +64,25 @@
         }
 
         void start() throws IOException {
-            List<String> java = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx96m",
-                    "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-XX:-UsePerfData", "-cp", System.getProperty("java.class.path"),
-                    "pewtercourse.Main", "serve");
-            List<String> command = blocks == 0 ? java : new ArrayList<>(List.of("bash", "-c",
-                    "ulimit -f " + blocks + "; exec \"$@\"", "limited"));
+            List<String> java = List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-Xmx96m",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:+UseSerialGC",
+                    "-XX:-UsePerfData",
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "pewtercourse.Main",
+                    "serve");
+            List<String> command = blocks == 0
+                    ? java
+                    : new ArrayList<>(List.of("bash", "-c", "ulimit -f " + blocks + "; exec \"$@\"", "limited"));
             if (blocks > 0) {
                 command.addAll(java);
             }
             ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-            b.environment().put("GW_CONFIG", folder.resolve("config-" + name + ".json").toString());
+            b.environment()
+                    .put("GW_CONFIG", folder.resolve("config-" + name + ".json").toString());
             b.environment().put("GW_CLUSTER", config.toString());
             b.environment().put("GW_ADMIN_ADDR", HOST + ":" + admin);
             b.environment().putAll(environment);
@@ -90,7 +99,11 @@
         }
 
         void signal(String signal) throws Exception {
-            assertEquals(0, new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid())).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-" + signal, String.valueOf(process.pid()))
+                            .start()
+                            .waitFor());
         }
 
         /** Null where it does not answer in time. */
@@ -106,8 +119,9 @@
         String call(String line, String body) throws IOException {
             try (Socket s = new Socket(HOST, admin)) {
                 s.setSoTimeout(4_000);
-                s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-                        + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
+                s.getOutputStream()
+                        .write((line + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                                .getBytes(StandardCharsets.UTF_8));
                 return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             }
         }
@@ -124,8 +138,14 @@
         JsonObject site(String name) {
             try {
                 String s = call("GET /sites/status", "");
-                return s.startsWith("HTTP/1.1 200") ? new JsonObject(s.substring(s.indexOf("\r\n\r\n") + 4)).getJsonArray("sites")
-                        .stream().map(o -> (JsonObject) o).filter(o -> o.getString("site").equals(name)).findFirst().orElse(null) : null;
+                return s.startsWith("HTTP/1.1 200")
+                        ? new JsonObject(s.substring(s.indexOf("\r\n\r\n") + 4))
+                                .getJsonArray("sites").stream()
+                                        .map(o -> (JsonObject) o)
+                                        .filter(o -> o.getString("site").equals(name))
+                                        .findFirst()
+                                        .orElse(null)
+                        : null;
             } catch (IOException | RuntimeException e) {
                 return null;
             }
@@ -147,8 +167,12 @@
         /** What it uses to decide: the figure counts what is out at this director. */
         int outOfRotation() {
             try {
-                return call("GET /status/metrics", "").lines().filter(l -> l.startsWith("out_of_rotation="))
-                        .mapToInt(l -> Integer.parseInt(l.split("=")[1])).findFirst().orElse(-1);
+                return call("GET /status/metrics", "")
+                        .lines()
+                        .filter(l -> l.startsWith("out_of_rotation="))
+                        .mapToInt(l -> Integer.parseInt(l.split("=")[1]))
+                        .findFirst()
+                        .orElse(-1);
             } catch (IOException e) {
                 return -1;
             }
@@ -201,25 +225,39 @@
     void write(Member m, List<Member> listed) throws IOException {
         JsonArray all = new JsonArray();
         for (Member o : listed) {
-            all.add(new JsonObject().put("name", o.name).put("address",
-                    HOST + ":" + (o == m ? o.port : link(m, o).port())));
+            all.add(new JsonObject()
+                    .put("name", o.name)
+                    .put("address", HOST + ":" + (o == m ? o.port : link(m, o).port())));
         }
-        m.config = Files.writeString(folder.resolve("cluster-" + m.name + ".json"), settings.copy()
-                .put("cluster", "test").put("name", m.name).put("listen", HOST + ":" + m.port)
-                .put("data", m.data.toString()).put("members", all).encode());
+        m.config = Files.writeString(
+                folder.resolve("cluster-" + m.name + ".json"),
+                settings.copy()
+                        .put("cluster", "test")
+                        .put("name", m.name)
+                        .put("listen", HOST + ":" + m.port)
+                        .put("data", m.data.toString())
+                        .put("members", all)
+                        .encode());
         JsonObject config = new JsonObject(Files.readString(Path.of("examples/config.json")))
-                .put("listen", HOST + ":" + m.listen).put("peers", new JsonArray());
+                .put("listen", HOST + ":" + m.listen)
+                .put("peers", new JsonArray());
         config.remove("feed");
         config.remove("peer_listen");
         // A list that has changed before: no warm-up.
-        config.getJsonObject("known").getJsonArray("events").getJsonObject(0).getJsonObject("members").put("seq", 1);
+        config.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
+                .put("seq", 1);
         Files.writeString(folder.resolve("config-" + m.name + ".json"), config.encode());
     }
 
     /** Other director's configurations than the usual one. */
     void configure(Function<Member, JsonObject> config) throws IOException {
         for (Member m : members) {
-            Files.writeString(folder.resolve("config-" + m.name + ".json"), config.apply(m).encode());
+            Files.writeString(
+                    folder.resolve("config-" + m.name + ".json"),
+                    config.apply(m).encode());
         }
     }
 
@@ -235,8 +273,12 @@
 
     /** The command line, as a process; its output is added to the log. */
     int run(String... args) throws Exception {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "pewtercourse.Main"));
+        List<String> command = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "pewtercourse.Main"));
         command.addAll(List.of(args));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         p.inputReader().lines().forEach(l -> log.add("line " + l));
@@ -299,8 +341,10 @@
     /** Whether the leader has it as a member that votes, or learns. */
     boolean among(List<Member> leaders, Member m, boolean voter) {
         JsonObject s = confirmed(leaders);
-        return s != null && s.getJsonArray("members").stream().map(o -> (JsonObject) o)
-                .anyMatch(o -> o.getString("name").equals(m.name) && (o.getBoolean("voter") || !voter));
+        return s != null
+                && s.getJsonArray("members").stream()
+                        .map(o -> (JsonObject) o)
+                        .anyMatch(o -> o.getString("name").equals(m.name) && (o.getBoolean("voter") || !voter));
     }
 
     /** A member that leads, and that a majority has just confirmed; null if none does. */
@@ -324,8 +368,13 @@
     Member holder(String duty, List<Member> among) {
         for (Member m : among) {
             JsonObject s = m.process.isAlive() ? m.status() : null;
-            if (s != null && s.getBoolean("open") && s.getJsonArray("duties").stream().map(d -> (JsonObject) d)
-                    .anyMatch(d -> d.getString("duty").equals(duty) && d.getValue("left_ms") instanceof Number n && n.longValue() > 0)) {
+            if (s != null
+                    && s.getBoolean("open")
+                    && s.getJsonArray("duties").stream()
+                            .map(d -> (JsonObject) d)
+                            .anyMatch(d -> d.getString("duty").equals(duty)
+                                    && d.getValue("left_ms") instanceof Number n
+                                    && n.longValue() > 0)) {
                 return m;
             }
         }
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -26,10 +26,16 @@
 class RandomFaultTest {
     private static final int FAULTS = 6;
     private static final String[] CACHES = {"s-00000001", "s-00000002"};
-    private static final JsonObject SETTINGS = new JsonObject().put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500)).put("lease_ms", 1_000).put("drift", 0.01)
-            .put("duties", new JsonObject().put("warden", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
-                    .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+    private static final JsonObject SETTINGS = new JsonObject()
+            .put("heartbeat_ms", 40)
+            .put("election_ms", new JsonArray().add(250).add(500))
+            .put("lease_ms", 1_000)
+            .put("drift", 0.01)
+            .put(
+                    "duties",
+                    new JsonObject()
+                            .put("warden", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
+                            .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
 
     @TempDir
     Path folder;
@@ -62,8 +68,9 @@
             Map<String, Boolean> sure = words.sure();
             until("all go by what was answered: " + sure + " after " + script, () -> {
                 JsonObject s = fleet.confirmed(fleet.members);
-                return s != null && sure.entrySet().stream().allMatch(e ->
-                        s.getJsonObject("out").containsKey(e.getKey()) == e.getValue());
+                return s != null
+                        && sure.entrySet().stream()
+                                .allMatch(e -> s.getJsonObject("out").containsKey(e.getKey()) == e.getValue());
             });
         } catch (AssertionError e) {
             throw new AssertionError("seed " + seed + ", " + script + ": " + e.getMessage(), e);
@@ -89,11 +96,12 @@
             case 6 -> {
                 fleet.cutOff(m, false, true);
             }
-            case 7 -> order.subList(1, 3).forEach(o -> {
-                fleet.link(m, o).delay(1 + random.nextInt(30));
-                fleet.link(o, m).slow(300 + random.nextInt(2_000));
-                fleet.link(m, o).reset();
-            });
+            case 7 ->
+                order.subList(1, 3).forEach(o -> {
+                    fleet.link(m, o).delay(1 + random.nextInt(30));
+                    fleet.link(o, m).slow(300 + random.nextInt(2_000));
+                    fleet.link(m, o).reset();
+                });
             case 8 -> {
                 m.signal("STOP");
                 order.get(1).kill();
@@ -135,7 +143,9 @@
             Set<String> leaders = new TreeSet<>();
             for (ClusterProcesses.Member m : fleet.members) {
                 JsonObject s = m.status();
-                if (s == null || s.getString("leader") == null || s.getJsonObject("out").size() > 1) {
+                if (s == null
+                        || s.getString("leader") == null
+                        || s.getJsonObject("out").size() > 1) {
                     return false;
                 }
                 leaders.add(s.getString("leader"));
--- a/src/test/java/pewtercourse/cluster/RandomOperators.java
+++ b/src/test/java/pewtercourse/cluster/RandomOperators.java
@@ -53,7 +53,9 @@
     private void speak(Random random, String cache) {
         Known k = known.get(cache);
         while (!over) {
-            List<ClusterProcesses.Member> up = fleet.members.stream().filter(m -> m.process != null && m.process.isAlive()).toList();
+            List<ClusterProcesses.Member> up = fleet.members.stream()
+                    .filter(m -> m.process != null && m.process.isAlive())
+                    .toList();
             if (up.isEmpty()) {
                 continue;
             }
@@ -76,7 +78,8 @@
                 wrong.add("more are out than the warden may let: " + s);
             }
             if (out.contains(cache) != k.out) {
-                wrong.add(cache + " is " + (k.out ? "in, and " : "out, and ") + by.name + " had said yes to the contrary: " + s);
+                wrong.add(cache + " is " + (k.out ? "in, and " : "out, and ") + by.name
+                        + " had said yes to the contrary: " + s);
             }
         }
     }
--- a/src/test/java/pewtercourse/cluster/Relay.java
+++ b/src/test/java/pewtercourse/cluster/Relay.java
@@ -40,22 +40,24 @@
     private void accept(NetSocket from) {
         open.add(from);
         from.pause();
-        vertx.createNetClient().connect(SocketAddress.inetSocketAddress(to, HOST)).onComplete(c -> {
-            if (c.failed()) {
-                open.remove(from);
-                from.close();
-                return;
-            }
-            NetSocket on = c.result();
-            open.add(on);
-            pipe(from, on, false);
-            pipe(on, from, true);
-            from.resume();
-        });
+        vertx.createNetClient()
+                .connect(SocketAddress.inetSocketAddress(to, HOST))
+                .onComplete(c -> {
+                    if (c.failed()) {
+                        open.remove(from);
+                        from.close();
+                        return;
+                    }
+                    NetSocket on = c.result();
+                    open.add(on);
+                    pipe(from, on, false);
+                    pipe(on, from, true);
+                    from.resume();
+                });
     }
 
     private void pipe(NetSocket from, NetSocket on, boolean back) {
-        from.exceptionHandler(e -> { });
+        from.exceptionHandler(e -> {});
         from.closeHandler(v -> {
             open.remove(from);
             if (!(back ? cutBack : cutThere)) {
