--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -26,12 +26,17 @@
  * cut-off, no cold cache pushed over, and no order of a keeper with an older token than the last.
  */
 class SiteFaultTest {
-    private static final JsonObject SETTINGS = new JsonObject().put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500)).put("lease_ms", 1_000).put("drift", 0.01).put("duties", new JsonObject());
+    private static final JsonObject SETTINGS = new JsonObject()
+            .put("heartbeat_ms", 40)
+            .put("election_ms", new JsonArray().add(250).add(500))
+            .put("lease_ms", 1_000)
+            .put("drift", 0.01)
+            .put("duties", new JsonObject());
     private static final String LOST = "s0";
 
     @TempDir
     Path folder;
+
     private ClusterProcesses fleet;
     private Emulation emulation;
     private Path sites;
@@ -39,7 +44,8 @@
 
     @BeforeEach
     void start(TestInfo test) throws Exception {
-        fleet = new ClusterProcesses("site-" + test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
+        fleet = new ClusterProcesses(
+                "site-" + test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
         List<Emulation.SiteSpec> specs = new ArrayList<>();
         for (ClusterProcesses.Member m : fleet.members) {
             List<String> order = new ArrayList<>(List.of(ClusterProcesses.HOST + ":" + m.listen));
@@ -57,10 +63,14 @@
         fleet.awaitHolder("sites", fleet.members);
         until("they serve", () -> fleet.members.stream().allMatch(SiteFaultTest::serves));
         emulation.startClients();
-        until("a plan for what clients ask for", () -> fleet.members.stream().allMatch(m -> {
-            JsonObject s = m.site(LOST);
-            return s != null && s.getDouble("load") > 0 && !s.getJsonArray("takers").isEmpty();
-        }));
+        until(
+                "a plan for what clients ask for",
+                () -> fleet.members.stream().allMatch(m -> {
+                    JsonObject s = m.site(LOST);
+                    return s != null
+                            && s.getDouble("load") > 0
+                            && !s.getJsonArray("takers").isEmpty();
+                }));
     }
 
     private static boolean serves(ClusterProcesses.Member m) {
@@ -78,11 +88,22 @@
             if (crossing) {
                 fleet.but(m).forEach(o -> takers.add(new JsonObject().put("site", "s" + o.number)));
             }
-            all.add(new JsonObject().put("name", "s" + m.number).put("hub", "hub").put("directors", new JsonArray().add(m.name))
-                    .put("bears", 12).put("lends", 0.8).put("floor", 0.4).put("takers", takers));
+            all.add(new JsonObject()
+                    .put("name", "s" + m.number)
+                    .put("hub", "hub")
+                    .put("directors", new JsonArray().add(m.name))
+                    .put("bears", 12)
+                    .put("lends", 0.8)
+                    .put("floor", 0.4)
+                    .put("takers", takers));
         }
-        return new JsonObject().put("lost_after_ms", 800).put("back_after_ms", 1_000).put("flap_most_ms", 60_000).put("step_ms", 600)
-                .put("steps", new JsonArray().add(0.3).add(0.6).add(1)).put("sites", all);
+        return new JsonObject()
+                .put("lost_after_ms", 800)
+                .put("back_after_ms", 1_000)
+                .put("flap_most_ms", 60_000)
+                .put("step_ms", 600)
+                .put("steps", new JsonArray().add(0.3).add(0.6).add(1))
+                .put("sites", all);
     }
 
     @AfterEach
@@ -91,8 +112,13 @@
             emulation.endClients();
             until("all have their answers", () -> emulation.open() == 0);
             // What a director that stands still has taken it can't answer.
-            assertEquals(List.of(), emulation.findings(Findings::broken).stream()
-                    .filter(b -> stood == null || !b.contains(" by " + ClusterProcesses.HOST + ":" + stood.listen + " got no answer")).toList());
+            assertEquals(
+                    List.of(),
+                    emulation.findings(Findings::broken).stream()
+                            .filter(b -> stood == null
+                                    || !b.contains(
+                                            " by " + ClusterProcesses.HOST + ":" + stood.listen + " got no answer"))
+                            .toList());
             for (ClusterProcesses.Member m : fleet.members) {
                 assertEquals(0, emulation.falls("s" + m.number), "cold caches that fell at s" + m.number);
             }
@@ -104,11 +130,14 @@
         ClusterFaultTest.checkActs(fleet.log);
     }
 
-    private void everywhere(String what, List<ClusterProcesses.Member> among, Predicate<JsonObject> holds) throws InterruptedException {
-        until(what + " at " + among.stream().map(m -> m.name).toList(), () -> among.stream().allMatch(m -> {
-            JsonObject s = m.site(LOST);
-            return s != null && holds.test(s);
-        }));
+    private void everywhere(String what, List<ClusterProcesses.Member> among, Predicate<JsonObject> holds)
+            throws InterruptedException {
+        until(
+                what + " at " + among.stream().map(m -> m.name).toList(),
+                () -> among.stream().allMatch(m -> {
+                    JsonObject s = m.site(LOST);
+                    return s != null && holds.test(s);
+                }));
     }
 
     private void phase(String phase, List<ClusterProcesses.Member> among) throws InterruptedException {
@@ -132,7 +161,8 @@
         assertTrue(own > 0);
         emulation.lose(LOST);
         phase("lost", fleet.members);
-        everywhere("its directors live", fleet.members, s -> s.getString("health").equals("caches"));
+        everywhere(
+                "its directors live", fleet.members, s -> s.getString("health").equals("caches"));
         emulation.list(LOST, "Gone");
         served(LOST);
         emulation.revive(LOST);
@@ -150,7 +180,14 @@
             ClusterProcesses.Member h = fleet.holder("sites", fleet.members);
             if (h != null && h != d0) {
                 try {
-                    fleet.run("cluster", "hand-on", "sites", "--to", "d0", "--admin", ClusterProcesses.HOST + ":" + h.admin);
+                    fleet.run(
+                            "cluster",
+                            "hand-on",
+                            "sites",
+                            "--to",
+                            "d0",
+                            "--admin",
+                            ClusterProcesses.HOST + ":" + h.admin);
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
@@ -185,7 +222,9 @@
         phase("whole", rest);
         failoverController.signal("CONT");
         phase("whole", fleet.members);
-        long lost = fleet.log.stream().filter(l -> l.contains("site.status site=s0 phase=LOST")).count();
+        long lost = fleet.log.stream()
+                .filter(l -> l.contains("site.status site=s0 phase=LOST"))
+                .count();
         assertTrue(lost <= 3, "told once by each: " + lost);
     }
 
@@ -195,19 +234,32 @@
         fleet.cutOff(d0, false, false);
         List<ClusterProcesses.Member> rest = fleet.but(d0);
         fleet.awaitHolder("sites", rest);
-        everywhere("its director is silent, its caches are not known to fail", rest, s -> s.getString("phase").equals("impaired")
-                && s.getString("health").equals("directors"));
+        everywhere(
+                "its director is silent, its caches are not known to fail",
+                rest,
+                s -> s.getString("phase").equals("impaired")
+                        && s.getString("health").equals("directors"));
         served(LOST);
         assertNotEquals("lost", d0.site("s1").getString("phase"));
         // What is lost while it is cut off it hears of later.
         emulation.lose("s1");
-        until("declared", () -> rest.stream().allMatch(m -> m.site("s1") != null && m.site("s1").getString("phase").equals("lost")));
+        until(
+                "declared",
+                () -> rest.stream()
+                        .allMatch(m -> m.site("s1") != null
+                                && m.site("s1").getString("phase").equals("lost")));
         assertNotEquals("lost", d0.site("s1").getString("phase"));
         fleet.mend();
-        until("heard", () -> d0.site("s1") != null && d0.site("s1").getString("phase").equals("lost"));
+        until(
+                "heard",
+                () -> d0.site("s1") != null && d0.site("s1").getString("phase").equals("lost"));
         emulation.revive("s1");
-        until("whole", () -> fleet.members.stream().allMatch(m -> m.site("s1") != null
-                && m.site("s1").getString("phase").equals("whole") && m.site(LOST).getString("phase").equals("whole")));
+        until(
+                "whole",
+                () -> fleet.members.stream()
+                        .allMatch(m -> m.site("s1") != null
+                                && m.site("s1").getString("phase").equals("whole")
+                                && m.site(LOST).getString("phase").equals("whole")));
     }
 
     @Test
@@ -219,7 +271,10 @@
             phase("returning", fleet.members);
             emulation.lose(LOST);
             int least = flaps;
-            everywhere("lost again", fleet.members, s -> s.getString("phase").equals("lost") && s.getInteger("flaps") >= least);
+            everywhere(
+                    "lost again",
+                    fleet.members,
+                    s -> s.getString("phase").equals("lost") && s.getInteger("flaps") >= least);
             served(LOST);
         }
         emulation.revive(LOST);
@@ -230,7 +285,9 @@
     void anEmptyListAtOneAndSlowAnswersAreNoLossAndATakerLostTooIsReplaced() throws Exception {
         emulation.list(LOST, "Gone", "s1"); // Only its director hears so.
         emulation.slow("s2", 12);
-        until("seen as slow or well, not as lost", () -> fleet.members.get(1).site("s2").getString("health").equals("slow"));
+        until(
+                "seen as slow or well, not as lost",
+                () -> fleet.members.get(1).site("s2").getString("health").equals("slow"));
         emulation.slow("s2", 1);
         assertTrue(fleet.log.stream().noneMatch(l -> l.contains("phase=LOST")));
         emulation.list(LOST, "Ready", "s1");
@@ -238,15 +295,27 @@
         phase("lost", fleet.members);
         served(LOST);
         emulation.lose("s1");
-        until("both are lost", () -> fleet.members.stream().allMatch(m -> m.site("s1").getString("phase").equals("lost")));
-        everywhere("planned anew", fleet.members, s -> s.getJsonArray("takers").size() == 1
-                && s.getJsonArray("takers").getJsonObject(0).getString("site").equals("s2"));
+        until(
+                "both are lost",
+                () -> fleet.members.stream()
+                        .allMatch(m -> m.site("s1").getString("phase").equals("lost")));
+        everywhere(
+                "planned anew",
+                fleet.members,
+                s -> s.getJsonArray("takers").size() == 1
+                        && s.getJsonArray("takers")
+                                .getJsonObject(0)
+                                .getString("site")
+                                .equals("s2"));
         served(LOST);
         served("s2");
         emulation.revive(LOST);
         emulation.revive("s1");
         phase("whole", fleet.members);
-        until("whole", () -> fleet.members.stream().allMatch(m -> m.site("s1").getString("phase").equals("whole")));
+        until(
+                "whole",
+                () -> fleet.members.stream()
+                        .allMatch(m -> m.site("s1").getString("phase").equals("whole")));
     }
 
     @Test
@@ -264,21 +333,31 @@
         for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
-        until("refused", () -> fleet.log.stream().filter(l -> l.contains("config.kept") && l.contains("steps")).count() == 3);
-        everywhere("the plan stands", fleet.members, s -> !s.getJsonArray("takers").isEmpty());
+        until(
+                "refused",
+                () -> fleet.log.stream()
+                                .filter(l -> l.contains("config.kept") && l.contains("steps"))
+                                .count()
+                        == 3);
+        everywhere(
+                "the plan stands", fleet.members, s -> !s.getJsonArray("takers").isEmpty());
         // One that forbids crossing counts at once, wherever the loss stands.
         Files.writeString(sites, file(false).encode());
         for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
-        everywhere("nobody takes any more", fleet.members, s -> s.getJsonArray("takers").isEmpty());
+        everywhere(
+                "nobody takes any more",
+                fleet.members,
+                s -> s.getJsonArray("takers").isEmpty());
         assertEquals(1, fleet.run("sites", "plan", LOST, "--admin", admin), "a loss that can't be borne");
         assertEquals(0, fleet.run("sites", "hold", LOST, "--admin", admin));
         Files.writeString(sites, file(true).encode());
         for (ClusterProcesses.Member m : fleet.members) {
             m.signal("HUP");
         }
-        everywhere("and take again", fleet.members, s -> !s.getJsonArray("takers").isEmpty() && s.getBoolean("held"));
+        everywhere(
+                "and take again", fleet.members, s -> !s.getJsonArray("takers").isEmpty() && s.getBoolean("held"));
         assertEquals(2, fleet.run("sites", "plan", "nowhere", "--admin", admin));
         assertEquals(1, fleet.run("sites", "drill", "nowhere", "--admin", admin));
         assertEquals(0, fleet.run("sites", "release", LOST, "--admin", admin));
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -42,8 +42,20 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"lease_ms, 1199", "lease_ms, x", "drift, 0.3", "drift, -1", "heartbeat_ms, 0", "heartbeat_ms, 101",
-        "name, d4", "name, a b", "listen, here", "data, ''", "cluster, ''", "colour, red"})
+    @CsvSource({
+        "lease_ms, 1199",
+        "lease_ms, x",
+        "drift, 0.3",
+        "drift, -1",
+        "heartbeat_ms, 0",
+        "heartbeat_ms, 101",
+        "name, d4",
+        "name, a b",
+        "listen, here",
+        "data, ''",
+        "cluster, ''",
+        "colour, red"
+    })
     void aFaultyKeyIsNamed(String key, String value) throws Exception {
         Object v = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
         refused(key.equals("heartbeat_ms") && value.equals("101") ? "election_ms" : key, j -> j.put(key, v));
@@ -58,15 +70,29 @@
             }
             refused("members", j -> j.put("members", members));
         }
-        refused("members[1].name", j -> j.getJsonArray("members").getJsonObject(1).put("name", "d1"));
-        refused("members[2].address", j -> j.getJsonArray("members").getJsonObject(2).put("address", "d3:7003"));
-        refused("election_ms", j -> j.put("election_ms", new JsonArray().add(600).add(300)));
+        refused(
+                "members[1].name",
+                j -> j.getJsonArray("members").getJsonObject(1).put("name", "d1"));
+        refused(
+                "members[2].address",
+                j -> j.getJsonArray("members").getJsonObject(2).put("address", "d3:7003"));
+        refused(
+                "election_ms",
+                j -> j.put("election_ms", new JsonArray().add(600).add(300)));
         refused("election_ms", j -> j.put("election_ms", 300));
         refused("duties.warden.most", j -> j.getJsonObject("duties").put("warden", new JsonObject()));
-        refused("duties.warden.most", j -> j.getJsonObject("duties").getJsonObject("warden").put("most", 1));
-        refused("duties.warden.beyond", j -> j.getJsonObject("duties").getJsonObject("warden").put("beyond", "x"));
-        refused("duties.divider.reserve", j -> j.getJsonObject("duties").getJsonObject("divider").put("reserve", 0));
-        refused("duties.divider.loan_ms", j -> j.getJsonObject("duties").getJsonObject("divider").put("loan_ms", "x"));
+        refused(
+                "duties.warden.most",
+                j -> j.getJsonObject("duties").getJsonObject("warden").put("most", 1));
+        refused(
+                "duties.warden.beyond",
+                j -> j.getJsonObject("duties").getJsonObject("warden").put("beyond", "x"));
+        refused(
+                "duties.divider.reserve",
+                j -> j.getJsonObject("duties").getJsonObject("divider").put("reserve", 0));
+        refused(
+                "duties.divider.loan_ms",
+                j -> j.getJsonObject("duties").getJsonObject("divider").put("loan_ms", "x"));
         refused("duties.sweeper", j -> j.getJsonObject("duties").put("sweeper", new JsonObject()));
     }
 }
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -26,7 +26,9 @@
         assertEquals(8443, c.listen().getPort());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
         assertEquals(400_000, c.site().connectTimeout());
-        assertEquals(Map.of("menu-media", 0, "menu-page", 1, "place-order", 2), c.site().classes());
+        assertEquals(
+                Map.of("menu-media", 0, "menu-page", 1, "place-order", 2),
+                c.site().classes());
         assertEquals(8_000_000, c.site().router().classes()[1].goodFor());
         assertTrue(c.site().router().classes()[2].goesThrough());
         assertEquals(1, c.site().router().zone());
@@ -35,8 +37,10 @@
 
     @Test
     void nestedSettingsBecomeTheWiresPairs() {
-        Map<String, String> flat = DirectorConfig.flat(new JsonObject().put("A", new JsonObject().put("B", 1.5))
-                .put("L", new JsonArray().add("x y").add(2)).put("E", new JsonArray())
+        Map<String, String> flat = DirectorConfig.flat(new JsonObject()
+                .put("A", new JsonObject().put("B", 1.5))
+                .put("L", new JsonArray().add("x y").add(2))
+                .put("E", new JsonArray())
                 .put("O", new JsonArray().add(new JsonObject().put("N", "a"))));
         assertEquals(Map.of("A.B", "1.5", "L", "x y\u001f2", "E", "", "O.count", "1", "O.0.N", "a"), flat);
     }
@@ -51,7 +55,9 @@
         SiteSettings site = DirectorConfig.read(Map.of(), json).site();
         assertEquals(0, site.classes().get("menú, del día"));
         assertEquals(1, site.router().zone());
-        assertEquals(1, site.member(7, "nord, süd", "std", 0, Router.State.READY, 0, 0).zone());
+        assertEquals(
+                1,
+                site.member(7, "nord, süd", "std", 0, Router.State.READY, 0, 0).zone());
         settings.getJsonArray("Classes").getJsonObject(0).put("Name", "menu\u001fpage");
         Exception e = assertThrows(ConfigException.class, () -> DirectorConfig.read(Map.of(), json));
         assertTrue(e.getMessage().startsWith("settings.Classes.0.Name:"), e.getMessage());
@@ -64,29 +70,34 @@
         json.getJsonObject("settings").getJsonArray("Classes").remove(1); // menu-page
         SiteSettings without = DirectorConfig.read(Map.of(), json).site().placed(all);
         assertEquals(Map.of("menu-media", 0, "place-order", 2), without.classes());
-        assertEquals(Map.of("menu-media", 0, "menu-page", 3, "place-order", 2), all.placed(without).classes());
+        assertEquals(
+                Map.of("menu-media", 0, "menu-page", 3, "place-order", 2),
+                all.placed(without).classes());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "listen | \"nowhere\" | GW_LISTEN",
-        "listen | 5 | listen",
-        "feed | \"feed.example:80\" | feed",
-        "peers | [\"10.0.0.1\"] | peers[0]",
-        "peer_listen | \"10.0.0.1:0\" | peer_listen",
-        "seed | \"xyz\" | seed",
-        "known | [] | known",
-        "known | {\"n\":\"one\"} | known.n",
-        "limits | {\"sockets\":\"many\"} | limits.sockets",
-        "settings | null | settings",
-        "settings | {} | settings.Classes",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":\"soon\"}]} | Classes.0.Aim",
-        "settings | {\"Classes\":[{\"Aim\":1,\"Deadline\":1}]} | settings.Classes.0.Name",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1}]} | settings.Classes.0.Deadline",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":-5}]} | settings.Classes.0.Deadline",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1,\"Effect\":\"none\"}]} | settings.Classes.0.Effect",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1},{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}]} | settings.Classes.0.Name",
-        "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}],\"Permissions\":{\"TryLimit\":0}} | settings.Permissions.TryLimit"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "listen | \"nowhere\" | GW_LISTEN",
+                "listen | 5 | listen",
+                "feed | \"feed.example:80\" | feed",
+                "peers | [\"10.0.0.1\"] | peers[0]",
+                "peer_listen | \"10.0.0.1:0\" | peer_listen",
+                "seed | \"xyz\" | seed",
+                "known | [] | known",
+                "known | {\"n\":\"one\"} | known.n",
+                "limits | {\"sockets\":\"many\"} | limits.sockets",
+                "settings | null | settings",
+                "settings | {} | settings.Classes",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":\"soon\"}]} | Classes.0.Aim",
+                "settings | {\"Classes\":[{\"Aim\":1,\"Deadline\":1}]} | settings.Classes.0.Name",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1}]} | settings.Classes.0.Deadline",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":-5}]} | settings.Classes.0.Deadline",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1,\"Effect\":\"none\"}]} | settings.Classes.0.Effect",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1},{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}]} | settings.Classes.0.Name",
+                "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}],\"Permissions\":{\"TryLimit\":0}} | settings.Permissions.TryLimit"
+            })
     void anErrorBeginsWithTheFaultyKey(String key, String value, String named) throws Exception {
         JsonObject json = example().put(key, new JsonArray("[" + value + "]").getValue(0));
         Exception e = assertThrows(ConfigException.class, () -> DirectorConfig.read(Map.of(), json));
@@ -95,8 +106,8 @@
 
     @Test
     void aMissingFileIsToldWithTheVariable() {
-        Exception e = assertThrows(ConfigException.class,
-                () -> DirectorConfig.fromEnvironment(Map.of("GW_CONFIG", "no/such/file")));
+        Exception e = assertThrows(
+                ConfigException.class, () -> DirectorConfig.fromEnvironment(Map.of("GW_CONFIG", "no/such/file")));
         assertTrue(e.getMessage().startsWith("GW_CONFIG:"), e.getMessage());
         assertThrows(ConfigException.class, () -> DirectorConfig.fromEnvironment(Map.of()));
     }
@@ -104,16 +115,19 @@
     @Test
     void whatOnlyARestartCarriesOutIsNamed() throws Exception {
         DirectorConfig old = DirectorConfig.read(Map.of(), example());
-        JsonObject json = example().put("feed", "127.0.0.1:2380").put("seed", "1").put("listen", "127.0.0.1:1");
+        JsonObject json =
+                example().put("feed", "127.0.0.1:2380").put("seed", "1").put("listen", "127.0.0.1:1");
         json.getJsonObject("settings").put("Me", 1);
-        assertEquals(java.util.List.of("listen"),
-                DirectorConfig.read(Map.of(), json).changedSince(old));
+        assertEquals(
+                java.util.List.of("listen"), DirectorConfig.read(Map.of(), json).changedSince(old));
     }
 
     @Test
     void aListThatHasChangedTellsThatTheFleetIsAtWork() throws Exception {
         JsonObject json = example();
-        JsonObject members = json.getJsonObject("known").getJsonArray("events").getJsonObject(0)
+        JsonObject members = json.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
                 .getJsonObject("members");
         members.put("seq", 0);
         assertTrue(DirectorConfig.read(Map.of(), json).startsWithFleet());
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -28,8 +28,12 @@
         List<JsonObject> classes = new ArrayList<>();
         for (String name : NAMES) {
             if (random.nextBoolean() || classes.isEmpty() && name.equals("orders-v2")) {
-                classes.add(new JsonObject().put("Name", name).put("Effect", random.nextBoolean() ? "pure" : "side_effect")
-                        .put("Aim", 1 + random.nextInt(900)).put("Deadline", 1000 + random.nextInt(900)).put("Worth", 1.0));
+                classes.add(new JsonObject()
+                        .put("Name", name)
+                        .put("Effect", random.nextBoolean() ? "pure" : "side_effect")
+                        .put("Aim", 1 + random.nextInt(900))
+                        .put("Deadline", 1000 + random.nextInt(900))
+                        .put("Worth", 1.0));
             }
         }
         java.util.Collections.shuffle(classes, random);
@@ -70,8 +74,8 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void theLastGoodFileIsInForceWholeAndClassesKeepTheirPlaces(@ForAll @Size(max = 12) List<@IntRange(max = 19) Integer> files,
-            @ForAll long seed) throws Exception {
+    void theLastGoodFileIsInForceWholeAndClassesKeepTheirPlaces(
+            @ForAll @Size(max = 12) List<@IntRange(max = 19) Integer> files, @ForAll long seed) throws Exception {
         Random random = new Random(seed);
         JsonObject example = new JsonObject(Files.readString(Path.of("examples/config.json")));
         Path file = Files.createTempFile("config", ".json");
@@ -99,13 +103,17 @@
                     // Also where it was there earlier: nothing that was learned of it then may count now.
                     assertTrue(place >= was.router().classes().length, "an old place for a new class: " + name);
                 }
-                assertEquals(running.site().router().classes()[running.site().classes().get(name)],
+                assertEquals(
+                        running.site()
+                                .router()
+                                .classes()[running.site().classes().get(name)],
                         site.router().classes()[site.classes().get(name)]);
             }
             Router.RequestClass[] all = site.router().classes();
             for (Map.Entry<String, Integer> gone : was.classes().entrySet()) {
                 if (!site.classes().containsKey(gone.getKey())) {
-                    assertEquals(was.router().classes()[gone.getValue()], all[gone.getValue()], "under way, and changed");
+                    assertEquals(
+                            was.router().classes()[gone.getValue()], all[gone.getValue()], "under way, and changed");
                 }
             }
             assertEquals(running.site().router().tryLimit(), site.router().tryLimit());
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -14,8 +14,9 @@
 import pewtercourse.site.Sites;
 
 class SitesConfigTest {
-    private static final String GOOD = "{'sites': [{'name': 'a', 'bears': 20, 'directors': ['d1'], 'takers': [{'site': 'b'}]},"
-            + " {'name': 'b', 'bears': 10, 'directors': ['d2'], 'takers': []}]}";
+    private static final String GOOD =
+            "{'sites': [{'name': 'a', 'bears': 20, 'directors': ['d1'], 'takers': [{'site': 'b'}]},"
+                    + " {'name': 'b', 'bears': 10, 'directors': ['d2'], 'takers': []}]}";
 
     private static Sites read(String json) {
         return SitesConfig.read(new JsonObject(json.replace('\'', '"')));
@@ -30,18 +31,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '"', value = {
-        "'bears': 20 | 'bears': 0 | sites[0].bears", "'bears': 20 | 'beers': 20 | sites[0].beers",
-        "'bears': 20 | 'lends': 2, 'bears': 1 | sites[0].lends", "'site': 'b' | 'site': 'a' | sites[0].takers[0].site",
-        "'site': 'b' | 'site': 'x' | sites[0].takers[0].site", "'name': 'b' | 'name': 'a' | sites[1].name",
-        "'d2' | 'd1' | sites[1].directors", "{'sites' | {'steps': [0.5, 0.4, 1], 'sites' | steps[1]",
-        "{'sites' | {'steps': [0.5], 'sites' | steps", "{'sites' | {'lost_after_ms': 'x', 'sites' | lost_after_ms",
-        "{'sites' | {'flap_most_ms': 1000, 'back_after_ms': 2000, 'sites' | flap_most_ms", "{'sites' | {'site': 1, 'sites' | site",
-        "'name': 'b' | 'name': 'a b' | sites[1].name", "'directors': ['d1'] | 'directors': 'd1' | sites[0].directors"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '"',
+            value = {
+                "'bears': 20 | 'bears': 0 | sites[0].bears", "'bears': 20 | 'beers': 20 | sites[0].beers",
+                "'bears': 20 | 'lends': 2, 'bears': 1 | sites[0].lends",
+                        "'site': 'b' | 'site': 'a' | sites[0].takers[0].site",
+                "'site': 'b' | 'site': 'x' | sites[0].takers[0].site", "'name': 'b' | 'name': 'a' | sites[1].name",
+                "'d2' | 'd1' | sites[1].directors", "{'sites' | {'steps': [0.5, 0.4, 1], 'sites' | steps[1]",
+                "{'sites' | {'steps': [0.5], 'sites' | steps",
+                        "{'sites' | {'lost_after_ms': 'x', 'sites' | lost_after_ms",
+                "{'sites' | {'flap_most_ms': 1000, 'back_after_ms': 2000, 'sites' | flap_most_ms",
+                        "{'sites' | {'site': 1, 'sites' | site",
+                "'name': 'b' | 'name': 'a b' | sites[1].name",
+                        "'directors': ['d1'] | 'directors': 'd1' | sites[0].directors"
+            })
     void whatCannotBeUsedIsNamed(String part, String instead, String key) {
         String json = GOOD.replace(part.trim(), instead.trim());
         ConfigException e = assertThrows(ConfigException.class, () -> read(json));
-        assertTrue(e.getMessage().startsWith(key.trim() + ":") || e.getMessage().startsWith(key.trim() + " "), e.getMessage());
+        assertTrue(
+                e.getMessage().startsWith(key.trim() + ":") || e.getMessage().startsWith(key.trim() + " "),
+                e.getMessage());
     }
 
     @Test
--- a/src/test/java/pewtercourse/decision/Bench.java
+++ b/src/test/java/pewtercourse/decision/Bench.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
 import pewtercourse.decision.Router.Action;
 import pewtercourse.decision.Router.Ending;
 import pewtercourse.decision.Router.Event;
@@ -10,8 +12,6 @@
 import pewtercourse.decision.Router.Role;
 import pewtercourse.decision.Router.Send;
 import pewtercourse.decision.Router.State;
-import java.util.ArrayList;
-import java.util.List;
 
 /** A router with hand-fed events: four caches (1-4) in zone 0, two parents (11, 12), the origin (21). */
 final class Bench {
@@ -37,13 +37,31 @@
     long nextId = 1;
 
     Bench start(Member... members) {
-        Router.RequestClass c = new Router.RequestClass(effect, group, 2000 * MS, 500 * MS, 1, 3000 * MS, false,
-                goodFor, inParts, false);
-        Router.Settings s = new Router.Settings(me, routers, 0,
-                seats != null ? seats : new int[] {routers}, new Router.RequestClass[] {c},
-                5000, linkKbPerS, true, mayPassBy, mayTell, parallel, true, 2000 * MS, 8, pushed, weightsTold,
-                Router.Siblings.OWN_ZONE, notes, new Router.ColdRule(0.2, 18_000 * MS, 3),
-                new Router.ColdRule(0.06, 20_000 * MS, 2), 1500 * MS, 6000 * MS);
+        Router.RequestClass c = new Router.RequestClass(
+                effect, group, 2000 * MS, 500 * MS, 1, 3000 * MS, false, goodFor, inParts, false);
+        Router.Settings s = new Router.Settings(
+                me,
+                routers,
+                0,
+                seats != null ? seats : new int[] {routers},
+                new Router.RequestClass[] {c},
+                5000,
+                linkKbPerS,
+                true,
+                mayPassBy,
+                mayTell,
+                parallel,
+                true,
+                2000 * MS,
+                8,
+                pushed,
+                weightsTold,
+                Router.Siblings.OWN_ZONE,
+                notes,
+                new Router.ColdRule(0.2, 18_000 * MS, 3),
+                new Router.ColdRule(0.06, 20_000 * MS, 2),
+                1500 * MS,
+                6000 * MS);
         logic = new Logic(s, 7);
         feed(new Router.Listed(Router.ListKind.REMEMBERED, List.of(members)));
         return this;
--- a/src/test/java/pewtercourse/decision/LogicTest.java
+++ b/src/test/java/pewtercourse/decision/LogicTest.java
@@ -1,5 +1,9 @@
 package pewtercourse.decision;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 import static pewtercourse.decision.Bench.MS;
 import static pewtercourse.decision.Bench.START;
 import static pewtercourse.decision.Bench.all;
@@ -7,17 +11,7 @@
 import static pewtercourse.decision.Bench.cache;
 import static pewtercourse.decision.Bench.parent;
 import static pewtercourse.decision.Bench.send;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pewtercourse.decision.Router.Action;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Member;
-import pewtercourse.decision.Router.Note;
-import pewtercourse.decision.Router.Send;
-import pewtercourse.decision.Router.State;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,6 +20,12 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import pewtercourse.decision.Router.Action;
+import pewtercourse.decision.Router.Ending;
+import pewtercourse.decision.Router.Member;
+import pewtercourse.decision.Router.Note;
+import pewtercourse.decision.Router.Send;
+import pewtercourse.decision.Router.State;
 
 class LogicTest {
     // ---- The mechanism ----
@@ -233,7 +233,10 @@
         for (int i = 0; i < 40; i++) {
             Send s = b.sent("bad" + i);
             Send next = send(b.end(s, 0, Ending.ERROR, Note.NONE));
-            assertEquals(1, all(b.end(next, 1, Ending.ERROR, Note.NONE), Router.Refuse.class).size());
+            assertEquals(
+                    1,
+                    all(b.end(next, 1, Ending.ERROR, Note.NONE), Router.Refuse.class)
+                            .size());
             b.ok(b.sent("good" + i), Note.FILLED);
             b.ok(b.sent("fine" + i), Note.FILLED);
             b.ok(b.sent("well" + i), Note.FILLED);
@@ -629,10 +632,12 @@
     @Test
     void aDeadZoneHoldsOneAttemptACacheUntilItAnswers() {
         Bench b = new Bench().start(Bench.all());
-        long caches = List.of(Bench.all()).stream().filter(m -> m.role() == Router.Role.CACHE).count();
+        long caches = List.of(Bench.all()).stream()
+                .filter(m -> m.role() == Router.Role.CACHE)
+                .count();
         for (int i = 0; i < 200; i++) {
             int attempt = 0;
-            for (List<Send> next = all(b.ask("dead" + i), Send.class); !next.isEmpty();) {
+            for (List<Send> next = all(b.ask("dead" + i), Send.class); !next.isEmpty(); ) {
                 next = all(b.end(next.get(0), attempt++, Ending.CONNECT_FAILED, Note.NONE), Send.class);
             }
         }
@@ -640,7 +645,8 @@
         for (int i = 0; i < 100; i++) {
             List<Action> to = b.ask("waits" + i);
             out.addAll(all(to, Send.class));
-            assertEquals(1, all(to, Send.class).size() + all(to, Router.Refuse.class).size(), "sent, or refused at once");
+            assertEquals(
+                    1, all(to, Send.class).size() + all(to, Router.Refuse.class).size(), "sent, or refused at once");
         }
         assertEquals(caches, out.stream().map(Send::member).distinct().count());
         assertEquals(caches, out.size(), "one a cache: all routers' attempts come up at once when it returns");
@@ -664,8 +670,14 @@
     void whatACacheTurnsAwayTwiceIsNotSentThereAgainThoughTheOthersHaveNoRoom() {
         Bench b = new Bench();
         b.weightsTold = false;
-        Member[] few = {cache(1), as(cache(2), State.READY, START - 1000 * MS), as(cache(3), State.READY, START - 1000 * MS),
-            parent(11), parent(12), Bench.ORIGIN};
+        Member[] few = {
+            cache(1),
+            as(cache(2), State.READY, START - 1000 * MS),
+            as(cache(3), State.READY, START - 1000 * MS),
+            parent(11),
+            parent(12),
+            Bench.ORIGIN
+        };
         b.start(few);
         for (int i = 0; i < 60; i++) {
             Send s = b.sent("fills" + i); // The cold ones have had what they have room for.
@@ -675,7 +687,7 @@
         for (int i = 0; i < 20; i++) {
             int attempt = 0;
             sent.add(0);
-            for (List<Send> next = all(b.ask("full" + i), Send.class); !next.isEmpty();) {
+            for (List<Send> next = all(b.ask("full" + i), Send.class); !next.isEmpty(); ) {
                 boolean warm = next.get(0).member() == 1;
                 sent.set(i, sent.get(i) + (warm ? 1 : 0));
                 next = all(b.end(next.get(0), attempt++, warm ? Ending.FULL : Ending.OK, Note.NONE), Send.class);
@@ -717,7 +729,9 @@
             last = b.sent("o" + i);
         }
         assertEquals(last.member(), last.source());
-        assertEquals(1, all(b.end(last, 0, Ending.MISS, Note.NONE), Router.Refuse.class).size());
+        assertEquals(
+                1,
+                all(b.end(last, 0, Ending.MISS, Note.NONE), Router.Refuse.class).size());
     }
 
     @Test
@@ -817,8 +831,12 @@
         Send s = b.sent("x");
         b.ok(s, Note.HIT);
         assertEquals(List.of(), b.ok(s, Note.HIT));
-        assertEquals(List.of(), b.feed(new Router.Outcome(99, 0, 1, Ending.OK, 1, true, Note.HIT),
-                new Router.ClientGone(99), new Router.StreamBegun(99, 0)));
+        assertEquals(
+                List.of(),
+                b.feed(
+                        new Router.Outcome(99, 0, 1, Ending.OK, 1, true, Note.HIT),
+                        new Router.ClientGone(99),
+                        new Router.StreamBegun(99, 0)));
         assertEquals(List.of(), b.feed());
     }
 
@@ -827,8 +845,11 @@
         Bench b = new Bench();
         b.pushed = false;
         b.start(Bench.all());
-        Router.Timer t = all(b.feed(new Router.Listed(Router.ListKind.FAILED, List.of())), Router.Timer.class).get(0);
-        assertEquals(1, all(b.feed(new Router.TimerDue(t.name())), Router.Watch.class).size());
+        Router.Timer t = all(b.feed(new Router.Listed(Router.ListKind.FAILED, List.of())), Router.Timer.class)
+                .get(0);
+        assertEquals(
+                1,
+                all(b.feed(new Router.TimerDue(t.name())), Router.Watch.class).size());
     }
 
     @Test
@@ -930,8 +951,8 @@
             for (Send s : all(a, Send.class)) {
                 boolean slow = s.source() == 11;
                 atSlow += slow && i >= 200 ? 1 : 0;
-                b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, slow ? 2000 * MS : 120 * MS, true,
-                        Note.FILLED));
+                b.feed(new Router.Outcome(
+                        s.id(), 0, s.member(), Ending.OK, slow ? 2000 * MS : 120 * MS, true, Note.FILLED));
             }
         }
         assertTrue(atSlow < 20, atSlow + " of 200 fills");
@@ -960,7 +981,8 @@
             for (int n = 0; s != null; n++) {
                 from[i >= 100 && s.source() == 11 ? 1 : 0]++;
                 boolean fails = s.source() == 11 && i % 5 < 3;
-                List<Router.Action> then = b.end(s, n, fails ? Ending.ERROR : Ending.OK, fails ? Note.NONE : Note.FILLED);
+                List<Router.Action> then =
+                        b.end(s, n, fails ? Ending.ERROR : Ending.OK, fails ? Note.NONE : Note.FILLED);
                 s = then.isEmpty() || !(then.get(0) instanceof Send) ? null : (Send) then.get(0);
             }
         }
@@ -1029,7 +1051,8 @@
         b.now += 2000 * MS;
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += all(b.sweep(10 * MS), Send.class).size() + all(b.ask("y" + i), Send.class).size();
+            sent += all(b.sweep(10 * MS), Send.class).size()
+                    + all(b.ask("y" + i), Send.class).size();
         }
         return sent;
     }
@@ -1060,7 +1083,8 @@
                 b.start(Bench.all());
                 Member cold = as(parent(11), State.READY, START);
                 Member gone = as(cache(77), State.GONE, 0);
-                b.feed(new Router.Listed(Router.ListKind.CHANGES, List.of(cold, cold, gone, gone)),
+                b.feed(
+                        new Router.Listed(Router.ListKind.CHANGES, List.of(cold, cold, gone, gone)),
                         new Router.PeerMessage(routers, new byte[11]));
                 for (int i = 0; i < 20; i++) {
                     b.ok(b.sent("x" + i), Note.FILLED);
@@ -1128,7 +1152,8 @@
 
     @Test
     void theModuleStaysShortAndNamesItsInterface() throws Exception {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/pewtercourse/decision/Logic.java"), StandardCharsets.UTF_8);
+        List<String> lines =
+                Files.readAllLines(Path.of("src/main/java/pewtercourse/decision/Logic.java"), StandardCharsets.UTF_8);
         int filled = 0;
         for (String l : lines) {
             assertTrue(l.length() <= 110, l);
--- a/src/test/java/pewtercourse/decision/ZoneSimulation.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulation.java
@@ -34,7 +34,11 @@
     private static final long START = 100 * SECOND, RESTART = START + 20 * SECOND, END = START + 36 * SECOND;
 
     /** Which caches start anew in the middle of the day. */
-    enum Restart { NONE, ONE, ALL }
+    enum Restart {
+        NONE,
+        ONE,
+        ALL
+    }
 
     /** A request as its client sees it. */
     private static final class Asked {
@@ -43,9 +47,9 @@
         boolean served;
     }
 
-    private record Due(long at, int router, Event event) { }
+    private record Due(long at, int router, Event event) {}
 
-    private record Job(int router, Router.Send send, int attempt, long sentAt, double kb) { }
+    private record Job(int router, Router.Send send, int attempt, long sentAt, double kb) {}
 
     /** A cache: {@code SLOTS} requests at once, at a speed that grows while it warms up. */
     private final class Cache {
@@ -97,7 +101,7 @@
         }
     }
 
-    private record Timed(long at, Runnable then) { }
+    private record Timed(long at, Runnable then) {}
 
     private final Random random;
     private final Logic[] routers;
@@ -135,12 +139,31 @@
     private Router.Settings settings(int me, int size) {
         int[] seats = new int[ZONES];
         Arrays.fill(seats, size);
-        Router.RequestClass media = new Router.RequestClass(Router.Effect.PURE, Router.Group.ALL, 2 * SECOND, AIM, 2, DEADLINE,
-                false, 0, false, false);
+        Router.RequestClass media = new Router.RequestClass(
+                Router.Effect.PURE, Router.Group.ALL, 2 * SECOND, AIM, 2, DEADLINE, false, 0, false, false);
         double link = CACHES * SLOTS * KB_PER_S / 3;
-        return new Router.Settings(me, size * ZONES, 0, seats, new Router.RequestClass[] {media}, KB_PER_S, link, true, false,
-                false, false, true, 500 * MS, 6, true, false, Router.Siblings.OWN_ZONE, Router.Notes.HITS,
-                new Router.ColdRule(COLD_FROM, WARM_UP, MULTIPLE), new Router.ColdRule(0.1, WARM_UP, MULTIPLE), TIP_AFTER,
+        return new Router.Settings(
+                me,
+                size * ZONES,
+                0,
+                seats,
+                new Router.RequestClass[] {media},
+                KB_PER_S,
+                link,
+                true,
+                false,
+                false,
+                false,
+                true,
+                500 * MS,
+                6,
+                true,
+                false,
+                Router.Siblings.OWN_ZONE,
+                Router.Notes.HITS,
+                new Router.ColdRule(COLD_FROM, WARM_UP, MULTIPLE),
+                new Router.ColdRule(0.1, WARM_UP, MULTIPLE),
+                TIP_AFTER,
                 6 * SECOND);
     }
 
@@ -207,20 +230,29 @@
     }
 
     private void arrive(int router, long after) {
-        double rate = load * CACHES * SLOTS / WORK * shares[router] / Arrays.stream(shares).sum();
+        double rate = load
+                * CACHES
+                * SLOTS
+                / WORK
+                * shares[router]
+                / Arrays.stream(shares).sum();
         long at = after + (long) (-Math.log(1 - random.nextDouble()) / rate) + 1;
         double meanKb = KB_PER_S * WORK / SECOND;
         double kb = meanKb * Math.exp(0.9 * random.nextGaussian() - 0.9 * 0.9 / 2); // Some are many times the mean.
         String object = "o" + (int) (400 * Math.pow(random.nextDouble(), 2));
-        events.add(new Due(at, router, new Router.Request(++nextId, 0, object, 0, 3, Math.min(kb, 8 * meanKb),
-                at + DEADLINE, false, false)));
+        events.add(new Due(
+                at,
+                router,
+                new Router.Request(++nextId, 0, object, 0, 3, Math.min(kb, 8 * meanKb), at + DEADLINE, false, false)));
     }
 
     private void end(long now, Job job, Ending ending, Note note) {
         boolean ok = ending == Ending.OK && now <= job.sentAt + DEADLINE;
         asked.get(job.send.id()).served |= ok;
-        events.add(new Due(now, job.router, new Router.Outcome(job.send.id(), job.attempt, job.send.member(), ending,
-                now - job.sentAt, ok, note)));
+        events.add(new Due(
+                now,
+                job.router,
+                new Router.Outcome(job.send.id(), job.attempt, job.send.member(), ending, now - job.sentAt, ok, note)));
     }
 
     /** Requests over budget and chance in the worst window of a cold cache; not over 0 if all went well. */
--- a/src/test/java/pewtercourse/decision/ZoneSimulationTest.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulationTest.java
@@ -18,7 +18,8 @@
     private static void coldCachesBear(int routers, Restart restart) {
         for (double load : LOADS) {
             for (int seed = 1; seed <= SEEDS; seed++) {
-                double over = new ZoneSimulation(routers, load, restart, seed).play().worstOver();
+                double over =
+                        new ZoneSimulation(routers, load, restart, seed).play().worstOver();
                 assertTrue(over <= 0, routers + " routers, load " + load + ", seed " + seed + ": over by " + over);
             }
         }
@@ -38,13 +39,22 @@
 
     // Of what is served of all, at least this share of the largest tenth and of the next fifth.
     @ParameterizedTest
-    @CsvSource({"4, 0.5, NONE, 0.667", "20, 0.5, NONE, 0.667", "100, 0.5, NONE, 0.667", "4, 1.1, NONE, 0.5", "20, 1.1, NONE, 0.5",
-        "100, 1.1, NONE, 0.5", "4, 0.55, ALL, 0.5", "20, 0.55, ALL, 0.5", "100, 0.55, ALL, 0.5"})
+    @CsvSource({
+        "4, 0.5, NONE, 0.667",
+        "20, 0.5, NONE, 0.667",
+        "100, 0.5, NONE, 0.667",
+        "4, 1.1, NONE, 0.5",
+        "20, 1.1, NONE, 0.5",
+        "100, 1.1, NONE, 0.5",
+        "4, 0.55, ALL, 0.5",
+        "20, 0.55, ALL, 0.5",
+        "100, 0.55, ALL, 0.5"
+    })
     void largeRequestsGetTheirShare(int routers, double load, Restart restart, double least) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             ZoneSimulation s = new ZoneSimulation(routers, load, restart, seed).play();
-            String which = routers + " routers, seed " + seed + ": " + s.served(0.9, 1) + " and " + s.served(0.7, 0.9) + " of "
-                    + s.served(0, 1);
+            String which = routers + " routers, seed " + seed + ": " + s.served(0.9, 1) + " and " + s.served(0.7, 0.9)
+                    + " of " + s.served(0, 1);
             assertTrue(s.served(0.9, 1) >= least * s.served(0, 1), which);
             assertTrue(s.served(0.7, 0.9) >= least * s.served(0, 1), which);
         }
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -51,7 +51,8 @@
     /** {@code play} hears the request and how many came before it. */
     private void start(BiConsumer<HttpServerRequest, Integer> play) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        HttpServer server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
+        HttpServer server = vertx.createHttpServer(
+                new HttpServerOptions().setHost("127.0.0.1").setPort(0));
         server.requestHandler(r -> {
             asked.add(r.method() + " " + r.uri());
             outMost.accumulateAndGet(out.incrementAndGet(), Math::max);
@@ -59,11 +60,15 @@
             r.connection().closeHandler(v -> out.decrementAndGet());
             r.body().onSuccess(b -> play.accept(r, count.getAndIncrement()));
         });
-        int port = get(server.listen().toCompletionStage().toCompletableFuture()).actualPort();
+        int port =
+                get(server.listen().toCompletionStage().toCompletableFuture()).actualPort();
         JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
         json.remove("feed");
-        JsonArray hosts = json.getJsonObject("known").getJsonArray("events").getJsonObject(0)
-                .getJsonObject("members").getJsonArray("hosts");
+        JsonArray hosts = json.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
+                .getJsonArray("hosts");
         hosts.forEach(h -> ((JsonObject) h).put("dial", "127.0.0.1:" + port));
         config = DirectorConfig.read(Map.of(), json);
         CompletableFuture<Director> made = new CompletableFuture<>();
@@ -81,9 +86,19 @@
 
     private CompletableFuture<Answer> begin(String cls, String known, double deadlineMs) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        vertx.runOnContext(v -> director.handle(new ClientRequest("9b1f03aa5c7e2d41", cls, "7f3a9c21e0b4d655", 3,
-                17, 10, known, Buffer.buffer(cls.equals("place-order") ? "two couscous" : ""),
-                director.clock().getAsLong(), deadlineMs), answer::complete));
+        vertx.runOnContext(v -> director.handle(
+                new ClientRequest(
+                        "9b1f03aa5c7e2d41",
+                        cls,
+                        "7f3a9c21e0b4d655",
+                        3,
+                        17,
+                        10,
+                        known,
+                        Buffer.buffer(cls.equals("place-order") ? "two couscous" : ""),
+                        director.clock().getAsLong(),
+                        deadlineMs),
+                answer::complete));
         return answer;
     }
 
@@ -117,8 +132,10 @@
 
     @Test
     void aCopyThatHoldsIsToldWithoutBytes() throws Exception {
-        start((r, n) -> r.response().setStatusCode("abc".equals(r.getHeader("If-None-Match")) ? 304 : 500)
-                .putHeader("ETag", "abc").end());
+        start((r, n) -> r.response()
+                .setStatusCode("abc".equals(r.getHeader("If-None-Match")) ? 304 : 500)
+                .putHeader("ETag", "abc")
+                .end());
         Answer a = ask("menu-page", "abc", 20_000);
         assertEquals(Answer.Kind.SAME, a.kind());
         assertEquals(0, a.body().length());
@@ -152,13 +169,15 @@
             r.response().write("half").onComplete(v -> r.connection().close());
         });
         Answer a = ask("menu-page", null, 20_000);
-        assertTrue(a.kind() == Answer.Kind.REFUSED || a.kind() == Answer.Kind.FAILED, a.kind().name());
+        assertTrue(
+                a.kind() == Answer.Kind.REFUSED || a.kind() == Answer.Kind.FAILED,
+                a.kind().name());
         assertTrue(asked.size() <= 6, "at most six attempts: " + asked);
     }
 
     @Test
     void aSilentCacheEndsAtTheClientsDeadline() throws Exception {
-        start((r, n) -> { });
+        start((r, n) -> {});
         assertEquals(Answer.Kind.FAILED, ask("place-order", null, 200).kind());
         assertEquals(1, asked.size());
     }
@@ -171,8 +190,17 @@
         assertEquals(Answer.Kind.FAILED, ask("place-order", null, 1_000).kind());
         assertTrue(get(told) <= 960, "the attempt may last " + get(told) + " of the client's 1000 ms");
         for (double deadline : new double[] {1, 200, 2_500, 5_000, 60_000}) {
-            long expires = ProxiedRequest.expires(new ClientRequest("9b1f03aa5c7e2d41", "menu-page", "7f3a9c21e0b4d655", 3, 17, 10,
-                    null, Buffer.buffer(), 7_000_000, deadline));
+            long expires = ProxiedRequest.expires(new ClientRequest(
+                    "9b1f03aa5c7e2d41",
+                    "menu-page",
+                    "7f3a9c21e0b4d655",
+                    3,
+                    17,
+                    10,
+                    null,
+                    Buffer.buffer(),
+                    7_000_000,
+                    deadline));
             long spared = 7_000_000 + (long) (deadline * 1000) - expires;
             assertEquals(Math.min(100_000, 40 * deadline), spared, 1, "of " + deadline + " ms");
         }
@@ -207,9 +235,20 @@
         CompletableFuture<Integer> open = new CompletableFuture<>();
         vertx.runOnContext(v -> {
             for (int i = 0; i < 300; i++) {
-                director.handle(new ClientRequest(String.format("%016x", 7 + i), "menu-page",
-                        String.format("%016x", i), 0, 0, 10, null, Buffer.buffer(), director.clock().getAsLong(), 3_000),
-                        a -> { }).run();
+                director.handle(
+                                new ClientRequest(
+                                        String.format("%016x", 7 + i),
+                                        "menu-page",
+                                        String.format("%016x", i),
+                                        0,
+                                        0,
+                                        10,
+                                        null,
+                                        Buffer.buffer(),
+                                        director.clock().getAsLong(),
+                                        3_000),
+                                a -> {})
+                        .run();
             }
             open.complete(director.open());
         });
@@ -249,7 +288,7 @@
                 }
 
                 @Override
-                public void onClose(Runnable then) { }
+                public void onClose(Runnable then) {}
 
                 @Override
                 public void close() {
@@ -277,18 +316,28 @@
     }
 
     private ClientRequest page(long id, double deadlineMs) {
-        return new ClientRequest(String.format("%016x", id), "menu-page", String.format("%016x", id % 50), 0, 17, 10, null,
-                Buffer.buffer(), director.clock().getAsLong(), deadlineMs);
+        return new ClientRequest(
+                String.format("%016x", id),
+                "menu-page",
+                String.format("%016x", id % 50),
+                0,
+                17,
+                10,
+                null,
+                Buffer.buffer(),
+                director.clock().getAsLong(),
+                deadlineMs);
     }
 
-    // The module orders one more attempt for it in the batch in which it also hears that the client has gone: that attempt
+    // The module orders one more attempt for it in the batch in which it also hears that the client has gone: that
+    // attempt
     // was dropped without a word, and took up room at its cache for good.
     @Test
     void aClientThatLeavesAsItsAttemptEndsTakesUpNoRoom() throws Exception {
         ScriptedTransport caches = startScripted();
         for (int i = 0; i < 400; i++) {
             long id = 1_000 + i;
-            Runnable gone = onLoop(() -> director.handle(page(id, 20_000), a -> { }));
+            Runnable gone = onLoop(() -> director.handle(page(id, 20_000), a -> {}));
             int n = i;
             onLoop(() -> caches.asked.size()); // The module has sent it on.
             onLoop(() -> {
@@ -312,12 +361,13 @@
         assertEquals(Answer.Kind.SERVED, get(answer).kind());
     }
 
-    // After a late turn the sockets are read in any order: the client's close may stand behind the connection's coming up.
+    // After a late turn the sockets are read in any order: the client's close may stand behind the connection's coming
+    // up.
     @Test
     void aClientThatLeavesAsItsConnectionComesUpIsNotSentOn() throws Exception {
         ScriptedTransport caches = startScripted();
         caches.slow = true;
-        Runnable gone = onLoop(() -> director.handle(page(1, 20_000), a -> { }));
+        Runnable gone = onLoop(() -> director.handle(page(1, 20_000), a -> {}));
         onLoop(() -> null);
         onLoop(() -> {
             caches.dials.get(0).complete();
@@ -344,7 +394,7 @@
         int before = onLoop(() -> caches.asked.size());
         onLoop(() -> {
             for (int i = 0; i < 600; i++) {
-                director.handle(page(1_000 + i, 20_000), a -> { });
+                director.handle(page(1_000 + i, 20_000), a -> {});
             }
             long until = director.clock().getAsLong() + 150_000;
             while (director.clock().getAsLong() < until) {
@@ -383,17 +433,25 @@
         HttpServerRequest r = get(held);
         reload(s -> {
             s.getJsonArray("Classes").remove(1); // menu-page has gone, and its place is free.
-            s.getJsonArray("Classes").add(new JsonObject().put("Name", "menu-v2").put("Effect", "side_effect")
-                    .put("Aim", 400).put("Deadline", 3_000));
+            s.getJsonArray("Classes")
+                    .add(new JsonObject()
+                            .put("Name", "menu-v2")
+                            .put("Effect", "side_effect")
+                            .put("Aim", 400)
+                            .put("Deadline", 3_000));
         });
         vertx.runOnContext(v -> r.connection().close());
         Answer a = get(first);
         int asks = asked.size();
         assertTrue(asks > 1, "safe to repeat when it came, so it was: " + asked);
         assertTrue(a.kind() == Answer.Kind.REFUSED || a.kind() == Answer.Kind.FAILED);
-        assertEquals(Answer.Kind.FAILED, begin("menu-page", 2).get(30, TimeUnit.SECONDS).kind());
+        assertEquals(
+                Answer.Kind.FAILED,
+                begin("menu-page", 2).get(30, TimeUnit.SECONDS).kind());
         assertEquals(asks, asked.size(), "its class has gone");
-        assertEquals(Answer.Kind.FAILED, begin("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
+        assertEquals(
+                Answer.Kind.FAILED,
+                begin("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
         assertEquals(asks + 1, asked.size(), "must not run twice: " + asked);
     }
 
@@ -407,14 +465,25 @@
 
     private CompletableFuture<Answer> begin(String cls, long id) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        vertx.runOnContext(v -> director.handle(new ClientRequest(String.format("%016x", id), cls, "7f3a9c21e0b4d655", 0,
-                17, 10, null, Buffer.buffer(), director.clock().getAsLong(), 20_000), answer::complete));
+        vertx.runOnContext(v -> director.handle(
+                new ClientRequest(
+                        String.format("%016x", id),
+                        cls,
+                        "7f3a9c21e0b4d655",
+                        0,
+                        17,
+                        10,
+                        null,
+                        Buffer.buffer(),
+                        director.clock().getAsLong(),
+                        20_000),
+                answer::complete));
         return answer;
     }
 
     @Test
     void aClassThatTheSettingsLackFails() throws Exception {
-        start((r, n) -> { });
+        start((r, n) -> {});
         assertEquals(Answer.Kind.FAILED, ask("no-such-class", null, 20_000).kind());
         assertEquals(0, asked.size());
     }
--- a/src/test/java/pewtercourse/director/EndingsTest.java
+++ b/src/test/java/pewtercourse/director/EndingsTest.java
@@ -14,11 +14,11 @@
 import pewtercourse.decision.Router.Note;
 
 class EndingsTest {
-    private static final Set<Ending> NEVER_RAN = EnumSet.of(Ending.FULL, Ending.MISS, Ending.CONNECT_FAILED,
-            Ending.MOOT);
+    private static final Set<Ending> NEVER_RAN =
+            EnumSet.of(Ending.FULL, Ending.MISS, Ending.CONNECT_FAILED, Ending.MOOT);
     /** What may have run: an order must not be repeated after any of these. */
-    private static final Set<End> MAY_HAVE_RUN = EnumSet.of(End.SERVED, End.NOT_MODIFIED, End.ERROR,
-            End.MALFORMED, End.RESET, End.TIMEOUT, End.CANCELLED);
+    private static final Set<End> MAY_HAVE_RUN =
+            EnumSet.of(End.SERVED, End.NOT_MODIFIED, End.ERROR, End.MALFORMED, End.RESET, End.TIMEOUT, End.CANCELLED);
 
     @ParameterizedTest
     @EnumSource(End.class)
@@ -27,8 +27,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"mem,1", "parent,2", "origin,3", "shared,4", "old,5", "denied,6", "unreached,7", "absent,8",
-        "crowded,9", "behind,10", "other,0"})
+    @CsvSource({
+        "mem,1",
+        "parent,2",
+        "origin,3",
+        "shared,4",
+        "old,5",
+        "denied,6",
+        "unreached,7",
+        "absent,8",
+        "crowded,9",
+        "behind,10",
+        "other,0"
+    })
     void notesGoByNameToTheSimulatorsNumbers(String word, int number) {
         assertEquals(number, Endings.note(word).ordinal());
     }
--- a/src/test/java/pewtercourse/director/EventLoopCalls.java
+++ b/src/test/java/pewtercourse/director/EventLoopCalls.java
@@ -9,7 +9,7 @@
 final class EventLoopCalls {
     private static final int WAIT_SECONDS = 60;
 
-    private EventLoopCalls() { }
+    private EventLoopCalls() {}
 
     static <T> T call(Vertx vertx, Supplier<T> what) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
--- a/src/test/java/pewtercourse/director/FiguresModelTest.java
+++ b/src/test/java/pewtercourse/director/FiguresModelTest.java
@@ -20,14 +20,15 @@
 /** Requests that are answered or whose clients leave, in any order, against what their clients saw or gave up. */
 class FiguresModelTest {
     private static final String[] CLASSES = {"menu-media", "menu-page", "no-such-class"};
-    private static final Answer[] ANSWERS = {Answer.served(Buffer.buffer("menu"), "t"), Answer.same("t"),
-        Answer.refused(50), Answer.failed()};
+    private static final Answer[] ANSWERS = {
+        Answer.served(Buffer.buffer("menu"), "t"), Answer.same("t"), Answer.refused(50), Answer.failed()
+    };
 
-    private record Open(long id, String cls, Consumer<Answer> answer, Runnable gone) { }
+    private record Open(long id, String cls, Consumer<Answer> answer, Runnable gone) {}
 
     @Property(tries = 400, seed = "7")
-    void everyRequestIsCountedOnceByTheAnswerThatItsClientSaw(@ForAll List<@IntRange(max = 7) Integer> steps,
-            @ForAll long seed) {
+    void everyRequestIsCountedOnceByTheAnswerThatItsClientSaw(
+            @ForAll List<@IntRange(max = 7) Integer> steps, @ForAll long seed) {
         Random random = new Random(seed);
         Figures figures = new Figures();
         figures.show(List.of("menu-media", "menu-page"));
@@ -35,25 +36,27 @@
         List<Open> open = new ArrayList<>();
         boolean[] atOnce = {false};
         long serial = 0;
-        RequestHandler counted = figures.count((r, answer) -> {
-            if (atOnce[0]) {
-                answer.accept(Answer.refused(50));
-            }
-            behind.add(answer);
-            return () -> { };
-        }, c -> !c.equals("no-such-class"));
+        RequestHandler counted = figures.count(
+                (r, answer) -> {
+                    if (atOnce[0]) {
+                        answer.accept(Answer.refused(50));
+                    }
+                    behind.add(answer);
+                    return () -> {};
+                },
+                c -> !c.equals("no-such-class"));
         Map<String, Integer> seen = new TreeMap<>();
         for (int s : steps) {
             if (s <= 3) {
                 String cls = CLASSES[random.nextInt(3)];
                 atOnce[0] = s == 3;
                 long id = ++serial;
-                Runnable gone = counted.handle(new ClientRequest("9b1f03aa5c7e2d41", cls, "o", 0, 0, 1, null,
-                        Buffer.buffer(), 0, 1), a -> {
-                    if (open.stream().anyMatch(o -> o.id == id) || atOnce[0]) {
-                        seen.merge(cls + a.kind(), 1, Integer::sum);
-                    }
-                });
+                Runnable gone = counted.handle(
+                        new ClientRequest("9b1f03aa5c7e2d41", cls, "o", 0, 0, 1, null, Buffer.buffer(), 0, 1), a -> {
+                            if (open.stream().anyMatch(o -> o.id == id) || atOnce[0]) {
+                                seen.merge(cls + a.kind(), 1, Integer::sum);
+                            }
+                        });
                 if (!atOnce[0]) {
                     open.add(new Open(id, cls, behind.get(behind.size() - 1), gone));
                 }
@@ -69,17 +72,21 @@
                 atOnce[0] = false;
                 o.answer.accept(ANSWERS[0]); // Too late.
             }
-            assertEquals(open.stream().filter(o -> !o.cls.equals("no-such-class")).count(), figures.open());
+            assertEquals(
+                    open.stream().filter(o -> !o.cls.equals("no-such-class")).count(), figures.open());
         }
         String text = figures.text(new Figures.Gauges(7, 12, 2, 1, 3));
         for (String cls : List.of("menu-media", "menu-page")) {
             int served = seen.getOrDefault(cls + "SERVED", 0) + seen.getOrDefault(cls + "SAME", 0);
             assertTrue(text.contains("operations." + cls + ".fulfilled=" + served + "\n"), text);
-            assertTrue(text.contains("operations." + cls + ".throttled=" + seen.getOrDefault(cls + "REFUSED", 0) + "\n"));
+            assertTrue(
+                    text.contains("operations." + cls + ".throttled=" + seen.getOrDefault(cls + "REFUSED", 0) + "\n"));
             assertTrue(text.contains("operations." + cls + ".faulted=" + seen.getOrDefault(cls + "FAILED", 0) + "\n"));
         }
         assertTrue(!text.contains("no-such-class"), "a name that a bad client made up");
-        assertTrue(text.endsWith("relayed=7\nopen_requests=" + figures.open()
-                + "\nregistry_entries=12\nout_of_rotation=2\ncfg_accepted=1\ncfg_invalid=3\n"), text);
+        assertTrue(
+                text.endsWith("relayed=7\nopen_requests=" + figures.open()
+                        + "\nregistry_entries=12\nout_of_rotation=2\ncfg_accepted=1\ncfg_invalid=3\n"),
+                text);
     }
 }
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -30,7 +30,7 @@
 
 /** Calls by hand among events of the feed, in any order, against who may be used. */
 class ServiceRegistryModelTest {
-    private record Step(int kind, int host) { }
+    private record Step(int kind, int host) {}
 
     private static final Timers NO_TIMERS = new Timers() {
         @Override
@@ -39,7 +39,7 @@
         }
 
         @Override
-        public void cancel(long timer) { }
+        public void cancel(long timer) {}
     };
 
     private long now = 1_000_000;
@@ -51,14 +51,14 @@
     void begin() throws Exception {
         module.clear();
         now = 1_000_000;
-        DirectorConfig c = DirectorConfig.read(Map.of(),
-                new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig c =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
         registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
     private static FeedEvent.Host host(int i, Router.State state, long started) {
-        return new FeedEvent.Host(i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0,
-                state, 1, started);
+        return new FeedEvent.Host(
+                i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, state, 1, started);
     }
 
     private void hear(Router.Listed l) {
@@ -110,7 +110,11 @@
                 }
                 default -> {
                     if (out.remove(i)) {
-                        back.put(i, listed.containsKey(i) && listed.get(i).startedMs() > 0 ? listed.get(i).startedMs() : now);
+                        back.put(
+                                i,
+                                listed.containsKey(i) && listed.get(i).startedMs() > 0
+                                        ? listed.get(i).startedMs()
+                                        : now);
                     }
                     hear(registry.putBack("s-" + i, now));
                 }
@@ -129,8 +133,12 @@
 
     @Provide
     Arbitrary<List<Step>> steps() {
-        return Combinators.combine(Arbitraries.integers().between(0, 5), Arbitraries.integers().between(0, 3))
-                .as(Step::new).list().ofMaxSize(40);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 5),
+                        Arbitraries.integers().between(0, 3))
+                .as(Step::new)
+                .list()
+                .ofMaxSize(40);
     }
 
     @Example
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -36,7 +36,8 @@
 class StormTest {
     private static final int REQUESTS = 400, WAIT_SECONDS = 60;
     private static final int SPREAD_MS = 400;
-    // Of clients whose caches may stay silent; and of others, far over the time in which a test looks: a timer that is not
+    // Of clients whose caches may stay silent; and of others, far over the time in which a test looks: a timer that is
+    // not
     // cancelled with its request is still there then.
     private static final double SHORT_DEADLINE_MS = 400, LONG_DEADLINE_MS = 600_000;
     // The module's own, which comes again and again.
@@ -88,13 +89,19 @@
     @BeforeEach
     void start() throws Exception {
         CompletableFuture<NetServer> listening = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> vertx.createNetServer(new NetServerOptions().setHost("127.0.0.1"))
-                .connectHandler(this::accept).listen().onSuccess(listening::complete)
-                .onFailure(listening::completeExceptionally));
+        vertx.getOrCreateContext()
+                .runOnContext(v -> vertx.createNetServer(new NetServerOptions().setHost("127.0.0.1"))
+                        .connectHandler(this::accept)
+                        .listen()
+                        .onSuccess(listening::complete)
+                        .onFailure(listening::completeExceptionally));
         int port = listening.get(WAIT_SECONDS, TimeUnit.SECONDS).actualPort();
         JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
         json.remove("feed");
-        JsonArray hosts = json.getJsonObject("known").getJsonArray("events").getJsonObject(0).getJsonObject("members")
+        JsonArray hosts = json.getJsonObject("known")
+                .getJsonArray("events")
+                .getJsonObject(0)
+                .getJsonObject("members")
                 .getJsonArray("hosts");
         hosts.forEach(host -> ((JsonObject) host).put("dial", "127.0.0.1:" + port));
         DirectorConfig config = DirectorConfig.read(Map.of(), json);
@@ -114,7 +121,7 @@
     private void accept(NetSocket socket) {
         atCaches.add(socket);
         socket.closeHandler(v -> atCaches.remove(socket));
-        socket.exceptionHandler(e -> { });
+        socket.exceptionHandler(e -> {});
         socket.handler(request -> misbehave(socket, new Random(request.hashCode() + atCaches.size())));
     }
 
@@ -141,8 +148,16 @@
     }
 
     private ClientRequest request(int number, Random random) {
-        return new ClientRequest(String.format("%016x", number + 1), random.nextInt(4) == 0 ? "place-order" : "menu-page",
-                String.format("%016x", random.nextInt(80)), 0, 17, 10, null, Buffer.buffer(), director.clock().getAsLong(),
+        return new ClientRequest(
+                String.format("%016x", number + 1),
+                random.nextInt(4) == 0 ? "place-order" : "menu-page",
+                String.format("%016x", random.nextInt(80)),
+                0,
+                17,
+                10,
+                null,
+                Buffer.buffer(),
+                director.clock().getAsLong(),
                 silentCaches ? SHORT_DEADLINE_MS : LONG_DEADLINE_MS);
     }
 
@@ -167,8 +182,10 @@
     private void until(String what, Supplier<Boolean> holds) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
         while (!onLoop(holds)) {
-            assertTrue(System.nanoTime() < end, () -> "never came: " + what + "; open " + director.open() + ", timers "
-                    + timers.waiting.size() + ", answers " + answers + ", connections " + atCaches.size());
+            assertTrue(
+                    System.nanoTime() < end,
+                    () -> "never came: " + what + "; open " + director.open() + ", timers " + timers.waiting.size()
+                            + ", answers " + answers + ", connections " + atCaches.size());
         }
     }
 
@@ -182,8 +199,9 @@
         assertEquals(stay, answers, "one answer each");
         assertEquals(0, onLoop(director::open));
         int idle = onLoop(director.pool::idle);
-        until("no connection but idle ones", () -> atCaches.size() <= director.pool.idle()
-                && director.pool.connections() == director.pool.idle());
+        until(
+                "no connection but idle ones",
+                () -> atCaches.size() <= director.pool.idle() && director.pool.connections() == director.pool.idle());
         assertTrue(idle <= REQUESTS);
     }
 }
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -51,22 +51,26 @@
                 sim.stop(n);
                 sim.at(sim.now + sim.random.nextInt(2_500_000), () -> sim.goOn(n));
             }
-            case 3 -> sim.nodes.forEach(x -> { // Alone.
-                sim.cut(n, x, true);
-                sim.cut(x, n, true);
-            });
+            case 3 ->
+                sim.nodes.forEach(
+                        x -> { // Alone.
+                            sim.cut(n, x, true);
+                            sim.cut(x, n, true);
+                        });
             case 4 -> sim.nodes.forEach(x -> sim.cut(n, x, true)); // Heard no more, and still hears.
             case 5 -> sim.cut(n, m, true);
-            case 7 -> sim.nodes.forEach(x -> { // All at once.
-                if (x.up) {
-                    x.crash();
-                    sim.at(sim.now + sim.random.nextInt(600_000), () -> {
-                        if (!x.up) {
-                            x.start();
-                        }
-                    });
-                }
-            });
+            case 7 ->
+                sim.nodes.forEach(
+                        x -> { // All at once.
+                            if (x.up) {
+                                x.crash();
+                                sim.at(sim.now + sim.random.nextInt(600_000), () -> {
+                                    if (!x.up) {
+                                        x.start();
+                                    }
+                                });
+                            }
+                        });
             case 6 -> sim.lossy = sim.random.nextDouble() * 0.3;
             default -> sim.nodes.forEach(x -> sim.nodes.forEach(y -> sim.cut(x, y, false)));
         }
@@ -80,10 +84,17 @@
         String target = "c" + sim.random.nextInt(ClusterSim.CACHES);
         long unix = sim.now / MS;
         int kind = sim.random.nextInt(3);
-        Command.Signed s = kind == 0 ? n.duties.borrow(n.clock(), 200 + sim.random.nextInt(2_000))
-                : n.duties.sign(kind == 1 ? new Command.Ask(target, "z" + Math.floorMod(target.hashCode(), 2), unix,
-                        n.duties.state().lastWord(target))
-                : new Command.Back(target, unix, n.duties.state().lastWord(target)));
+        Command.Signed s = kind == 0
+                ? n.duties.borrow(n.clock(), 200 + sim.random.nextInt(2_000))
+                : n.duties.sign(
+                        kind == 1
+                                ? new Command.Ask(
+                                        target,
+                                        "z" + Math.floorMod(target.hashCode(), 2),
+                                        unix,
+                                        n.duties.state().lastWord(target))
+                                : new Command.Back(
+                                        target, unix, n.duties.state().lastWord(target)));
         if (s != null) {
             n.offer(s);
             n.pump();
@@ -95,8 +106,12 @@
         AtomicLong acts = new AtomicLong(), lent = new AtomicLong();
         LongStream.range(0, SEEDS).parallel().forEach(seed -> {
             ClusterSim sim = play(seed, ClusterSim.Planted.NONE);
-            boolean well = sim.until(20 * SECOND, () -> sim.leader() != null && sim.set.names().stream().allMatch(duty ->
-                    sim.nodes.stream().anyMatch(n -> n.duties.token(duty, n.clock()) > 0)));
+            boolean well = sim.until(
+                    20 * SECOND,
+                    () -> sim.leader() != null
+                            && sim.set.names().stream()
+                                    .allMatch(duty ->
+                                            sim.nodes.stream().anyMatch(n -> n.duties.token(duty, n.clock()) > 0)));
             assertNull(sim.trouble, "seed " + seed);
             assertTrue(well, "seed " + seed + ": no leader, or a duty that nobody holds, after the faults were over");
             acts.addAndGet(sim.acts);
@@ -107,10 +122,12 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = ClusterSim.Planted.class, names = {"SAID_BEFORE_SAVED", "LEASE_FROM_ANSWER", "TOKEN_UNCHECKED",
-        "LOAN_FROM_ANSWER", "WORD_UNCHECKED"})
+    @EnumSource(
+            value = ClusterSim.Planted.class,
+            names = {"SAID_BEFORE_SAVED", "LEASE_FROM_ANSWER", "TOKEN_UNCHECKED", "LOAN_FROM_ANSWER", "WORD_UNCHECKED"})
     void aPlantedFaultIsFound(ClusterSim.Planted planted) {
-        assertTrue(LongStream.range(0, SEEDS_PLANTED).parallel().anyMatch(seed -> play(seed, planted).trouble != null),
+        assertTrue(
+                LongStream.range(0, SEEDS_PLANTED).parallel().anyMatch(seed -> play(seed, planted).trouble != null),
                 "not found: " + planted);
     }
 
@@ -118,7 +135,10 @@
     private static long termsByReturn(ClusterSim.Planted planted) {
         ClusterSim sim = new ClusterSim(7, 3, planted);
         sim.play(3 * SECOND);
-        ClusterSim.Node away = sim.nodes.stream().filter(n -> !n.name.equals(sim.leader())).findFirst().orElseThrow();
+        ClusterSim.Node away = sim.nodes.stream()
+                .filter(n -> !n.name.equals(sim.leader()))
+                .findFirst()
+                .orElseThrow();
         sim.nodes.forEach(x -> {
             sim.cut(away, x, true);
             sim.cut(x, away, true);
@@ -151,8 +171,10 @@
                 sim.at(t, () -> demand(sim));
             }
             sim.play(4 * SECOND);
-            boolean votes = sim.until(20 * SECOND, () -> sim.leader() != null
-                    && sim.node(sim.leader()).raft.members().voters() == 3);
+            boolean votes = sim.until(
+                    20 * SECOND,
+                    () -> sim.leader() != null
+                            && sim.node(sim.leader()).raft.members().voters() == 3);
             assertNull(sim.trouble, "seed " + seed);
             assertTrue(votes, "seed " + seed + ": a member is missing, " + sim.leader());
         });
--- a/src/test/java/pewtercourse/experiment/SitesSimTest.java
+++ b/src/test/java/pewtercourse/experiment/SitesSimTest.java
@@ -47,11 +47,13 @@
     /** What the return's steps and the takers' bounds are for shows where they are left out. */
     @Test
     void plantedFaultsAreFound() {
-        assertTrue(LongStream.range(0, SEEDS).parallel().anyMatch(seed -> {
-            SitesSim whole = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NONE);
-            SitesSim broken = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NO_BOUND);
-            return others(broken) < others(whole) - 0.02;
-        }), "takers without a bound lose nothing");
+        assertTrue(
+                LongStream.range(0, SEEDS).parallel().anyMatch(seed -> {
+                    SitesSim whole = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NONE);
+                    SitesSim broken = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NO_BOUND);
+                    return others(broken) < others(whole) - 0.02;
+                }),
+                "takers without a bound lose nothing");
     }
 
     // The clients of sites that were never lost.
@@ -74,6 +76,11 @@
 
     @Test
     void nothingIsDeclaredInHoursWithoutALoss() {
-        assertEquals(0, LongStream.range(0, 8).parallel().map(i -> SitesExperiment.falseAlarms(i, 2, i % 2 == 0)).sum());
+        assertEquals(
+                0,
+                LongStream.range(0, 8)
+                        .parallel()
+                        .map(i -> SitesExperiment.falseAlarms(i, 2, i % 2 == 0))
+                        .sum());
     }
 }
--- a/src/test/java/pewtercourse/feed/FeedModelTest.java
+++ b/src/test/java/pewtercourse/feed/FeedModelTest.java
@@ -51,23 +51,29 @@
         }
 
         Model(long seed) {
-            client = new FeedClient((to, last, heard) -> {
-                Call c = new Call(to, last, heard);
-                calls.add(c);
-                return () -> c.closed = true;
-            }, new Timers() {
-                @Override
-                public long set(long delayMs, Runnable then) {
-                    timers.put(++nextTimer, then);
-                    waits.add(delayMs);
-                    return nextTimer;
-                }
-
-                @Override
-                public void cancel(long timer) {
-                    timers.remove(timer);
-                }
-            }, at(port), 0, new Random(seed), e -> applied.add(e.number()));
+            client = new FeedClient(
+                    (to, last, heard) -> {
+                        Call c = new Call(to, last, heard);
+                        calls.add(c);
+                        return () -> c.closed = true;
+                    },
+                    new Timers() {
+                        @Override
+                        public long set(long delayMs, Runnable then) {
+                            timers.put(++nextTimer, then);
+                            waits.add(delayMs);
+                            return nextTimer;
+                        }
+
+                        @Override
+                        public void cancel(long timer) {
+                            timers.remove(timer);
+                        }
+                    },
+                    at(port),
+                    0,
+                    new Random(seed),
+                    e -> applied.add(e.number()));
             client.start();
         }
 
@@ -146,13 +152,17 @@
         // Spoilt and missing events are rare here: the third in a row is passed over, as the example shows.
         return ActionChain.startWith(Model::new)
                 .withAction(8, step(n.map(i -> Transformer.mutate("whole " + i, m -> m.tell(i, "whole")))))
-                .withAction(6, step(n.flatMap(i -> Arbitraries.of("again", "half", "comment", "break")
-                        .map(how -> Transformer.mutate(how + " " + i, m -> m.tell(i, how))))))
-                .withAction(1, step(n.map(i -> Transformer.mutate("spoilt, then made good", m -> {
-                    m.tell(i, i % 2 > 0 ? "spoilt" : "skip");
-                    m.timer(m.timers.size() - 1);
-                    m.tell(m.calls.size(), "whole");
-                }))))
+                .withAction(
+                        6,
+                        step(n.flatMap(i -> Arbitraries.of("again", "half", "comment", "break")
+                                .map(how -> Transformer.mutate(how + " " + i, m -> m.tell(i, how))))))
+                .withAction(
+                        1,
+                        step(n.map(i -> Transformer.mutate("spoilt, then made good", m -> {
+                            m.tell(i, i % 2 > 0 ? "spoilt" : "skip");
+                            m.timer(m.timers.size() - 1);
+                            m.tell(m.calls.size(), "whole");
+                        }))))
                 .withAction(3, step(n.map(i -> Transformer.mutate("timer " + i, m -> m.timer(i)))))
                 .withAction(1, step(n.map(i -> Transformer.mutate("move", m -> m.client.move(Model.at(++m.port))))))
                 .withMaxTransformations(60);
--- a/src/test/java/pewtercourse/feed/FeedTest.java
+++ b/src/test/java/pewtercourse/feed/FeedTest.java
@@ -21,7 +21,8 @@
             + "data:{\"n\":42,\r\ndata: \"purge\":{}}\r\n\r\nid: 43\n\n";
 
     @Property(seed = "7")
-    void eventsAreWholeWhereverTheBytesWereSplit(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 30) Integer> cuts) {
+    void eventsAreWholeWhereverTheBytesWereSplit(
+            @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 30) Integer> cuts) {
         List<String> events = new ArrayList<>();
         SseReader reader = new SseReader(events::add);
         int at = 0;
@@ -49,11 +50,13 @@
         assertEquals(Router.State.DRAINING, h.state());
         assertEquals(8443, h.address().getPort());
         assertEquals(12, h.startedMs());
-        FeedEvent.Purge p = assertInstanceOf(FeedEvent.Purge.class,
+        FeedEvent.Purge p = assertInstanceOf(
+                FeedEvent.Purge.class,
                 FeedEvent.decode(new JsonObject("{\"n\":43,\"purge\":{\"group\":17,\"at\":1764576000480}}")));
         assertNull(p.object());
         assertEquals(17, p.group());
-        assertEquals(9, FeedEvent.decode(new JsonObject("{\"n\":9,\"news\":{}}")).number());
+        assertEquals(
+                9, FeedEvent.decode(new JsonObject("{\"n\":9,\"news\":{}}")).number());
         assertThrows(RuntimeException.class, () -> FeedEvent.decode(new JsonObject("{}")));
     }
 }
--- a/src/test/java/pewtercourse/front/DrainTest.java
+++ b/src/test/java/pewtercourse/front/DrainTest.java
@@ -36,8 +36,8 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void whoWaitsForTheNextStepMissesNone(@ForAll List<@IntRange(max = 6) Integer> calls,
-            @ForAll @IntRange(min = 1, max = 900) int pauseMs) {
+    void whoWaitsForTheNextStepMissesNone(
+            @ForAll List<@IntRange(max = 6) Integer> calls, @ForAll @IntRange(min = 1, max = 900) int pauseMs) {
         Drain d = new Drain();
         long now = 1_000_000;
         Step last = Step.OPEN;
@@ -49,7 +49,8 @@
                 d.end(cause);
                 last = Step.OPEN;
             }
-            for (long next = d.nextMs(now), end = now + pauseMs * 1000L; next > 0 && now + next * 1000 <= end;
+            for (long next = d.nextMs(now), end = now + pauseMs * 1000L;
+                    next > 0 && now + next * 1000 <= end;
                     next = d.nextMs(now)) {
                 Step before = d.step(now + next * 1000 - 1_001);
                 assertEquals(d.step(now), before, "it changed while nobody looked");
--- a/src/test/java/pewtercourse/front/FrontTransportTest.java
+++ b/src/test/java/pewtercourse/front/FrontTransportTest.java
@@ -13,7 +13,8 @@
     void onlyTheClientsServerGetsTheGivenListener() {
         LimitedListener listener = new LimitedListener(1);
         FrontTransport transport = new FrontTransport(listener);
-        ChannelFactory<? extends ServerChannel> servers = transport.implementation().serverChannelFactory(false);
+        ChannelFactory<? extends ServerChannel> servers =
+                transport.implementation().serverChannelFactory(false);
         ServerChannel before = servers.newChannel();
         assertNotSame(listener, before);
         transport.frontNext();
--- a/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
@@ -40,10 +40,14 @@
     @BeforeEach
     void listen() throws Exception {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> new FastCgiServer(vertx, new Crossing(),
-                () -> TimeUnit.NANOSECONDS.toMicros(System.nanoTime()), new FrontLimits(20, 1 << 20, 4 << 20))
-                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                .onComplete(s -> port.complete(s.result().actualPort())));
+        vertx.getOrCreateContext()
+                .runOnContext(v -> new FastCgiServer(
+                                vertx,
+                                new Crossing(),
+                                () -> TimeUnit.NANOSECONDS.toMicros(System.nanoTime()),
+                                new FrontLimits(20, 1 << 20, 4 << 20))
+                        .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                        .onComplete(s -> port.complete(s.result().actualPort())));
         address = new InetSocketAddress("127.0.0.1", port.get(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
@@ -61,7 +65,7 @@
                 awaitExcess();
                 answer.accept(Answer.served(Buffer.buffer(body()), "tag"));
             });
-            return () -> { };
+            return () -> {};
         }
 
         private void awaitExcess() {
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
@@ -38,7 +38,11 @@
     private static final int PENDING_MOST = 1 << 20; // Past this a client that doesn't read gets no more work done.
 
     /** What the front has done under one id, and what it may expect. */
-    private enum Owed { NOTHING, BODY, ANSWER }
+    private enum Owed {
+        NOTHING,
+        BODY,
+        ANSWER
+    }
 
     private static final class Model {
         final Random random = new Random(5);
@@ -72,49 +76,67 @@
         Model(ConnectionTable table, long backlogMost) {
             this.table = table;
             this.backlog = new FastCgiConnection.Backlog(backlogMost);
-            NetSocket socket = (NetSocket) Proxy.newProxyInstance(NetSocket.class.getClassLoader(),
-                    new Class<?>[] {NetSocket.class}, (p, m, a) -> switch (m.getName()) {
+            NetSocket socket = (NetSocket) Proxy.newProxyInstance(
+                    NetSocket.class.getClassLoader(),
+                    new Class<?>[] {NetSocket.class},
+                    (p, m, a) -> switch (m.getName()) {
                         case "handler" -> set(() -> input = (Handler<Buffer>) a[0], p);
                         case "drainHandler" -> set(() -> drain = (Handler<Void>) a[0], p);
                         case "closeHandler" -> set(() -> close = (Handler<Void>) a[0], p);
                         case "pause" -> set(() -> paused = true, p);
                         case "resume" -> set(() -> paused = false, p);
                         case "writeQueueFull" -> full;
-                        case "write" -> set(() -> {
-                            writes++;
-                            written.add((Buffer) a[0]);
-                            all.appendBuffer((Buffer) a[0]);
-                        }, null);
-                        case "close", "end" -> set(() -> {
-                            assertTrue(!draining || broken || !owed.containsValue(Owed.BODY) && handed.isEmpty(),
-                                    "a drain cuts off a request: " + owed);
-                            closed = true;
-                        }, null);
+                        case "write" ->
+                            set(
+                                    () -> {
+                                        writes++;
+                                        written.add((Buffer) a[0]);
+                                        all.appendBuffer((Buffer) a[0]);
+                                    },
+                                    null);
+                        case "close", "end" ->
+                            set(
+                                    () -> {
+                                        assertTrue(
+                                                !draining
+                                                        || broken
+                                                        || !owed.containsValue(Owed.BODY) && handed.isEmpty(),
+                                                "a drain cuts off a request: " + owed);
+                                        closed = true;
+                                    },
+                                    null);
                         case "setWriteQueueMaxSize", "exceptionHandler" -> p;
                         default -> null;
                     });
-            new FastCgiConnection(socket, (r, answer) -> {
-                if (refusing) {
-                    answer.accept(Answer.refused(50));
-                    return () -> { };
-                }
-                int id = ids.get(r.id());
-                assertEquals(Owed.ANSWER, owed.get(id), "handed on before its last byte");
-                assertTrue(expected.get(id).equals(r.body()), "another body");
-                assertNull(handed.put(id, answer), "handed on twice");
-                return () -> gone++;
-            }, () -> now, new Timers() {
-                @Override
-                public long set(long delayMs, Runnable then) {
-                    timers.put(++nextTimer, then);
-                    return nextTimer;
-                }
-
-                @Override
-                public void cancel(long timer) {
-                    timers.remove(timer);
-                }
-            }, table, backlog, () -> { });
+            new FastCgiConnection(
+                    socket,
+                    (r, answer) -> {
+                        if (refusing) {
+                            answer.accept(Answer.refused(50));
+                            return () -> {};
+                        }
+                        int id = ids.get(r.id());
+                        assertEquals(Owed.ANSWER, owed.get(id), "handed on before its last byte");
+                        assertTrue(expected.get(id).equals(r.body()), "another body");
+                        assertNull(handed.put(id, answer), "handed on twice");
+                        return () -> gone++;
+                    },
+                    () -> now,
+                    new Timers() {
+                        @Override
+                        public long set(long delayMs, Runnable then) {
+                            timers.put(++nextTimer, then);
+                            return nextTimer;
+                        }
+
+                        @Override
+                        public void cancel(long timer) {
+                            timers.remove(timer);
+                        }
+                    },
+                    table,
+                    backlog,
+                    () -> {});
         }
 
         private static Object set(Runnable r, Object then) {
@@ -128,7 +150,7 @@
 
         /** Records come in pieces of any length. */
         void feed(Buffer bytes) {
-            for (int at = 0; at < bytes.length() && !closed;) {
+            for (int at = 0; at < bytes.length() && !closed; ) {
                 int n = Math.min(bytes.length() - at, 1 + random.nextInt(40));
                 input.handle(bytes.getBuffer(at, at + n));
                 at += n;
@@ -161,7 +183,8 @@
                 owed.put(id, length == 0 ? Owed.ANSWER : Owed.BODY);
                 boolean reading = backlog.bytes <= PENDING_MOST;
                 feed(Record.encode(Record.STDIN, id, Buffer.buffer(bytes)));
-                assertEquals(length == 0 && reading, handed.containsKey(id), "handed on when whole, while its client reads");
+                assertEquals(
+                        length == 0 && reading, handed.containsKey(id), "handed on when whole, while its client reads");
             }
         }
 
@@ -193,9 +216,12 @@
         void noise(int kind) {
             if (!closed) {
                 Buffer values = Record.pairs(Map.of("FCGI_MPXS_CONNS", "", "OTHER", ""));
-                feed(kind == 0 ? Record.encode(Record.GET_VALUES, 0, values)
-                        : kind == 1 ? Record.encode(77, 0, Buffer.buffer("?"))
-                        : Record.encode(Record.STDIN, 900, Buffer.buffer("no such request")));
+                feed(
+                        kind == 0
+                                ? Record.encode(Record.GET_VALUES, 0, values)
+                                : kind == 1
+                                        ? Record.encode(77, 0, Buffer.buffer("?"))
+                                        : Record.encode(Record.STDIN, 900, Buffer.buffer("no such request")));
             }
         }
 
@@ -256,7 +282,9 @@
             assertTrue(m.due.values().stream().allMatch(Deque::isEmpty), "an answer was never written");
             assertFalse(m.owed.containsValue(Owed.ANSWER), "a request still waits");
             assertFalse(m.paused, "reads again once all is written");
-            assertEquals(m.owed.values().stream().filter(o -> o == Owed.BODY).count() + 1, m.timers.size(),
+            assertEquals(
+                    m.owed.values().stream().filter(o -> o == Owed.BODY).count() + 1,
+                    m.timers.size(),
                     "one wait for each request that isn't whole, and one for the connection");
         }
         m.close.handle(null);
@@ -410,9 +438,15 @@
     @Property(tries = 200, seed = "7")
     void figuresOutOfRangeFailAndAreNeverHandedOn(@ForAll("bad") Map.Entry<String, String> field) {
         Model m = new Model();
-        Map<String, String> params = new LinkedHashMap<>(Map.of("SCRIPT_NAME", "/ops/page",
-                "HTTP_X_CORRELATION_ID", "000000000000000a", "HTTP_X_SUBJECT", "7f3a9c21e0b4d655",
-                "HTTP_X_DEADLINE_MS", "1500"));
+        Map<String, String> params = new LinkedHashMap<>(Map.of(
+                "SCRIPT_NAME",
+                "/ops/page",
+                "HTTP_X_CORRELATION_ID",
+                "000000000000000a",
+                "HTTP_X_SUBJECT",
+                "7f3a9c21e0b4d655",
+                "HTTP_X_DEADLINE_MS",
+                "1500"));
         params.put(field.getKey(), field.getValue());
         m.feed(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         m.feed(Record.encode(Record.PARAMS, 1, Record.pairs(params)));
@@ -427,13 +461,22 @@
 
     @Provide
     Arbitrary<Map.Entry<String, String>> bad() {
-        return Arbitraries.of(Map.entry("HTTP_X_TAG", "256"), Map.entry("HTTP_X_TAG", "1e1"),
-                Map.entry("HTTP_X_TAG", "1.5"), Map.entry("HTTP_X_TAG", "nan"), Map.entry("HTTP_X_CHUNK", "-4"),
-                Map.entry("HTTP_X_CHUNK", "99999999999"), Map.entry("HTTP_X_CHUNK", "0x1p3"),
-                Map.entry("HTTP_X_DEADLINE_MS", "NaN"), Map.entry("HTTP_X_DEADLINE_MS", "60001"),
-                Map.entry("HTTP_X_NEED_KB", "1000000"), Map.entry("HTTP_X_NEED_KB", "Infinity"),
-                Map.entry("HTTP_X_KNOWN", "a\r\nX-Keep: 3"), Map.entry("HTTP_X_KNOWN", "k".repeat(65)),
-                Map.entry("HTTP_X_CORRELATION_ID", ""), Map.entry("HTTP_X_SUBJECT", "7f3a9c21e0b4d65g"),
+        return Arbitraries.of(
+                Map.entry("HTTP_X_TAG", "256"),
+                Map.entry("HTTP_X_TAG", "1e1"),
+                Map.entry("HTTP_X_TAG", "1.5"),
+                Map.entry("HTTP_X_TAG", "nan"),
+                Map.entry("HTTP_X_CHUNK", "-4"),
+                Map.entry("HTTP_X_CHUNK", "99999999999"),
+                Map.entry("HTTP_X_CHUNK", "0x1p3"),
+                Map.entry("HTTP_X_DEADLINE_MS", "NaN"),
+                Map.entry("HTTP_X_DEADLINE_MS", "60001"),
+                Map.entry("HTTP_X_NEED_KB", "1000000"),
+                Map.entry("HTTP_X_NEED_KB", "Infinity"),
+                Map.entry("HTTP_X_KNOWN", "a\r\nX-Keep: 3"),
+                Map.entry("HTTP_X_KNOWN", "k".repeat(65)),
+                Map.entry("HTTP_X_CORRELATION_ID", ""),
+                Map.entry("HTTP_X_SUBJECT", "7f3a9c21e0b4d65g"),
                 Map.entry("SCRIPT_NAME", "/ops/"));
     }
 
@@ -523,7 +566,8 @@
         m.begin(1);
         m.body(1, 0);
         m.answer(1, 10);
-        m.input.handle(Record.encode(Record.BEGIN, 2, Buffer.buffer(new byte[8])).getBuffer(0, 5));
+        m.input.handle(
+                Record.encode(Record.BEGIN, 2, Buffer.buffer(new byte[8])).getBuffer(0, 5));
         assertEquals(2, m.timers.size(), "one for the idle connection, one for the record");
         m.input.handle(Buffer.buffer(new byte[1]));
         expire(m, false);
@@ -572,8 +616,10 @@
                 .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, m -> m.body(i, 0)))))
                 .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, m -> m.answer(i, i * 50_000)))))
                 .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, m -> m.reads(i % 2 == 0)))))
-                .withAction(2, step(Arbitraries.of(Drain.Step.values())
-                        .map(to -> Transformer.mutate("drain " + to, m -> m.drain(to)))))
+                .withAction(
+                        2,
+                        step(Arbitraries.of(Drain.Step.values())
+                                .map(to -> Transformer.mutate("drain " + to, m -> m.drain(to)))))
                 .withMaxTransformations(40);
     }
 
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
@@ -35,15 +35,20 @@
     @BeforeEach
     void listen() throws Exception {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.getOrCreateContext().runOnContext(v -> new FastCgiServer(vertx, new RequestHandler() {
-            @Override
-            public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-                handed.complete(answer);
-                return () -> gone.complete(null);
-            }
-        }, () -> System.nanoTime() / MICROS, new FrontLimits(20, 1 << 20, 4 << 20))
-                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                .onComplete(s -> port.complete(s.result().actualPort())));
+        vertx.getOrCreateContext()
+                .runOnContext(v -> new FastCgiServer(
+                                vertx,
+                                new RequestHandler() {
+                                    @Override
+                                    public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
+                                        handed.complete(answer);
+                                        return () -> gone.complete(null);
+                                    }
+                                },
+                                () -> System.nanoTime() / MICROS,
+                                new FrontLimits(20, 1 << 20, 4 << 20))
+                        .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                        .onComplete(s -> port.complete(s.result().actualPort())));
         address = new InetSocketAddress("127.0.0.1", port.get(30, TimeUnit.SECONDS));
     }
 
@@ -60,10 +65,13 @@
     @Test
     void aClientThatSendsTooMuchIsToldSoAndNotReset() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
-            client.write(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 0, 0, 0, 0, 0, 0})).getBytes());
-            client.write(Record.encode(Record.PARAMS, 1, Record.pairs(Map.of("SCRIPT_NAME", "/ops/page"))).getBytes());
+            client.write(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 0, 0, 0, 0, 0, 0}))
+                    .getBytes());
+            client.write(Record.encode(Record.PARAMS, 1, Record.pairs(Map.of("SCRIPT_NAME", "/ops/page")))
+                    .getBytes());
             client.write(Record.encode(Record.PARAMS, 1, Buffer.buffer()).getBytes());
-            byte[] piece = Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[40_000])).getBytes();
+            byte[] piece = Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[40_000]))
+                    .getBytes();
             // Far more than the sockets hold: some of it is always unread while the connection is closed.
             Thread writer = new Thread(() -> {
                 try {
@@ -107,7 +115,8 @@
             handed.get(30, TimeUnit.SECONDS);
             Buffer commands = Buffer.buffer();
             for (int id = 2; id < 12; id++) {
-                commands.appendBytes(RawFrontClient.request(id, "page", "000000000000000" + Integer.toHexString(id), 20_000));
+                commands.appendBytes(
+                        RawFrontClient.request(id, "page", "000000000000000" + Integer.toHexString(id), 20_000));
             }
             client.write(commands.appendBytes(RawFrontClient.abort(1)).getBytes());
             gone.get(30, TimeUnit.SECONDS);
@@ -128,7 +137,8 @@
             client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
             handed.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
             assertTrue(client.readAnswer().startsWith("Status: 503"));
-            byte[] stray = Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[100])).getBytes();
+            byte[] stray =
+                    Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[100])).getBytes();
             long from = System.nanoTime();
             long until = from + TimeUnit.SECONDS.toNanos(10);
             while (System.nanoTime() < until) {
--- a/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
+++ b/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
@@ -58,7 +58,8 @@
         return Record.encode(Record.BEGIN, requestId, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0}))
                 .appendBuffer(Record.encode(Record.PARAMS, requestId, Record.pairs(params)))
                 .appendBuffer(Record.encode(Record.PARAMS, requestId, Buffer.buffer()))
-                .appendBuffer(Record.encode(Record.STDIN, requestId, Buffer.buffer())).getBytes();
+                .appendBuffer(Record.encode(Record.STDIN, requestId, Buffer.buffer()))
+                .getBytes();
     }
 
     public static byte[] abort(int requestId) {
--- a/src/test/java/pewtercourse/handover/StateFileTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileTest.java
@@ -33,11 +33,18 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[]", "{}", "{\"version\":2,\"pid\":1,\"standby\":false,\"out\":{},\"back\":{}}",
-        "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":[],\"back\":{}}",
-        "{\"version\":1,\"pid\":1,\"standby\":\"no\",\"out\":{},\"back\":{}}",
-        "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":\"now\"},\"back\":{}}",
-        "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":5},\"ba"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[]",
+                "{}",
+                "{\"version\":2,\"pid\":1,\"standby\":false,\"out\":{},\"back\":{}}",
+                "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":[],\"back\":{}}",
+                "{\"version\":1,\"pid\":1,\"standby\":\"no\",\"out\":{},\"back\":{}}",
+                "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":\"now\"},\"back\":{}}",
+                "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":5},\"ba"
+            })
     void whatCanNotBeUsedIsIgnoredAndWrittenOver(String text) throws Exception {
         Files.writeString(folder.resolve("pewtercourse-operators.json"), text);
         StateFile file = new StateFile(folder);
--- a/src/test/java/pewtercourse/peer/PeerSocketTest.java
+++ b/src/test/java/pewtercourse/peer/PeerSocketTest.java
@@ -18,7 +18,7 @@
 
 /** Who sent a message is told by its address, wherever that stands in a long list; a stranger's is dropped. */
 class PeerSocketTest {
-    private record Heard(int from, byte[] bytes) { }
+    private record Heard(int from, byte[] bytes) {}
 
     @Test
     void aMessageIsItsSendersWhereverThatStandsInTheList() throws Exception {
@@ -51,7 +51,8 @@
         }
     }
 
-    // By a socket of the JDK, which gives its port back at once: the library's does so when its selector has turned once more.
+    // By a socket of the JDK, which gives its port back at once: the library's does so when its selector has turned
+    // once more.
     private static int freePort() throws IOException {
         try (java.net.DatagramSocket free = new java.net.DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             return free.getLocalPort();
--- a/src/test/java/pewtercourse/raft/RaftTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTest.java
@@ -19,9 +19,10 @@
 /** Members whose messages arrive at once and whose saves are done at once, but where a test says otherwise. */
 class RaftTest {
     private static final long MS = 1_000;
-    private static final RaftSettings SET = new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 64, 8, 1 << 20, 4);
+    private static final RaftSettings SET =
+            new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 64, 8, 1 << 20, 4);
 
-    private record Letter(String from, String to, Message m) { }
+    private record Letter(String from, String to, Message m) {}
 
     private final Map<String, Raft> members = new TreeMap<>();
     private final Map<String, List<String>> applied = new TreeMap<>();
@@ -71,7 +72,8 @@
             applied.get(name).clear();
             applied.get(name).addAll(List.of(new String(r.install().state()).split(",")));
         }
-        r.committed().stream().filter(e -> e.kind() == Entry.Kind.COMMAND)
+        r.committed().stream()
+                .filter(e -> e.kind() == Entry.Kind.COMMAND)
                 .forEach(e -> applied.get(name).add(new String(e.command())));
         reads.addAll(r.reads());
         if (r.save() != null && slowDisks.contains(name)) {
@@ -90,14 +92,21 @@
     }
 
     private Raft leader() {
-        List<Raft> leaders = members.entrySet().stream().filter(e -> !away.contains(e.getKey()))
-                .map(Map.Entry::getValue).filter(r -> r.role() == Raft.Role.LEADER).toList();
+        List<Raft> leaders = members.entrySet().stream()
+                .filter(e -> !away.contains(e.getKey()))
+                .map(Map.Entry::getValue)
+                .filter(r -> r.role() == Raft.Role.LEADER)
+                .toList();
         assertEquals(1, leaders.size());
         return leaders.get(0);
     }
 
     private String name(Raft r) {
-        return members.entrySet().stream().filter(e -> e.getValue() == r).findFirst().orElseThrow().getKey();
+        return members.entrySet().stream()
+                .filter(e -> e.getValue() == r)
+                .findFirst()
+                .orElseThrow()
+                .getKey();
     }
 
     private void say(String command) {
@@ -122,7 +131,8 @@
         Raft leader = leader();
         away.addAll(members.keySet());
         now += 400 * MS; // As if it had been stopped: it looks before it acts.
-        assertEquals(Raft.Refusal.NOT_LEADER, leader.propose(now, "x".getBytes()).refusal());
+        assertEquals(
+                Raft.Refusal.NOT_LEADER, leader.propose(now, "x".getBytes()).refusal());
         leader.tick(now);
         assertEquals(Raft.Role.FOLLOWER, leader.role());
     }
@@ -150,7 +160,10 @@
         assertNull(leader.propose(now, "a".getBytes()).refusal());
         settle();
         assertTrue(applied.values().stream().allMatch(List::isEmpty), "on no disk yet");
-        String follower = members.keySet().stream().filter(n -> members.get(n) != leader).findFirst().orElseThrow();
+        String follower = members.keySet().stream()
+                .filter(n -> members.get(n) != leader)
+                .findFirst()
+                .orElseThrow();
         members.get(follower).saved(now, unsaved.get(follower));
         settle();
         assertTrue(applied.values().stream().allMatch(List::isEmpty), "on one disk of three");
@@ -166,7 +179,8 @@
         Raft before = leader();
         String heir = before.heir(now);
         assertNull(before.transfer(now, heir));
-        assertEquals(Raft.Refusal.HANDING_ON, before.propose(now, "x".getBytes()).refusal());
+        assertEquals(
+                Raft.Refusal.HANDING_ON, before.propose(now, "x".getBytes()).refusal());
         settle();
         assertEquals(heir, name(leader()));
         say("a");
@@ -181,12 +195,16 @@
             say("c" + i);
         }
         String leader = name(leader());
-        Snapshot s = members.get(leader).snapshotAt(members.get(leader).commit(),
-                String.join(",", applied.get(leader)).getBytes());
+        Snapshot s = members.get(leader)
+                .snapshotAt(
+                        members.get(leader).commit(),
+                        String.join(",", applied.get(leader)).getBytes());
         members.get(leader).compacted(s); // So that the newcomer needs it, in parts of eight bytes.
         join("new", new Saved(77, 0, null, 0, Snapshot.NOTHING, List.of()));
         assertNull(leader().addMember(now, "new", "a:1", 0).refusal());
-        assertEquals(Raft.Refusal.CHANGING, leader().addMember(now, "other", "a:2", 0).refusal());
+        assertEquals(
+                Raft.Refusal.CHANGING,
+                leader().addMember(now, "other", "a:2", 0).refusal());
         pass(3_000);
         assertEquals(4, leader().members().voters(), "with the incarnation that it told");
         assertTrue(leader().members().votes("new", 77));
@@ -206,7 +224,10 @@
         found(3);
         pass(1_000);
         Raft leader = leader();
-        String lost = members.keySet().stream().filter(n -> members.get(n) != leader).findFirst().orElseThrow();
+        String lost = members.keySet().stream()
+                .filter(n -> members.get(n) != leader)
+                .findFirst()
+                .orElseThrow();
         assertTrue(leader.agreedVoter(lost));
         join(lost, new Saved(77, 0, null, 0, Snapshot.NOTHING, List.of())); // Its folder is lost: it learns anew.
         tickUntilPromoted(leader, lost, 77);
@@ -233,8 +254,10 @@
     }
 
     private long leadersPresent() {
-        return members.entrySet().stream().filter(e -> !away.contains(e.getKey()))
-                .filter(e -> e.getValue().role() == Raft.Role.LEADER).count();
+        return members.entrySet().stream()
+                .filter(e -> !away.contains(e.getKey()))
+                .filter(e -> e.getValue().role() == Raft.Role.LEADER)
+                .count();
     }
 
     @Test
@@ -243,10 +266,15 @@
         pass(1_000);
         say("a");
         Raft leader = leader();
-        String follower = members.keySet().stream().filter(n -> members.get(n) != leader).findFirst().orElseThrow();
+        String follower = members.keySet().stream()
+                .filter(n -> members.get(n) != leader)
+                .findFirst()
+                .orElseThrow();
         // Its folder is an old copy: the same incarnation, and less in it.
-        join(follower, new Saved(Membership.FOUNDING, 0, null, 0, new Snapshot(0, 0, leader.members(), new byte[0]),
-                List.of()));
+        join(
+                follower,
+                new Saved(
+                        Membership.FOUNDING, 0, null, 0, new Snapshot(0, 0, leader.members(), new byte[0]), List.of()));
         pass(300);
         assertEquals(Set.of(follower), leader.regressed());
     }
--- a/src/test/java/pewtercourse/raft/store/StoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoreModelTest.java
@@ -34,7 +34,8 @@
     private static final class Model {
         long term, commit;
         String votedFor;
-        Snapshot snapshot = new Snapshot(0, 0, Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
+        Snapshot snapshot =
+                new Snapshot(0, 0, Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
         TreeMap<Long, Entry> entries = new TreeMap<>();
 
         long last() {
@@ -42,21 +43,45 @@
         }
 
         String text() {
-            StringBuilder b = new StringBuilder().append(term).append(' ').append(votedFor).append(' ')
-                    .append(snapshot.index()).append('/').append(snapshot.term()).append(' ')
+            StringBuilder b = new StringBuilder()
+                    .append(term)
+                    .append(' ')
+                    .append(votedFor)
+                    .append(' ')
+                    .append(snapshot.index())
+                    .append('/')
+                    .append(snapshot.term())
+                    .append(' ')
                     .append(new String(snapshot.state()));
-            entries.values().forEach(e -> b.append(' ').append(e.index()).append('/').append(e.term()).append('=')
-                    .append(new String(e.command())));
+            entries.values()
+                    .forEach(e -> b.append(' ')
+                            .append(e.index())
+                            .append('/')
+                            .append(e.term())
+                            .append('=')
+                            .append(new String(e.command())));
             return b.toString();
         }
     }
 
     private static String text(Saved s) {
-        StringBuilder b = new StringBuilder().append(s.term()).append(' ').append(s.votedFor()).append(' ')
-                .append(s.snapshot().index()).append('/').append(s.snapshot().term()).append(' ')
+        StringBuilder b = new StringBuilder()
+                .append(s.term())
+                .append(' ')
+                .append(s.votedFor())
+                .append(' ')
+                .append(s.snapshot().index())
+                .append('/')
+                .append(s.snapshot().term())
+                .append(' ')
                 .append(new String(s.snapshot().state()));
-        s.entries().forEach(e -> b.append(' ').append(e.index()).append('/').append(e.term()).append('=')
-                .append(new String(e.command())));
+        s.entries()
+                .forEach(e -> b.append(' ')
+                        .append(e.index())
+                        .append('/')
+                        .append(e.term())
+                        .append('=')
+                        .append(new String(e.command())));
         return b.toString();
     }
 
@@ -144,8 +169,10 @@
 
     private Path newest() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
-            return all.filter(p -> p.getFileName().toString().startsWith("log-")).max(Comparator.comparingLong(
-                    p -> Long.parseLong(p.getFileName().toString().substring(4)))).orElseThrow();
+            return all.filter(p -> p.getFileName().toString().startsWith("log-"))
+                    .max(Comparator.comparingLong(
+                            p -> Long.parseLong(p.getFileName().toString().substring(4))))
+                    .orElseThrow();
         }
     }
 
--- a/src/test/java/pewtercourse/site/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/site/FailoverControllerTest.java
@@ -18,10 +18,14 @@
 /** Seeing how sites are, declaring losses and pacing returns, at a keeper that is told once a second. */
 class FailoverControllerTest {
     private static final long SECOND = 1_000_000;
-    private static final SiteObservation WELL = new SiteObservation(4, 4, 2, 2, 20, 1, 0, 0, 10), DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 20, 0, 10),
-            UNLISTED = new SiteObservation(4, 0, 2, 2, 0, 0, 0, 0, 10), SLOW = new SiteObservation(4, 4, 2, 2, 3, 17, 0, 0, 10),
-            NO_PARENTS = new SiteObservation(4, 4, 2, 0, 20, 1, 0, 0, 10), FAR = new SiteObservation(4, 4, 2, 2, 0, 0, 0, 0, 0),
-            FAR_DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 6, 0, 0), FAR_WELL = new SiteObservation(4, 4, 2, 2, 6, 0, 0, 0, 0);
+    private static final SiteObservation WELL = new SiteObservation(4, 4, 2, 2, 20, 1, 0, 0, 10),
+            DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 20, 0, 10),
+            UNLISTED = new SiteObservation(4, 0, 2, 2, 0, 0, 0, 0, 10),
+            SLOW = new SiteObservation(4, 4, 2, 2, 3, 17, 0, 0, 10),
+            NO_PARENTS = new SiteObservation(4, 4, 2, 0, 20, 1, 0, 0, 10),
+            FAR = new SiteObservation(4, 4, 2, 2, 0, 0, 0, 0, 0),
+            FAR_DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 6, 0, 0),
+            FAR_WELL = new SiteObservation(4, 4, 2, 2, 6, 0, 0, 0, 0);
 
     private FailoverController failoverController;
     private FailoverState failover;
@@ -53,7 +57,8 @@
             for (int t = 0; t < 10; t++) {
                 now += SECOND / 10;
                 for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of(absent))) {
-                    assertTrue(failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
+                    assertTrue(
+                            failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
                     told.add(d.site() + " " + d.phase() + " " + d.health() + " " + d.step());
                 }
             }
@@ -124,7 +129,9 @@
         pass(2, UNLISTED, UNLISTED);
         told.clear();
         pass(8, WELL, FAR);
-        assertEquals(List.of("s0 RETURNING CACHES 0", "s0 RETURNING CACHES 1", "s0 RETURNING CACHES 2", "s0 WHOLE WELL 0"), told);
+        assertEquals(
+                List.of("s0 RETURNING CACHES 0", "s0 RETURNING CACHES 1", "s0 RETURNING CACHES 2", "s0 WHOLE WELL 0"),
+                told);
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
         int before = failover.status("s0").step();
@@ -157,7 +164,9 @@
             waits.add(seconds);
             pass(1, WELL, FAR);
         }
-        assertTrue(waits.get(1) > waits.get(0) && waits.get(2) > waits.get(1) && waits.get(3) > waits.get(2), waits::toString);
+        assertTrue(
+                waits.get(1) > waits.get(0) && waits.get(2) > waits.get(1) && waits.get(3) > waits.get(2),
+                waits::toString);
     }
 
     @Test
@@ -213,7 +222,8 @@
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
                 Status s = failover.status("s0");
-                boolean done = random.nextBoolean() ? failover.hold(++entry, "s0", random.nextBoolean(), s.entry())
+                boolean done = random.nextBoolean()
+                        ? failover.hold(++entry, "s0", random.nextBoolean(), s.entry())
                         : failover.drill(++entry, "s0", s.entry());
                 assertTrue(done);
                 before = failover.status("s0");
@@ -240,8 +250,10 @@
         return switch (from.phase()) {
             case WHOLE, IMPAIRED -> to != Status.Phase.RETURNING || from.drill() && step == last - 1;
             case LOST -> to == Status.Phase.RETURNING && step == 0 && !from.held();
-            case RETURNING -> to == Status.Phase.LOST || to == Status.Phase.WHOLE && from.step() == last
-                    || to == Status.Phase.RETURNING && Math.abs(step - from.step()) == 1;
+            case RETURNING ->
+                to == Status.Phase.LOST
+                        || to == Status.Phase.WHOLE && from.step() == last
+                        || to == Status.Phase.RETURNING && Math.abs(step - from.step()) == 1;
         };
     }
 }
--- a/src/test/java/pewtercourse/site/OverflowRouterTest.java
+++ b/src/test/java/pewtercourse/site/OverflowRouterTest.java
@@ -27,7 +27,8 @@
 
     private static FailoverState failover(Status.Phase phase, int step, double load) {
         FailoverState failover = new FailoverState();
-        failover.plan(new Planner().plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
+        failover.plan(new Planner()
+                .plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
         failover.declare(1, "s0", phase, Health.CACHES, step, 0, 0);
         return failover;
     }
@@ -55,7 +56,8 @@
 
     @Test
     void aStepFurtherMovesNoObjectAwayAgain() {
-        OverflowRouter first = overflowRouter(failover(Status.Phase.RETURNING, 0, 12), 1), second = overflowRouter(failover(Status.Phase.RETURNING, 1, 12), 1);
+        OverflowRouter first = overflowRouter(failover(Status.Phase.RETURNING, 0, 12), 1),
+                second = overflowRouter(failover(Status.Phase.RETURNING, 1, 12), 1);
         int home = 0;
         for (int i = 0; i < 10_000; i++) {
             long object = OverflowRouter.hash("o" + i), now = i * SECOND;
@@ -77,8 +79,17 @@
         long end = 60 * SECOND;
         for (long now = 0; now < end; now += 5_000) { // 200 a second of 200 ms: 40 transfers at once.
             int cls = random.nextInt(2);
-            OverflowRouter.Choice c = g.choose(now, new OverflowRouter.Ask(random.nextLong(), cls == 0 ? 1 : 3, 200_000, 600_000, now + 3 * SECOND,
-                    200_000, false, false));
+            OverflowRouter.Choice c = g.choose(
+                    now,
+                    new OverflowRouter.Ask(
+                            random.nextLong(),
+                            cls == 0 ? 1 : 3,
+                            200_000,
+                            600_000,
+                            now + 3 * SECOND,
+                            200_000,
+                            false,
+                            false));
             asked[cls]++;
             if (c.site() == null) {
                 advice.add(c.holdOff());
@@ -88,7 +99,8 @@
                 taken.merge(c.site(), 200_000.0, Double::sum);
             }
         }
-        taken.forEach((site, work) -> assertTrue(work <= 8 * (end + SECOND) * 1.01, site + " got " + work / end + " at once"));
+        taken.forEach((site, work) ->
+                assertTrue(work <= 8 * (end + SECOND) * 1.01, site + " got " + work / end + " at once"));
         assertTrue(served[1] > 0.9 * asked[1], "the worthier: " + served[1] + " of " + asked[1]);
         assertTrue(served[0] < 0.4 * asked[0], "the others: " + served[0] + " of " + asked[0]);
         assertTrue(advice.size() > 1_000, "clients don't come back in step");
@@ -99,7 +111,8 @@
         OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 40), 1);
         for (long now = 0; now < 20 * SECOND; now += 1_000) {
             g.choose(now, read(now, 300_000));
-            OverflowRouter.Choice order = g.choose(now, new OverflowRouter.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
+            OverflowRouter.Choice order =
+                    g.choose(now, new OverflowRouter.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
             assertNotNull(order.site());
         }
     }
@@ -107,14 +120,21 @@
     @Test
     void whatCannotBeInTimeAndLargeOneOffsGoFirst() {
         OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 12), 1);
-        assertEquals(null, g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false)).site());
+        assertEquals(
+                null,
+                g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false))
+                        .site());
         RequestPriorities w = new RequestPriorities();
         for (int i = 0; i < 1_000; i++) {
             w.rank(i * 1_000, 1, 100_000, i % 50, false);
         }
-        double small = w.rank(SECOND, 1, 100_000, 7, false), large = w.rank(SECOND, 1, 2_000_000, 99_999, false),
-                oneOff = w.rank(SECOND, 1, 100_000, 99_998, false), renewal = w.rank(SECOND, 1, 100_000, 8, true);
-        assertTrue(small < oneOff && oneOff <= renewal + 1e-9 && small < large && large > 0.9, small + " " + oneOff + " " + renewal + " " + large);
+        double small = w.rank(SECOND, 1, 100_000, 7, false),
+                large = w.rank(SECOND, 1, 2_000_000, 99_999, false),
+                oneOff = w.rank(SECOND, 1, 100_000, 99_998, false),
+                renewal = w.rank(SECOND, 1, 100_000, 8, true);
+        assertTrue(
+                small < oneOff && oneOff <= renewal + 1e-9 && small < large && large > 0.9,
+                small + " " + oneOff + " " + renewal + " " + large);
     }
 
     @Test
@@ -161,6 +181,7 @@
             }
         }
         assertEquals(0.5, taken[1] / taken[0], 0.05);
-        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>) overflowRouter(failover, 1).takers()));
+        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>)
+                overflowRouter(failover, 1).takers()));
     }
 }
--- a/src/test/java/pewtercourse/site/PlannerTest.java
+++ b/src/test/java/pewtercourse/site/PlannerTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 class PlannerTest {
-    static final Sites.Timing TIMING = new Sites.Timing(1_500_000, 2_000_000, 60_000_000, 1_000_000, List.of(0.2, 0.5, 1.0), 3_000_000);
+    static final Sites.Timing TIMING =
+            new Sites.Timing(1_500_000, 2_000_000, 60_000_000, 1_000_000, List.of(0.2, 0.5, 1.0), 3_000_000);
 
     /** Sites in a ring, each of which all others may take. */
     static Sites sites(double... bears) {
@@ -42,7 +43,8 @@
     @Test
     void theNearestIsUsedFirstAndNoTakerBeyondWhatItLends() {
         // s1 can lend 4, s2 and s4 8 each, s3 4.8.
-        Plan p = new Planner().plan(sites(20, 20, 20, 20, 20), loads(14, 15, 10, 14, 10), Set.of(), Set.of(), Plan.NONE);
+        Plan p =
+                new Planner().plan(sites(20, 20, 20, 20, 20), loads(14, 15, 10, 14, 10), Set.of(), Set.of(), Plan.NONE);
         Plan.Shares s = p.when(Set.of("s0")).get("s0");
         assertEquals(0, s.refused(), 1e-6);
         assertEquals(Map.of("s1", 4.0, "s4", 8.0, "s2", 2.0), works(s));
@@ -77,15 +79,20 @@
         Sites sites = sites(20, 20, 20, 20);
         Plan singles = new Planner().plan(sites, loads(10, 10, 10, 10), Set.of(), Set.of(), Plan.NONE);
         Set<String> three = Set.of("s0", "s1", "s2");
-        double asked = singles.when(three).values().stream().flatMap(s -> s.parts().stream()).filter(p -> p.site().equals("s3"))
-                .mapToDouble(Plan.Part::most).sum();
+        double asked = singles.when(three).values().stream()
+                .flatMap(s -> s.parts().stream())
+                .filter(p -> p.site().equals("s3"))
+                .mapToDouble(Plan.Part::most)
+                .sum();
         assertTrue(asked <= 8 + 1e-6, "s3 lends 8, asked for " + asked);
-        assertTrue(singles.when(three).values().stream().flatMap(s -> s.parts().stream()).allMatch(p -> p.site().equals("s3")));
+        assertTrue(singles.when(three).values().stream()
+                .flatMap(s -> s.parts().stream())
+                .allMatch(p -> p.site().equals("s3")));
     }
 
     @Property(tries = 300)
-    void everyPlanKeepsWithinWhatIsLentAndCountsAllLoad(@ForAll long seed, @ForAll @IntRange(min = 2, max = 7) int count,
-            @ForAll boolean solverGivesUp) {
+    void everyPlanKeepsWithinWhatIsLentAndCountsAllLoad(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 7) int count, @ForAll boolean solverGivesUp) {
         Random random = new Random(seed);
         double[] bears = random.doubles(count, 1, 50).toArray();
         double[] asked = new double[count];
@@ -121,8 +128,11 @@
         Plan solved = new Planner().plan(sites(bears), loads(asked), Set.of(), Set.of(), Plan.NONE);
         Plan fixed = new Planner(1).plan(sites(bears), loads(asked), Set.of(), Set.of(), Plan.NONE);
         solved.cases().forEach((key, shares) -> {
-            double a = shares.values().stream().mapToDouble(Plan.Shares::refused).sum();
-            double b = fixed.cases().get(key).values().stream().mapToDouble(Plan.Shares::refused).sum();
+            double a =
+                    shares.values().stream().mapToDouble(Plan.Shares::refused).sum();
+            double b = fixed.cases().get(key).values().stream()
+                    .mapToDouble(Plan.Shares::refused)
+                    .sum();
             assertTrue(a <= b + 1e-6, key + ": " + a + " over " + b);
         });
     }
--- a/src/test/java/pewtercourse/zone/AccountTest.java
+++ b/src/test/java/pewtercourse/zone/AccountTest.java
@@ -16,8 +16,9 @@
 import pewtercourse.zone.Route.Kind;
 
 class AccountTest {
-    private static final Route[] ROUTES = {Route.OWN, Route.SIBLING, new Route(Kind.PARENT, 0), new Route(Kind.PARENT, 2),
-        new Route(Kind.ORIGIN, 1)};
+    private static final Route[] ROUTES = {
+        Route.OWN, Route.SIBLING, new Route(Kind.PARENT, 0), new Route(Kind.PARENT, 2), new Route(Kind.ORIGIN, 1)
+    };
 
     @Property(tries = 200, seed = "7")
     void itAddsUpToWhatWasSentByEachLink(@ForAll @IntRange(max = 200) int answers, @ForAll long seed) {
@@ -42,8 +43,9 @@
             }
             link.merge("origin", route.kind() == Kind.ORIGIN ? bytes : 0, Long::sum);
         }
-        assertEquals(new Cost(link.getOrDefault("link", 0L), link.getOrDefault("step", 0L),
-                link.getOrDefault("origin", 0L)), account.crossed());
+        assertEquals(
+                new Cost(link.getOrDefault("link", 0L), link.getOrDefault("step", 0L), link.getOrDefault("origin", 0L)),
+                account.crossed());
         List<Long> counted = new ArrayList<>();
         account.each(e -> counted.add(e.getValue().answers()));
         assertEquals(answers, counted.stream().mapToLong(n -> n).sum());
@@ -57,8 +59,11 @@
         a.whole("page", ROUTES[2], Use.WASTED, 1);
         List<String> lines = new ArrayList<>();
         a.each(e -> lines.add(e.getKey().use() + " " + e.getValue()));
-        assertEquals(List.of("SERVED Sum[answers=2, certain=10, estimated=7]",
-                "WASTED Sum[answers=1, certain=1, estimated=0]"), lines);
+        assertEquals(
+                List.of(
+                        "SERVED Sum[answers=2, certain=10, estimated=7]",
+                        "WASTED Sum[answers=1, certain=1, estimated=0]"),
+                lines);
         assertThrows(IllegalArgumentException.class, () -> a.whole("page", Route.OWN, Use.LATE, -1));
     }
 
--- a/src/test/java/pewtercourse/zone/LedgerModelTest.java
+++ b/src/test/java/pewtercourse/zone/LedgerModelTest.java
@@ -25,16 +25,20 @@
     private static final String[] CLASSES = {"media", "page", "order"};
 
     private static Budget budget(long rate, long burst) {
-        return new Budget(Map.of(Crossing.LINK, new Bound(rate, burst)),
-                Map.of("media", new ClassBudget(Map.of(Crossing.LINK, new Bound(rate / 2, burst)), 0, false),
-                        "order", new ClassBudget(Map.of(), 0, true)));
+        return new Budget(
+                Map.of(Crossing.LINK, new Bound(rate, burst)),
+                Map.of(
+                        "media",
+                        new ClassBudget(Map.of(Crossing.LINK, new Bound(rate / 2, burst)), 0, false),
+                        "order",
+                        new ClassBudget(Map.of(), 0, true)));
     }
 
     private static Cost link(long bytes) {
         return Cost.ofFill(bytes, 0, false);
     }
 
-    private record Out(Ledger.Reservation r, long bytes, boolean media) { }
+    private record Out(Ledger.Reservation r, long bytes, boolean media) {}
 
     // Deep in debt no bucket is ever full, so that each token that came and went must be found again, to the millionth.
     @Property(tries = 500, seed = "7")
@@ -81,14 +85,17 @@
                 ledger.left(now, null, Crossing.LINK);
             }
             ledger.left(now, null, Crossing.LINK); // Brings it to this time.
-            assertEquals(all, BigInteger.valueOf(ledger.bucket(null, Crossing.LINK).level()));
-            assertEquals(media, BigInteger.valueOf(ledger.bucket("media", Crossing.LINK).level()));
+            assertEquals(
+                    all, BigInteger.valueOf(ledger.bucket(null, Crossing.LINK).level()));
+            assertEquals(
+                    media,
+                    BigInteger.valueOf(ledger.bucket("media", Crossing.LINK).level()));
         }
     }
 
     @Property(tries = 500, seed = "7")
-    void whatCrossesStaysWithinBurstAndRate(@ForAll @Size(max = 80) List<@IntRange(max = 4) Integer> steps,
-            @ForAll long seed) {
+    void whatCrossesStaysWithinBurstAndRate(
+            @ForAll @Size(max = 80) List<@IntRange(max = 4) Integer> steps, @ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000, rate = 1 + random.nextInt(100_000), burst = 1 + random.nextInt(100_000);
         Ledger ledger = new Ledger(budget(rate, burst), now);
@@ -128,8 +135,11 @@
 
     @Example
     void aClassLeavesItsShareToThoseOfHigherPriority() {
-        Ledger l = new Ledger(new Budget(Map.of(Crossing.ORIGIN, new Bound(0, 1_000)),
-                Map.of("page", new ClassBudget(Map.of(), 0.5, false))), 0);
+        Ledger l = new Ledger(
+                new Budget(
+                        Map.of(Crossing.ORIGIN, new Bound(0, 1_000)),
+                        Map.of("page", new ClassBudget(Map.of(), 0.5, false))),
+                0);
         assertNotNull(l.reserve(0, "media", Cost.ofFill(300, 0, true)));
         assertNotNull(l.reserve(0, "page", Cost.ofFill(100, 0, true)), "700 left, and 550 have to be");
         assertNotNull(l.reserve(0, "page", Cost.ofFill(100, 0, true)), "600 left");
