--- a/src/main/java/pewtercourse/front/FrontTransport.java
+++ b/src/main/java/pewtercourse/front/FrontTransport.java
@@ -1,13 +1,15 @@
 package pewtercourse.front;
 
 import io.netty.channel.ChannelFactory;
+import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.ServerChannel;
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
 
 /**
- * The library's sockets, but for the clients' server, which listens on a given channel: the first one that is opened after
- * {@link #frontNext}. Others, such as a cluster's, may be opened before and after.
+ * The library's sockets, but for the event loop's waits ({@link WholeMillisecondWaits}) and for the clients' server, which
+ * listens on a given channel: the first one that is opened after {@link #frontNext}. Others, such as a cluster's, may be
+ * opened before and after.
  */
 public final class FrontTransport implements Transport {
     private final ServerChannel listener;
@@ -40,6 +42,11 @@
     @Override
     public io.vertx.core.spi.transport.Transport implementation() {
         return new NioTransport() {
+            @Override
+            public IoHandlerFactory ioHandlerFactory() {
+                return WholeMillisecondWaits.factory(super.ioHandlerFactory());
+            }
+
             @Override
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
                 ChannelFactory<? extends ServerChannel> plain = super.serverChannelFactory(domainSocket);
