--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -16,6 +16,7 @@
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
+import java.util.function.Predicate;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -233,30 +234,13 @@
 
     @Test
     void aMemberBackWithAnOldFolderIsNoticedAndCountsNoMore() throws Exception {
+        // So also the old folder knows it as out: that it is known there proves nothing.
+        until("out before", () -> fleet.members.get(0).enter(CACHE));
         ClusterProcesses.Member leader, old;
-        long term;
         do { // Only the leader to whom it had said more notices.
             leader = fleet.awaitLeader(fleet.members);
-            term = leader.status().getLong("term");
-            ClusterProcesses.Member of = fleet.but(leader).get(0);
-            old = of;
-            of.kill();
-            Path copy = folder.resolve("copy-" + term);
-            copy(of.data, copy);
-            of.start();
-            ClusterProcesses.Member third = fleet.but(leader, of).get(0);
-            until("said while it listens", () -> third.exit(CACHE) && third.enter(CACHE) && of.out(CACHE));
-            of.kill();
-            delete(of.data);
-            copy(copy, of.data);
-            of.start();
-            long led = term;
-            ClusterProcesses.Member by = leader;
-            until(
-                    "noticed, unless another leads by now",
-                    () -> fleet.logged("cluster.member_regressed name=" + of.name)
-                            || by.status() != null && by.status().getLong("term") != led);
-        } while (!fleet.logged("cluster.member_regressed name=" + old.name));
+            old = fleet.but(leader).get(0);
+        } while (!regressesUnder(leader, old));
         ClusterProcesses.Member third = fleet.but(leader, old).get(0), back = old;
         third.kill();
         assertFalse(leader.exit(CACHE), "what has forgotten makes no majority");
@@ -268,6 +252,52 @@
         until("emptied, it learns anew and votes", () -> back.out(CACHE) && fleet.among(fleet.members, back, true));
     }
 
+    /**
+     * Has a follower say that it saved entries, and gives it a folder from before them. False if another member has come
+     * to lead meanwhile, who can't know.
+     */
+    private boolean regressesUnder(ClusterProcesses.Member leader, ClusterProcesses.Member follower) throws Exception {
+        long term = leader.status().getLong("term");
+        ClusterProcesses.Member third = fleet.but(leader, follower).get(0);
+        follower.kill();
+        Path copy = folder.resolve("copy-" + term);
+        copy(follower.data, copy);
+        follower.start();
+        until("new entries", () -> third.exit(CACHE) && third.enter(CACHE));
+        // A follower applies what is agreed before its own disk has it: only the leader knows what it said it had
+        // saved.
+        until(
+                "the follower has said that it saved them, unless another leads by now",
+                () -> leads(leader, term, s -> lag(s, follower) == 0) || ledByAnother(leader, term));
+        follower.kill();
+        delete(follower.data);
+        copy(copy, follower.data);
+        follower.start();
+        String notice = "cluster.member_regressed name=" + follower.name;
+        until("noticed, unless another leads by now", () -> fleet.logged(notice) || ledByAnother(leader, term));
+        return fleet.logged(notice);
+    }
+
+    private static boolean leads(ClusterProcesses.Member member, long term, Predicate<JsonObject> status) {
+        JsonObject s = member.status();
+        return s != null && s.getLong("term") == term && s.getString("role").equals("leader") && status.test(s);
+    }
+
+    private static boolean ledByAnother(ClusterProcesses.Member leader, long term) {
+        JsonObject s = leader.status();
+        return s != null && (s.getLong("term") != term || !s.getString("role").equals("leader"));
+    }
+
+    /** How many entries a member lacks of the leader's, by what it has said it saved. */
+    private static long lag(JsonObject leaderStatus, ClusterProcesses.Member member) {
+        return leaderStatus.getJsonArray("members").stream()
+                .map(JsonObject.class::cast)
+                .filter(m -> m.getString("name").equals(member.name) && m.getValue("lag") != null)
+                .mapToLong(m -> m.getLong("lag"))
+                .findFirst()
+                .orElse(Long.MAX_VALUE);
+    }
+
     private static void copy(Path from, Path to) throws Exception {
         Files.createDirectories(to);
         try (Stream<Path> files = Files.list(from)) {
