--- a/src/main/java/pewtercourse/Warmup.java
+++ b/src/main/java/pewtercourse/Warmup.java
@@ -137,7 +137,8 @@
         // Its own are never let through, also when one comes late: no client sent them. And none of a client's
         // may get an answer that no cache made.
         if (mine.contains(request.id())) {
-            return director.handle(request, answer);
+            // After its end its director has stopped and would leave it open until its time is over.
+            return ready ? REFUSING.handle(request, answer) : director.handle(request, answer);
         }
         if (!ready) {
             missed();
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -12,6 +13,8 @@
 import io.vertx.core.net.SocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -22,6 +25,7 @@
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
+import pewtercourse.front.RequestHandler;
 import pewtercourse.front.fastcgi.FastCgiClient;
 import pewtercourse.front.fastcgi.FastCgiServer;
 
@@ -144,6 +148,49 @@
         }
     }
 
+    /** The front keeps the warm-up's own requests back until the warm-up is over, and only then hands them in. */
+    @Test
+    void itsOwnRequestsThatAreReadAfterItsEndAreRefusedAtOnce() throws Exception {
+        DirectorConfig config =
+                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        List<ClientRequest> heldBack = new CopyOnWriteArrayList<>();
+        RequestHandler front = (request, answer) -> {
+            heldBack.add(request);
+            return () -> {};
+        };
+        int port = get(new FastCgiServer(vertx, front, () -> System.currentTimeMillis() * 1000, config.front())
+                        .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1")))
+                .actualPort();
+        CompletableFuture<Warmup> made = new CompletableFuture<>();
+        Context loop = vertx.getOrCreateContext();
+        loop.runOnContext(v -> made.complete(new Warmup(
+                vertx,
+                config,
+                (request, answer) -> {
+                    served.add(request);
+                    return () -> {};
+                },
+                3_600_000,
+                1)));
+        Warmup warmup = made.get(30, TimeUnit.SECONDS);
+        CompletableFuture<List<Answer.Kind>> answeredAtOnce = new CompletableFuture<>();
+        loop.runOnContext(v -> {
+            warmup.run(SocketAddress.inetSocketAddress(port, "127.0.0.1"), true).onComplete(done -> {
+                List<Answer.Kind> kinds = new ArrayList<>();
+                heldBack.forEach(request -> warmup.handle(request, answer -> kinds.add(answer.kind())));
+                answeredAtOnce.complete(kinds);
+            });
+            vertx.setPeriodic(5, poll -> {
+                if (heldBack.size() == 4) {
+                    vertx.cancelTimer(poll);
+                    warmup.missed(); // Ends it.
+                }
+            });
+        });
+        assertEquals(Collections.nCopies(4, Answer.Kind.REFUSED), answeredAtOnce.get(30, TimeUnit.SECONDS));
+        assertEquals(List.of(), served);
+    }
+
     @Test
     void withoutTimeItIsReadyAtOnce() throws Exception {
         DirectorConfig config =
