--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -51,10 +51,10 @@
 
     // ---- What operators say ----
 
-    /** Agreed, and with a warden let as well; done once this director goes by it. */
+    /** Agreed, and granted as well where there is a maintenance budget; done once this director goes by it. */
     Future<Verdict> takeOut(String target) {
         long now = System.currentTimeMillis();
-        if (!cluster.hasWarden()) {
+        if (!cluster.hasMaintenanceBudget()) {
             return agreed("operator.out", target, () -> new Command.Out(target, now, lastWord(target)));
         }
         return agreed("operator.asked", target, () -> new Command.Ask(target, zoneOf(target), now, lastWord(target)))
@@ -70,7 +70,7 @@
     // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
     private Future<Verdict> turnedDown(String target) {
         DutyState.Ticket t = cluster.state().ticketOf(target);
-        if (t == null || cluster.wardenWaits()) {
+        if (t == null || cluster.maintenanceWaits()) {
             long before = t == null
                     ? 0
                     : cluster.state().tickets().headMap(t.number()).values().stream()
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -10,11 +10,7 @@
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
@@ -46,7 +42,6 @@
 import pewtercourse.site.Planner;
 import pewtercourse.site.SiteObservation;
 import pewtercourse.site.Sites;
-import pewtercourse.site.Status;
 
 /**
  * This director as a member of a cluster: between the sockets, the disk and the clock on the one side, the agreement and
@@ -55,9 +50,8 @@
  */
 public final class Cluster {
     private static final long SEGMENT = 4L << 20;
-    private static final int SNAPSHOT_AFTER = 8_192, PENDING_MOST = 256, ROUNDS_MOST = 8;
-    // A caller of the operators' address is cut off after 2 s.
-    private static final long AGREE_MS = 1_300, CALL_AGAIN_MS = 150, READ_MS = 400, LET_MS = 400;
+    private static final int SNAPSHOT_AFTER = 8_192, READS_MOST = 256, ROUNDS_MOST = 8;
+    private static final long READ_MS = 400;
     private static final long SIGHT_EVERY = 1_000_000; // Microseconds.
     private static final long REOPEN_FIRST_MS = 500, REOPEN_MOST_MS = 8_000;
 
@@ -68,10 +62,10 @@
     private final ClusterHost host;
     private final Random random = new Random(new SecureRandom().nextLong());
     private final long started = System.nanoTime();
-    private final Map<Long, Call> pending = new LinkedHashMap<>();
+    private final Proposals proposals;
+    private final GrantWaiters grantWaiters;
+    private final ChangeLog changeLog = new ChangeLog();
     private final Map<Long, Promise<Boolean>> reads = new HashMap<>();
-    private final Map<String, List<Promise<Boolean>>> letWaits = new HashMap<>(); // As many as the table of callers.
-    private final Set<String> toldRegressed = new HashSet<>();
     private Sites sites; // Null where they are not kept.
     private Duties duties;
     private ExecutorService thread;
@@ -88,9 +82,6 @@
             toldSites = -1,
             sightAt;
     private Set<String> toldAbsent = Set.of();
-    private String toldLeader = "";
-    private final Map<String, Long> toldTokens = new HashMap<>();
-    private final Map<String, Status> toldStatuses = new HashMap<>();
     private boolean willing = true, closed, pumping;
 
     public Cluster(Vertx vertx, ClusterConfig config, ClusterHost host) {
@@ -100,6 +91,31 @@
         this.config = config;
         this.host = host;
         this.sites = config.sites();
+        this.grantWaiters = new GrantWaiters(timers);
+        this.proposals = new Proposals(timers, new ProposalLog());
+    }
+
+    private final class ProposalLog implements Proposals.ReplicatedLog {
+        @Override
+        public boolean open() {
+            return raft != null;
+        }
+
+        @Override
+        public Command.Signed sign(Command command) {
+            return duties.sign(command);
+        }
+
+        @Override
+        public void offer(byte[] command, long id) {
+            Cluster.this.offer(command, id);
+            pump();
+        }
+
+        @Override
+        public String whyNotAgreed() {
+            return noMajority();
+        }
     }
 
     // ---- Its folder, at the start and after an error ----
@@ -197,7 +213,7 @@
     private void shut(String why) {
         timers.cancel(timer);
         raft = null;
-        List.copyOf(pending.values()).forEach(c -> c.done.tryFail(why));
+        proposals.failAll(why);
         reads.values().forEach(r -> r.tryComplete(false));
         reads.clear();
         net.close();
@@ -334,9 +350,9 @@
         if (changed && duties.state().words() != toldWords) {
             toldWords = duties.state().words();
             host.agreed(duties.state().out(), duties.state().back());
-            tellLet();
+            grantWaiters.granted(duties.state().out().keySet());
         }
-        tell();
+        changeLog.write(raft, duties.state());
         snapshot();
         return changed;
     }
@@ -345,10 +361,7 @@
         Command.Signed s = DutyCodec.decode(e.command());
         DutyState.Result result = duties.applied(now(), e.index(), s);
         if (s.by().equals(config.name())) {
-            Call c = pending.get(s.id());
-            if (c != null) {
-                c.applied(result);
-            }
+            proposals.applied(s.id(), result);
         }
     }
 
@@ -419,29 +432,7 @@
         }
         toldSites = failover.version();
         toldAbsent = Set.copyOf(duties.state().absent());
-        failover.statuses().forEach((name, s) -> {
-            Status before = toldStatuses.put(name, s);
-            if (!s.equals(before)) {
-                Log.info(
-                        "site.status",
-                        "site",
-                        name,
-                        "phase",
-                        s.phase(),
-                        "health",
-                        s.health(),
-                        "step",
-                        s.step(),
-                        "flaps",
-                        s.flaps(),
-                        "held",
-                        s.held(),
-                        "drill",
-                        s.drill(),
-                        "entry",
-                        s.entry());
-            }
-        });
+        failover.statuses().forEach(changeLog::writeSite);
         host.sites(failover, toldAbsent);
     }
 
@@ -484,116 +475,21 @@
         }
     }
 
-    // What changed, for the log.
-    private void tell() {
-        String leader = raft.leader() == null ? "" : raft.leader();
-        if (!leader.equals(toldLeader)) {
-            toldLeader = leader;
-            Log.info("cluster.leader", "name", leader.isEmpty() ? "none" : leader, "term", raft.term());
-        }
-        raft.regressed().forEach(m -> {
-            if (toldRegressed.add(m)) {
-                Log.warn("cluster.member_regressed", "name", m);
-            }
-        });
-        duties.state().duties().forEach((name, d) -> {
-            if (!Long.valueOf(d.token()).equals(toldTokens.put(name, d.token()))) {
-                Log.info(
-                        "duty.assigned",
-                        "duty",
-                        name,
-                        "holder",
-                        d.holder().isEmpty() ? "none" : d.holder(),
-                        "token",
-                        d.token());
-            }
-        });
-    }
-
     // ---- What the director and its operators ask ----
 
-    /** A command of this member's until it is agreed, or its caller has waited long enough. */
-    private final class Call {
-        final Promise<DutyState.Result> done = Promise.promise();
-        private final Supplier<Command> command;
-        private final long end;
-        private long id, again = -1;
-        private byte[] bytes;
-
-        Call(Supplier<Command> command) {
-            this.command = command;
-            this.end = timers.set(AGREE_MS, () -> done.tryFail(noMajority()));
-            done.future().onComplete(r -> forget());
-        }
-
-        void say() {
-            Command.Signed s = duties.sign(command.get());
-            id = s.id();
-            bytes = DutyCodec.encode(s);
-            pending.put(id, this);
-            offerAgain();
-        }
-
-        private void offerAgain() {
-            if (raft != null && pending.containsKey(id)) {
-                offer(bytes, id);
-                again = timers.set(CALL_AGAIN_MS, this::offerAgain);
-                pump();
-            }
-        }
-
-        void applied(DutyState.Result r) {
-            if (!r.late()) {
-                done.tryComplete(r);
-                return;
-            }
-            // What was agreed first is known here now: said again, it comes after that.
-            pending.remove(id);
-            timers.cancel(again);
-            say();
-        }
-
-        private void forget() {
-            pending.remove(id);
-            timers.cancel(end);
-            timers.cancel(again);
-        }
-    }
-
     /**
      * Has a command agreed; it is made anew where another word on the same cache was agreed first. Fails, with the reason,
      * when that is not known within 1.3 s: it may still be agreed later, and asking again does no harm.
      */
     public Future<DutyState.Result> agree(Supplier<Command> command) {
-        if (raft == null) {
-            return Future.failedFuture("the folder of this member can't be used: see the log");
-        }
-        if (pending.size() >= PENDING_MOST) {
-            return Future.failedFuture("too many calls wait");
-        }
-        Call c = new Call(command);
-        c.say();
-        return c.done.future();
+        return proposals.agree(command);
     }
 
-    /** Whether the warden lets the cache out within what a caller waits. Never fails. */
+    /** Whether the maintenance budget lets the cache out within what a caller waits. Never fails. */
     public Future<Boolean> let(String target) {
-        Promise<Boolean> p = Promise.promise();
-        letWaits.computeIfAbsent(target, t -> new ArrayList<>()).add(p);
-        long end = timers.set(LET_MS, () -> p.tryComplete(false));
-        tellLet();
-        return p.future().onComplete(r -> {
-            timers.cancel(end);
-            letWaits.getOrDefault(target, new ArrayList<>()).remove(p);
-            letWaits.values().removeIf(List::isEmpty);
-        });
-    }
-
-    private void tellLet() {
-        letWaits.keySet().stream()
-                .filter(state().out()::containsKey)
-                .toList()
-                .forEach(t -> List.copyOf(letWaits.get(t)).forEach(p -> p.tryComplete(true)));
+        Future<Boolean> granted = grantWaiters.await(target);
+        grantWaiters.granted(state().out().keySet());
+        return granted;
     }
 
     private String noMajority() {
@@ -606,7 +502,7 @@
     public Future<Boolean> confirm() {
         Promise<Boolean> p = Promise.promise();
         long id = nextRead++;
-        if (raft == null || reads.size() >= PENDING_MOST || raft.read(now(), id) != null) {
+        if (raft == null || reads.size() >= READS_MOST || raft.read(now(), id) != null) {
             return Future.succeededFuture(false);
         }
         reads.put(id, p);
@@ -622,11 +518,11 @@
         return duties == null ? new DutyState() : duties.state();
     }
 
-    public boolean hasWarden() {
+    public boolean hasMaintenanceBudget() {
         return config.duties().maintenanceBudget() != null;
     }
 
-    public boolean wardenWaits() {
+    public boolean maintenanceWaits() {
         return config.duties().maintenanceBudget().waits();
     }
 
@@ -723,7 +619,7 @@
 
     /** For operators, by name. While its folder can't be used only {@code cluster.open}, 0, and the disk's failures are known. */
     public Map<String, Long> figures() {
-        return report().figures(now(), applied, pending.size(), diskFailures);
+        return report().figures(now(), applied, proposals.waiting(), diskFailures);
     }
 
     /** For operators: {@code confirmed}, whether a majority has just said that nothing newer is agreed. */
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -40,7 +40,7 @@
         sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
-                .put("keeper", agreed().duty(DutyState.SITES).holder())
+                .put("controller", agreed().duty(DutyState.SITES).holder())
                 .put("leader", raft == null ? null : raft.leader())
                 .put("planned", failover.plan().cases().size())
                 .put("sites", all);
@@ -66,7 +66,7 @@
                 .put("held", status.held())
                 .put("drill", status.drill())
                 .put("load", load)
-                .put("bears", site.bears())
+                .put("capacity", site.capacity())
                 .put("spare", site.spare(load))
                 .put("takers", takers)
                 .put("refused", shares.refused());
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -42,6 +42,8 @@
             "lease_ms",
             "drift",
             "duties");
+    private static final Map<String, String> RENAMED_DUTIES =
+            Map.of("warden", DutyState.MAINTENANCE, "divider", DutyState.QUOTA);
     private static final int MEMBERS_MOST = 7, NAME_MOST = 64;
     private static final long SECOND = 1_000_000;
 
@@ -169,11 +171,15 @@
                 throw new ConfigException(key, "is not an object");
             }
             switch (duty) {
-                case DutyState.WARDEN -> maintenanceBudget = maintenanceBudget(key + ".", d);
-                case DutyState.DIVIDER -> quotaAllocator = quotaAllocator(key + ".", d);
+                case DutyState.MAINTENANCE -> maintenanceBudget = maintenanceBudget(key + ".", d);
+                case DutyState.QUOTA -> quotaAllocator = quotaAllocator(key + ".", d);
                 default ->
                     throw new ConfigException(
-                            key, "is no duty: there are " + DutyState.WARDEN + " and " + DutyState.DIVIDER);
+                            key,
+                            JsonFields.unusable(
+                                    duty,
+                                    RENAMED_DUTIES,
+                                    "is no duty: there are " + DutyState.MAINTENANCE + " and " + DutyState.QUOTA));
             }
         }
         return new DutySettings(
--- a/src/main/java/pewtercourse/config/JsonFields.java
+++ b/src/main/java/pewtercourse/config/JsonFields.java
@@ -1,9 +1,16 @@
 package pewtercourse.config;
 
+import java.util.Map;
+
 /** Reads single values of a JSON file; what can't be used is a {@link ConfigException} that names the key. */
 public final class JsonFields {
     private JsonFields() {}
 
+    /** Why a key can't be used: it has another name by now, by {@code renamed} (old to new); or else {@code why}. */
+    public static String unusable(String key, Map<String, String> renamed, String why) {
+        return renamed.containsKey(key) ? "is called '" + renamed.get(key) + "' now" : why;
+    }
+
     /**
      * A number within bounds.
      *
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
@@ -22,8 +23,10 @@
     private static final Set<String> KEYS =
             Set.of("lost_after_ms", "back_after_ms", "flap_most_ms", "step_ms", "steps", "miss", "sites");
     private static final Set<String> SITE_KEYS =
-            Set.of("name", "hub", "directors", "bears", "lends", "floor", "link", "takers");
+            Set.of("name", "hub", "directors", "capacity", "spare_share", "reserved_share", "link", "takers");
     private static final Set<String> TAKER_KEYS = Set.of("site", "distance");
+    private static final Map<String, String> RENAMED =
+            Map.of("bears", "capacity", "lends", "spare_share", "floor", "reserved_share");
     private static final long FRESH = 3_000_000;
 
     private SitesConfig() {}
@@ -125,9 +128,9 @@
                 name,
                 text(key + "hub", s.getValue("hub"), ""),
                 Set.copyOf(directors),
-                number(key + "bears", s.getValue("bears"), Double.NaN, 0.001, 1_000_000),
-                number(key + "lends", s.getValue("lends"), 0.5, 0, 1),
-                number(key + "floor", s.getValue("floor"), 0.5, 0, 1),
+                number(key + "capacity", s.getValue("capacity"), Double.NaN, 0.001, 1_000_000),
+                number(key + "spare_share", s.getValue("spare_share"), 0.5, 0, 1),
+                number(key + "reserved_share", s.getValue("reserved_share"), 0.5, 0, 1),
                 number(key + "link", s.getValue("link"), 0, 0, 1_000_000),
                 List.copyOf(takers));
     }
@@ -156,7 +159,7 @@
                 .sorted()
                 .findFirst()
                 .ifPresent(k -> {
-                    throw new ConfigException(key + k, "is no key of this file");
+                    throw new ConfigException(key + k, JsonFields.unusable(k, RENAMED, "is no key of this file"));
                 });
     }
 
--- a/src/main/java/pewtercourse/duty/Command.java
+++ b/src/main/java/pewtercourse/duty/Command.java
@@ -34,22 +34,22 @@
     /** A member may serve again. */
     record Back(String target, long atMs, long after) implements Command {}
 
-    /** A cache is to be out once the warden lets it. */
+    /** A cache is to be out once the maintenance budget lets it. */
     record Ask(String target, String zone, long atMs, long after) implements Command {}
 
-    /** By the warden: the cache with this ticket is out from now on. */
+    /** By the holder of the maintenance duty: the cache with this ticket is out from now on. */
     record Let(String target, long ticket, long token, long atMs) implements Command {}
 
-    /** The ticket is void, and its cache back if it was out. By the warden; or with token 0 by whoever asked for it. */
+    /** The ticket is void, and its cache back if it was out. By the holder of the maintenance duty; or with token 0 by whoever asked for it. */
     record Withdraw(String target, long ticket, long token, long atMs) implements Command {}
 
     /** A member could use so much more, in thousandths of what one director's part of a cold budget is. */
     record Borrow(long thousandths) implements Command {}
 
-    /** By the divider. {@code pool}: all that may be lent at once. */
+    /** By the holder of the quota duty. {@code pool}: all that may be lent at once. */
     record Lend(String to, long ask, long thousandths, long token, long pool) implements Command {}
 
-    /** By the divider: the loan's time is over for certain. */
+    /** By the holder of the quota duty: the loan's time is over for certain. */
     record Settle(long loan, long token) implements Command {}
 
     /** Whether the member that says so takes duties: not while it drains or stands by. */
@@ -58,10 +58,10 @@
     /** What a member has seen of sites of late, by site. Nothing is kept of it; each member judges by it. */
     record Sighted(Map<String, SiteObservation> siteObservations) implements Command {}
 
-    /** By the keeper of the sites. */
+    /** By the holder of the sites duty. */
     record Declare(FailoverController.Declaration what, long token) implements Command {}
 
-    /** By the keeper of the sites: where loads go. */
+    /** By the holder of the sites duty: where loads go. */
     record Planned(Plan plan, long token) implements Command {}
 
     /** An operator's word: this site is not to return ({@code on}), or may. {@code after}: the entry of its last change. */
--- a/src/main/java/pewtercourse/duty/Duties.java
+++ b/src/main/java/pewtercourse/duty/Duties.java
@@ -190,7 +190,7 @@
 
     /**
      * This director's factor on its part of a cold budget, in thousandths: what it keeps and what it has on loan at
-     * {@code now}. 1,000 without a divider.
+     * {@code now}. 1,000 without a quota allocator.
      */
     public long part(long now) {
         return set.kept()
@@ -260,7 +260,7 @@
     }
 
     private List<Command> maintenanceBudget(long now, View view) {
-        long token = token(DutyState.WARDEN, now);
+        long token = token(DutyState.MAINTENANCE, now);
         return token == 0 || set.maintenanceBudget() == null
                 ? List.of()
                 : maintenanceBudget.orders(now, view.unixMs(), token, state);
@@ -284,7 +284,7 @@
     }
 
     private List<Command> quotaAllocator(long now, View view) {
-        long token = token(DutyState.DIVIDER, now);
+        long token = token(DutyState.QUOTA, now);
         return token == 0 || set.quotaAllocator() == null
                 ? List.of()
                 : quotaAllocator.orders(now, token, state, view.members().size());
--- a/src/main/java/pewtercourse/duty/DutyCodec.java
+++ b/src/main/java/pewtercourse/duty/DutyCodec.java
@@ -12,23 +12,23 @@
         Command c = s.command();
         if (c instanceof Command.Assign a) {
             b.setAssign(DutyWire.Assign.newBuilder()
-                    .setDuty(a.duty())
+                    .setDuty(WireNames.toWire(a.duty()))
                     .setTo(a.to())
                     .setToken(a.token())
                     .setRenewals(a.renewals()));
         } else if (c instanceof Command.Renew r) {
             b.setRenew(DutyWire.Renew.newBuilder()
-                    .setDuty(r.duty())
+                    .setDuty(WireNames.toWire(r.duty()))
                     .setToken(r.token())
                     .setRenewals(r.renewals()));
         } else if (c instanceof Command.HandOn h) {
             b.setHandOn(DutyWire.HandOn.newBuilder()
-                    .setDuty(h.duty())
+                    .setDuty(WireNames.toWire(h.duty()))
                     .setToken(h.token())
                     .setTo(h.to()));
         } else if (c instanceof Command.Prefer p) {
             b.setPrefer(DutyWire.Prefer.newBuilder()
-                    .setDuty(p.duty())
+                    .setDuty(WireNames.toWire(p.duty()))
                     .setToken(p.token())
                     .setTo(p.to()));
         } else if (c instanceof Command.Absent a) {
@@ -99,23 +99,23 @@
         Command what = switch (c.getWhatCase()) {
             case ASSIGN ->
                 new Command.Assign(
-                        c.getAssign().getDuty(),
+                        WireNames.fromWire(c.getAssign().getDuty()),
                         c.getAssign().getTo(),
                         c.getAssign().getToken(),
                         c.getAssign().getRenewals());
             case RENEW ->
                 new Command.Renew(
-                        c.getRenew().getDuty(),
+                        WireNames.fromWire(c.getRenew().getDuty()),
                         c.getRenew().getToken(),
                         c.getRenew().getRenewals());
             case HAND_ON ->
                 new Command.HandOn(
-                        c.getHandOn().getDuty(),
+                        WireNames.fromWire(c.getHandOn().getDuty()),
                         c.getHandOn().getToken(),
                         c.getHandOn().getTo());
             case PREFER ->
                 new Command.Prefer(
-                        c.getPrefer().getDuty(),
+                        WireNames.fromWire(c.getPrefer().getDuty()),
                         c.getPrefer().getToken(),
                         c.getPrefer().getTo());
             case ABSENT ->
--- a/src/main/java/pewtercourse/duty/DutySettings.java
+++ b/src/main/java/pewtercourse/duty/DutySettings.java
@@ -5,7 +5,7 @@
 /**
  * Times in microseconds. {@code lease}: how long a duty is held after its holder asked; {@code drift}: the greatest
  * difference of two members' clock rates, as a share; {@code again}: after how long an order that showed no effect is
- * given again; {@code names}: the duties that are given out. {@code warden} and {@code divider} may be null.
+ * given again; {@code names}: the duties that are given out. {@code maintenanceBudget} and {@code quotaAllocator} may be null.
  */
 public record DutySettings(
         long lease,
--- a/src/main/java/pewtercourse/duty/DutyState.java
+++ b/src/main/java/pewtercourse/duty/DutyState.java
@@ -17,7 +17,7 @@
  */
 public final class DutyState {
     /** The duties that this version knows. Duty names are free; these give orders that are checked below. */
-    public static final String WARDEN = "warden", DIVIDER = "divider", SITES = "sites";
+    public static final String MAINTENANCE = "maintenance", QUOTA = "quota", SITES = "sites";
 
     // Bounds on what operators and members can make it keep.
     private static final int OUT_MOST = 1_024,
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A call to take a cache out: {@code let} once the warden has. */
+    /** A call to take a cache out: {@code let} once the holder of the maintenance duty has. */
     public record Ticket(long number, String target, String zone, String by, boolean let) {}
 
     /** What a director asked for, in thousandths of an equal part. */
@@ -102,7 +102,7 @@
         } else if (c instanceof Command.Lend l) {
             return lend(index, l);
         } else if (c instanceof Command.Settle t) {
-            boolean holds = duty(DIVIDER).token() == t.token();
+            boolean holds = duty(QUOTA).token() == t.token();
             return !holds
                     ? new Result("an older token")
                     : loans.remove(t.loan()) == null ? new Result("settled before") : Result.DONE;
@@ -237,7 +237,7 @@
         return Result.DONE;
     }
 
-    // ---- The warden ----
+    // ---- Maintenance ----
 
     private Result ask(long index, String by, Command.Ask a) {
         if (out.containsKey(a.target()) || ticketOf(a.target()) != null) {
@@ -252,7 +252,7 @@
 
     private Result let(Command.Let l) {
         Ticket t = tickets.get(l.ticket());
-        if (duty(WARDEN).token() != l.token()) {
+        if (duty(MAINTENANCE).token() != l.token()) {
             return new Result("an older token");
         }
         if (t == null || !t.target().equals(l.target())) {
@@ -270,8 +270,9 @@
         if (t == null || !t.target().equals(w.target())) {
             return new Result("withdrawn before");
         }
-        boolean may =
-                w.token() == 0 ? t.by().equals(by) && !t.let() : duty(WARDEN).token() == w.token();
+        boolean may = w.token() == 0
+                ? t.by().equals(by) && !t.let()
+                : duty(MAINTENANCE).token() == w.token();
         if (!may) {
             return new Result("an older token, or another's ticket");
         }
@@ -279,7 +280,7 @@
         return t.let() ? comeBack(w.target(), w.atMs()) : Result.DONE;
     }
 
-    // ---- The divider ----
+    // ---- Quota ----
 
     private Result borrow(long index, String by, Command.Borrow b) {
         if (wishes.size() >= WISHES_MOST && !wishes.containsKey(by)) {
@@ -295,7 +296,7 @@
 
     private Result lend(long index, Command.Lend l) {
         Wish w = wishes.get(l.to());
-        if (duty(DIVIDER).token() != l.token()) {
+        if (duty(QUOTA).token() != l.token()) {
             return new Result("an older token");
         }
         if (w == null || w.ask() != l.ask() || l.thousandths() <= 0) {
@@ -387,7 +388,7 @@
                 .addAllUnwilling(unwilling)
                 .addAllAbsent(absent);
         duties.forEach((name, d) -> b.addDuty(DutyWire.Duty.newBuilder()
-                .setName(name)
+                .setName(WireNames.toWire(name))
                 .setHolder(d.holder())
                 .setToken(d.token())
                 .setRenewals(d.renewals())
@@ -426,7 +427,7 @@
         d.absent.addAll(s.getAbsentList());
         s.getDutyList()
                 .forEach(x -> d.duties.put(
-                        x.getName(),
+                        WireNames.fromWire(x.getName()),
                         new Duty(x.getHolder(), x.getToken(), x.getRenewals(), x.getMoves(), x.getPreferred())));
         s.getOutList().forEach(x -> d.out.put(x.getName(), x.getAtMs()));
         s.getBackList().forEach(x -> d.back.put(x.getName(), x.getAtMs()));
--- a/src/main/java/pewtercourse/duty/QuotaAllocator.java
+++ b/src/main/java/pewtercourse/duty/QuotaAllocator.java
@@ -9,7 +9,7 @@
 /**
  * The acts of whoever divides the cold budgets: what the members do not keep for themselves is lent to those that could
  * use it, each as much as the others or as much as it wishes for (max-min fairness; Bertsekas and Gallager, "Data
- * Networks", 6.5.2), and comes back by the divider's own clock, which is later than the borrower's.
+ * Networks", 6.5.2), and comes back by the lender's own clock, which is later than the borrower's.
  */
 final class QuotaAllocator {
     private static final long WHOLE = 1_000; // One director's part, in thousandths.
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -13,8 +13,10 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Map;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.DirectorConfig;
+import pewtercourse.config.JsonFields;
 
 /**
  * A scenario from a file (JSON), played against directors that somebody starts with the configurations that it writes:
@@ -22,11 +24,14 @@
  * slow), {@code site} and, for list, {@code health}, for slow, {@code times}.
  */
 public final class Scenario {
+    private static final Map<String, String> RENAMED = Map.of("bears", "capacity");
+
     private record Fault(double atS, String what, String site, String health, double times) {}
 
     private final List<Emulation.SiteSpec> sites = new ArrayList<>();
     private final List<Fault> faults = new ArrayList<>();
     private final double seconds;
+
     private final long seed;
 
     private Scenario(JsonObject json) {
@@ -39,12 +44,15 @@
         for (int i = 0; i < list.size(); i++) {
             JsonObject s = object(list, "sites", i);
             String key = "sites[" + i + "].";
+            if (s.containsKey("bears")) {
+                throw new ConfigException(key + "bears", JsonFields.unusable("bears", RENAMED, ""));
+            }
             List<String> order = new ArrayList<>(List.of(all.get(i)));
             all.stream().filter(a -> !a.equals(order.get(0))).forEach(order::add);
             sites.add(new Emulation.SiteSpec(
                     text(key + "name", s.getValue("name")),
                     (int) number(key + "caches", s.getValue("caches"), 3, 1, 64),
-                    number(key + "bears", s.getValue("bears"), 6, 0.5, 1_000),
+                    number(key + "capacity", s.getValue("capacity"), 6, 0.5, 1_000),
                     number(key + "requests_per_s", s.getValue("requests_per_s"), 20, 0.1, 500),
                     order));
         }
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -201,7 +201,7 @@
                             "two entries agreed at " + e.index());
                     if (e.kind() == Entry.Kind.COMMAND) {
                         Command.Signed s = DutyCodec.decode(e.command());
-                        long held = duties.state().duty(DutyState.WARDEN).token();
+                        long held = duties.state().duty(DutyState.MAINTENANCE).token();
                         DutyState.Result result = duties.applied(
                                 clock(),
                                 e.index(),
@@ -242,7 +242,7 @@
                         ? new Command.Let(
                                 l.target(),
                                 l.ticket(),
-                                state.duty(DutyState.WARDEN).token(),
+                                state.duty(DutyState.MAINTENANCE).token(),
                                 l.atMs())
                         : c;
             } else if (c instanceof Command.Back b) {
@@ -313,7 +313,7 @@
             800 * MS,
             0.02,
             150 * MS,
-            Set.of(DutyState.WARDEN, DutyState.DIVIDER),
+            Set.of(DutyState.MAINTENANCE, DutyState.QUOTA),
             new DutySettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
             new DutySettings.QuotaAllocator(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -444,7 +444,7 @@
     private FailoverState failover = new FailoverState();
     private int failoverController;
     long now, nextId = 1, entry, shed, crossed, overdue, declaredAt = -1, wholeAt = -1, falseAlarms;
-    private long order, marks, keeperFrom;
+    private long order, marks, controllerFrom;
     private int slowSite = -1;
     String trouble;
 
@@ -577,7 +577,7 @@
         });
     }
 
-    // ---- The keeper of the sites ----
+    // ---- The controller of the sites ----
 
     private void keep() {
         at(now + TICK, this::keep);
@@ -587,10 +587,10 @@
                     failoverController = i;
                 }
             }
-            keeperFrom = now + TAKEN_OVER_IN;
+            controllerFrom = now + TAKEN_OVER_IN;
         }
         Director d = directors.get(failoverController);
-        if (way == Way.ALONE || now < keeperFrom || !d.up) {
+        if (way == Way.ALONE || now < controllerFrom || !d.up) {
             return;
         }
         Set<String> absent = new TreeSet<>();
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -107,8 +107,8 @@
                             .put(
                                     "duties",
                                     new JsonObject()
-                                            .put("warden", new JsonObject().put("most", 1))
-                                            .put("divider", new JsonObject()))
+                                            .put("maintenance", new JsonObject().put("most", 1))
+                                            .put("quota", new JsonObject()))
                             .encode());
             ClusterConfig c = ClusterConfig.fromFile(file);
             Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
--- a/src/main/java/pewtercourse/raft/Raft.java
+++ b/src/main/java/pewtercourse/raft/Raft.java
@@ -1,9 +1,6 @@
 package pewtercourse.raft;
 
-import java.io.ByteArrayOutputStream;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -40,30 +37,9 @@
     /** Where a proposal will stand if it is agreed; or why it was not taken in. */
     public record Proposed(long index, long term, Refusal refusal) {}
 
-    private static final int HELD_MOST = 1_024, VOTERS_LEAST = 2;
+    private static final int VOTERS_LEAST = 2;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private record Held(long after, Ready.Addressed message) {}
-
-    private record SaveEnd(long seq, long index, long term) {}
-
-    private record PendingRead(long id, long index, long seq) {}
-
-    /** What a leader knows of another member. */
-    private static final class Progress {
-        final long incarnation;
-        long next, match, heardAt, confirmed, sentAt, matchSeq;
-        int out; // Messages with entries since the last answer.
-        boolean probing = true, regressed;
-        long partAt = -1, partIndex; // Of the snapshot that is on its way; -1: none is.
-
-        Progress(long incarnation, long next, long now) {
-            this.incarnation = incarnation;
-            this.next = next;
-            this.heardAt = now;
-        }
-    }
-
     private final RaftSettings set;
     private final String self;
     private final long incarnation;
@@ -73,7 +49,7 @@
     private String votedFor;
     private Role role = Role.FOLLOWER;
     private String leader;
-    private long commit, applied, savedIndex;
+    private long commit, applied;
     private Membership members;
     private long membersAt;
     private long heardLeader = NEVER, electionDue, heartbeatDue;
@@ -84,19 +60,10 @@
     private long seq, termStart;
     private String transferTo;
     private long transferDue;
-    private final Deque<PendingRead> reads = new ArrayDeque<>();
-    // A snapshot that comes in parts.
-    private ByteArrayOutputStream incoming;
-    private long incomingIndex, incomingTerm;
-    // What goes out.
-    private boolean stateDirty, commitDue;
-    private long toldCommit; // What the disk was last told to be agreed.
-    private Snapshot dirtySnapshot, install;
-    private long dirtyFrom = Long.MAX_VALUE, saveSeq, savedSeq;
-    private final Deque<SaveEnd> saves = new ArrayDeque<>();
-    private final Deque<Held> held = new ArrayDeque<>();
-    private List<Ready.Addressed> send = new ArrayList<>();
-    private List<Ready.Read> confirmedReads = new ArrayList<>();
+    private final LeaderReads reads = new LeaderReads();
+    private final IncomingSnapshot incoming = new IncomingSnapshot();
+    private final Outbox outbox;
+    private Snapshot install; // To replace the state machine's; null: none is.
 
     public Raft(RaftSettings settings, String self, Saved saved, long now, Random random) {
         this.set = settings;
@@ -108,8 +75,7 @@
         this.log = new RaftLog(saved.snapshot(), saved.entries());
         this.applied = saved.snapshot().index();
         this.commit = Math.max(applied, Math.min(saved.commit(), log.lastIndex()));
-        this.savedIndex = log.lastIndex();
-        this.toldCommit = commit;
+        this.outbox = new Outbox(log, commit);
         if (applied > 0 || !saved.snapshot().members().all().isEmpty()) {
             install = saved.snapshot();
         }
@@ -213,7 +179,7 @@
 
     /** Time has passed. After a standstill of the process this must come before anything is proposed. */
     public void tick(long now) {
-        commitDue |= commit > toldCommit; // By itself no reason to write at once; the next save has it as well.
+        outbox.saveCommitLater(commit);
         if (role == Role.LEADER) {
             if (transferTo != null && now >= transferDue) {
                 transferTo = null;
@@ -259,17 +225,7 @@
 
     /** The save with this number, and all before it, are on disk. */
     public void saved(long now, long number) {
-        savedSeq = Math.max(savedSeq, number);
-        while (!saves.isEmpty() && saves.peek().seq() <= savedSeq) {
-            SaveEnd end = saves.poll();
-            // What was replaced since then was saved for nothing.
-            if (end.index() > savedIndex && log.term(end.index()) == end.term()) {
-                savedIndex = end.index();
-            }
-        }
-        while (!held.isEmpty() && held.peek().after() <= savedSeq) {
-            send.add(held.poll().message());
-        }
+        outbox.saved(number);
         if (role == Role.LEADER) {
             advance(now);
         }
@@ -334,7 +290,7 @@
             return Refusal.BUSY;
         }
         // Before its first own entry is agreed a leader may not know all that is (Raft, section 8).
-        reads.add(new PendingRead(id, Math.max(commit, termStart), seq + 1));
+        reads.add(id, Math.max(commit, termStart), seq + 1);
         progress.forEach((name, p) -> sendAppend(now, name, p, true));
         confirmReads();
         return null;
@@ -351,36 +307,20 @@
     public void compacted(Snapshot to) {
         if (to.index() > log.snapshot().index() && to.index() <= applied) {
             log.compact(to, set.trailing());
-            savedIndex = Math.max(savedIndex, to.index());
+            outbox.compacted(to);
         }
     }
 
     /** What is to be done now. */
     public Ready take() {
-        Save save = null;
-        if (stateDirty || commitDue || dirtySnapshot != null || dirtyFrom <= log.lastIndex()) {
-            long from = Math.max(dirtyFrom, log.baseIndex() + 1);
-            List<Entry> entries = dirtyFrom > log.lastIndex()
-                    ? List.of()
-                    : log.slice(from, log.lastIndex(), Integer.MAX_VALUE, Integer.MAX_VALUE);
-            save = new Save(++saveSeq, term, votedFor, commit, dirtySnapshot, entries);
-            saves.add(new SaveEnd(saveSeq, log.lastIndex(), log.lastTerm()));
-            stateDirty = false;
-            commitDue = false;
-            toldCommit = commit;
-            dirtySnapshot = null;
-            dirtyFrom = Long.MAX_VALUE;
-        }
+        Save save = outbox.takeSave(term, votedFor, commit);
         List<Entry> committed = new ArrayList<>();
         Snapshot restore = install;
         install = null;
         while (applied < commit) {
             committed.add(log.get(++applied));
         }
-        Ready ready = new Ready(save, send, restore, committed, confirmedReads);
-        send = new ArrayList<>();
-        confirmedReads = new ArrayList<>();
-        return ready;
+        return new Ready(save, outbox.takeMessages(), restore, committed, reads.take());
     }
 
     // ---- Elections ----
@@ -401,7 +341,7 @@
         if (!pre) {
             term = asked;
             votedFor = self;
-            stateDirty = true;
+            outbox.stateChanged();
         }
         if (members.majority(votes)) {
             won(now);
@@ -436,7 +376,7 @@
         boolean yes = v.term() == term && upToDate && (votedFor == null || votedFor.equals(from));
         if (yes && votedFor == null) {
             votedFor = from;
-            stateDirty = true;
+            outbox.stateChanged();
         }
         if (yes) {
             waitAnew(now);
@@ -487,7 +427,7 @@
         if (to > term) {
             term = to;
             votedFor = null;
-            stateDirty = true;
+            outbox.stateChanged();
         }
         endLeading();
         role = Role.FOLLOWER;
@@ -496,8 +436,7 @@
     }
 
     private void endLeading() {
-        reads.forEach(r -> confirmedReads.add(new Ready.Read(r.id(), r.index(), false)));
-        reads.clear();
+        reads.fail();
         progress.clear();
         transferTo = null;
     }
@@ -558,8 +497,7 @@
             }
             if (e.index() <= log.lastIndex()) {
                 log.truncate(e.index());
-                savedIndex = Math.min(savedIndex, e.index() - 1);
-                dirtyFrom = Math.min(dirtyFrom, e.index());
+                outbox.truncated(e.index());
                 readMembers();
             }
             store(e);
@@ -575,32 +513,22 @@
             return;
         }
         if (i.lastIndex() <= commit || log.term(i.lastIndex()) == i.lastTerm()) {
-            incoming = null;
+            incoming.drop();
             commitTo(i.lastIndex());
             say(from, new Message.InstallReply(term, i.lastIndex(), i.total(), i.seq()), true);
             return;
         }
-        if (incoming == null || incomingIndex != i.lastIndex() || incomingTerm != i.lastTerm()) {
-            incoming = new ByteArrayOutputStream();
-            incomingIndex = i.lastIndex();
-            incomingTerm = i.lastTerm();
-        }
-        if (i.offset() == incoming.size() && i.total() <= set.snapshotMost()) {
-            incoming.writeBytes(i.part());
-        }
-        if (incoming.size() < i.total()) {
-            say(from, new Message.InstallReply(term, i.lastIndex(), incoming.size(), i.seq()), true);
+        int received = incoming.add(i, set.snapshotMost());
+        if (received < i.total()) {
+            say(from, new Message.InstallReply(term, i.lastIndex(), received, i.seq()), true);
             return;
         }
-        Snapshot whole = new Snapshot(i.lastIndex(), i.lastTerm(), i.members(), incoming.toByteArray());
-        incoming = null;
+        Snapshot whole = new Snapshot(i.lastIndex(), i.lastTerm(), i.members(), incoming.take());
         log.reset(whole);
         commit = whole.index();
         applied = commit;
-        savedIndex = commit; // Only said once the save that has it is done.
         install = whole;
-        dirtySnapshot = whole;
-        dirtyFrom = Long.MAX_VALUE;
+        outbox.replaced(whole);
         readMembers();
         say(from, new Message.InstallReply(term, i.lastIndex(), i.total(), i.seq()), true);
     }
@@ -638,7 +566,7 @@
 
     private void store(Entry e) {
         log.append(e);
-        dirtyFrom = Math.min(dirtyFrom, e.index());
+        outbox.appended(e.index());
         if (e.kind() == Entry.Kind.MEMBERS) {
             readMembers();
         }
@@ -751,7 +679,7 @@
                 p.out = p.match >= p.next - 1 ? 0 : Math.max(0, p.out - 1);
             }
             p.next = Math.max(p.next, p.match + 1);
-            p.partAt = -1;
+            p.partAt = Progress.NO_SNAPSHOT;
             p.probing = false;
         } else if (a.index() < p.match && a.seq() > p.matchSeq) {
             p.regressed = true; // It has lost what it said it had saved: nothing it says counts any more.
@@ -775,7 +703,7 @@
         }
         if (p.partAt >= 0 && p.partIndex == i.lastIndex()) {
             if (i.next() >= log.snapshot().state().length && log.snapshot().index() == i.lastIndex()) {
-                p.partAt = -1;
+                p.partAt = Progress.NO_SNAPSHOT;
                 p.match = Math.max(p.match, i.lastIndex());
                 p.matchSeq = seq;
                 p.next = Math.max(p.match + 1, p.next);
@@ -808,7 +736,7 @@
         for (long i = Math.max(commit + 1, termStart); i <= log.lastIndex(); i++) {
             long at = i;
             Set<String> have = saying(p -> p.match >= at);
-            if (savedIndex >= i) {
+            if (outbox.savedIndex() >= i) {
                 have.add(self);
             }
             if (!members.majority(have)) {
@@ -833,16 +761,11 @@
     }
 
     private void confirmReads() {
-        while (!reads.isEmpty() && reads.peek().index() <= commit) {
-            long asked = reads.peek().seq();
+        reads.confirm(commit, asked -> {
             Set<String> confirm = saying(p -> p.confirmed >= asked);
             confirm.add(self);
-            if (!members.majority(confirm)) {
-                return;
-            }
-            PendingRead r = reads.poll();
-            confirmedReads.add(new Ready.Read(r.id(), r.index(), true));
-        }
+            return members.majority(confirm);
+        });
     }
 
     private void tryTransfer(long now, String to, Progress p) {
@@ -871,16 +794,10 @@
 
     /** {@code afterSave}: it promises, or tells of, something that is not on disk yet. */
     private void say(String to, Message m, boolean afterSave) {
-        boolean dirty = stateDirty || dirtySnapshot != null || dirtyFrom <= log.lastIndex();
-        long after = !afterSave ? 0 : dirty ? saveSeq + 1 : saveSeq;
-        Ready.Addressed a = new Ready.Addressed(to, m);
-        if (after <= savedSeq) {
-            send.add(a);
+        if (afterSave) {
+            outbox.sendAfterSave(to, m);
         } else {
-            held.add(new Held(after, a));
-            if (held.size() > HELD_MOST) {
-                held.poll(); // As good as lost on the way.
-            }
+            outbox.send(to, m);
         }
     }
 }
--- a/src/main/java/pewtercourse/site/Site.java
+++ b/src/main/java/pewtercourse/site/Site.java
@@ -6,21 +6,21 @@
 /**
  * One site as its operators describe it. Work is in transfers at once: how many answers are under way on average.
  *
- * @param hub       the parents that its fills come from; "" if that is not told
- * @param directors members of the cluster that stand there
- * @param bears     what its caches serve when they are warm, over 0
- * @param lends     share, 0 to 1, of what it has to spare that guests may use
- * @param floor     share, 0 to 1, of {@code bears} that stays for its own clients whatever happens
- * @param link      fills at once that its link carries; 0 for no bound
- * @param takers    who may serve its clients when it is lost; empty where nothing may cross
+ * @param hub           the parents that its fills come from; "" if that is not told
+ * @param directors     members of the cluster that stand there
+ * @param capacity      what its caches serve when they are warm, over 0
+ * @param spareShare    share, 0 to 1, of what it has to spare that clients of other sites may use
+ * @param reservedShare share, 0 to 1, of {@code capacity} that stays for its own clients whatever happens
+ * @param link          fills at once that its link carries; 0 for no bound
+ * @param takers        who may serve its clients when it is lost; empty where nothing may cross
  */
 public record Site(
         String name,
         String hub,
         Set<String> directors,
-        double bears,
-        double lends,
-        double floor,
+        double capacity,
+        double spareShare,
+        double reservedShare,
         double link,
         List<Taker> takers) {
     /** {@code distance}: what a crossing costs, beside others; over 0. */
@@ -28,6 +28,6 @@
 
     /** What it can lend while its own clients ask for so much. */
     public double spare(double load) {
-        return Math.max(0, Math.min(lends * (bears - load), (1 - floor) * bears));
+        return Math.max(0, Math.min(spareShare * (capacity - load), (1 - reservedShare) * capacity));
     }
 }
--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -39,8 +39,8 @@
             .put(
                     "duties",
                     new JsonObject()
-                            .put("warden", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
-                            .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+                            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
+                            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
     private static final Pattern ACT = Pattern.compile("^(\\S+) (\\d+) INFO duty\\.act order=(\\w+)\\[.*token=(\\d+)"),
             ASSIGNED = Pattern.compile("^(\\S+) \\d+ INFO duty\\.assigned duty=(\\w+) holder=(\\S+) token=(\\d+)");
     private static final String CACHE = "s-00000001", OTHER = "s-00000002";
@@ -56,7 +56,7 @@
         fleet.found();
         fleet.start();
         fleet.awaitLeader(fleet.members);
-        fleet.awaitHolder("warden", fleet.members);
+        fleet.awaitHolder("maintenance", fleet.members);
     }
 
     @AfterEach
@@ -111,7 +111,7 @@
         everywhereOut(fleet.members, 1);
         assertFalse(fleet.members.get(1).enter(OTHER), "a second one of the zone");
         everywhereOut(fleet.members, 1);
-        // It waits in line: the warden lets it as soon as the first is back.
+        // It waits in line: the holder of the maintenance duty grants it as soon as the first is back.
         until("back", () -> fleet.members.get(2).exit(CACHE));
         until("the next is let", () -> fleet.members.stream().allMatch(m -> m.out(OTHER)));
         everywhereOut(fleet.members, 1);
@@ -129,30 +129,30 @@
 
     @Test
     void theHolderIsKilledAndItsDutyAndCallsInLineSurvive() throws Exception {
-        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
-        List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
+        ClusterProcesses.Member holder = fleet.awaitHolder("maintenance", fleet.members);
+        List<ClusterProcesses.Member> rest = fleet.but(holder);
         until("out", () -> rest.get(0).enter(CACHE));
         assertFalse(rest.get(1).enter(OTHER));
-        maintenanceBudget.kill();
-        fleet.awaitHolder("warden", rest);
+        holder.kill();
+        fleet.awaitHolder("maintenance", rest);
         until("back", () -> rest.get(0).exit(CACHE));
-        until("granted by the next warden", () -> rest.stream().allMatch(m -> m.out(OTHER)));
-        maintenanceBudget.start();
-        until("it comes back and learns", () -> maintenanceBudget.out(OTHER) && maintenanceBudget.outOfRotation() == 1);
+        until("granted by the next holder", () -> rest.stream().allMatch(m -> m.out(OTHER)));
+        holder.start();
+        until("it comes back and learns", () -> holder.out(OTHER) && holder.outOfRotation() == 1);
     }
 
     @Test
     void aHolderThatStoodStillForLongerThanItsLeaseDoesNothingMore() throws Exception {
-        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
-        List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
-        maintenanceBudget.signal("STOP");
-        ClusterProcesses.Member next = fleet.awaitHolder("warden", rest);
+        ClusterProcesses.Member holder = fleet.awaitHolder("maintenance", fleet.members);
+        List<ClusterProcesses.Member> rest = fleet.but(holder);
+        holder.signal("STOP");
+        ClusterProcesses.Member next = fleet.awaitHolder("maintenance", rest);
         until("the next one acts", () -> rest.get(0).enter(CACHE));
-        maintenanceBudget.signal("CONT");
+        holder.signal("CONT");
         until(
                 "it sees who holds the duty",
-                () -> maintenanceBudget.out(CACHE) && fleet.holder("warden", List.of(maintenanceBudget)) == null);
-        until("back", () -> maintenanceBudget.exit(CACHE));
+                () -> holder.out(CACHE) && fleet.holder("maintenance", List.of(holder)) == null);
+        until("back", () -> holder.exit(CACHE));
         until("and out again by the next one", () -> rest.get(1).enter(CACHE));
         assertTrue(next.process.isAlive());
     }
@@ -162,17 +162,17 @@
         until("out", () -> fleet.members.get(0).enter(CACHE));
         for (boolean hears : new boolean[] {true, false}) {
             everywhereOut(fleet.members, 1);
-            ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
-            List<ClusterProcesses.Member> rest = fleet.but(maintenanceBudget);
-            fleet.cutOff(maintenanceBudget, hears, false);
+            ClusterProcesses.Member holder = fleet.awaitHolder("maintenance", fleet.members);
+            List<ClusterProcesses.Member> rest = fleet.but(holder);
+            fleet.cutOff(holder, hears, false);
             fleet.awaitLeader(rest);
-            fleet.awaitHolder("warden", rest);
+            fleet.awaitHolder("maintenance", rest);
             if (!hears) {
-                assertFalse(maintenanceBudget.exit(CACHE), "a minority changes nothing");
-                assertEquals(1, maintenanceBudget.outOfRotation(), "and goes by what was agreed");
+                assertFalse(holder.exit(CACHE), "a minority changes nothing");
+                assertEquals(1, holder.outOfRotation(), "and goes by what was agreed");
                 until("the majority says otherwise", () -> rest.get(0).exit(CACHE));
                 everywhereOut(rest, 0);
-                assertEquals(1, maintenanceBudget.outOfRotation());
+                assertEquals(1, holder.outOfRotation());
                 until("and out again", () -> rest.get(0).enter(CACHE));
                 until("and back", () -> rest.get(1).exit(CACHE));
             }
@@ -347,7 +347,7 @@
                             && s.getJsonArray("members").size() == 3;
                 }));
         until("what was said is kept", () -> now.stream().allMatch(m -> m.out(CACHE)));
-        fleet.awaitHolder("warden", now);
+        fleet.awaitHolder("maintenance", now);
         ClusterProcesses.Member leader = fleet.awaitLeader(now);
         leader.kill();
         until("the new ones bear a loss", () -> now.stream().anyMatch(m -> m != leader && m.exit(CACHE)));
@@ -388,37 +388,36 @@
 
     @Test
     void aPlannedStopHandsOnFirst() throws Exception {
-        ClusterProcesses.Member maintenanceBudget = fleet.awaitHolder("warden", fleet.members);
-        maintenanceBudget.signal("TERM");
-        assertEquals(0, maintenanceBudget.process.waitFor());
-        assertTrue(
-                fleet.log.stream().noneMatch(l -> l.startsWith(maintenanceBudget.name + " ") && l.contains("ERROR")));
-        fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
+        ClusterProcesses.Member holder = fleet.awaitHolder("maintenance", fleet.members);
+        holder.signal("TERM");
+        assertEquals(0, holder.process.waitFor());
+        assertTrue(fleet.log.stream().noneMatch(l -> l.startsWith(holder.name + " ") && l.contains("ERROR")));
+        fleet.awaitHolder("maintenance", fleet.but(holder));
         // A stand-by hands on too, and keeps its vote.
-        ClusterProcesses.Member next = fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
+        ClusterProcesses.Member next = fleet.awaitHolder("maintenance", fleet.but(holder));
         assertTrue(next.call("POST /standby", "").startsWith("HTTP/1.1 200"), () -> fleet.told());
         until("handed on", () -> {
-            ClusterProcesses.Member h = fleet.holder("warden", fleet.but(maintenanceBudget));
+            ClusterProcesses.Member h = fleet.holder("maintenance", fleet.but(holder));
             return h != null && h != next;
         });
-        ClusterProcesses.Member holder = fleet.awaitHolder("warden", fleet.but(maintenanceBudget));
+        ClusterProcesses.Member third = fleet.awaitHolder("maintenance", fleet.but(holder));
         assertTrue(next.call("POST /active", "").startsWith("HTTP/1.1 200"), () -> fleet.told());
         until("handed on by an operator", () -> {
             try {
                 return fleet.run(
                                 "cluster",
                                 "hand-on",
-                                "warden",
+                                "maintenance",
                                 "--to",
                                 next.name,
                                 "--admin",
-                                ClusterProcesses.HOST + ":" + holder.admin)
+                                ClusterProcesses.HOST + ":" + third.admin)
                         == 0;
             } catch (Exception e) {
                 return false;
             }
         });
-        until("to whom it was to go", () -> fleet.holder("warden", List.of(next)) != null);
+        until("to whom it was to go", () -> fleet.holder("maintenance", List.of(next)) != null);
     }
 
     @Test
@@ -512,13 +511,13 @@
 
     @Test
     void theCheckOfActsFindsWhatItIsFor() {
-        String first = "d0 10 INFO duty.assigned duty=warden holder=d0 token=1",
-                second = "d1 20 INFO duty.assigned duty=warden holder=d1 token=2",
+        String first = "d0 10 INFO duty.assigned duty=maintenance holder=d0 token=1",
+                second = "d1 20 INFO duty.assigned duty=maintenance holder=d1 token=2",
                 act = " INFO duty.act order=Let[target=s-1, ticket=5, token=";
         checkActs(List.of(first, second, "d0 15" + act + "1]", "d1 25" + act + "2]"));
         for (List<String> wrong : List.of(
-                List.of(first, "d1 20 INFO duty.assigned duty=warden holder=d1 token=1"),
-                List.of(second, "d1 30 INFO duty.assigned duty=warden holder=d0 token=1"),
+                List.of(first, "d1 20 INFO duty.assigned duty=maintenance holder=d1 token=1"),
+                List.of(second, "d1 30 INFO duty.assigned duty=maintenance holder=d0 token=1"),
                 List.of(first, second, "d1 25" + act + "2]", "d0 26" + act + "1]"),
                 List.of(first, second, "d0 26" + act + "2]"))) {
             assertThrows(AssertionError.class, () -> checkActs(wrong), wrong.toString());
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -34,8 +34,8 @@
             .put(
                     "duties",
                     new JsonObject()
-                            .put("warden", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
-                            .put("divider", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+                            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
+                            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
 
     @TempDir
     Path folder;
@@ -115,7 +115,7 @@
         List<ClusterProcesses.Member> rest = kind == 7 ? fleet.members : fleet.but(m);
         if (majority) {
             fleet.awaitLeader(rest);
-            fleet.awaitHolder("warden", rest);
+            fleet.awaitHolder("maintenance", rest);
         } else if (kind == 8) {
             ClusterProcesses.Member alone = order.get(2);
             until("the one that is left has no majority", () -> {
@@ -137,8 +137,8 @@
 
     private void wellAgain() throws InterruptedException {
         fleet.awaitLeader(fleet.members);
-        fleet.awaitHolder("warden", fleet.members);
-        fleet.awaitHolder("divider", fleet.members);
+        fleet.awaitHolder("maintenance", fleet.members);
+        fleet.awaitHolder("quota", fleet.members);
         until("all know what is agreed", () -> {
             Set<String> leaders = new TreeSet<>();
             for (ClusterProcesses.Member m : fleet.members) {
--- a/src/test/java/pewtercourse/cluster/RandomOperators.java
+++ b/src/test/java/pewtercourse/cluster/RandomOperators.java
@@ -75,7 +75,7 @@
             compared++;
             Set<String> out = new TreeSet<>(s.getJsonObject("out").fieldNames());
             if (out.size() > 1) {
-                wrong.add("more are out than the warden may let: " + s);
+                wrong.add("more are out than the maintenance budget allows: " + s);
             }
             if (out.contains(cache) != k.out) {
                 wrong.add(cache + " is " + (k.out ? "in, and " : "out, and ") + by.name
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -23,7 +23,7 @@
 /**
  * Three sites with a director each, as processes of the program, a relay on each link between them, emulated caches and
  * clients, and sites lost. After each script: one answer to each request, no order twice, no attempt after a drain's
- * cut-off, no cold cache pushed over, and no order of a keeper with an older token than the last.
+ * cut-off, no cold cache pushed over, and no order of a holder of the sites duty with an older token than the last.
  */
 class SiteFaultTest {
     private static final JsonObject SETTINGS = new JsonObject()
@@ -92,9 +92,9 @@
                     .put("name", "s" + m.number)
                     .put("hub", "hub")
                     .put("directors", new JsonArray().add(m.name))
-                    .put("bears", 12)
-                    .put("lends", 0.8)
-                    .put("floor", 0.4)
+                    .put("capacity", 12)
+                    .put("spare_share", 0.8)
+                    .put("reserved_share", 0.4)
                     .put("takers", takers));
         }
         return new JsonObject()
@@ -176,7 +176,7 @@
     @Test
     void aSiteLostWithItsDirectorThatKeptTheSites() throws Exception {
         ClusterProcesses.Member d0 = fleet.members.get(0);
-        until("the keeper stands in it", () -> {
+        until("the holder of the sites duty stands in it", () -> {
             ClusterProcesses.Member h = fleet.holder("sites", fleet.members);
             if (h != null && h != d0) {
                 try {
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void aKeeperStoppedDuringTheReturnIsFollowedByOneThatGoesOnFromTheAgreedStep() throws Exception {
+    void aHolderStoppedDuringTheReturnIsFollowedByOneThatGoesOnFromTheAgreedStep() throws Exception {
         emulation.lose(LOST);
         phase("lost", fleet.members);
         emulation.list(LOST, "Gone");
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -34,6 +34,15 @@
         assertEquals(1_000, ClusterConfig.read(bare).duties().kept());
     }
 
+    @ParameterizedTest
+    @CsvSource({"warden, maintenance", "divider, quota"})
+    void aDutyByItsOldNameIsRefusedWithTheNewOne(String old, String now) throws Exception {
+        JsonObject json = file();
+        json.getJsonObject("duties").put(old, new JsonObject());
+        ConfigException e = assertThrows(ConfigException.class, () -> ClusterConfig.read(json));
+        assertEquals("duties." + old + ": is called '" + now + "' now", e.getMessage());
+    }
+
     private static void refused(String key, Consumer<JsonObject> change) throws Exception {
         JsonObject json = file();
         change.accept(json);
@@ -80,19 +89,19 @@
                 "election_ms",
                 j -> j.put("election_ms", new JsonArray().add(600).add(300)));
         refused("election_ms", j -> j.put("election_ms", 300));
-        refused("duties.warden.most", j -> j.getJsonObject("duties").put("warden", new JsonObject()));
+        refused("duties.maintenance.most", j -> j.getJsonObject("duties").put("maintenance", new JsonObject()));
         refused(
-                "duties.warden.most",
-                j -> j.getJsonObject("duties").getJsonObject("warden").put("most", 1));
+                "duties.maintenance.most",
+                j -> j.getJsonObject("duties").getJsonObject("maintenance").put("most", 1));
         refused(
-                "duties.warden.beyond",
-                j -> j.getJsonObject("duties").getJsonObject("warden").put("beyond", "x"));
+                "duties.maintenance.beyond",
+                j -> j.getJsonObject("duties").getJsonObject("maintenance").put("beyond", "x"));
         refused(
-                "duties.divider.reserve",
-                j -> j.getJsonObject("duties").getJsonObject("divider").put("reserve", 0));
+                "duties.quota.reserve",
+                j -> j.getJsonObject("duties").getJsonObject("quota").put("reserve", 0));
         refused(
-                "duties.divider.loan_ms",
-                j -> j.getJsonObject("duties").getJsonObject("divider").put("loan_ms", "x"));
+                "duties.quota.loan_ms",
+                j -> j.getJsonObject("duties").getJsonObject("quota").put("loan_ms", "x"));
         refused("duties.sweeper", j -> j.getJsonObject("duties").put("sweeper", new JsonObject()));
     }
 }
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -15,8 +15,8 @@
 
 class SitesConfigTest {
     private static final String GOOD =
-            "{'sites': [{'name': 'a', 'bears': 20, 'directors': ['d1'], 'takers': [{'site': 'b'}]},"
-                    + " {'name': 'b', 'bears': 10, 'directors': ['d2'], 'takers': []}]}";
+            "{'sites': [{'name': 'a', 'capacity': 20, 'directors': ['d1'], 'takers': [{'site': 'b'}]},"
+                    + " {'name': 'b', 'capacity': 10, 'directors': ['d2'], 'takers': []}]}";
 
     private static Sites read(String json) {
         return SitesConfig.read(new JsonObject(json.replace('\'', '"')));
@@ -25,7 +25,7 @@
     @Test
     void theOperatorsFileIsTakenAndDefaultsAreFilledIn() throws Exception {
         assertEquals(2, read(GOOD).sites().size());
-        assertEquals(0.5, read(GOOD).sites().get("a").lends());
+        assertEquals(0.5, read(GOOD).sites().get("a").spareShare());
         Sites shipped = SitesConfig.fromFile(Path.of("deploy/sites.json"));
         assertTrue(shipped.sites().size() >= 3);
     }
@@ -35,8 +35,8 @@
             delimiter = '|',
             quoteCharacter = '"',
             value = {
-                "'bears': 20 | 'bears': 0 | sites[0].bears", "'bears': 20 | 'beers': 20 | sites[0].beers",
-                "'bears': 20 | 'lends': 2, 'bears': 1 | sites[0].lends",
+                "'capacity': 20 | 'capacity': 0 | sites[0].capacity", "'capacity': 20 | 'beers': 20 | sites[0].beers",
+                "'capacity': 20 | 'spare_share': 2, 'capacity': 1 | sites[0].spare_share",
                         "'site': 'b' | 'site': 'a' | sites[0].takers[0].site",
                 "'site': 'b' | 'site': 'x' | sites[0].takers[0].site", "'name': 'b' | 'name': 'a' | sites[1].name",
                 "'d2' | 'd1' | sites[1].directors", "{'sites' | {'steps': [0.5, 0.4, 1], 'sites' | steps[1]",
@@ -55,6 +55,15 @@
                 e.getMessage());
     }
 
+    @ParameterizedTest
+    @CsvSource({"capacity, bears", "spare_share, lends", "reserved_share, floor"})
+    void aKeyByItsOldNameIsRefusedWithTheNewOne(String now, String old) {
+        String json = GOOD.replace("'capacity': 20", "'capacity': 20, 'spare_share': 0.5, 'reserved_share': 0.5")
+                .replace("'" + now + "'", "'" + old + "'");
+        ConfigException e = assertThrows(ConfigException.class, () -> read(json));
+        assertEquals("sites[0]." + old + ": is called '" + now + "' now", e.getMessage());
+    }
+
     @Test
     void sitesNeedDirectorsThatAgree() throws Exception {
         Path file = Files.createTempFile("sites", ".json");
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -117,8 +117,8 @@
             acts.addAndGet(sim.acts);
             lent.addAndGet(sim.lentMost);
         });
-        assertTrue(acts.get() > SEEDS, "the warden acts: " + acts);
-        assertTrue(lent.get() > 0, "the divider lends: " + lent);
+        assertTrue(acts.get() > SEEDS, "the maintenance duty acts: " + acts);
+        assertTrue(lent.get() > 0, "the quota duty lends: " + lent);
     }
 
     @ParameterizedTest
--- a/src/test/java/pewtercourse/site/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/site/FailoverControllerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Seeing how sites are, declaring losses and pacing returns, at a keeper that is told once a second. */
+/** Seeing how sites are, declaring losses and pacing returns, at a controller that is told once a second. */
 class FailoverControllerTest {
     private static final long SECOND = 1_000_000;
     private static final SiteObservation WELL = new SiteObservation(4, 4, 2, 2, 20, 1, 0, 0, 10),
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void aNewKeeperGoesOnFromTheAgreedStep() {
+    void aNewHolderGoesOnFromTheAgreedStep() {
         pass(4, DEAD, FAR);
         pass(5, WELL, FAR);
         Status before = failover.status("s0");
