--- /dev/null
+++ b/src/main/java/pewtercourse/bench/package-info.java
@@ -0,0 +1,2 @@
+/** Hosts the decisions on the wire of the simulator. */
+package pewtercourse.bench;
--- a/src/test/java/pewtercourse/DirectorProcess.java
+++ b/src/test/java/pewtercourse/DirectorProcess.java
@@ -48,7 +48,7 @@
 
     /** The example's configuration with a free address to listen at and no feed; all members at {@code dial}. */
     static JsonObject config(String host, String dial) throws IOException {
-        JsonObject config = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        JsonObject config = ExampleConfig.json();
         config.remove("feed");
         config.put("listen", host + ":" + freePort(host));
         JsonArray members = config.getJsonObject("known")
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -53,7 +53,7 @@
     @BeforeEach
     void start() throws Exception {
         file = folder.resolve("config.json");
-        config = new JsonObject(Files.readString(Path.of("examples/config.json"))).put("feed", HOST + ":1");
+        config = ExampleConfig.json().put("feed", HOST + ":1");
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             config.put("listen", HOST + ":" + free.getLocalPort());
         }
--- a/src/test/java/pewtercourse/SilentListener.java
+++ b/src/test/java/pewtercourse/SilentListener.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /** Listens and never accepts, with its queue full from the start: connections to it never come up. */
-final class SilentListener implements Closeable {
+public final class SilentListener implements Closeable {
     // Of a line of the system's table of connections.
     private static final int REMOTE = 2, STATE = 3;
     private static final String SYN_SENT = "02";
@@ -21,7 +21,7 @@
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
-    SilentListener(String host) throws IOException {
+    public SilentListener(String host) throws IOException {
         listener = new ServerSocket(0, 1, InetAddress.getByName(host));
         try {
             for (int i = 0; i < FILLERS; i++) {
@@ -35,8 +35,12 @@
         }
     }
 
+    public InetSocketAddress address() {
+        return (InetSocketAddress) listener.getLocalSocketAddress();
+    }
+
     String dial() {
-        InetSocketAddress at = (InetSocketAddress) listener.getLocalSocketAddress();
+        InetSocketAddress at = address();
         return at.getHostString() + ":" + at.getPort();
     }
 
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -73,7 +73,7 @@
         CompletableFuture.delayedExecutor(90, TimeUnit.SECONDS).execute(platform::destroyForcibly);
         port = Integer.parseInt(log.readLine());
         int first = member(true), other = member(false);
-        config = new JsonObject(Files.readString(Path.of("examples/config.json")))
+        config = ExampleConfig.json()
                 .put("listen", HOST + ":" + port)
                 .put("peer_listen", HOST + ":" + (20_000 + port % 40_000));
         config.remove("feed");
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -8,11 +8,8 @@
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
-import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.SocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -38,14 +35,27 @@
         vertx.close();
     }
 
+    private static ClientRequest clientsRequest() {
+        return new ClientRequest(
+                "9b1f03aa5c7e2d41",
+                "menu-page",
+                "7f3a9c21e0b4d655",
+                0,
+                0,
+                1,
+                null,
+                Buffer.buffer(),
+                System.currentTimeMillis() * 1000,
+                3_000);
+    }
+
     private static <T> T get(Future<T> f) throws Exception {
         return f.toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
     }
 
     @Test
     void noneOfItsRequestsReachesTheServiceAndNoClientIsToldToComeBefore() throws Exception {
-        DirectorConfig config =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config = ExampleConfig.read();
         CompletableFuture<Warmup> made = new CompletableFuture<>();
         vertx.getOrCreateContext()
                 .runOnContext(v -> made.complete(new Warmup(vertx, config, (r, answer) -> {
@@ -82,25 +92,12 @@
 
     @Test
     void aClientThatComesBeforeIsRefusedAndNeverGetsAnAnswerThatNoCacheMade() throws Exception {
-        DirectorConfig config =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config = ExampleConfig.read();
         CompletableFuture<Answer> got = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
             Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
             w.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), true);
-            w.handle(
-                    new ClientRequest(
-                            "9b1f03aa5c7e2d41",
-                            "menu-page",
-                            "7f3a9c21e0b4d655",
-                            0,
-                            0,
-                            1,
-                            null,
-                            Buffer.buffer(),
-                            System.currentTimeMillis() * 1000,
-                            3_000),
-                    got::complete);
+            w.handle(clientsRequest(), got::complete);
         });
         Answer a = got.get(30, TimeUnit.SECONDS);
         assertEquals(Answer.Kind.REFUSED, a.kind());
@@ -111,8 +108,7 @@
     // the time that is left to it then.
     @Test
     void aRestartIntoAFleetAtWorkTakesTheShorterTime() throws Exception {
-        DirectorConfig config =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config = ExampleConfig.read();
         NetServer deaf = get(vertx.createNetServer().connectHandler(s -> {}).listen(0, "127.0.0.1"));
         for (int sign = 0; sign < 3; sign++) {
             int kind = sign;
@@ -125,19 +121,7 @@
                 if (kind == 0) {
                     w.missed();
                 } else if (kind == 1) {
-                    w.handle(
-                            new ClientRequest(
-                                    "9b1f03aa5c7e2d41",
-                                    "menu-page",
-                                    "7f3a9c21e0b4d655",
-                                    0,
-                                    0,
-                                    1,
-                                    null,
-                                    Buffer.buffer(),
-                                    System.currentTimeMillis() * 1000,
-                                    3_000),
-                            a -> {});
+                    w.handle(clientsRequest(), a -> {});
                 } else {
                     vertx.setTimer(100, t -> w.missed()); // Later than the time that is left.
                 }
@@ -151,8 +135,7 @@
     /** The front keeps the warm-up's own requests back until the warm-up is over, and only then hands them in. */
     @Test
     void itsOwnRequestsThatAreReadAfterItsEndAreRefusedAtOnce() throws Exception {
-        DirectorConfig config =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config = ExampleConfig.read();
         List<ClientRequest> heldBack = new CopyOnWriteArrayList<>();
         RequestHandler front = (request, answer) -> {
             heldBack.add(request);
@@ -193,8 +176,7 @@
 
     @Test
     void withoutTimeItIsReadyAtOnce() throws Exception {
-        DirectorConfig config =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig config = ExampleConfig.read();
         CompletableFuture<Boolean> ready = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
             Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static pewtercourse.cluster.ClusterProcesses.until;
 
-import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
@@ -31,16 +30,9 @@
  * act is checked: no token is held by two, and none acts after a later one.
  */
 class ClusterFaultTest {
-    private static final JsonObject SETTINGS = new JsonObject()
-            .put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500))
-            .put("lease_ms", 1_000)
-            .put("drift", 0.01)
-            .put(
-                    "duties",
-                    new JsonObject()
-                            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
-                            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+    private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject()
+            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
+            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
     private static final Pattern ACT = Pattern.compile("^(\\S+) (\\d+) INFO duty\\.act order=(\\w+)\\[.*token=(\\d+)"),
             ASSIGNED = Pattern.compile("^(\\S+) \\d+ INFO duty\\.assigned duty=(\\w+) holder=(\\S+) token=(\\d+)");
     private static final String CACHE = "s-00000001", OTHER = "s-00000002";
--- a/src/test/java/pewtercourse/cluster/ClusterProcesses.java
+++ b/src/test/java/pewtercourse/cluster/ClusterProcesses.java
@@ -26,6 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
+import pewtercourse.ExampleConfig;
 
 /** Some directors as processes of the program, a relay on each link between two of them. */
 final class ClusterProcesses implements AutoCloseable {
@@ -179,6 +180,16 @@
         }
     }
 
+    /** Of {@code cluster.json}, with these duties: short times, so that tests need not wait long. */
+    static JsonObject settings(JsonObject duties) {
+        return new JsonObject()
+                .put("heartbeat_ms", 40)
+                .put("election_ms", new JsonArray().add(250).add(500))
+                .put("lease_ms", 1_000)
+                .put("drift", 0.01)
+                .put("duties", duties);
+    }
+
     /**
      * {@code name}: of the file in target/fault-logs that keeps what all members logged; {@code settings}: of
      * cluster.json, besides what differs from member to member.
@@ -238,9 +249,8 @@
                         .put("data", m.data.toString())
                         .put("members", all)
                         .encode());
-        JsonObject config = new JsonObject(Files.readString(Path.of("examples/config.json")))
-                .put("listen", HOST + ":" + m.listen)
-                .put("peers", new JsonArray());
+        JsonObject config =
+                ExampleConfig.json().put("listen", HOST + ":" + m.listen).put("peers", new JsonArray());
         config.remove("feed");
         config.remove("peer_listen");
         // A list that has changed before: no warm-up.
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static pewtercourse.cluster.ClusterProcesses.until;
 
-import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -26,16 +25,9 @@
 class RandomFaultTest {
     private static final int FAULTS = 6;
     private static final String[] CACHES = {"s-00000001", "s-00000002"};
-    private static final JsonObject SETTINGS = new JsonObject()
-            .put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500))
-            .put("lease_ms", 1_000)
-            .put("drift", 0.01)
-            .put(
-                    "duties",
-                    new JsonObject()
-                            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
-                            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
+    private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject()
+            .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
+            .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
 
     @TempDir
     Path folder;
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -26,12 +26,7 @@
  * cut-off, no cold cache pushed over, and no order of a holder of the sites duty with an older token than the last.
  */
 class SiteFaultTest {
-    private static final JsonObject SETTINGS = new JsonObject()
-            .put("heartbeat_ms", 40)
-            .put("election_ms", new JsonArray().add(250).add(500))
-            .put("lease_ms", 1_000)
-            .put("drift", 0.01)
-            .put("duties", new JsonObject());
+    private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject());
     private static final String LOST = "s0";
 
     @TempDir
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -6,17 +6,16 @@
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import pewtercourse.ExampleConfig;
 import pewtercourse.decision.Router;
 
 class DirectorConfigTest {
     private static JsonObject example() throws Exception {
-        return new JsonObject(Files.readString(Path.of("examples/config.json")));
+        return ExampleConfig.json();
     }
 
     @Test
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -17,6 +17,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
+import pewtercourse.ExampleConfig;
 import pewtercourse.decision.Router;
 
 /** Files at SIGHUP, good and broken in any order, against the last good one. */
@@ -77,7 +78,7 @@
     void theLastGoodFileIsInForceWholeAndClassesKeepTheirPlaces(
             @ForAll @Size(max = 12) List<@IntRange(max = 19) Integer> files, @ForAll long seed) throws Exception {
         Random random = new Random(seed);
-        JsonObject example = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        JsonObject example = ExampleConfig.json();
         Path file = Files.createTempFile("config", ".json");
         Map<String, String> env = Map.of("GW_CONFIG", file.toString());
         DirectorConfig running = DirectorConfig.read(env, example);
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -13,8 +13,6 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -26,6 +24,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import pewtercourse.ExampleConfig;
 import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheConnection;
 import pewtercourse.cache.CacheRequest;
@@ -62,7 +61,7 @@
         });
         int port =
                 get(server.listen().toCompletionStage().toCompletableFuture()).actualPort();
-        JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        JsonObject json = ExampleConfig.json();
         json.remove("feed");
         JsonArray hosts = json.getJsonObject("known")
                 .getJsonArray("events")
@@ -303,7 +302,7 @@
     }
 
     private ScriptedTransport startScripted() throws Exception {
-        JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        JsonObject json = ExampleConfig.json();
         json.remove("feed");
         config = DirectorConfig.read(Map.of(), json);
         ScriptedTransport caches = new ScriptedTransport();
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -4,10 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.vertx.core.json.JsonObject;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,6 +19,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.lifecycle.BeforeTry;
+import pewtercourse.ExampleConfig;
 import pewtercourse.Timers;
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.DirectorConfig;
@@ -51,8 +49,7 @@
     void begin() throws Exception {
         module.clear();
         now = 1_000_000;
-        DirectorConfig c =
-                DirectorConfig.read(Map.of(), new JsonObject(Files.readString(Path.of("examples/config.json"))));
+        DirectorConfig c = ExampleConfig.read();
         registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -11,8 +11,6 @@
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.net.NetSocket;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Random;
@@ -24,6 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import pewtercourse.ExampleConfig;
 import pewtercourse.Timers;
 import pewtercourse.cache.HttpTransport;
 import pewtercourse.config.DirectorConfig;
@@ -96,7 +95,7 @@
                         .onSuccess(listening::complete)
                         .onFailure(listening::completeExceptionally));
         int port = listening.get(WAIT_SECONDS, TimeUnit.SECONDS).actualPort();
-        JsonObject json = new JsonObject(Files.readString(Path.of("examples/config.json")));
+        JsonObject json = ExampleConfig.json();
         json.remove("feed");
         JsonArray hosts = json.getJsonObject("known")
                 .getJsonArray("events")
