--- /dev/null
+++ b/src/test/java/pewtercourse/site/FailoverTraceTest.java
@@ -0,0 +1,260 @@
+package pewtercourse.site;
+
+import static org.junit.jupiter.api.Assertions.assertAll;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.util.List;
+import java.util.Map;
+import java.util.Properties;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.function.Executable;
+import pewtercourse.cache.End;
+
+/**
+ * Random streams by fixed seeds through the whole package. The digest of all outputs of each stream is equal to the one
+ * that is kept in {@code traces/failover.properties}: no order, no number of a plan to its last bit and no choice for a
+ * request has changed since it was recorded.
+ */
+class FailoverTraceTest {
+    private static final String RECORDED = "/traces/failover.properties";
+    private static final int CONTROL_STREAMS = 10;
+    private static final int UNIT_STREAMS = 3;
+
+    private static final Map<String, String> digests = new TreeMap<>();
+    private static final Map<String, Integer> outcomes = new TreeMap<>();
+
+    @BeforeAll
+    static void playAllStreams() {
+        for (int seed = 1; seed <= CONTROL_STREAMS; seed++) {
+            digests.put("control." + seed, new FailoverTrace(seed, outcomes).digest());
+        }
+        for (int seed = 1; seed <= UNIT_STREAMS; seed++) {
+            digests.put("planner." + seed, plannerDigest(seed));
+            digests.put("priorities." + seed, prioritiesDigest(seed));
+            digests.put("shedder." + seed, shedderDigest(seed));
+            digests.put("observations." + seed, observationsDigest(seed));
+            digests.put("state." + seed, stateDigest(seed));
+        }
+    }
+
+    @Test
+    void everyStreamHasTheRecordedDigest() throws IOException {
+        Properties recorded = new Properties();
+        try (InputStream in = FailoverTraceTest.class.getResourceAsStream(RECORDED)) {
+            recorded.load(in);
+        }
+
+        Map<String, String> expected = new TreeMap<>();
+        recorded.forEach((name, digest) -> expected.put((String) name, (String) digest));
+
+        StringBuilder actual = new StringBuilder("actual digests:\n");
+        digests.forEach((name, digest) -> actual.append(name).append('=').append(digest).append('\n'));
+        assertEquals(expected, digests, actual::toString);
+    }
+
+    @Test
+    void theStreamsReachEveryKindOfOutcome() {
+        Stream<String> phases = Stream.of(0, 1, 2, 3).map(phase -> "phase " + phase);
+        Stream<String> healths = Stream.of(Health.values())
+                .flatMap(health -> Stream.of("health " + health.ordinal(), "agreed health " + health.ordinal()));
+        Stream<String> orders = Stream.of(
+                "order 0 to 1",
+                "order 0 to 2",
+                "order 0 to 0",
+                "order 0 to 3 in a drill",
+                "order 1 to 0",
+                "order 1 to 1",
+                "order 1 to 2",
+                "order 2 to 3",
+                "order 3 to 0",
+                "order 3 to 2",
+                "order 3 to 2 in a drill",
+                "order 3 to 3",
+                "order 3 to 3 in a drill",
+                "step on",
+                "step back",
+                "step back in a drill",
+                "flap counted",
+                "flaps forgotten",
+                "order accepted",
+                "order stale",
+                "operator accepted",
+                "operator stale",
+                "held",
+                "free",
+                "settings changed");
+        Stream<String> plans = Stream.of(
+                "plan over 0",
+                "plan over 1",
+                "plan over 2",
+                "plan over 3",
+                "plan refuses",
+                "plan kept",
+                "plan replaced",
+                "losses planned for",
+                "losses not planned for",
+                "question unanswered",
+                "answer delayed");
+        Stream<String> choices = Stream.of(
+                "own site in phase 0",
+                "own site in phase 2",
+                "own site in phase 3",
+                "own site, must in phase 2",
+                "other site in phase 2",
+                "other site in phase 3",
+                "other site, must in phase 2",
+                "refused in phase 2",
+                "refused in phase 3",
+                "admitted",
+                "not admitted",
+                "admitted as it must",
+                "declaration taken",
+                "declaration of one site too many");
+
+        List<Executable> checks = Stream.of(phases, healths, orders, plans, choices)
+                .flatMap(kinds -> kinds)
+                .map(kind -> (Executable) () -> assertTrue(outcomes.containsKey(kind), kind + " not in " + outcomes))
+                .toList();
+        assertAll(checks);
+    }
+
+    private static void count(String outcome) {
+        outcomes.merge(outcome, 1, Integer::sum);
+    }
+
+    /** Plans for drifting loads, with and without the solver, for few and for many sites. */
+    private static String plannerDigest(int seed) {
+        Random random = new Random(seed);
+        TraceDigest digest = new TraceDigest();
+        for (int problem = 0; problem < 25; problem++) {
+            Sites sites = TraceSites.draw(random, problem == 0 ? 18 : 2 + random.nextInt(6));
+            Map<String, Double> loads = new TreeMap<>();
+            sites.sites().forEach((name, site) -> loads.put(name, site.capacity() * 1.1 * random.nextDouble()));
+            Plan plan = Plan.NONE;
+            for (int round = 0; round < 4; round++) {
+                Planner planner = random.nextInt(4) == 0 ? new Planner(1) : new Planner();
+                Set<String> lost = random.nextBoolean() ? Set.of() : some(sites, random, 6);
+                Plan next = planner.plan(sites, loads, lost, some(sites, random, 8), plan);
+                FailoverTrace.addPlan(next, digest);
+                FailoverTrace.countPlan(next, outcomes);
+                if (round > 0) {
+                    count(next.equals(plan) ? "plan kept" : "plan replaced");
+                }
+                plan = next;
+                double drift = round == 0 ? 0.01 : 0.3;
+                loads.replaceAll((name, load) -> load * (1 + drift * (random.nextDouble() - 0.5)));
+            }
+        }
+        return digest.hex();
+    }
+
+    private static Set<String> some(Sites sites, Random random, int oneIn) {
+        Set<String> some = new TreeSet<>();
+        for (String name : sites.sites().keySet()) {
+            if (random.nextInt(oneIn) == 0) {
+                some.add(name);
+            }
+        }
+        return some;
+    }
+
+    /** Ranks of requests over long and short gaps, with more objects than are remembered. */
+    private static String prioritiesDigest(int seed) {
+        Random random = new Random(seed);
+        TraceDigest digest = new TraceDigest();
+        RequestPriorities priorities = new RequestPriorities();
+        long now = 0;
+        for (int i = 0; i < 20_000; i++) {
+            now += random.nextInt(500) == 0 ? 40_000_000L * random.nextInt(10) : random.nextInt(20_000);
+            double worth = 0.1 + 10 * random.nextDouble();
+            double work = 1_000 + 400_000 * random.nextDouble() * random.nextDouble();
+            digest.add(priorities.rank(now, worth, work, random.nextInt(8_000), random.nextInt(8) == 0));
+        }
+        return digest.hex();
+    }
+
+    /** Admissions under a changing limit and a clock that steps back at times. */
+    private static String shedderDigest(int seed) {
+        Random random = new Random(seed);
+        TraceDigest digest = new TraceDigest();
+        Shedder shedder = new Shedder(0);
+        long now = 0;
+        for (int i = 0; i < 20_000; i++) {
+            if (i % 1_000 == 0) {
+                shedder.limit(random.nextInt(6) == 0 ? 0 : 8 * random.nextDouble());
+            }
+            now += random.nextInt(50) == 0 ? -random.nextInt(100_000) : random.nextInt(100_000);
+            double work = 1_000 + random.nextInt(random.nextInt(30) == 0 ? 3_000_000 : 400_000);
+            boolean must = random.nextInt(10) == 0;
+            boolean admitted = shedder.admit(now, random.nextDouble(), work, must);
+            digest.add(admitted);
+            count(must ? "admitted as it must" : admitted ? "admitted" : "not admitted");
+        }
+        return digest.hex();
+    }
+
+    /** What a director reports of its attempts and its list. */
+    private static String observationsDigest(int seed) {
+        Random random = new Random(seed);
+        TraceDigest digest = new TraceDigest();
+        Sites sites = TraceSites.draw(random, 4);
+        SiteObservations observations = new SiteObservations("s0");
+        End[] ends = End.values();
+        long now = 5_000_000;
+        for (int i = 0; i < 4_000; i++) {
+            now += random.nextInt(200) == 0 ? 100_000_000L * random.nextInt(8) : random.nextInt(100_000);
+            switch (random.nextInt(4)) {
+                case 0 -> observations.asked(now, 300_000 * random.nextDouble());
+                case 1 -> observations.refused(now);
+                default ->
+                    observations.ended(
+                            now, "s" + random.nextInt(4), ends[random.nextInt(ends.length)], random.nextBoolean());
+            }
+            if (i % 10 == 0) {
+                Map<String, Integer> caches = new TreeMap<>();
+                some(sites, random, 2).forEach(name -> caches.put(name, random.nextInt(6)));
+                Map<String, Integer> parents = random.nextInt(5) == 0 ? Map.of() : Map.of("hub", random.nextInt(4));
+                observations.told(now, sites, caches, parents).forEach((site, seen) -> {
+                    digest.add(site).add(seen.usual()).add(seen.ready()).add(seen.parents());
+                    digest.add(seen.up()).add(seen.good()).add(seen.late()).add(seen.bad());
+                    digest.add(seen.refused()).add(seen.ends()).add(seen.load());
+                });
+            }
+        }
+        return digest.hex();
+    }
+
+    /** Declarations for more sites than there may be, on current and on older entries. */
+    private static String stateDigest(int seed) {
+        Random random = new Random(seed);
+        TraceDigest digest = new TraceDigest();
+        FailoverState state = new FailoverState();
+        state.restore("s0", new Status(Status.Phase.RETURNING, Health.ALL, 1, 2, true, true, 7));
+        for (int i = 0; i < 2_000; i++) {
+            String site = "s" + random.nextInt(Sites.MOST + 20);
+            long after = state.status(site).entry() - (random.nextInt(4) == 0 ? 1 : 0);
+            boolean known = state.statuses().containsKey(site);
+            boolean full = state.statuses().size() == Sites.MOST;
+            Status.Phase phase = Status.Phase.values()[random.nextInt(4)];
+            Health health = Health.values()[random.nextInt(Health.values().length)];
+            boolean accepted = state.declare(100 + i, site, phase, health, random.nextInt(3), random.nextInt(9), after);
+            digest.add(accepted).add(state.version()).add(state.away().size());
+            if (accepted) {
+                count("declaration taken");
+            } else if (full && !known) {
+                count("declaration of one site too many");
+            }
+        }
+        state.statuses().forEach((site, status) -> digest.add(site).add(status.entry()).add(status.away()));
+        return digest.hex();
+    }
+}
--- /dev/null
+++ b/src/test/java/pewtercourse/site/TraceSites.java
@@ -0,0 +1,68 @@
+package pewtercourse.site;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/** Random descriptions of sites for recorded streams. Sets are sorted, so that equal seeds give equal sums. */
+final class TraceSites {
+    private static final double[] SPARE_SHARES = {0, 0.3, 0.8, 1};
+    private static final double[] RESERVED_SHARES = {0, 0.25, 0.6};
+    private static final List<List<Double>> STEPS =
+            List.of(List.of(0.2, 0.5, 1.0), List.of(0.15, 0.3, 0.5, 0.75, 1.0), List.of(1.0));
+
+    private TraceSites() {}
+
+    static Sites draw(Random random, int count) {
+        Sites.Timing timing = new Sites.Timing(
+                1_000_000 + random.nextInt(1_000_000),
+                1_000_000 + random.nextInt(2_000_000),
+                8_000_000 + random.nextInt(30_000_000),
+                500_000 + random.nextInt(1_500_000),
+                STEPS.get(random.nextInt(STEPS.size())),
+                2_000_000 + random.nextInt(2_000_000));
+        return new Sites(sites(random, count), 0.01 + 0.6 * random.nextDouble(), timing);
+    }
+
+    /** The same names, directors' names and steps; at times a site more or less. */
+    static Sites redraw(Random random, Sites before) {
+        int count = Math.max(3, before.sites().size() + random.nextInt(3) - 1);
+        Sites.Timing old = before.timing();
+        Sites.Timing timing = new Sites.Timing(
+                old.lostAfter(), old.backAfter() / 2 + 500_000, old.flapMost(), old.step(), old.steps(), old.fresh());
+        return new Sites(sites(random, count), before.miss() / 2 + 0.01, timing);
+    }
+
+    private static SortedMap<String, Site> sites(Random random, int count) {
+        SortedMap<String, Site> sites = new TreeMap<>();
+        for (int i = 0; i < count; i++) {
+            String name = "s" + i;
+            Set<String> directors = new TreeSet<>();
+            for (int d = random.nextInt(4); d > 0; d--) {
+                directors.add("d" + i + "." + d);
+            }
+            List<Site.Taker> takers = new ArrayList<>();
+            for (int other = 1; other < count; other++) {
+                if (random.nextInt(6) > 0) {
+                    takers.add(new Site.Taker("s" + (i + other) % count, 1 + random.nextInt(4)));
+                }
+            }
+            sites.put(
+                    name,
+                    new Site(
+                            name,
+                            random.nextInt(5) == 0 ? "" : "hub",
+                            directors,
+                            4 + 40 * random.nextDouble(),
+                            SPARE_SHARES[random.nextInt(SPARE_SHARES.length)],
+                            RESERVED_SHARES[random.nextInt(RESERVED_SHARES.length)],
+                            random.nextInt(3) == 0 ? 2 + 8 * random.nextDouble() : 0,
+                            takers));
+        }
+        return sites;
+    }
+}
