--- /dev/null
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -0,0 +1,217 @@
+package pewtercourse.raft.net;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import com.google.protobuf.ByteString;
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.NetServer;
+import io.vertx.core.net.SocketAddress;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import pewtercourse.Fixtures;
+import pewtercourse.raft.Codec;
+import pewtercourse.raft.Entry;
+import pewtercourse.raft.Membership;
+import pewtercourse.raft.Message;
+import pewtercourse.raft.wire.Wire;
+
+/** One frame of each message between members as an earlier version sent it: read with the same content, sent alike. */
+class MemberMessageCompatibilityTest {
+    private static final String FOLDER = "member-messages/";
+    private static final String HELLO = FOLDER + "hello.bin";
+    private static final String CLUSTER = "cluster-1";
+    private static final String SENDER = "member-a";
+    private static final String RECEIVER = "member-b";
+    private static final long INCARNATION = 0x1122334455667788L;
+    private static final int TIMEOUT_MS = 10_000;
+
+    private final Vertx vertx = Vertx.vertx();
+
+    @AfterEach
+    void close() throws Exception {
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    }
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static Membership members() {
+        return new Membership(Map.of(
+                "member-a", new Membership.Member("127.0.0.1:7001", 1, true),
+                "member-b", new Membership.Member("127.0.0.1:7002", -5, true),
+                "member-c", new Membership.Member("", 1L << 62, false)));
+    }
+
+    /** Each message of the Raft protocol, with every field set, by the name of its file. */
+    private static Map<String, Message> messages() {
+        List<Entry> entries = List.of(
+                new Entry(101, 11, Entry.Kind.EMPTY, new byte[0], null),
+                Entry.command(102, 12, bytes("command")),
+                Entry.members(103, 13, members()));
+        Map<String, Message> messages = new LinkedHashMap<>();
+        messages.put("vote-request", new Message.VoteRequest(21, 22, 23, true, false));
+        messages.put("vote-request-of-transfer", new Message.VoteRequest(24, 25, 26, false, true));
+        messages.put("vote-reply", new Message.VoteReply(31, true, false, false));
+        messages.put("vote-reply-of-pre-vote", new Message.VoteReply(32, false, true, false));
+        messages.put("vote-reply-to-non-member", new Message.VoteReply(33, false, false, true));
+        messages.put("append", new Message.Append(41, 42, 43, entries, 44, 45));
+        messages.put("append-reply", new Message.AppendReply(51, true, 52, 53));
+        messages.put("install", new Message.Install(61, 62, 63, members(), 64, bytes("part"), 65, 66));
+        messages.put("install-reply", new Message.InstallReply(71, 72, 73, 1L << 40));
+        messages.put("timeout-now", new Message.TimeoutNow(81));
+        return messages;
+    }
+
+    /** A command that is passed on to the leader, and its answer, which this version does not send. */
+    private static Map<String, Wire.Frame> calls() {
+        Map<String, Wire.Frame> calls = new LinkedHashMap<>();
+        calls.put(
+                "call",
+                Wire.Frame.newBuilder()
+                        .setCall(Wire.Call.newBuilder().setId(91).setCommand(ByteString.copyFromUtf8("call")))
+                        .build());
+        calls.put(
+                "call-reply",
+                Wire.Frame.newBuilder()
+                        .setCallReply(Wire.CallReply.newBuilder()
+                                .setId(92)
+                                .setStatus(93)
+                                .setIndex(94))
+                        .build());
+        return calls;
+    }
+
+    private static Map<String, Wire.Frame> frames() {
+        Map<String, Wire.Frame> frames = new LinkedHashMap<>();
+        messages().forEach((name, message) -> frames.put(name, Codec.encode(message)));
+        frames.putAll(calls());
+        return frames;
+    }
+
+    private static String file(String name) {
+        return FOLDER + name + ".bin";
+    }
+
+    private static Wire.Frame read(String file) throws Exception {
+        List<Wire.Frame> frames = new FrameReader().add(Buffer.buffer(Fixtures.bytes(file)));
+        assertEquals(1, frames.size(), file);
+        return frames.get(0);
+    }
+
+    @Test
+    void eachMessageIsWrittenWithTheSameBytes() throws Exception {
+        for (Map.Entry<String, Wire.Frame> frame : frames().entrySet()) {
+            Fixtures.assertFile(
+                    file(frame.getKey()), FrameReader.encode(frame.getValue()).getBytes());
+        }
+    }
+
+    @Test
+    void eachMessageIsReadWithItsContent() throws Exception {
+        Set<Class<?>> kinds = new HashSet<>();
+        for (Map.Entry<String, Message> message : messages().entrySet()) {
+            Message decoded = Codec.decode(read(file(message.getKey())));
+            Fixtures.assertSameContent(message.getValue(), decoded);
+            kinds.add(decoded.getClass());
+        }
+        assertEquals(Fixtures.leaves(Message.class), kinds);
+        for (Map.Entry<String, Wire.Frame> call : calls().entrySet()) {
+            assertEquals(call.getValue(), read(file(call.getKey())));
+            assertNull(Codec.decode(call.getValue()), "no message of the Raft protocol");
+        }
+    }
+
+    @Test
+    void theFixturesSetEveryField() throws Exception {
+        List<Wire.Frame> frames = new ArrayList<>();
+        for (String name : Fixtures.files(Fixtures.path(FOLDER)).keySet()) {
+            frames.add(read(FOLDER + name));
+        }
+        assertEquals(frames().size() + 1, frames.size(), "and the hello");
+        assertEquals(Set.of(), Fixtures.fieldsNeverSet(frames));
+    }
+
+    @Test
+    void aConnectionCarriesTheHelloAndThenTheSameBytes() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            server.setSoTimeout(TIMEOUT_MS);
+            SocketAddress address = SocketAddress.inetSocketAddress(server.getLocalPort(), "127.0.0.1");
+            MemberNet net = new MemberNet(
+                    vertx, CLUSTER, SENDER, INCARNATION, new Random(1), name -> address, (from, life, frame) -> {});
+            vertx.runOnContext(v -> frames().values().forEach(frame -> net.send(RECEIVER, frame)));
+            try (Socket socket = server.accept()) {
+                socket.setSoTimeout(TIMEOUT_MS);
+                DataInputStream in = new DataInputStream(socket.getInputStream());
+                Fixtures.assertFile(HELLO, nextFrame(in));
+                for (String name : frames().keySet()) {
+                    assertArrayEquals(Fixtures.bytes(file(name)), nextFrame(in), name);
+                }
+            }
+        }
+    }
+
+    /** The next frame of a connection, with its length of four bytes. */
+    private static byte[] nextFrame(DataInputStream in) throws IOException {
+        int length = in.readInt();
+        byte[] content = in.readNBytes(length);
+        return ByteBuffer.allocate(4 + content.length)
+                .putInt(length)
+                .put(content)
+                .array();
+    }
+
+    private record Received(String from, long incarnation, Wire.Frame frame) {}
+
+    @Test
+    void aConnectionThatStartsWithTheHelloIsReadAndAcknowledged() throws Exception {
+        BlockingQueue<Received> received = new LinkedBlockingQueue<>();
+        MemberNet net = new MemberNet(
+                vertx,
+                CLUSTER,
+                RECEIVER,
+                INCARNATION + 1,
+                new Random(1),
+                name -> name.equals(SENDER) ? SocketAddress.inetSocketAddress(1, "127.0.0.1") : null,
+                (from, incarnation, frame) -> received.add(new Received(from, incarnation, frame)));
+        NetServer server = net.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        ByteArrayOutputStream sent = new ByteArrayOutputStream();
+        sent.writeBytes(Fixtures.bytes(HELLO));
+        for (String name : frames().keySet()) {
+            sent.writeBytes(Fixtures.bytes(file(name)));
+        }
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.actualPort())) {
+            socket.setSoTimeout(TIMEOUT_MS);
+            sent.writeTo(socket.getOutputStream());
+            assertEquals(1, socket.getInputStream().read(), "the acknowledgement");
+            for (Wire.Frame frame : frames().values()) {
+                assertEquals(
+                        new Received(SENDER, INCARNATION, frame), received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            }
+        }
+    }
+}
