--- /dev/null
+++ b/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
@@ -0,0 +1,337 @@
+package pewtercourse.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static pewtercourse.GoldenText.assertRecorded;
+import static pewtercourse.cluster.ClusterProcesses.until;
+
+import io.vertx.core.json.JsonArray;
+import io.vertx.core.json.JsonObject;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import pewtercourse.ExampleConfig;
+import pewtercourse.GoldenText;
+import pewtercourse.emulator.Emulation;
+
+/**
+ * Pins what operators call at a director's address: paths and methods, the statuses of the answers, the keys of their JSON
+ * and the names of the metrics. Directors are processes of the program, so that nothing but the interface is used.
+ */
+class OperatorInterfaceCompatibilityTest {
+    private static final List<String> PATHS = List.of(
+            "/",
+            "/status",
+            "/status/",
+            "/status/metrics",
+            "/maintenance",
+            "/maintenance/enter",
+            "/maintenance/exit",
+            "/standby",
+            "/active",
+            "/reload",
+            "/cluster",
+            "/cluster/",
+            "/cluster/status",
+            "/cluster/hand-on",
+            "/cluster/transfer",
+            "/cluster/add",
+            "/cluster/remove",
+            "/cluster/unknown",
+            "/sites",
+            "/sites/",
+            "/sites/status",
+            "/sites/drill",
+            "/sites/hold",
+            "/sites/release",
+            "/sites/unknown",
+            "/unknown");
+    private static final Set<String> CHANGING =
+            Set.of("/standby", "/active", "/reload", "/cluster/transfer", "/cluster/remove");
+    private static final String CACHE = "s-00000001";
+    private static final String NEIGHBOUR = "s-00000002";
+    private static final int BODY_LIMIT = 4_096;
+
+    @TempDir
+    Path folder;
+
+    private final StringBuilder report = new StringBuilder();
+    private ClusterProcesses fleet;
+    private Emulation emulation;
+
+    @AfterEach
+    void stop() throws Exception {
+        if (emulation != null) {
+            emulation.endClients();
+            emulation.close();
+        }
+        fleet.close();
+    }
+
+    /** A director without a cluster: one that was given no member's file. */
+    private ClusterProcesses.Member startAlone() throws Exception {
+        fleet = new ClusterProcesses("interfaces-alone", folder, 1, ClusterProcesses.settings(new JsonObject()));
+        ClusterProcesses.Member alone = fleet.members.get(0);
+        fleet.environment.put("GW_CLUSTER", "");
+        alone.start();
+        until("it serves", () -> serves(alone));
+        return alone;
+    }
+
+    private static boolean serves(ClusterProcesses.Member member) {
+        try {
+            return member.call("GET /status", "").startsWith("HTTP/1.1 200");
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    @Test
+    void pathsAndMetricsOfADirectorAlone() throws Exception {
+        ClusterProcesses.Member alone = startAlone();
+        recordMetrics("alone", alone);
+        recordMethods(alone);
+        for (String body :
+                List.of("", "x", "[]", "{}", "{\"target\":1}", "{\"target\":\"\"}", "{\"target\":\"s-9\"}")) {
+            record(alone, "POST", "/maintenance/enter", body);
+            record(alone, "POST", "/maintenance/exit", body);
+        }
+        String target = new JsonObject().put("target", CACHE).encode();
+        for (String path : List.of("/maintenance/enter", "/maintenance/enter", "/maintenance/exit")) {
+            record(alone, "POST", path, target);
+        }
+        record(alone, "POST", "/standby", "x".repeat(BODY_LIMIT));
+        record(alone, "POST", "/active", "x".repeat(BODY_LIMIT + 1));
+        record(alone, "POST", "/active", "");
+        record(alone, "POST", "/reload", "");
+        Path file = folder.resolve("config-" + alone.name + ".json");
+        Files.writeString(file, ExampleConfig.json().put("feed", "nowhere").encode());
+        record(alone, "POST", "/reload", "");
+        report.append("nonsense: ").append(send(alone, "nonsense\r\n\r\n").replace("\r\n", "|"));
+        assertRecorded("operators-alone.txt", report.toString());
+    }
+
+    @Test
+    void pathsKeysAndMetricsOfAMember() throws Exception {
+        startFleet();
+        ClusterProcesses.Member leader = fleet.awaitLeader(fleet.members);
+        ClusterProcesses.Member follower = fleet.but(leader).get(0);
+        recordMetrics("leader", leader);
+        recordMetrics("follower", follower);
+        recordMethods(leader);
+        recordRefusedCalls(leader);
+        until("out", () -> leader.enter(CACHE));
+        assertEquals(503, status(leader.call("POST /maintenance/enter", target(NEIGHBOUR))));
+        recordShapes();
+        recordAgreed(leader, "/maintenance/enter", target(CACHE));
+        record(leader, "POST", "/maintenance/enter", target(NEIGHBOUR));
+        recordAgreed(leader, "/maintenance/exit", target(NEIGHBOUR));
+        recordAgreed(leader, "/maintenance/exit", target(CACHE));
+        recordAgreed(leader, "/sites/hold", named("s1"));
+        recordAgreed(leader, "/sites/release", named("s1"));
+        record(leader, "POST", "/standby", "");
+        record(leader, "GET", "/status", "");
+        record(leader, "POST", "/active", "");
+        record(leader, "POST", "/reload", "");
+        assertRecorded("operators-member.txt", report.toString());
+    }
+
+    private void startFleet() throws Exception {
+        fleet = new ClusterProcesses(
+                "interfaces",
+                folder,
+                3,
+                ClusterProcesses.settings(new JsonObject()
+                        .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
+                        .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500))));
+        List<Emulation.SiteSpec> specs = new ArrayList<>();
+        for (ClusterProcesses.Member member : fleet.members) {
+            List<String> directors = new ArrayList<>(List.of(ClusterProcesses.HOST + ":" + member.listen));
+            fleet.but(member).forEach(other -> directors.add(ClusterProcesses.HOST + ":" + other.listen));
+            specs.add(new Emulation.SiteSpec("s" + member.number, 2, 6, 20, directors));
+        }
+        emulation = new Emulation(specs, 7);
+        fleet.configure(member ->
+                emulation.config(member.name, "s" + member.number, ClusterProcesses.HOST + ":" + member.listen));
+        Path sites = folder.resolve("sites.json");
+        Files.writeString(sites, sites().encode());
+        fleet.environment.put("GW_SITES", sites.toString());
+        CompletableFuture<?>[] founded = fleet.members.stream()
+                .map(member -> CompletableFuture.runAsync(() -> found(member)))
+                .toArray(CompletableFuture<?>[]::new);
+        CompletableFuture.allOf(founded).join();
+        fleet.start();
+        for (String held : List.of("maintenance", "quota", "sites")) {
+            fleet.awaitHolder(held, fleet.members);
+        }
+        until("they serve", () -> fleet.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
+        emulation.startClients();
+        until(
+                "a plan for what clients ask for",
+                () -> fleet.members.stream().allMatch(member -> {
+                    JsonObject site = member.site("s0");
+                    return site != null && !site.getJsonArray("takers").isEmpty();
+                }));
+    }
+
+    private void found(ClusterProcesses.Member member) {
+        try {
+            fleet.found(member);
+        } catch (Exception e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private JsonObject sites() {
+        JsonArray all = new JsonArray();
+        for (ClusterProcesses.Member member : fleet.members) {
+            JsonArray takers = new JsonArray();
+            fleet.but(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
+            all.add(new JsonObject()
+                    .put("name", "s" + member.number)
+                    .put("directors", new JsonArray().add(member.name))
+                    .put("capacity", 12)
+                    .put("takers", takers));
+        }
+        return new JsonObject().put("sites", all);
+    }
+
+    private void recordRefusedCalls(ClusterProcesses.Member member) throws IOException {
+        for (String path : PATHS.stream()
+                .filter(path -> path.matches("/(cluster|sites)/.+"))
+                .toList()) {
+            if (!path.equals("/cluster/transfer")) { // Without a body it is a whole call.
+                record(member, "POST", path, "");
+            }
+            record(member, "POST", path, "x");
+        }
+        record(
+                member,
+                "POST",
+                "/cluster/hand-on",
+                new JsonObject().put("duty", "unknown").encode());
+        record(
+                member,
+                "POST",
+                "/cluster/transfer",
+                new JsonObject().put("to", "d9").encode());
+        record(member, "POST", "/cluster/add", named("d9"));
+        record(member, "POST", "/cluster/remove", named("d9"));
+        for (String call : List.of("drill", "hold", "release")) {
+            record(member, "POST", "/sites/" + call, named("s9"));
+        }
+    }
+
+    /** A call that a majority has to agree to: called again while that takes longer than a call waits. */
+    private void recordAgreed(ClusterProcesses.Member member, String path, String body) throws Exception {
+        until(path + " is agreed", () -> {
+            try {
+                return status(member.call("POST " + path, body)) != 503;
+            } catch (IOException e) {
+                return false;
+            }
+        });
+        record(member, "POST", path, body);
+    }
+
+    /** Keys of the answers in JSON, of all members together: what a holder alone knows is null at the others. */
+    private void recordShapes() throws Exception {
+        List<JsonObject> statuses = new ArrayList<>();
+        List<JsonObject> sites = new ArrayList<>();
+        until("statuses with a leader, holders and a plan", () -> {
+            statuses.clear();
+            sites.clear();
+            try {
+                for (ClusterProcesses.Member member : fleet.members) {
+                    statuses.add(json(member.call("GET /cluster/status", "")));
+                    sites.add(json(member.call("GET /sites/status", "")));
+                }
+            } catch (IOException e) {
+                return false;
+            }
+            String all = statuses + " " + sites;
+            return all.contains("\"confirmed\":true")
+                    && all.contains("\"most\":")
+                    && all.matches("(?s).*left_ms\":\\d.*");
+        });
+        report.append("GET /cluster/status\n").append(GoldenText.shape(Set.of("out"), statuses));
+        report.append("GET /sites/status\n").append(GoldenText.shape(Set.of(), sites));
+    }
+
+    private static JsonObject json(String answer) {
+        return new JsonObject(answer.substring(answer.indexOf("\r\n\r\n") + 4));
+    }
+
+    private void recordMetrics(String whose, ClusterProcesses.Member member) throws IOException {
+        String answer = member.call("GET /status/metrics", "");
+        report.append("metrics of ").append(whose).append(": ");
+        report.append(answer.substring(answer.indexOf("\r\n\r\n") + 4)
+                .lines()
+                .map(line -> line.replaceFirst("=\\d+$", "=N"))
+                .collect(Collectors.joining(" ")));
+        report.append('\n');
+    }
+
+    /** Each path with each method, but for calls that would change something. */
+    private void recordMethods(ClusterProcesses.Member member) throws IOException {
+        for (String path : PATHS) {
+            for (String method : List.of("GET", "POST", "PUT", "DELETE", "HEAD")) {
+                if (!method.equals("POST") || !CHANGING.contains(path)) {
+                    record(member, method, path, "");
+                }
+            }
+        }
+    }
+
+    private void record(ClusterProcesses.Member member, String method, String path, String body) throws IOException {
+        String answer = member.call(method + " " + path, body);
+        int status = status(answer);
+        int head = answer.indexOf("\r\n\r\n");
+        String text = answer.substring(head + 4).strip();
+        report.append(method).append(' ').append(path).append(' ');
+        report.append(body.length() > 99 ? body.length() + " bytes" : body)
+                .append(" -> ")
+                .append(status);
+        for (String line : answer.substring(0, head).split("\r\n")) {
+            if (line.toLowerCase().matches("(allow|content-type|connection): .*")) {
+                report.append(' ').append(line);
+            }
+        }
+        // Reasons are sentences for people, the others are read by scripts.
+        boolean sentence = status == 409 || status == 422 || status == 503 && !path.equals("/status");
+        boolean values =
+                status == 200 && (path.endsWith("/status") && text.startsWith("{") || path.endsWith("/metrics"));
+        report.append(" [")
+                .append(sentence ? "a reason" : values ? "values" : text)
+                .append("]\n");
+    }
+
+    private static int status(String answer) {
+        return Integer.parseInt(answer.substring(9, 12));
+    }
+
+    private static String target(String cache) {
+        return new JsonObject().put("target", cache).encode();
+    }
+
+    private static String named(String name) {
+        return new JsonObject().put("name", name).encode();
+    }
+
+    private static String send(ClusterProcesses.Member member, String text) throws IOException {
+        try (Socket socket = new Socket(ClusterProcesses.HOST, member.admin)) {
+            socket.setSoTimeout(30_000);
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+}
