--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -12,12 +12,12 @@
 import pewtercourse.cluster.ClusterHost;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.director.Director;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.DutyState;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.Sites;
 import pewtercourse.handover.OperatorState;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Sites;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.Command;
 
 /** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
 final class Agreement implements ClusterCalls, ClusterHost {
@@ -55,9 +55,12 @@
     Future<Verdict> takeOut(String target) {
         long now = System.currentTimeMillis();
         if (!cluster.hasMaintenanceBudget()) {
-            return agreed("operator.out", target, () -> new Command.Out(target, now, lastWord(target)));
+            return agreed("operator.out", target, () -> new Command.DrainCache(target, now, lastWord(target)));
         }
-        return agreed("operator.asked", target, () -> new Command.Ask(target, zoneOf(target), now, lastWord(target)))
+        return agreed(
+                        "operator.asked",
+                        target,
+                        () -> new Command.RequestMaintenance(target, zoneOf(target), now, lastWord(target)))
                 .compose(v -> {
                     if (v != Verdict.DONE) {
                         return Future.succeededFuture(v);
@@ -69,7 +72,7 @@
 
     // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
     private Future<Verdict> turnedDown(String target) {
-        DutyState.Ticket t = cluster.state().ticketOf(target);
+        ClusterState.MaintenanceRequest t = cluster.state().ticketOf(target);
         if (t == null || cluster.maintenanceWaits()) {
             long before = t == null
                     ? 0
@@ -79,7 +82,7 @@
             return Future.succeededFuture(Verdict.refused("not out: as many of its zone are out as may be; it waits, "
                     + before + " before it: call again, or call it back"));
         }
-        Command withdraw = new Command.Withdraw(target, t.number(), 0, System.currentTimeMillis());
+        Command withdraw = new Command.CancelMaintenance(target, t.number(), 0, System.currentTimeMillis());
         return cluster.agree(() -> withdraw)
                 .map(r -> Verdict.refused("not out: as many of its zone are out as may be"))
                 .otherwise(e -> Verdict.refused("not out yet, and may be later: " + e.getMessage()));
@@ -87,7 +90,7 @@
 
     Future<Verdict> putBack(String target) {
         long now = System.currentTimeMillis();
-        return agreed("operator.in", target, () -> new Command.Back(target, now, lastWord(target)));
+        return agreed("operator.in", target, () -> new Command.ReinstateCache(target, now, lastWord(target)));
     }
 
     private long lastWord(String target) {
@@ -123,7 +126,7 @@
 
     @Override
     public Future<String> handOn(String duty, String to) {
-        return cluster.handOn(duty, to).map(DutyState.Result::why);
+        return cluster.handOn(duty, to).map(ClusterState.Result::why);
     }
 
     @Override
@@ -162,12 +165,12 @@
         return cluster.agree(() -> {
                     long after = cluster.state().failover().status(name).entry();
                     return switch (call) {
-                        case "drill" -> new Command.Drill(name, after);
-                        case "hold" -> new Command.HoldSite(name, true, after);
-                        default -> new Command.HoldSite(name, false, after);
+                        case "drill" -> new Command.StartFailoverDrill(name, after);
+                        case "hold" -> new Command.PauseSiteRecovery(name, true, after);
+                        default -> new Command.PauseSiteRecovery(name, false, after);
                     };
                 })
-                .map(DutyState.Result::why)
+                .map(ClusterState.Result::why)
                 .onSuccess(why -> Log.info("operator.site", "call", call, "site", name, "why", why));
     }
 
--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -9,13 +9,13 @@
 import java.util.logging.Level;
 import java.util.logging.LogRecord;
 import java.util.logging.SimpleFormatter;
-import pewtercourse.bench.BenchLink;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.front.FrontTransport;
 import pewtercourse.front.LimitedListener;
 import pewtercourse.handover.InheritedSocket;
+import pewtercourse.simulator.BenchLink;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -11,6 +11,7 @@
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.director.Director;
 import pewtercourse.director.Figures;
+import pewtercourse.failover.Sites;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 import pewtercourse.front.Drain;
@@ -20,7 +21,6 @@
 import pewtercourse.handover.InheritedSocket;
 import pewtercourse.handover.OperatorState;
 import pewtercourse.handover.StateFile;
-import pewtercourse.site.Sites;
 
 /** One running director: its front, its operators' address and what stands between them. All on the event loop. */
 final class Service implements Operations {
--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ChangeLog.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.Set;
 import pewtercourse.Log;
-import pewtercourse.duty.DutyState;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.lease.ClusterState;
 import pewtercourse.raft.Raft;
-import pewtercourse.site.Status;
 
 /** Writes changes of what is agreed to the log, each once. */
 final class ChangeLog {
     private final Set<String> regressedMembers = new HashSet<>();
     private final Map<String, Long> tokens = new HashMap<>(); // By duty.
-    private final Map<String, Status> statuses = new HashMap<>(); // By site.
+    private final Map<String, SiteStatus> statuses = new HashMap<>(); // By site.
     private String leader = "";
 
-    void write(Raft raft, DutyState state) {
+    void write(Raft raft, ClusterState state) {
         writeLeader(raft);
         raft.regressed().forEach(this::writeRegressed);
         state.duties().forEach(this::writeHolder);
@@ -36,7 +36,7 @@
         }
     }
 
-    private void writeHolder(String name, DutyState.Duty duty) {
+    private void writeHolder(String name, ClusterState.LeaseRecord duty) {
         Long before = tokens.put(name, duty.token());
         if (!Long.valueOf(duty.token()).equals(before)) {
             String holder = duty.holder().isEmpty() ? "none" : duty.holder();
@@ -44,7 +44,7 @@
         }
     }
 
-    void writeSite(String name, Status status) {
+    void writeSite(String name, SiteStatus status) {
         if (status.equals(statuses.put(name, status))) {
             return;
         }
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -21,10 +21,15 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.DirectorConfig;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.Duties;
-import pewtercourse.duty.DutyCodec;
-import pewtercourse.duty.DutyState;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlanner;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.Sites;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Codec;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
@@ -37,11 +42,6 @@
 import pewtercourse.raft.store.Store;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.Planner;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Sites;
 
 /**
  * This director as a member of a cluster: between the sockets, the disk and the clock on the one side, the agreement and
@@ -67,7 +67,7 @@
     private final ChangeLog changeLog = new ChangeLog();
     private final Map<Long, Promise<Boolean>> reads = new HashMap<>();
     private Sites sites; // Null where they are not kept.
-    private Duties duties;
+    private LeaseManager duties;
     private ExecutorService thread;
     private Disk disk;
     private MemberNet net;
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public Command.Signed sign(Command command) {
+        public Command.Envelope sign(Command command) {
             return duties.sign(command);
         }
 
@@ -160,7 +160,7 @@
             return Future.failedFuture("ended meanwhile");
         }
         disk = new Disk(thread, loop, store, this::saved, this::diskFailed);
-        duties = new Duties(
+        duties = new LeaseManager(
                 config.duties(), config.name(), new SecureRandom().nextLong() >>> 16, host::zoneOf, host::zoneSize);
         if (sites != null) {
             duties.sites(now(), sites);
@@ -325,7 +325,7 @@
             if (r.install() != null) {
                 toldWords = -1;
                 toldSites = -1;
-                duties.restored(now(), DutyState.decode(r.install().state()));
+                duties.restored(now(), ClusterState.decode(r.install().state()));
                 applied = r.install().index();
                 changed = true;
             }
@@ -358,8 +358,8 @@
     }
 
     private void apply(Entry e) throws InvalidProtocolBufferException {
-        Command.Signed s = DutyCodec.decode(e.command());
-        DutyState.Result result = duties.applied(now(), e.index(), s);
+        Command.Envelope s = CommandCodec.decode(e.command());
+        ClusterState.Result result = duties.applied(now(), e.index(), s);
         if (s.by().equals(config.name())) {
             proposals.applied(s.id(), result);
         }
@@ -373,23 +373,24 @@
         boolean any = false;
         long now = now();
         Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
-        Duties.View view = new Duties.View(raft.members().all().keySet(), heard, System.currentTimeMillis());
-        for (Command.Signed s : duties.tick(now, view)) {
-            if (s.command() instanceof Command.Let
-                    || s.command() instanceof Command.Lend
-                    || s.command() instanceof Command.Settle
-                    || s.command() instanceof Command.Withdraw
-                    || s.command() instanceof Command.Declare) {
+        LeaseManager.View view =
+                new LeaseManager.View(raft.members().all().keySet(), heard, System.currentTimeMillis());
+        for (Command.Envelope s : duties.tick(now, view)) {
+            if (s.command() instanceof Command.GrantMaintenance
+                    || s.command() instanceof Command.GrantQuota
+                    || s.command() instanceof Command.ReleaseQuota
+                    || s.command() instanceof Command.CancelMaintenance
+                    || s.command() instanceof Command.ChangeSiteStatus) {
                 Log.info("duty.act", "order", s.command(), "id", s.id());
             }
-            offer(DutyCodec.encode(s), s.id());
+            offer(CommandCodec.encode(s), s.id());
             any = true;
         }
         sight(now);
         plan();
-        Command.Signed borrow = duties.borrow(now, Math.round(1_000 * host.coldWanted()));
+        Command.Envelope borrow = duties.borrow(now, Math.round(1_000 * host.coldWanted()));
         if (borrow != null) {
-            offer(DutyCodec.encode(borrow), borrow.id());
+            offer(CommandCodec.encode(borrow), borrow.id());
             any = true;
         }
         host.part(duties.part(now) / 1_000.0);
@@ -453,7 +454,7 @@
             return;
         }
         Sites of = sites;
-        vertx.executeBlocking(() -> new Planner().plan(of, q.loads(), q.lost(), q.unfit(), q.before()))
+        vertx.executeBlocking(() -> new FailoverPlanner().plan(of, q.loads(), q.lost(), q.unfit(), q.before()))
                 .onComplete(p -> {
                     if (p.failed()) {
                         Log.warn("site.not_planned", "error", p.cause());
@@ -469,8 +470,8 @@
             sightAt = now + SIGHT_EVERY;
             Map<String, SiteObservation> siteObservations = host.siteObservations();
             if (!siteObservations.isEmpty()) {
-                Command.Signed s = duties.sighted(siteObservations);
-                offer(DutyCodec.encode(s), s.id());
+                Command.Envelope s = duties.sighted(siteObservations);
+                offer(CommandCodec.encode(s), s.id());
             }
         }
     }
@@ -481,7 +482,7 @@
      * Has a command agreed; it is made anew where another word on the same cache was agreed first. Fails, with the reason,
      * when that is not known within 1.3 s: it may still be agreed later, and asking again does no harm.
      */
-    public Future<DutyState.Result> agree(Supplier<Command> command) {
+    public Future<ClusterState.Result> agree(Supplier<Command> command) {
         return proposals.agree(command);
     }
 
@@ -514,8 +515,8 @@
         });
     }
 
-    public DutyState state() {
-        return duties == null ? new DutyState() : duties.state();
+    public ClusterState state() {
+        return duties == null ? new ClusterState() : duties.state();
     }
 
     public boolean hasMaintenanceBudget() {
@@ -557,15 +558,15 @@
     }
 
     /** By an operator: the duty's holder is to hand it on, to {@code to} or, if that is empty, to whoever is best. */
-    public Future<DutyState.Result> handOn(String duty, String to) {
-        DutyState.Duty d = state().duty(duty);
+    public Future<ClusterState.Result> handOn(String duty, String to) {
+        ClusterState.LeaseRecord d = state().duty(duty);
         if (d.holder().isEmpty()) {
-            return Future.succeededFuture(new DutyState.Result("nobody holds '" + duty + "'"));
+            return Future.succeededFuture(new ClusterState.Result("nobody holds '" + duty + "'"));
         }
         if (!to.isEmpty() && (raft == null || !raft.members().all().containsKey(to))) {
-            return Future.succeededFuture(new DutyState.Result("'" + to + "' is no member"));
+            return Future.succeededFuture(new ClusterState.Result("'" + to + "' is no member"));
         }
-        return agree(() -> new Command.Prefer(duty, d.token(), to));
+        return agree(() -> new Command.RequestTransfer(duty, d.token(), to));
     }
 
     /** By an operator at the leader: leadership goes to {@code to}, or, if that is empty, to whoever lacks least. Null, or why not. */
--- a/src/main/java/pewtercourse/cluster/ClusterHost.java
+++ b/src/main/java/pewtercourse/cluster/ClusterHost.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.Set;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.SiteObservation;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.SiteObservation;
 
 /** What the cluster asks of the director around it. All on the event loop. */
 public interface ClusterHost {
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import pewtercourse.config.ClusterConfig;
-import pewtercourse.duty.Duties;
-import pewtercourse.duty.DutyState;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.Sites;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Raft;
 import pewtercourse.raft.net.MemberNet;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.Plan;
-import pewtercourse.site.Site;
-import pewtercourse.site.Sites;
-import pewtercourse.site.Status;
 
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
@@ -25,9 +25,9 @@
  * @param raft   null while the member's folder is not open
  * @param duties null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, Duties duties, MemberNet net) {
-    private DutyState agreed() {
-        return duties == null ? new DutyState() : duties.state();
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberNet net) {
+    private ClusterState agreed() {
+        return duties == null ? new ClusterState() : duties.state();
     }
 
     /**
@@ -40,17 +40,17 @@
         sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
-                .put("controller", agreed().duty(DutyState.SITES).holder())
+                .put("controller", agreed().duty(ClusterState.SITES).holder())
                 .put("leader", raft == null ? null : raft.leader())
                 .put("planned", failover.plan().cases().size())
                 .put("sites", all);
     }
 
     private static JsonObject site(FailoverState failover, String name, Site site, double load) {
-        Status status = failover.status(name);
+        SiteStatus status = failover.status(name);
         Set<String> lost = new TreeSet<>(failover.away());
         lost.add(name);
-        Plan.Shares shares = failover.plan().when(lost).getOrDefault(name, Plan.Shares.NOTHING);
+        FailoverPlan.Shares shares = failover.plan().when(lost).getOrDefault(name, FailoverPlan.Shares.NOTHING);
         JsonArray takers = new JsonArray();
         shares.parts()
                 .forEach(part -> takers.add(new JsonObject()
@@ -104,7 +104,7 @@
     }
 
     private void addDutyFigures(Map<String, Long> figures, long now) {
-        DutyState agreed = agreed();
+        ClusterState agreed = agreed();
         figures.put(
                 "duty.held",
                 config.duties().names().stream()
@@ -127,7 +127,7 @@
         if (raft == null) {
             return json.put("open", false);
         }
-        DutyState agreed = agreed();
+        ClusterState agreed = agreed();
         return json.put("open", true)
                 .put("role", lowerCase(raft.role()))
                 .put("leader", raft.leader())
@@ -167,7 +167,7 @@
     private JsonArray leases(long now) {
         JsonArray leases = new JsonArray();
         for (String name : new TreeSet<>(agreed().duties().keySet())) {
-            DutyState.Duty duty = agreed().duty(name);
+            ClusterState.LeaseRecord duty = agreed().duty(name);
             boolean own = duty.holder().equals(config.name());
             leases.add(new JsonObject()
                     .put("duty", name)
--- a/src/main/java/pewtercourse/cluster/Proposals.java
+++ b/src/main/java/pewtercourse/cluster/Proposals.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import pewtercourse.Timers;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.DutyCodec;
-import pewtercourse.duty.DutyState;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandCodec;
 
 /** Commands of this member that wait to be agreed. They are offered again until they are, for a bounded time. */
 final class Proposals {
@@ -22,7 +22,7 @@
         /** False while the member's folder can't be used. */
         boolean open();
 
-        Command.Signed sign(Command command);
+        Command.Envelope sign(Command command);
 
         /** To the log, or to whoever leads; may be lost. */
         void offer(byte[] command, long id);
@@ -48,7 +48,7 @@
      * Has a command agreed; it is made anew where another command on the same cache was agreed first. Fails, with the
      * reason, when that is not known in time: it may still be agreed later, and asking again does no harm.
      */
-    Future<DutyState.Result> agree(Supplier<Command> command) {
+    Future<ClusterState.Result> agree(Supplier<Command> command) {
         if (!log.open()) {
             return Future.failedFuture("the folder of this member can't be used: see the log");
         }
@@ -61,7 +61,7 @@
     }
 
     /** The command with this number was applied. */
-    void applied(long id, DutyState.Result result) {
+    void applied(long id, ClusterState.Result result) {
         Proposal proposal = pending.get(id);
         if (proposal != null) {
             proposal.applied(result);
@@ -73,7 +73,7 @@
     }
 
     private final class Proposal {
-        private final Promise<DutyState.Result> done = Promise.promise();
+        private final Promise<ClusterState.Result> done = Promise.promise();
         private final Supplier<Command> command;
         private final long timeout;
         private long id, offerAgain = -1;
@@ -86,9 +86,9 @@
         }
 
         void propose() {
-            Command.Signed signed = log.sign(command.get());
+            Command.Envelope signed = log.sign(command.get());
             id = signed.id();
-            encoded = DutyCodec.encode(signed);
+            encoded = CommandCodec.encode(signed);
             pending.put(id, this);
             offer();
         }
@@ -100,7 +100,7 @@
             }
         }
 
-        void applied(DutyState.Result result) {
+        void applied(ClusterState.Result result) {
             if (!result.late()) {
                 done.tryComplete(result);
                 return;
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import pewtercourse.duty.DutySettings;
-import pewtercourse.duty.DutyState;
+import pewtercourse.failover.Sites;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.LeaseSettings;
 import pewtercourse.raft.RaftSettings;
-import pewtercourse.site.Sites;
 
 /**
  * What a member of a cluster of directors is told by the file that GW_CLUSTER names (JSON): {@code cluster}, the same at
@@ -29,7 +29,7 @@
         Path data,
         Map<String, String> members,
         RaftSettings raft,
-        DutySettings duties,
+        LeaseSettings duties,
         Sites sites) {
     private static final Set<String> KEYS = Set.of(
             "cluster",
@@ -43,7 +43,7 @@
             "drift",
             "duties");
     private static final Map<String, String> RENAMED_DUTIES =
-            Map.of("warden", DutyState.MAINTENANCE, "divider", DutyState.QUOTA);
+            Map.of("warden", ClusterState.MAINTENANCE, "divider", ClusterState.QUOTA);
     private static final int MEMBERS_MOST = 7, NAME_MOST = 64;
     private static final long SECOND = 1_000_000;
 
@@ -63,7 +63,7 @@
 
     private ClusterConfig with(Sites of) {
         Set<String> names = new TreeSet<>(duties.names());
-        names.add(DutyState.SITES);
+        names.add(ClusterState.SITES);
         return new ClusterConfig(
                 cluster,
                 name,
@@ -71,7 +71,7 @@
                 data,
                 members,
                 raft,
-                new DutySettings(
+                new LeaseSettings(
                         duties.lease(),
                         duties.drift(),
                         duties.again(),
@@ -158,35 +158,36 @@
         return members;
     }
 
-    private static DutySettings duties(Object value, long lease, double drift, long again) {
+    private static LeaseSettings duties(Object value, long lease, double drift, long again) {
         if (value != null && !(value instanceof JsonObject)) {
             throw new ConfigException("duties", "is not an object");
         }
         JsonObject json = value == null ? new JsonObject() : (JsonObject) value;
-        DutySettings.MaintenanceBudget maintenanceBudget = null;
-        DutySettings.QuotaAllocator quotaAllocator = null;
+        LeaseSettings.MaintenanceBudget maintenanceBudget = null;
+        LeaseSettings.QuotaAllocator quotaAllocator = null;
         for (String duty : json.fieldNames()) {
             String key = "duties." + duty;
             if (!(json.getValue(duty) instanceof JsonObject d)) {
                 throw new ConfigException(key, "is not an object");
             }
             switch (duty) {
-                case DutyState.MAINTENANCE -> maintenanceBudget = maintenanceBudget(key + ".", d);
-                case DutyState.QUOTA -> quotaAllocator = quotaAllocator(key + ".", d);
+                case ClusterState.MAINTENANCE -> maintenanceBudget = maintenanceBudget(key + ".", d);
+                case ClusterState.QUOTA -> quotaAllocator = quotaAllocator(key + ".", d);
                 default ->
                     throw new ConfigException(
                             key,
                             JsonFields.unusable(
                                     duty,
                                     RENAMED_DUTIES,
-                                    "is no duty: there are " + DutyState.MAINTENANCE + " and " + DutyState.QUOTA));
+                                    "is no duty: there are " + ClusterState.MAINTENANCE + " and "
+                                            + ClusterState.QUOTA));
             }
         }
-        return new DutySettings(
+        return new LeaseSettings(
                 lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaAllocator);
     }
 
-    private static DutySettings.MaintenanceBudget maintenanceBudget(String key, JsonObject d) {
+    private static LeaseSettings.MaintenanceBudget maintenanceBudget(String key, JsonObject d) {
         known(key, d, Set.of("most", "share", "out_most_ms", "beyond"));
         int most = (int) number(key + "most", d.getValue("most"), 0);
         double share = number(key + "share", d.getValue("share"), 0);
@@ -197,17 +198,17 @@
         if (!beyond.equals("wait") && !beyond.equals("refuse")) {
             throw new ConfigException(key + "beyond", "'" + beyond + "' is neither wait nor refuse");
         }
-        return new DutySettings.MaintenanceBudget(
+        return new LeaseSettings.MaintenanceBudget(
                 most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L), beyond.equals("wait"));
     }
 
-    private static DutySettings.QuotaAllocator quotaAllocator(String key, JsonObject d) {
+    private static LeaseSettings.QuotaAllocator quotaAllocator(String key, JsonObject d) {
         known(key, d, Set.of("reserve", "loan_ms"));
         double reserve = number(key + "reserve", d.getValue("reserve"), 0.5);
         if (reserve < 0.05 || reserve > 1) {
             throw new ConfigException(key + "reserve", "is not from 0.05 to 1");
         }
-        return new DutySettings.QuotaAllocator((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
+        return new LeaseSettings.QuotaAllocator((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
     }
 
     private static void known(String key, JsonObject d, Set<String> keys) {
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import pewtercourse.site.Site;
-import pewtercourse.site.Sites;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.Sites;
 
 /** The file that GW_SITES names (JSON): the sites, who may serve whose clients, and how losses are judged. */
 public final class SitesConfig {
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -22,20 +22,20 @@
 import pewtercourse.config.SiteSettings;
 import pewtercourse.decision.Logic;
 import pewtercourse.decision.Router;
-import pewtercourse.feed.FeedClient;
-import pewtercourse.feed.FeedEvent;
-import pewtercourse.feed.HttpFeedTransport;
+import pewtercourse.discovery.FeedClient;
+import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.HttpFeedTransport;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.OverflowRouter;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteObservations;
+import pewtercourse.failover.Sites;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 import pewtercourse.front.RequestHandler;
+import pewtercourse.gossip.PeerSocket;
 import pewtercourse.handover.OperatorState;
-import pewtercourse.peer.PeerSocket;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.OverflowRouter;
-import pewtercourse.site.Site;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.SiteObservations;
-import pewtercourse.site.Sites;
 
 /**
  * Between the sockets and the decision module: hands it what happened, in order of arrival and in one batch for
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -8,10 +8,10 @@
 import pewtercourse.cache.CacheRequest;
 import pewtercourse.cache.End;
 import pewtercourse.decision.Router;
-import pewtercourse.feed.FeedEvent;
+import pewtercourse.discovery.FeedEvent;
+import pewtercourse.failover.OverflowRouter;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
-import pewtercourse.site.OverflowRouter;
 
 /**
  * The life of one request, from top to bottom: it arrives; the module sends it on, once or several times, one
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -7,7 +7,7 @@
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.SiteSettings;
 import pewtercourse.decision.Router;
-import pewtercourse.feed.FeedEvent;
+import pewtercourse.discovery.FeedEvent;
 
 /**
  * The caches, parents and the origin as the feed last told, and who of them is out by hand. The only place where the
--- a/src/main/java/pewtercourse/feed/FeedClient.java
+++ b/src/main/java/pewtercourse/discovery/FeedClient.java
@@ -1,4 +1,4 @@
-package pewtercourse.feed;
+package pewtercourse.discovery;
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.json.JsonObject;
--- a/src/main/java/pewtercourse/feed/FeedEvent.java
+++ b/src/main/java/pewtercourse/discovery/FeedEvent.java
@@ -1,4 +1,4 @@
-package pewtercourse.feed;
+package pewtercourse.discovery;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
--- a/src/main/java/pewtercourse/feed/HttpFeedTransport.java
+++ b/src/main/java/pewtercourse/discovery/HttpFeedTransport.java
@@ -1,4 +1,4 @@
-package pewtercourse.feed;
+package pewtercourse.discovery;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClientAgent;
--- a/src/main/java/pewtercourse/feed/package-info.java
+++ b/src/main/java/pewtercourse/discovery/package-info.java
@@ -1,2 +1,2 @@
 /** The control feed: a stream of server-sent events that lists caches, tells drains and purges. */
-package pewtercourse.feed;
+package pewtercourse.discovery;
--- a/src/main/java/pewtercourse/emulator/Catalogue.java
+++ b/src/main/java/pewtercourse/emulator/Catalogue.java
@@ -3,7 +3,7 @@
 import org.apache.commons.math3.distribution.LogNormalDistribution;
 import org.apache.commons.math3.distribution.ZipfDistribution;
 import org.apache.commons.math3.random.Well19937c;
-import pewtercourse.site.OverflowRouter;
+import pewtercourse.failover.OverflowRouter;
 
 /** What clients ask for: objects by popularity, with sizes that belong to them. */
 final class Catalogue {
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -1,6 +1,6 @@
 package pewtercourse.emulator;
 
-import pewtercourse.site.OverflowRouter;
+import pewtercourse.failover.OverflowRouter;
 
 /**
  * What is behind the caches of some sites, without sockets: the link that they fill through, parents that hold a part of all
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.Duties;
-import pewtercourse.duty.DutyCodec;
-import pewtercourse.duty.DutySettings;
-import pewtercourse.duty.DutyState;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.LeaseManager;
+import pewtercourse.lease.LeaseSettings;
 import pewtercourse.raft.Codec;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
@@ -96,7 +96,7 @@
         final long offset;
         DiskModel disk;
         Raft raft;
-        Duties duties;
+        LeaseManager duties;
         int life;
         boolean up, still;
         long applied, wakeAt;
@@ -121,7 +121,7 @@
             syncing = false;
             unsynced.clear();
             raft = new Raft(RAFT, name, disk.read(), clock(), new Random(random.nextLong()));
-            duties = new Duties(
+            duties = new LeaseManager(
                     set,
                     name,
                     (long) life * 1_000_000_000L,
@@ -170,8 +170,8 @@
                 boolean asked = false;
                 if (!raft.members().all().isEmpty()) {
                     Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(clock()) : null;
-                    for (Command.Signed s : duties.tick(
-                            clock(), new Duties.View(raft.members().all().keySet(), heard, now / MS))) {
+                    for (Command.Envelope s : duties.tick(
+                            clock(), new LeaseManager.View(raft.members().all().keySet(), heard, now / MS))) {
                         offer(s);
                         asked = true;
                     }
@@ -187,7 +187,7 @@
             boolean changed = r.install() != null;
             try {
                 if (r.install() != null) {
-                    duties.restored(clock(), DutyState.decode(r.install().state()));
+                    duties.restored(clock(), ClusterState.decode(r.install().state()));
                     applied = r.install().index();
                 }
                 for (Entry e : r.committed()) {
@@ -200,9 +200,10 @@
                                             && java.util.Arrays.equals(before.command(), e.command()),
                             "two entries agreed at " + e.index());
                     if (e.kind() == Entry.Kind.COMMAND) {
-                        Command.Signed s = DutyCodec.decode(e.command());
-                        long held = duties.state().duty(DutyState.MAINTENANCE).token();
-                        DutyState.Result result = duties.applied(
+                        Command.Envelope s = CommandCodec.decode(e.command());
+                        long held =
+                                duties.state().duty(ClusterState.MAINTENANCE).token();
+                        ClusterState.Result result = duties.applied(
                                 clock(),
                                 e.index(),
                                 planted == Planted.TOKEN_UNCHECKED || planted == Planted.WORD_UNCHECKED
@@ -210,11 +211,14 @@
                                         : s);
                         if (before == null
                                 && result.done()
-                                && (s.command() instanceof Command.Ask || s.command() instanceof Command.Back)) {
+                                && (s.command() instanceof Command.RequestMaintenance
+                                        || s.command() instanceof Command.ReinstateCache)) {
                             check(counted.add(s.by() + ' ' + s.id()), "an operator's word counted twice");
                         }
                         check(
-                                !(s.command() instanceof Command.Let l) || l.token() == held || !result.done(),
+                                !(s.command() instanceof Command.GrantMaintenance l)
+                                        || l.token() == held
+                                        || !result.done(),
                                 "an order with an older token took effect");
                         changed = true;
                     }
@@ -234,30 +238,30 @@
         }
 
         // As if the receiver did not look at the token, or at the words since.
-        private Command.Signed forged(Command.Signed s) {
-            DutyState state = duties.state();
+        private Command.Envelope forged(Command.Envelope s) {
+            ClusterState state = duties.state();
             Command c = s.command();
             if (planted == Planted.TOKEN_UNCHECKED) {
-                c = c instanceof Command.Let l
-                        ? new Command.Let(
+                c = c instanceof Command.GrantMaintenance l
+                        ? new Command.GrantMaintenance(
                                 l.target(),
                                 l.ticket(),
-                                state.duty(DutyState.MAINTENANCE).token(),
+                                state.duty(ClusterState.MAINTENANCE).token(),
                                 l.atMs())
                         : c;
-            } else if (c instanceof Command.Back b) {
-                c = new Command.Back(b.target(), b.atMs(), state.lastWord(b.target()));
-            } else if (c instanceof Command.Ask a) {
-                c = new Command.Ask(a.target(), a.zone(), a.atMs(), state.lastWord(a.target()));
+            } else if (c instanceof Command.ReinstateCache b) {
+                c = new Command.ReinstateCache(b.target(), b.atMs(), state.lastWord(b.target()));
+            } else if (c instanceof Command.RequestMaintenance a) {
+                c = new Command.RequestMaintenance(a.target(), a.zone(), a.atMs(), state.lastWord(a.target()));
             }
-            return new Command.Signed(s.by(), s.id(), c);
+            return new Command.Envelope(s.by(), s.id(), c);
         }
 
-        void offer(Command.Signed s) {
-            if (s.command() instanceof Command.Let || s.command() instanceof Command.Withdraw) {
+        void offer(Command.Envelope s) {
+            if (s.command() instanceof Command.GrantMaintenance || s.command() instanceof Command.CancelMaintenance) {
                 acts++;
             }
-            byte[] bytes = DutyCodec.encode(s);
+            byte[] bytes = CommandCodec.encode(s);
             if (raft.role() == Raft.Role.LEADER) {
                 raft.propose(clock(), bytes);
             } else if (raft.leader() != null) {
@@ -273,7 +277,7 @@
 
         // Between the check of the lease and the sending a process can be stopped for any time.
         private long stopped(Command c) {
-            return random.nextInt(c instanceof Command.Let ? 4 : 40) == 0 ? random.nextInt(3_000_000) : 0;
+            return random.nextInt(c instanceof Command.GrantMaintenance ? 4 : 40) == 0 ? random.nextInt(3_000_000) : 0;
         }
 
         private void sync() {
@@ -309,13 +313,13 @@
 
     final Random random;
     final Planted planted;
-    final DutySettings set = new DutySettings(
+    final LeaseSettings set = new LeaseSettings(
             800 * MS,
             0.02,
             150 * MS,
-            Set.of(DutyState.MAINTENANCE, DutyState.QUOTA),
-            new DutySettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
-            new DutySettings.QuotaAllocator(400, 500 * MS));
+            Set.of(ClusterState.MAINTENANCE, ClusterState.QUOTA),
+            new LeaseSettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
+            new LeaseSettings.QuotaAllocator(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
     final Map<Long, Entry> agreed = new HashMap<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>(
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -18,8 +18,8 @@
 import pewtercourse.cluster.Cluster;
 import pewtercourse.cluster.ClusterHost;
 import pewtercourse.config.ClusterConfig;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.DutyCodec;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandCodec;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
 import pewtercourse.raft.Save;
@@ -128,8 +128,8 @@
         boolean out = (done.get() & 1) == 0;
         String target = "c" + caller;
         c.agree(() -> out
-                        ? new Command.Out(target, 1, c.state().lastWord(target))
-                        : new Command.Back(target, 1, c.state().lastWord(target)))
+                        ? new Command.DrainCache(target, 1, c.state().lastWord(target))
+                        : new Command.ReinstateCache(target, 1, c.state().lastWord(target)))
                 .onComplete(r -> {
                     long now = System.nanoTime();
                     if (r.succeeded() && from >= begin && now < end) {
@@ -155,8 +155,8 @@
                         list.add(Entry.command(
                                 i + j,
                                 1,
-                                DutyCodec.encode(new Command.Signed(
-                                        "d1", i + j, new Command.Out("s-" + j, 1_700_000_000_000L, 0)))));
+                                CommandCodec.encode(new Command.Envelope(
+                                        "d1", i + j, new Command.DrainCache("s-" + j, 1_700_000_000_000L, 0)))));
                     }
                     s.save(List.of(new Save(i, 1, "m", i, null, list)));
                 }
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -14,16 +14,16 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.Health;
-import pewtercourse.site.OverflowRouter;
-import pewtercourse.site.Plan;
-import pewtercourse.site.Planner;
-import pewtercourse.site.Site;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Sites;
-import pewtercourse.site.Status;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanner;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.OverflowRouter;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.SiteHealth;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.Sites;
 
 /** The loss of a site and its return: worth served in time over seeds, several ways; false alarms; costs. */
 final class SitesExperiment {
@@ -199,7 +199,7 @@
                 failoverController.detector().see(now, "d" + m, told);
             }
             for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of())) {
-                alarms += d.phase() == Status.Phase.LOST ? 1 : 0;
+                alarms += d.phase() == SiteStatus.Phase.LOST ? 1 : 0;
                 failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after());
             }
         }
@@ -237,8 +237,8 @@
             int cases = 0;
             for (int i = 0; i < 14; i++) {
                 long from = System.nanoTime();
-                cases = new Planner()
-                        .plan(sites, loads, Set.of(), Set.of(), Plan.NONE)
+                cases = new FailoverPlanner()
+                        .plan(sites, loads, Set.of(), Set.of(), FailoverPlan.NONE)
                         .cases()
                         .size();
                 if (i >= 5) {
@@ -257,11 +257,11 @@
         Map<String, Double> loads = new TreeMap<>();
         sites.sites().keySet().forEach(s -> loads.put(s, 12.0));
         FailoverState failover = new FailoverState();
-        failover.plan(new Planner().plan(sites, loads, Set.of(), Set.of(), Plan.NONE));
+        failover.plan(new FailoverPlanner().plan(sites, loads, Set.of(), Set.of(), FailoverPlan.NONE));
         OverflowRouter overflowRouter = new OverflowRouter(sites, "s000", 500_000, 1);
         overflowRouter.follow(0, failover, 1);
         double whole = nanos(overflowRouter);
-        failover.declare(1, "s000", Status.Phase.LOST, Health.CACHES, 0, 0, 0);
+        failover.declare(1, "s000", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0);
         overflowRouter.follow(0, failover, 1);
         return String.format(
                 "A request's choice of a site takes %.0f ns while its site is whole and %.0f ns while it is lost.%n",
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -19,17 +19,17 @@
 import pewtercourse.decision.Router;
 import pewtercourse.emulator.CacheModel;
 import pewtercourse.emulator.UpstreamModel;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.Health;
-import pewtercourse.site.OverflowRouter;
-import pewtercourse.site.Plan;
-import pewtercourse.site.Planner;
-import pewtercourse.site.Site;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.SiteObservations;
-import pewtercourse.site.Sites;
-import pewtercourse.site.Status;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanner;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.OverflowRouter;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.SiteHealth;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteObservations;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.Sites;
 
 /**
  * Several sites on a virtual clock: the real decision module and the real parts that keep sites, around modelled caches,
@@ -600,15 +600,15 @@
             }
         });
         for (FailoverController.Declaration o : d.failoverController.orders(now, failover, absent)) {
-            if (way != Way.SEEING || o.phase() == Status.Phase.RETURNING || o.phase() == Status.Phase.WHOLE) {
+            if (way != Way.SEEING || o.phase() == SiteStatus.Phase.RETURNING || o.phase() == SiteStatus.Phase.WHOLE) {
                 declare(o);
             }
         }
         FailoverController.Question q = d.failoverController.question(now, failover);
         if (q != null) {
-            Plan plan = plan(q);
+            FailoverPlan plan = plan(q);
             d.failoverController.answered(now, plan);
-            Plan changed = d.failoverController.planned(failover);
+            FailoverPlan changed = d.failoverController.planned(failover);
             if (changed != null) {
                 agree(() -> {
                     failover.plan(changed);
@@ -621,7 +621,7 @@
     private void declare(FailoverController.Declaration o) {
         agree(() -> {
             if (failover.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
-                boolean lost = o.phase() == Status.Phase.LOST;
+                boolean lost = o.phase() == SiteStatus.Phase.LOST;
                 boolean dead = caches.stream()
                         .filter(c -> siteName(c.site).equals(o.site()))
                         .noneMatch(c -> c.model.up());
@@ -629,7 +629,7 @@
                     declaredAt = now;
                 }
                 falseAlarms += lost && !dead && o.flaps() == 0 ? 1 : 0;
-                if (o.phase() == Status.Phase.WHOLE && declaredAt >= 0) {
+                if (o.phase() == SiteStatus.Phase.WHOLE && declaredAt >= 0) {
                     wholeAt = now;
                 }
                 follow();
@@ -646,44 +646,44 @@
         });
     }
 
-    private Plan plan(FailoverController.Question q) {
+    private FailoverPlan plan(FailoverController.Question q) {
         if (way == Way.PLANNED || way == Way.SEEING) {
-            Plan p = new Planner().plan(sites, q.loads(), q.lost(), q.unfit(), q.before());
+            FailoverPlan p = new FailoverPlanner().plan(sites, q.loads(), q.lost(), q.unfit(), q.before());
             return planted == Planted.NO_BOUND ? unbounded(p, q.lost()) : p;
         }
-        TreeMap<String, java.util.SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
         for (String s : sites.sites().keySet()) {
             Set<String> lost = new TreeSet<>(q.lost());
             lost.add(s);
-            java.util.SortedMap<String, Plan.Shares> shares = new TreeMap<>();
+            java.util.SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
             for (String l : lost) {
-                List<Plan.Part> parts = new ArrayList<>();
+                List<FailoverPlan.Part> parts = new ArrayList<>();
                 for (Site.Taker t : sites.sites().get(l).takers()) {
                     if (!lost.contains(t.site()) && (way == Way.PROPORTIONAL || parts.isEmpty())) {
-                        parts.add(new Plan.Part(t.site(), 1, 1e6));
+                        parts.add(new FailoverPlan.Part(t.site(), 1, 1e6));
                     }
                 }
-                shares.put(l, new Plan.Shares(parts, 0));
+                shares.put(l, new FailoverPlan.Shares(parts, 0));
             }
             cases.put(String.join("+", lost), shares);
         }
-        return new Plan(cases);
+        return new FailoverPlan(cases);
     }
 
-    private static Plan unbounded(Plan p, Set<String> lost) {
-        TreeMap<String, java.util.SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+    private static FailoverPlan unbounded(FailoverPlan p, Set<String> lost) {
+        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
         p.cases().forEach((k, c) -> {
-            java.util.SortedMap<String, Plan.Shares> shares = new TreeMap<>();
+            java.util.SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
             c.forEach((s, x) -> shares.put(
                     s,
-                    new Plan.Shares(
+                    new FailoverPlan.Shares(
                             x.parts().stream()
-                                    .map(y -> new Plan.Part(y.site(), y.work(), 1e6))
+                                    .map(y -> new FailoverPlan.Part(y.site(), y.work(), 1e6))
                                     .toList(),
                             x.refused())));
             cases.put(k, shares);
         });
-        return new Plan(cases);
+        return new FailoverPlan(cases);
     }
 
     // ---- What goes wrong ----
@@ -754,8 +754,8 @@
                 failover.declare(
                         ++entry,
                         siteName(site),
-                        Status.Phase.LOST,
-                        Health.CACHES,
+                        SiteStatus.Phase.LOST,
+                        SiteHealth.CACHES,
                         0,
                         0,
                         failover.status(siteName(site)).entry());
--- a/src/main/java/pewtercourse/site/FailoverController.java
+++ b/src/main/java/pewtercourse/failover/FailoverController.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,10 +14,11 @@
  */
 public final class FailoverController {
     /** A change to be agreed on. {@code after}: the entry that it builds on. */
-    public record Declaration(String site, Status.Phase phase, Health health, int step, int flaps, long after) {}
+    public record Declaration(
+            String site, SiteStatus.Phase phase, SiteHealth health, int step, int flaps, long after) {}
 
     /** What a plan is made from. */
-    public record Question(SortedMap<String, Double> loads, Set<String> lost, Set<String> unfit, Plan before) {}
+    public record Question(SortedMap<String, Double> loads, Set<String> lost, Set<String> unfit, FailoverPlan before) {}
 
     // Of its ends at a step: failed ones from which it steps back, and up to which it goes on; slow ones up to which it
     // does.
@@ -28,17 +29,17 @@
     private static final long PLAN_EVERY = 5_000_000, PLAN_MOST = 2_000_000, ORDER_AGAIN = 300_000;
 
     private final Sites sites;
-    private final Detector detector;
+    private final SiteFailureDetector detector;
     private final Map<String, Long> entryOf = new HashMap<>(), entrySeen = new HashMap<>(), ordered = new HashMap<>();
     private Set<String> plannedFor = Set.of(), plannedLoads = Set.of();
     private long planAt = Long.MIN_VALUE, askedAt = Long.MIN_VALUE;
-    private Plan answer;
+    private FailoverPlan answer;
 
     public FailoverController(Sites sites) {
-        this(sites, new Detector(sites));
+        this(sites, new SiteFailureDetector(sites));
     }
 
-    private FailoverController(Sites sites, Detector detector) {
+    private FailoverController(Sites sites, SiteFailureDetector detector) {
         this.sites = sites;
         this.detector = detector;
     }
@@ -48,7 +49,7 @@
         return new FailoverController(to, detector.with(to));
     }
 
-    public Detector detector() {
+    public SiteFailureDetector detector() {
         return detector;
     }
 
@@ -78,31 +79,31 @@
         return orders;
     }
 
-    private Declaration next(long now, String site, Status s) {
-        Health h = detector.health(site);
+    private Declaration next(long now, String site, SiteStatus s) {
+        SiteHealth h = detector.health(site);
         long lasts = detector.lasts(now, site), stood = now - entrySeen.get(site);
         Sites.Timing t = sites.timing();
         int last = t.steps().size() - 1;
         switch (s.phase()) {
             case WHOLE, IMPAIRED -> {
                 if (s.drill()) {
-                    return last == 0 ? lost(site, s, Health.WELL, s.flaps()) : step(site, s, Math.max(0, last - 1));
+                    return last == 0 ? lost(site, s, SiteHealth.WELL, s.flaps()) : step(site, s, Math.max(0, last - 1));
                 }
                 if (h.lost()) {
                     return lasts >= t.lostAfter() && detector.confirmed(now, site) ? lost(site, s, h, s.flaps()) : null;
                 }
-                if (h == Health.WELL) {
+                if (h == SiteHealth.WELL) {
                     boolean calm = s.flaps() > 0 && lasts >= t.flapMost() && stood >= t.flapMost();
-                    return calm || s.phase() == Status.Phase.IMPAIRED && lasts >= t.lostAfter()
-                            ? new Declaration(site, Status.Phase.WHOLE, h, 0, calm ? 0 : s.flaps(), s.entry())
+                    return calm || s.phase() == SiteStatus.Phase.IMPAIRED && lasts >= t.lostAfter()
+                            ? new Declaration(site, SiteStatus.Phase.WHOLE, h, 0, calm ? 0 : s.flaps(), s.entry())
                             : null;
                 }
                 return h != s.health() && lasts >= t.lostAfter() / 2
-                        ? new Declaration(site, Status.Phase.IMPAIRED, h, 0, s.flaps(), s.entry())
+                        ? new Declaration(site, SiteStatus.Phase.IMPAIRED, h, 0, s.flaps(), s.entry())
                         : null;
             }
             case LOST -> {
-                boolean well = !h.lost() && h != Health.SLOW && h != Health.PARENTS;
+                boolean well = !h.lost() && h != SiteHealth.SLOW && h != SiteHealth.PARENTS;
                 long wait = Math.min(t.flapMost(), t.backAfter() << Math.min(20, s.flaps()));
                 return !s.held() && !s.drill() && well && lasts >= wait && stood >= wait ? step(site, s, 0) : null;
             }
@@ -113,7 +114,7 @@
     }
 
     private Declaration onTheWay(
-            String site, Status s, Health h, long lasts, long stood, SiteObservation ends, int last) {
+            String site, SiteStatus s, SiteHealth h, long lasts, long stood, SiteObservation ends, int last) {
         Sites.Timing t = sites.timing();
         if (h.lost() && lasts >= t.lostAfter() / 2) {
             return lost(site, s, h, s.flaps() + 1);
@@ -125,7 +126,7 @@
         if (s.drill()) {
             return stood < t.step()
                     ? null
-                    : s.step() == 0 ? lost(site, s, Health.WELL, s.flaps()) : step(site, s, s.step() - 1);
+                    : s.step() == 0 ? lost(site, s, SiteHealth.WELL, s.flaps()) : step(site, s, s.step() - 1);
         }
         boolean told = ends.ends() >= ENDS_LEAST;
         if (told && ends.bad() >= TROUBLE * ends.ends()) {
@@ -138,16 +139,16 @@
             return null;
         }
         return s.step() >= last
-                ? new Declaration(site, Status.Phase.WHOLE, h, 0, s.flaps(), s.entry())
+                ? new Declaration(site, SiteStatus.Phase.WHOLE, h, 0, s.flaps(), s.entry())
                 : step(site, s, s.step() + 1);
     }
 
-    private static Declaration lost(String site, Status s, Health h, int flaps) {
-        return new Declaration(site, Status.Phase.LOST, h, 0, flaps, s.entry());
+    private static Declaration lost(String site, SiteStatus s, SiteHealth h, int flaps) {
+        return new Declaration(site, SiteStatus.Phase.LOST, h, 0, flaps, s.entry());
     }
 
-    private static Declaration step(String site, Status s, int step) {
-        return new Declaration(site, Status.Phase.RETURNING, s.health(), step, s.flaps(), s.entry());
+    private static Declaration step(String site, SiteStatus s, int step) {
+        return new Declaration(site, SiteStatus.Phase.RETURNING, s.health(), step, s.flaps(), s.entry());
     }
 
     // ---- Plans: asked for here, made elsewhere ----
@@ -168,7 +169,7 @@
         askedAt = now;
         Set<String> unfit = new TreeSet<>();
         failover.statuses().forEach((name, s) -> {
-            if (s.phase() != Status.Phase.WHOLE) {
+            if (s.phase() != SiteStatus.Phase.WHOLE) {
                 unfit.add(name);
             }
         });
@@ -176,7 +177,7 @@
     }
 
     /** A plan was made; one that comes too late, or not at all, leaves the last one in force. */
-    public void answered(long now, Plan plan) {
+    public void answered(long now, FailoverPlan plan) {
         if (askedAt != Long.MIN_VALUE && now - askedAt < PLAN_MOST) {
             answer = plan;
         }
@@ -184,8 +185,8 @@
     }
 
     /** The plan that is to be agreed on, or null. */
-    public Plan planned(FailoverState failover) {
-        Plan p = answer;
+    public FailoverPlan planned(FailoverState failover) {
+        FailoverPlan p = answer;
         answer = null;
         return p == null || p.equals(failover.plan()) ? null : p;
     }
--- a/src/main/java/pewtercourse/site/Plan.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlan.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.Collections;
 import java.util.List;
@@ -11,8 +11,8 @@
  * Where the load of lost sites goes, made before it happens: for each set of lost sites that was planned for, the shares
  * of each of them.
  */
-public record Plan(SortedMap<String, SortedMap<String, Shares>> cases) {
-    public static final Plan NONE = new Plan(new TreeMap<>());
+public record FailoverPlan(SortedMap<String, SortedMap<String, Shares>> cases) {
+    public static final FailoverPlan NONE = new FailoverPlan(new TreeMap<>());
 
     /**
      * {@code work}: transfers at once that go to {@code site}; {@code most}: what may go there at most, where more is asked
--- a/src/main/java/pewtercourse/site/Planner.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlanner.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -24,7 +24,7 @@
  * cheapest crossing first (a transport problem, by the simplex method). Where the solver gives up, a fixed rule fills the
  * takers by distance. Equal input, equal plan. Knows no clock; whoever calls it does so off the event loop.
  */
-public final class Planner {
+public final class FailoverPlanner {
     // Refusing costs this many times the farthest crossing: only what nobody can take is refused.
     private static final double REFUSED = 1_000;
     private static final int PAIRS_UP_TO = 16, ITERATIONS = 20_000;
@@ -36,12 +36,12 @@
 
     private final int iterations;
 
-    public Planner() {
+    public FailoverPlanner() {
         this(ITERATIONS);
     }
 
     /** To see the fixed rule act. */
-    Planner(int iterations) {
+    FailoverPlanner(int iterations) {
         this.iterations = iterations;
     }
 
@@ -49,21 +49,22 @@
      * @param loads  by site: transfers at once that its clients ask for
      * @param lost   sites whose load is elsewhere now
      * @param unfit  sites that can't take any: impaired, or returning
-     * @param before the plan in force; {@link Plan#NONE} for none
+     * @param before the plan in force; {@link FailoverPlan#NONE} for none
      */
-    public Plan plan(Sites sites, Map<String, Double> loads, Set<String> lost, Set<String> unfit, Plan before) {
-        SortedMap<String, SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+    public FailoverPlan plan(
+            Sites sites, Map<String, Double> loads, Set<String> lost, Set<String> unfit, FailoverPlan before) {
+        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
         List<String> names = List.copyOf(sites.sites().keySet());
         for (Set<String> c : cases(names, lost)) {
-            String key = Plan.key(c);
+            String key = FailoverPlan.key(c);
             Problem p = new Problem(sites, loads, c, unfit);
-            SortedMap<String, Plan.Shares> fresh = p.solve(iterations);
-            SortedMap<String, Plan.Shares> old = before.cases().get(key);
+            SortedMap<String, FailoverPlan.Shares> fresh = p.solve(iterations);
+            SortedMap<String, FailoverPlan.Shares> old = before.cases().get(key);
             boolean stays =
                     old != null && p.bears(old) && p.cost(old) <= p.cost(fresh) * (1 + WORTH_A_CHANGE) + NOTHING;
             cases.put(key, stays ? old : fresh);
         }
-        return new Plan(cases);
+        return new FailoverPlan(cases);
     }
 
     private static List<Set<String>> cases(List<String> names, Set<String> lost) {
@@ -119,7 +120,7 @@
             }
         }
 
-        SortedMap<String, Plan.Shares> solve(int iterations) {
+        SortedMap<String, FailoverPlan.Shares> solve(int iterations) {
             double[] work = ways.isEmpty() ? new double[0] : simplex(iterations);
             return shares(work != null ? work : fixed());
         }
@@ -182,36 +183,36 @@
             return work;
         }
 
-        private SortedMap<String, Plan.Shares> shares(double[] work) {
+        private SortedMap<String, FailoverPlan.Shares> shares(double[] work) {
             SortedMap<String, Double> asked = new TreeMap<>();
             for (int i = 0; i < work.length; i++) {
                 asked.merge(ways.get(i).taker(), work[i], Double::sum);
             }
-            SortedMap<String, Plan.Shares> all = new TreeMap<>();
+            SortedMap<String, FailoverPlan.Shares> all = new TreeMap<>();
             for (int l = 0; l < load.length; l++) {
-                List<Plan.Part> parts = new ArrayList<>();
+                List<FailoverPlan.Part> parts = new ArrayList<>();
                 double taken = 0;
                 for (int i = 0; i < work.length; i++) {
                     Way w = ways.get(i);
                     if (w.lost() == l && work[i] > NOTHING) {
-                        parts.add(new Plan.Part(
+                        parts.add(new FailoverPlan.Part(
                                 w.taker(), work[i], room.get(w.taker()) * work[i] / asked.get(w.taker())));
                         taken += work[i];
                     }
                 }
-                all.put(lost.get(l), new Plan.Shares(parts, Math.max(0, load[l] - taken)));
+                all.put(lost.get(l), new FailoverPlan.Shares(parts, Math.max(0, load[l] - taken)));
             }
             return all;
         }
 
         /** What these shares would cost with the loads of now: they keep their proportions. */
-        double cost(SortedMap<String, Plan.Shares> shares) {
+        double cost(SortedMap<String, FailoverPlan.Shares> shares) {
             double cost = 0,
                     farthest = ways.stream().mapToDouble(Way::distance).max().orElse(1);
             for (int l = 0; l < load.length; l++) {
-                Plan.Shares s = shares.getOrDefault(lost.get(l), Plan.Shares.NOTHING);
+                FailoverPlan.Shares s = shares.getOrDefault(lost.get(l), FailoverPlan.Shares.NOTHING);
                 double taken = 0;
-                for (Plan.Part p : s.parts()) {
+                for (FailoverPlan.Part p : s.parts()) {
                     double work = work(l, s, p);
                     taken += work;
                     cost += work * distance(l, p.site());
@@ -221,7 +222,7 @@
             return cost;
         }
 
-        private double work(int l, Plan.Shares s, Plan.Part p) {
+        private double work(int l, FailoverPlan.Shares s, FailoverPlan.Part p) {
             double whole = s.taken() + s.refused();
             return whole <= NOTHING ? 0 : load[l] * p.work() / whole;
         }
@@ -235,11 +236,11 @@
         }
 
         /** Whether no taker is asked for much more than it can lend now, and none that can't take any. */
-        boolean bears(SortedMap<String, Plan.Shares> shares) {
+        boolean bears(SortedMap<String, FailoverPlan.Shares> shares) {
             SortedMap<String, Double> asked = new TreeMap<>();
             for (int l = 0; l < load.length; l++) {
-                Plan.Shares s = shares.getOrDefault(lost.get(l), Plan.Shares.NOTHING);
-                for (Plan.Part p : s.parts()) {
+                FailoverPlan.Shares s = shares.getOrDefault(lost.get(l), FailoverPlan.Shares.NOTHING);
+                for (FailoverPlan.Part p : s.parts()) {
                     asked.merge(p.site(), Math.max(work(l, s, p), p.most()), Double::sum);
                 }
             }
--- a/src/main/java/pewtercourse/site/FailoverState.java
+++ b/src/main/java/pewtercourse/failover/FailoverState.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.Collections;
 import java.util.Set;
@@ -12,21 +12,21 @@
  * once there is a later one, so that one that comes late, or twice, does nothing.
  */
 public final class FailoverState {
-    private final SortedMap<String, Status> statuses = new TreeMap<>();
-    private Plan plan = Plan.NONE;
+    private final SortedMap<String, SiteStatus> statuses = new TreeMap<>();
+    private FailoverPlan plan = FailoverPlan.NONE;
     private long version;
 
     /** A site that nothing was said of is whole. */
-    public Status status(String site) {
-        return statuses.getOrDefault(site, Status.WHOLE);
+    public SiteStatus status(String site) {
+        return statuses.getOrDefault(site, SiteStatus.WHOLE);
     }
 
     /** Those of which something was said. */
-    public SortedMap<String, Status> statuses() {
+    public SortedMap<String, SiteStatus> statuses() {
         return Collections.unmodifiableSortedMap(statuses);
     }
 
-    public Plan plan() {
+    public FailoverPlan plan() {
         return plan;
     }
 
@@ -48,23 +48,23 @@
 
     /** By the holder of the duty. False if it builds on an older entry, or there are too many sites. */
     public boolean declare(
-            long entry, String site, Status.Phase phase, Health health, int step, int flaps, long after) {
+            long entry, String site, SiteStatus.Phase phase, SiteHealth health, int step, int flaps, long after) {
         return put(site, after, status(site).to(phase, health, step, flaps, entry));
     }
 
     /** By an operator: whether it is kept from returning. Letting it go ends a drill too. */
     public boolean hold(long entry, String site, boolean on, long after) {
-        Status s = status(site);
-        return put(site, after, new Status(s.phase(), s.health(), s.step(), s.flaps(), on, on && s.drill(), entry));
+        SiteStatus s = status(site);
+        return put(site, after, new SiteStatus(s.phase(), s.health(), s.step(), s.flaps(), on, on && s.drill(), entry));
     }
 
     /** By an operator: it is to be lost on purpose, step by step, until it is let go. */
     public boolean drill(long entry, String site, long after) {
-        Status s = status(site);
-        return put(site, after, new Status(s.phase(), s.health(), s.step(), s.flaps(), s.held(), true, entry));
+        SiteStatus s = status(site);
+        return put(site, after, new SiteStatus(s.phase(), s.health(), s.step(), s.flaps(), s.held(), true, entry));
     }
 
-    private boolean put(String site, long after, Status to) {
+    private boolean put(String site, long after, SiteStatus to) {
         if (status(site).entry() != after || statuses.size() >= Sites.MOST && !statuses.containsKey(site)) {
             return false;
         }
@@ -74,13 +74,13 @@
     }
 
     /** By the holder of the duty. */
-    public void plan(Plan to) {
+    public void plan(FailoverPlan to) {
         plan = to;
         version++;
     }
 
     /** As it was saved. */
-    public void restore(String site, Status status) {
+    public void restore(String site, SiteStatus status) {
         statuses.put(site, status);
     }
 }
--- a/src/main/java/pewtercourse/site/Shedder.java
+++ b/src/main/java/pewtercourse/failover/LoadShedder.java
@@ -1,11 +1,11 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 /**
  * Lets guests' work pass up to what was lent: a bucket of work of which the less worthy must leave a part (trunk
  * reservation; Kelly, "Loss Networks", 1991), so that they are refused first as it runs dry. Times and work in
  * microseconds.
  */
-final class Shedder {
+final class LoadShedder {
     // Work of so long at the full pace waits in the bucket at most; of it the least worthy must leave this share.
     private static final double BURST = 1_000_000, LEAVES = 0.8;
     // A request larger than this share of the bucket counts as so large when it asks, and leaves a debt: else it could
@@ -15,7 +15,7 @@
     private double limit, level;
     private long last;
 
-    Shedder(long now) {
+    LoadShedder(long now) {
         last = now;
     }
 
--- a/src/main/java/pewtercourse/site/OverflowRouter.java
+++ b/src/main/java/pewtercourse/failover/OverflowRouter.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -38,8 +38,8 @@
     private final long holdOffMost;
     private final Random random;
     private final RequestPriorities worths = new RequestPriorities();
-    private final Map<String, Shedder> shedders = new HashMap<>();
-    private Status status = Status.WHOLE;
+    private final Map<String, LoadShedder> shedders = new HashMap<>();
+    private SiteStatus status = SiteStatus.WHOLE;
     private SortedMap<String, Double> weights = new TreeMap<>();
     private long trialAt;
     private boolean listed = true;
@@ -60,10 +60,11 @@
             shedders.clear();
             return;
         }
-        Plan.Shares shares = failover.plan().when(failover.away()).getOrDefault(own, Plan.Shares.NOTHING);
-        for (Plan.Part p : shares.parts()) {
+        FailoverPlan.Shares shares =
+                failover.plan().when(failover.away()).getOrDefault(own, FailoverPlan.Shares.NOTHING);
+        for (FailoverPlan.Part p : shares.parts()) {
             weights.put(p.site(), p.work());
-            shedders.computeIfAbsent(p.site(), s -> new Shedder(now)).limit(p.most() / Math.max(1, directors));
+            shedders.computeIfAbsent(p.site(), s -> new LoadShedder(now)).limit(p.most() / Math.max(1, directors));
         }
         shedders.keySet().retainAll(weights.keySet());
     }
@@ -99,7 +100,7 @@
     }
 
     private boolean atHome(long now, Ask a) {
-        if (status.phase() == Status.Phase.RETURNING) {
+        if (status.phase() == SiteStatus.Phase.RETURNING) {
             // Objects come back in one order, so that a further step moves none away again.
             return unit(a.object() ^ 0x9e3779b97f4a7c15L)
                     < sites.timing().steps().get(status.step());
--- a/src/main/java/pewtercourse/site/Site.java
+++ b/src/main/java/pewtercourse/failover/Site.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/pewtercourse/site/Detector.java
+++ b/src/main/java/pewtercourse/failover/SiteFailureDetector.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * Every member feeds one, so that whoever gets the duty has it at hand. {@code now} is microseconds of the own
  * monotonic clock.
  */
-public final class Detector {
+public final class SiteFailureDetector {
     // Fewer ends than these prove nothing.
     private static final int ENDS_LEAST = 4, REFUSED_LEAST = 8;
     // Shares of failed attempts from which caches fail, and up to which they are well; of slow answers, from which a
@@ -21,7 +21,7 @@
 
     private record Seen(long at, Map<String, SiteObservation> siteObservations) {}
 
-    private record Since(Health health, long at) {}
+    private record Since(SiteHealth health, long at) {}
 
     private final Sites sites;
     private final Map<String, Seen> seen = new HashMap<>(); // By member.
@@ -29,13 +29,13 @@
     private final Map<String, Double> loads = new TreeMap<>();
     private final Map<String, long[]> failing = new HashMap<>(); // By site: when the last two sights told of a loss.
 
-    public Detector(Sites sites) {
+    public SiteFailureDetector(Sites sites) {
         this.sites = sites;
     }
 
     /** The same with what was seen so far, for sites that are described anew. */
-    Detector with(Sites to) {
-        Detector d = new Detector(to);
+    SiteFailureDetector with(Sites to) {
+        SiteFailureDetector d = new SiteFailureDetector(to);
         d.seen.putAll(seen);
         d.loads.putAll(loads);
         d.failing.putAll(failing);
@@ -75,7 +75,7 @@
     /** Takes in the time and who is silent. To be called before {@link #health} and {@link #lasts}. */
     public void judge(long now, Set<String> absent) {
         for (Site s : sites.sites().values()) {
-            Health h = raw(now, s, absent);
+            SiteHealth h = raw(now, s, absent);
             Since before = since.get(s.name());
             if (before == null || before.health() != h && !alike(before.health(), h)) {
                 since.put(s.name(), new Since(h, now));
@@ -86,13 +86,13 @@
     }
 
     // A loss whose extent shows bit by bit is one loss.
-    private static boolean alike(Health a, Health b) {
+    private static boolean alike(SiteHealth a, SiteHealth b) {
         return a.lost() && b.lost();
     }
 
-    public Health health(String site) {
+    public SiteHealth health(String site) {
         Since s = since.get(site);
-        return s == null ? Health.WELL : s.health();
+        return s == null ? SiteHealth.WELL : s.health();
     }
 
     /** How long it has looked so. */
@@ -132,7 +132,7 @@
                 : s.siteObservations().get(site);
     }
 
-    private Health raw(long now, Site s, Set<String> absent) {
+    private SiteHealth raw(long now, Site s, Set<String> absent) {
         boolean staffed = !s.directors().isEmpty(), heard = false, ownWell = false;
         int good = 0, late = 0, bad = 0, refused = 0, listeners = 0, empty = 0, half = 0, noParents = 0;
         for (Map.Entry<String, Seen> e : seen.entrySet()) {
@@ -167,18 +167,18 @@
                 && !seen.isEmpty()
                 && s.directors().stream().allMatch(d -> absent.contains(d) || seen.containsKey(d));
         if (fails) {
-            return silent ? Health.ALL : Health.CACHES;
+            return silent ? SiteHealth.ALL : SiteHealth.CACHES;
         }
         if (silent) {
-            return Health.DIRECTORS;
+            return SiteHealth.DIRECTORS;
         }
         if (listeners > 0 && 2 * noParents > listeners) {
-            return Health.PARENTS;
+            return SiteHealth.PARENTS;
         }
         if (told && bad > WELL * ends || listeners > 0 && 2 * half > listeners) {
-            return Health.PARTLY;
+            return SiteHealth.PARTLY;
         }
-        return told && late >= SLOW * (good + late) ? Health.SLOW : Health.WELL;
+        return told && late >= SLOW * (good + late) ? SiteHealth.SLOW : SiteHealth.WELL;
     }
 
     /** Members' sights that are kept, of no more members than these. */
--- a/src/main/java/pewtercourse/site/Health.java
+++ b/src/main/java/pewtercourse/failover/SiteHealth.java
@@ -1,7 +1,7 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 /** What is amiss at a site. */
-public enum Health {
+public enum SiteHealth {
     WELL,
     /** Its caches answer, most of them slowly. */
     SLOW,
--- a/src/main/java/pewtercourse/site/SiteObservation.java
+++ b/src/main/java/pewtercourse/failover/SiteObservation.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 /**
  * What one member saw of one site of late.
--- a/src/main/java/pewtercourse/site/SiteObservations.java
+++ b/src/main/java/pewtercourse/failover/SiteObservations.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/pewtercourse/site/Status.java
+++ b/src/main/java/pewtercourse/failover/SiteStatus.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 /**
  * What is agreed on one site.
@@ -9,7 +9,7 @@
  * @param drill an operator had it lost on purpose
  * @param entry the entry of the last change: who asks for the next one names it
  */
-public record Status(Phase phase, Health health, int step, int flaps, boolean held, boolean drill, long entry) {
+public record SiteStatus(Phase phase, SiteHealth health, int step, int flaps, boolean held, boolean drill, long entry) {
     /** Where a site stands between whole and whole again. */
     public enum Phase {
         WHOLE,
@@ -19,14 +19,14 @@
     }
 
     /** Of a site of which nothing was ever said. */
-    public static final Status WHOLE = new Status(Phase.WHOLE, Health.WELL, 0, 0, false, false, 0);
+    public static final SiteStatus WHOLE = new SiteStatus(Phase.WHOLE, SiteHealth.WELL, 0, 0, false, false, 0);
 
     /** Whether its load, or a part of it, is served elsewhere. */
     public boolean away() {
         return phase == Phase.LOST || phase == Phase.RETURNING;
     }
 
-    Status to(Phase phase, Health health, int step, int flaps, long entry) {
-        return new Status(phase, health, step, flaps, held, drill, entry);
+    SiteStatus to(Phase phase, SiteHealth health, int step, int flaps, long entry) {
+        return new SiteStatus(phase, health, step, flaps, held, drill, entry);
     }
 }
--- a/src/main/java/pewtercourse/peer/PeerSocket.java
+++ b/src/main/java/pewtercourse/gossip/PeerSocket.java
@@ -1,4 +1,4 @@
-package pewtercourse.peer;
+package pewtercourse.gossip;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/src/main/java/pewtercourse/peer/package-info.java
+++ b/src/main/java/pewtercourse/gossip/package-info.java
@@ -1,2 +1,2 @@
 /** Short messages between directors of a site. */
-package pewtercourse.peer;
+package pewtercourse.gossip;
--- a/src/main/java/pewtercourse/duty/DutyState.java
+++ b/src/main/java/pewtercourse/lease/ClusterState.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.Collections;
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import pewtercourse.duty.wire.DutyWire;
-import pewtercourse.site.FailoverState;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.lease.wire.LeaseWire;
 
 /**
  * What the members have agreed on, the same at each after the same commands: it knows no clock and draws nothing.
  * Whether a lease is over is judged by those who wait for it ({@link LeaseWatch}); here only tokens and counts decide.
  */
-public final class DutyState {
+public final class ClusterState {
     /** The duties that this version knows. Duty names are free; these give orders that are checked below. */
     public static final String MAINTENANCE = "maintenance", QUOTA = "quota", SITES = "sites";
 
@@ -31,22 +31,22 @@
      * hand it on, to {@code preferred} or, if that is empty, to whoever is best. Of nobody's duty {@code preferred} is who
      * has just handed it on, and gets it back only if there is no other.
      */
-    public record Duty(String holder, long token, long renewals, boolean moves, String preferred) {
-        static final Duty NOBODYS = of("", 0);
+    public record LeaseRecord(String holder, long token, long renewals, boolean moves, String preferred) {
+        static final LeaseRecord NOBODYS = of("", 0);
 
-        static Duty of(String holder, long token) {
-            return new Duty(holder, token, 0, false, "");
+        static LeaseRecord of(String holder, long token) {
+            return new LeaseRecord(holder, token, 0, false, "");
         }
     }
 
     /** A call to take a cache out: {@code let} once the holder of the maintenance duty has. */
-    public record Ticket(long number, String target, String zone, String by, boolean let) {}
+    public record MaintenanceRequest(long number, String target, String zone, String by, boolean let) {}
 
     /** What a director asked for, in thousandths of an equal part. */
-    public record Wish(long ask, long thousandths) {}
+    public record QuotaRequest(long ask, long thousandths) {}
 
     /** What a director got of that, and from which request. */
-    public record Loan(String to, long ask, long thousandths) {}
+    public record QuotaGrant(String to, long ask, long thousandths) {}
 
     /**
      * What became of a command. {@code why} null: it was done, or had been done before. {@code late}: a later word on the
@@ -65,61 +65,61 @@
         }
     }
 
-    private final TreeMap<String, Duty> duties = new TreeMap<>();
+    private final TreeMap<String, LeaseRecord> duties = new TreeMap<>();
     private final TreeMap<String, Long> out = new TreeMap<>(), back = new TreeMap<>();
-    private final TreeMap<Long, Ticket> tickets = new TreeMap<>();
+    private final TreeMap<Long, MaintenanceRequest> tickets = new TreeMap<>();
     private final TreeMap<String, Long> lastWords = new TreeMap<>(); // By cache: the entry of the last word on it.
-    private final TreeMap<String, Wish> wishes = new TreeMap<>();
-    private final TreeMap<Long, Loan> loans = new TreeMap<>();
+    private final TreeMap<String, QuotaRequest> wishes = new TreeMap<>();
+    private final TreeMap<Long, QuotaGrant> loans = new TreeMap<>();
     private final TreeSet<String> unwilling = new TreeSet<>(), absent = new TreeSet<>();
     private final FailoverState failover = new FailoverState();
     private long lastToken, words;
 
     /** Applies the command of the log's entry {@code index}; its number is the number of what it makes. */
-    public Result apply(long index, Command.Signed s) {
+    public Result apply(long index, Command.Envelope s) {
         Command c = s.command();
-        if (c instanceof Command.Assign a) {
+        if (c instanceof Command.AssignLease a) {
             return assign(a);
-        } else if (c instanceof Command.Renew r) {
+        } else if (c instanceof Command.RenewLease r) {
             return renew(s.by(), r);
-        } else if (c instanceof Command.HandOn h) {
+        } else if (c instanceof Command.ReleaseLease h) {
             return handOn(s.by(), h);
-        } else if (c instanceof Command.Out o) {
+        } else if (c instanceof Command.DrainCache o) {
             return word(index, o.target(), o.after(), () -> goOut(o.target(), o.atMs()));
-        } else if (c instanceof Command.Back b) {
+        } else if (c instanceof Command.ReinstateCache b) {
             return word(index, b.target(), b.after(), () -> {
                 tickets.values().removeIf(t -> t.target().equals(b.target()));
                 return comeBack(b.target(), b.atMs());
             });
-        } else if (c instanceof Command.Ask a) {
+        } else if (c instanceof Command.RequestMaintenance a) {
             return word(index, a.target(), a.after(), () -> ask(index, s.by(), a));
-        } else if (c instanceof Command.Let l) {
+        } else if (c instanceof Command.GrantMaintenance l) {
             return let(l);
-        } else if (c instanceof Command.Withdraw w) {
+        } else if (c instanceof Command.CancelMaintenance w) {
             return withdraw(s.by(), w);
-        } else if (c instanceof Command.Borrow b) {
+        } else if (c instanceof Command.RequestQuota b) {
             return borrow(index, s.by(), b);
-        } else if (c instanceof Command.Lend l) {
+        } else if (c instanceof Command.GrantQuota l) {
             return lend(index, l);
-        } else if (c instanceof Command.Settle t) {
+        } else if (c instanceof Command.ReleaseQuota t) {
             boolean holds = duty(QUOTA).token() == t.token();
             return !holds
                     ? new Result("an older token")
                     : loans.remove(t.loan()) == null ? new Result("settled before") : Result.DONE;
-        } else if (c instanceof Command.Standing t) {
+        } else if (c instanceof Command.SetEligibility t) {
             return among(unwilling, s.by(), !t.willing());
-        } else if (c instanceof Command.Prefer p) {
+        } else if (c instanceof Command.RequestTransfer p) {
             return prefer(p);
-        } else if (c instanceof Command.Absent a) {
+        } else if (c instanceof Command.ReportAbsence a) {
             return among(absent, a.member(), a.absent());
         }
         return sites(index, c);
     }
 
     private Result sites(long index, Command c) {
-        if (c instanceof Command.Sighted) {
+        if (c instanceof Command.ReportSiteObservation) {
             return Result.DONE;
-        } else if (c instanceof Command.Declare d) {
+        } else if (c instanceof Command.ChangeSiteStatus d) {
             return duty(SITES).token() != d.token()
                     ? new Result("an older token")
                     : failover.declare(
@@ -132,15 +132,15 @@
                                     d.what().after())
                             ? Result.DONE
                             : new Result("another change of this site came first");
-        } else if (c instanceof Command.Planned p) {
+        } else if (c instanceof Command.PublishFailoverPlan p) {
             if (duty(SITES).token() != p.token()) {
                 return new Result("an older token");
             }
             failover.plan(p.plan());
             return Result.DONE;
-        } else if (c instanceof Command.HoldSite h) {
+        } else if (c instanceof Command.PauseSiteRecovery h) {
             return failover.hold(index, h.site(), h.on(), h.after()) ? Result.DONE : Result.LATE;
-        } else if (c instanceof Command.Drill d) {
+        } else if (c instanceof Command.StartFailoverDrill d) {
             return failover.drill(index, d.site(), d.after()) ? Result.DONE : Result.LATE;
         }
         throw new IllegalArgumentException(c.toString());
@@ -152,44 +152,44 @@
                 : new Result("known");
     }
 
-    // ---- Duties ----
+    // ---- LeaseManager ----
 
-    private Result assign(Command.Assign a) {
-        Duty d = duty(a.duty());
+    private Result assign(Command.AssignLease a) {
+        LeaseRecord d = duty(a.duty());
         if (d.token() != a.token() || d.renewals() != a.renewals()) {
             return new Result("renewed or assigned meanwhile");
         }
-        duties.put(a.duty(), Duty.of(a.to(), ++lastToken));
+        duties.put(a.duty(), LeaseRecord.of(a.to(), ++lastToken));
         return Result.DONE;
     }
 
-    private Result renew(String by, Command.Renew r) {
-        Duty d = duty(r.duty());
+    private Result renew(String by, Command.RenewLease r) {
+        LeaseRecord d = duty(r.duty());
         if (d.token() != r.token() || !d.holder().equals(by)) {
             return new Result("an older token");
         }
         if (d.renewals() != r.renewals()) {
             return new Result("renewed before");
         }
-        duties.put(r.duty(), new Duty(by, d.token(), d.renewals() + 1, d.moves(), d.preferred()));
+        duties.put(r.duty(), new LeaseRecord(by, d.token(), d.renewals() + 1, d.moves(), d.preferred()));
         return Result.DONE;
     }
 
-    private Result handOn(String by, Command.HandOn h) {
-        Duty d = duty(h.duty());
+    private Result handOn(String by, Command.ReleaseLease h) {
+        LeaseRecord d = duty(h.duty());
         if (d.token() != h.token() || !d.holder().equals(by)) {
             return new Result("an older token");
         }
-        duties.put(h.duty(), new Duty(h.to(), ++lastToken, 0, false, h.to().isEmpty() ? by : ""));
+        duties.put(h.duty(), new LeaseRecord(h.to(), ++lastToken, 0, false, h.to().isEmpty() ? by : ""));
         return Result.DONE;
     }
 
-    private Result prefer(Command.Prefer p) {
-        Duty d = duty(p.duty());
+    private Result prefer(Command.RequestTransfer p) {
+        LeaseRecord d = duty(p.duty());
         if (d.token() != p.token() || d.holder().isEmpty()) {
             return new Result("an older token");
         }
-        duties.put(p.duty(), new Duty(d.holder(), d.token(), d.renewals(), true, p.to()));
+        duties.put(p.duty(), new LeaseRecord(d.holder(), d.token(), d.renewals(), true, p.to()));
         return Result.DONE;
     }
 
@@ -239,19 +239,19 @@
 
     // ---- Maintenance ----
 
-    private Result ask(long index, String by, Command.Ask a) {
+    private Result ask(long index, String by, Command.RequestMaintenance a) {
         if (out.containsKey(a.target()) || ticketOf(a.target()) != null) {
             return Result.DONE;
         }
         if (tickets.size() >= TICKETS_MOST) {
             return new Result(TICKETS_MOST + " calls wait or are out");
         }
-        tickets.put(index, new Ticket(index, a.target(), a.zone(), by, false));
+        tickets.put(index, new MaintenanceRequest(index, a.target(), a.zone(), by, false));
         return Result.DONE;
     }
 
-    private Result let(Command.Let l) {
-        Ticket t = tickets.get(l.ticket());
+    private Result let(Command.GrantMaintenance l) {
+        MaintenanceRequest t = tickets.get(l.ticket());
         if (duty(MAINTENANCE).token() != l.token()) {
             return new Result("an older token");
         }
@@ -260,13 +260,13 @@
         }
         Result done = goOut(l.target(), l.atMs());
         if (done.done()) {
-            tickets.put(l.ticket(), new Ticket(t.number(), t.target(), t.zone(), t.by(), true));
+            tickets.put(l.ticket(), new MaintenanceRequest(t.number(), t.target(), t.zone(), t.by(), true));
         }
         return done;
     }
 
-    private Result withdraw(String by, Command.Withdraw w) {
-        Ticket t = tickets.get(w.ticket());
+    private Result withdraw(String by, Command.CancelMaintenance w) {
+        MaintenanceRequest t = tickets.get(w.ticket());
         if (t == null || !t.target().equals(w.target())) {
             return new Result("withdrawn before");
         }
@@ -282,20 +282,20 @@
 
     // ---- Quota ----
 
-    private Result borrow(long index, String by, Command.Borrow b) {
+    private Result borrow(long index, String by, Command.RequestQuota b) {
         if (wishes.size() >= WISHES_MOST && !wishes.containsKey(by)) {
             return new Result("too many wishes");
         }
         if (b.thousandths() <= 0) {
             wishes.remove(by);
         } else {
-            wishes.put(by, new Wish(index, b.thousandths()));
+            wishes.put(by, new QuotaRequest(index, b.thousandths()));
         }
         return Result.DONE;
     }
 
-    private Result lend(long index, Command.Lend l) {
-        Wish w = wishes.get(l.to());
+    private Result lend(long index, Command.GrantQuota l) {
+        QuotaRequest w = wishes.get(l.to());
         if (duty(QUOTA).token() != l.token()) {
             return new Result("an older token");
         }
@@ -306,18 +306,18 @@
             return new Result("over what may be lent");
         }
         wishes.remove(l.to());
-        loans.put(index, new Loan(l.to(), l.ask(), l.thousandths()));
+        loans.put(index, new QuotaGrant(l.to(), l.ask(), l.thousandths()));
         return Result.DONE;
     }
 
     // ---- What is known ----
 
     /** Nobody's with token 0 if it was never assigned. */
-    public Duty duty(String name) {
-        return duties.getOrDefault(name, Duty.NOBODYS);
+    public LeaseRecord duty(String name) {
+        return duties.getOrDefault(name, LeaseRecord.NOBODYS);
     }
 
-    public SortedMap<String, Duty> duties() {
+    public SortedMap<String, LeaseRecord> duties() {
         return Collections.unmodifiableSortedMap(duties);
     }
 
@@ -342,27 +342,27 @@
     }
 
     /** In the order in which they were asked for. */
-    public SortedMap<Long, Ticket> tickets() {
+    public SortedMap<Long, MaintenanceRequest> tickets() {
         return Collections.unmodifiableSortedMap(tickets);
     }
 
-    public Ticket ticketOf(String target) {
+    public MaintenanceRequest ticketOf(String target) {
         return tickets.values().stream()
                 .filter(t -> t.target().equals(target))
                 .findFirst()
                 .orElse(null);
     }
 
-    public Map<String, Wish> wishes() {
+    public Map<String, QuotaRequest> wishes() {
         return Collections.unmodifiableMap(wishes);
     }
 
-    public SortedMap<Long, Loan> loans() {
+    public SortedMap<Long, QuotaGrant> loans() {
         return Collections.unmodifiableSortedMap(loans);
     }
 
     public long lent() {
-        return loans.values().stream().mapToLong(Loan::thousandths).sum();
+        return loans.values().stream().mapToLong(QuotaGrant::thousandths).sum();
     }
 
     /** What is agreed on the sites. */
@@ -383,61 +383,63 @@
     // ---- Snapshots ----
 
     public byte[] encode() {
-        DutyWire.State.Builder b = DutyWire.State.newBuilder()
+        LeaseWire.State.Builder b = LeaseWire.State.newBuilder()
                 .setLastToken(lastToken)
                 .addAllUnwilling(unwilling)
                 .addAllAbsent(absent);
-        duties.forEach((name, d) -> b.addDuty(DutyWire.Duty.newBuilder()
+        duties.forEach((name, d) -> b.addDuty(LeaseWire.Duty.newBuilder()
                 .setName(WireNames.toWire(name))
                 .setHolder(d.holder())
                 .setToken(d.token())
                 .setRenewals(d.renewals())
                 .setMoves(d.moves())
                 .setPreferred(d.preferred())));
-        out.forEach(
-                (name, at) -> b.addOut(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
+        out.forEach((name, at) ->
+                b.addOut(LeaseWire.Named.newBuilder().setName(name).setAtMs(at)));
         back.forEach((name, at) ->
-                b.addBack(DutyWire.Named.newBuilder().setName(name).setAtMs(at)));
+                b.addBack(LeaseWire.Named.newBuilder().setName(name).setAtMs(at)));
         lastWords.forEach((name, entry) ->
-                b.addWord(DutyWire.Word.newBuilder().setTarget(name).setEntry(entry)));
+                b.addWord(LeaseWire.Word.newBuilder().setTarget(name).setEntry(entry)));
         tickets.values()
-                .forEach(t -> b.addTicket(DutyWire.Ticket.newBuilder()
+                .forEach(t -> b.addTicket(LeaseWire.Ticket.newBuilder()
                         .setNumber(t.number())
                         .setTarget(t.target())
                         .setZone(t.zone())
                         .setBy(t.by())
                         .setLet(t.let())));
         wishes.forEach((by, w) ->
-                b.addWish(DutyWire.Wish.newBuilder().setBy(by).setAsk(w.ask()).setThousandths(w.thousandths())));
-        loans.forEach((n, l) -> b.addLoan(DutyWire.Loan.newBuilder()
+                b.addWish(LeaseWire.Wish.newBuilder().setBy(by).setAsk(w.ask()).setThousandths(w.thousandths())));
+        loans.forEach((n, l) -> b.addLoan(LeaseWire.Loan.newBuilder()
                 .setNumber(n)
                 .setTo(l.to())
                 .setAsk(l.ask())
                 .setThousandths(l.thousandths())));
-        SiteCodec.encode(failover, b);
+        FailoverCodec.encode(failover, b);
         return b.build().toByteArray();
     }
 
     /** Of no bytes: the state at the founding. */
-    public static DutyState decode(byte[] bytes) throws InvalidProtocolBufferException {
-        DutyWire.State s = DutyWire.State.parseFrom(bytes);
-        DutyState d = new DutyState();
+    public static ClusterState decode(byte[] bytes) throws InvalidProtocolBufferException {
+        LeaseWire.State s = LeaseWire.State.parseFrom(bytes);
+        ClusterState d = new ClusterState();
         d.lastToken = s.getLastToken();
         d.unwilling.addAll(s.getUnwillingList());
         d.absent.addAll(s.getAbsentList());
         s.getDutyList()
                 .forEach(x -> d.duties.put(
                         WireNames.fromWire(x.getName()),
-                        new Duty(x.getHolder(), x.getToken(), x.getRenewals(), x.getMoves(), x.getPreferred())));
+                        new LeaseRecord(x.getHolder(), x.getToken(), x.getRenewals(), x.getMoves(), x.getPreferred())));
         s.getOutList().forEach(x -> d.out.put(x.getName(), x.getAtMs()));
         s.getBackList().forEach(x -> d.back.put(x.getName(), x.getAtMs()));
         s.getWordList().forEach(x -> d.lastWords.put(x.getTarget(), x.getEntry()));
         s.getTicketList()
                 .forEach(t -> d.tickets.put(
-                        t.getNumber(), new Ticket(t.getNumber(), t.getTarget(), t.getZone(), t.getBy(), t.getLet())));
-        s.getWishList().forEach(w -> d.wishes.put(w.getBy(), new Wish(w.getAsk(), w.getThousandths())));
-        s.getLoanList().forEach(l -> d.loans.put(l.getNumber(), new Loan(l.getTo(), l.getAsk(), l.getThousandths())));
-        SiteCodec.decode(s, d.failover);
+                        t.getNumber(),
+                        new MaintenanceRequest(t.getNumber(), t.getTarget(), t.getZone(), t.getBy(), t.getLet())));
+        s.getWishList().forEach(w -> d.wishes.put(w.getBy(), new QuotaRequest(w.getAsk(), w.getThousandths())));
+        s.getLoanList()
+                .forEach(l -> d.loans.put(l.getNumber(), new QuotaGrant(l.getTo(), l.getAsk(), l.getThousandths())));
+        FailoverCodec.decode(s, d.failover);
         return d;
     }
 }
--- a/src/main/java/pewtercourse/duty/SiteCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
@@ -6,22 +6,22 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import pewtercourse.duty.wire.DutyWire;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.FailoverState;
-import pewtercourse.site.Health;
-import pewtercourse.site.Plan;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Status;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.SiteHealth;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.lease.wire.LeaseWire;
 
 /** Between what is agreed on sites and its form in the log. */
-final class SiteCodec {
-    private SiteCodec() {}
+final class FailoverCodec {
+    private FailoverCodec() {}
 
-    static DutyWire.Sighted encode(Command.Sighted t) {
-        DutyWire.Sighted.Builder b = DutyWire.Sighted.newBuilder();
+    static LeaseWire.Sighted encode(Command.ReportSiteObservation t) {
+        LeaseWire.Sighted.Builder b = LeaseWire.Sighted.newBuilder();
         new TreeMap<>(t.siteObservations())
-                .forEach((site, s) -> b.addSight(DutyWire.Sight.newBuilder()
+                .forEach((site, s) -> b.addSight(LeaseWire.Sight.newBuilder()
                         .setSite(site)
                         .setUsual(s.usual())
                         .setReady(s.ready())
@@ -35,7 +35,7 @@
         return b.build();
     }
 
-    static Command.Sighted decode(DutyWire.Sighted t) {
+    static Command.ReportSiteObservation decode(LeaseWire.Sighted t) {
         Map<String, SiteObservation> siteObservations = new TreeMap<>();
         t.getSightList()
                 .forEach(s -> siteObservations.put(
@@ -50,12 +50,12 @@
                                 s.getBad(),
                                 s.getRefused(),
                                 s.getLoad())));
-        return new Command.Sighted(siteObservations);
+        return new Command.ReportSiteObservation(siteObservations);
     }
 
-    static DutyWire.Declare encode(Command.Declare d) {
+    static LeaseWire.Declare encode(Command.ChangeSiteStatus d) {
         FailoverController.Declaration w = d.what();
-        return DutyWire.Declare.newBuilder()
+        return LeaseWire.Declare.newBuilder()
                 .setSite(w.site())
                 .setPhase(w.phase().name())
                 .setHealth(w.health().name())
@@ -66,12 +66,12 @@
                 .build();
     }
 
-    static Command.Declare decode(DutyWire.Declare d) throws InvalidProtocolBufferException {
-        return new Command.Declare(
+    static Command.ChangeSiteStatus decode(LeaseWire.Declare d) throws InvalidProtocolBufferException {
+        return new Command.ChangeSiteStatus(
                 new FailoverController.Declaration(
                         d.getSite(),
-                        one(Status.Phase.class, d.getPhase()),
-                        one(Health.class, d.getHealth()),
+                        one(SiteStatus.Phase.class, d.getPhase()),
+                        one(SiteHealth.class, d.getHealth()),
                         d.getStep(),
                         d.getFlaps(),
                         d.getAfter()),
@@ -86,15 +86,15 @@
         }
     }
 
-    static DutyWire.Plan encode(Plan p) {
-        DutyWire.Plan.Builder b = DutyWire.Plan.newBuilder();
+    static LeaseWire.Plan encode(FailoverPlan p) {
+        LeaseWire.Plan.Builder b = LeaseWire.Plan.newBuilder();
         p.cases().forEach((key, shares) -> {
-            DutyWire.Case.Builder c = DutyWire.Case.newBuilder().setKey(key);
+            LeaseWire.Case.Builder c = LeaseWire.Case.newBuilder().setKey(key);
             shares.forEach((site, s) -> {
-                DutyWire.Shares.Builder of =
-                        DutyWire.Shares.newBuilder().setSite(site).setRefused(s.refused());
+                LeaseWire.Shares.Builder of =
+                        LeaseWire.Shares.newBuilder().setSite(site).setRefused(s.refused());
                 s.parts()
-                        .forEach(x -> of.addPart(DutyWire.Part.newBuilder()
+                        .forEach(x -> of.addPart(LeaseWire.Part.newBuilder()
                                 .setSite(x.site())
                                 .setWork(x.work())
                                 .setMost(x.most())));
@@ -105,23 +105,23 @@
         return b.build();
     }
 
-    static Plan decode(DutyWire.Plan p) {
-        SortedMap<String, SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+    static FailoverPlan decode(LeaseWire.Plan p) {
+        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
         p.getCaseList().forEach(c -> {
-            SortedMap<String, Plan.Shares> shares = new TreeMap<>();
+            SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
             c.getSharesList().forEach(s -> {
-                List<Plan.Part> parts = new ArrayList<>();
-                s.getPartList().forEach(x -> parts.add(new Plan.Part(x.getSite(), x.getWork(), x.getMost())));
-                shares.put(s.getSite(), new Plan.Shares(parts, s.getRefused()));
+                List<FailoverPlan.Part> parts = new ArrayList<>();
+                s.getPartList().forEach(x -> parts.add(new FailoverPlan.Part(x.getSite(), x.getWork(), x.getMost())));
+                shares.put(s.getSite(), new FailoverPlan.Shares(parts, s.getRefused()));
             });
             cases.put(c.getKey(), shares);
         });
-        return new Plan(cases);
+        return new FailoverPlan(cases);
     }
 
-    static void encode(FailoverState failover, DutyWire.State.Builder to) {
+    static void encode(FailoverState failover, LeaseWire.State.Builder to) {
         failover.statuses()
-                .forEach((site, s) -> to.addSite(DutyWire.SiteStatus.newBuilder()
+                .forEach((site, s) -> to.addSite(LeaseWire.SiteStatus.newBuilder()
                         .setSite(site)
                         .setPhase(s.phase().name())
                         .setHealth(s.health().name())
@@ -133,13 +133,13 @@
         to.setPlan(encode(failover.plan()));
     }
 
-    static void decode(DutyWire.State from, FailoverState to) throws InvalidProtocolBufferException {
-        for (DutyWire.SiteStatus s : from.getSiteList()) {
+    static void decode(LeaseWire.State from, FailoverState to) throws InvalidProtocolBufferException {
+        for (LeaseWire.SiteStatus s : from.getSiteList()) {
             to.restore(
                     s.getSite(),
-                    new Status(
-                            one(Status.Phase.class, s.getPhase()),
-                            one(Health.class, s.getHealth()),
+                    new SiteStatus(
+                            one(SiteStatus.Phase.class, s.getPhase()),
+                            one(SiteHealth.class, s.getHealth()),
                             s.getStep(),
                             s.getFlaps(),
                             s.getHeld(),
--- a/src/main/java/pewtercourse/duty/Lease.java
+++ b/src/main/java/pewtercourse/lease/Lease.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -12,12 +12,12 @@
     private static final int PENDING_MOST = 16;
 
     final long token;
-    private final DutySettings set;
+    private final LeaseSettings set;
     private final Map<Long, Long> asked = new LinkedHashMap<>(); // By the number of the command: when.
     private long until = Long.MIN_VALUE, renewAt = Long.MIN_VALUE, handOnAt = Long.MIN_VALUE;
     private boolean handedOn;
 
-    Lease(DutySettings set, long token) {
+    Lease(LeaseSettings set, long token) {
         this.set = set;
         this.token = token;
     }
--- a/src/main/java/pewtercourse/duty/Assigner.java
+++ b/src/main/java/pewtercourse/lease/LeaseAssigner.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -15,16 +15,16 @@
  * Ravishankar, 1998) with no more than an equal share for each, and moves one back only to a member that it has heard
  * without a break for long.
  */
-final class Assigner {
+final class LeaseAssigner {
     // Of a lease: unheard for so long a member counts as absent; heard for so long it counts again, and gets duties
     // back.
     private static final double ABSENT_LEASES = 2, PRESENT_LEASES = 1, SETTLED_LEASES = 10;
 
-    private final DutySettings set;
+    private final LeaseSettings set;
     private final Map<String, Long> heardSince = new HashMap<>(), unheardSince = new HashMap<>();
     private final Map<String, Long> orderedAt = new HashMap<>(); // By order: when it was last given.
 
-    Assigner(DutySettings set) {
+    LeaseAssigner(LeaseSettings set) {
         this.set = set;
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** {@code heard}: who answered of late; {@code members}: who there is. */
-    List<Command> orders(long now, DutyState state, LeaseWatch watch, Set<String> members, Set<String> heard) {
+    List<Command> orders(long now, ClusterState state, LeaseWatch watch, Set<String> members, Set<String> heard) {
         note(now, members, heard);
         List<Command> orders = new ArrayList<>();
         orderedAt.values().removeIf(at -> now - at >= set.again());
@@ -44,12 +44,12 @@
             boolean absent = state.absent().contains(m);
             Long since = absent ? heardSince.get(m) : unheardSince.get(m);
             if (since != null && now - since > (absent ? PRESENT_LEASES : ABSENT_LEASES) * set.lease()) {
-                order(now, orders, "absent " + m, new Command.Absent(m, !absent));
+                order(now, orders, "absent " + m, new Command.ReportAbsence(m, !absent));
             }
         }
         for (String m : state.absent()) {
             if (!members.contains(m)) {
-                order(now, orders, "absent " + m, new Command.Absent(m, false)); // It was removed.
+                order(now, orders, "absent " + m, new Command.ReportAbsence(m, false)); // It was removed.
             }
         }
         Set<String> able = new TreeSet<>(heard);
@@ -60,7 +60,7 @@
         }
         Map<String, String> now0 = holders(state);
         for (String name : new TreeSet<>(set.names())) {
-            DutyState.Duty d = state.duty(name);
+            ClusterState.LeaseRecord d = state.duty(name);
             if (vacant(now, name, d, watch)) {
                 Map<String, String> others = new TreeMap<>(now0);
                 others.remove(name);
@@ -70,7 +70,7 @@
                     but.remove(d.holder().isEmpty() ? d.preferred() : d.holder());
                 }
                 String to = best(name, but, others);
-                if (order(now, orders, "assign " + name, new Command.Assign(name, to, d.token(), d.renewals()))) {
+                if (order(now, orders, "assign " + name, new Command.AssignLease(name, to, d.token(), d.renewals()))) {
                     now0.put(name, to);
                 }
             }
@@ -79,13 +79,13 @@
         return orders;
     }
 
-    private boolean vacant(long now, String name, DutyState.Duty d, LeaseWatch watch) {
+    private boolean vacant(long now, String name, ClusterState.LeaseRecord d, LeaseWatch watch) {
         // One that was assigned and not taken up holds no lease: only a renewal, which the log refuses from then on,
         // begins one.
         return d.holder().isEmpty() || watch.age(now, name) > (d.renewals() == 0 ? 2 * set.again() : set.waited());
     }
 
-    private static Map<String, String> holders(DutyState state) {
+    private static Map<String, String> holders(ClusterState state) {
         Map<String, String> holders = new TreeMap<>();
         state.duties().forEach((name, d) -> {
             if (!d.holder().isEmpty()) {
@@ -96,11 +96,12 @@
     }
 
     // At most one move at a time, to a member that has been heard for long.
-    private void move(long now, DutyState state, Set<String> able, Map<String, String> holders, List<Command> orders) {
+    private void move(
+            long now, ClusterState state, Set<String> able, Map<String, String> holders, List<Command> orders) {
         Set<String> settled = new TreeSet<>(able);
         settled.removeIf(m -> now - heardSince.getOrDefault(m, now) < SETTLED_LEASES * set.lease());
         boolean quiet = set.names().stream().allMatch(n -> {
-            DutyState.Duty d = state.duty(n);
+            ClusterState.LeaseRecord d = state.duty(n);
             return !d.moves() && d.renewals() > 0 && able.contains(d.holder());
         });
         if (!quiet || !settled.containsAll(able)) {
@@ -116,7 +117,8 @@
                         now,
                         orders,
                         "move",
-                        new Command.Prefer(w.getKey(), state.duty(w.getKey()).token(), w.getValue()));
+                        new Command.RequestTransfer(
+                                w.getKey(), state.duty(w.getKey()).token(), w.getValue()));
                 return;
             }
         }
--- a/src/main/java/pewtercourse/duty/Duties.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,27 +9,27 @@
 import java.util.function.Function;
 import java.util.function.LongBinaryOperator;
 import java.util.function.ToIntFunction;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.Plan;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Sites;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.Sites;
 
 /**
  * One member's part in the duties: what was agreed comes in, in order, and what it wishes to have agreed goes out. It
  * knows no sockets and reads no clock: {@code now} is microseconds of this member's own monotonic clock. What is asked
  * for may be lost; it is asked for again.
  */
-public final class Duties {
+public final class LeaseManager {
     /** What a member sees around it at a tick. {@code heard} is null where it does not lead. */
     public record View(Set<String> members, Set<String> heard, long unixMs) {}
 
     /** A director's loan, by its own clock: {@code until} it may use the amount. */
     private record MyLoan(long until, long thousandths) {}
 
-    private final DutySettings set;
+    private final LeaseSettings set;
     private final String self;
     private final LeaseWatch watch = new LeaseWatch();
-    private final Assigner assigner;
+    private final LeaseAssigner assigner;
     private final MaintenanceBudget maintenanceBudget;
     private final QuotaAllocator quotaAllocator;
     private FailoverController failoverController; // Null where sites are not kept.
@@ -37,14 +37,14 @@
     private final Map<Long, Long> askedLoan = new HashMap<>(); // By the number of the command: when.
     private final Map<Long, Long> myAsks = new HashMap<>(); // By the entry of the wish: when it was asked for.
     private final Map<Long, MyLoan> myLoans = new TreeMap<>();
-    private DutyState state = new DutyState();
+    private ClusterState state = new ClusterState();
     private long nextId, borrowAt = Long.MIN_VALUE, standingAt = Long.MIN_VALUE, acts;
     private boolean willing = true;
     private LongBinaryOperator from = (asked, answered) -> asked;
 
     /** {@code firstId}: numbers of commands begin there; drawn at random, so that two runs' do not meet. */
-    public Duties(
-            DutySettings set,
+    public LeaseManager(
+            LeaseSettings set,
             String self,
             long firstId,
             Function<String, String> zoneOf,
@@ -52,7 +52,7 @@
         this.set = set;
         this.self = self;
         this.nextId = firstId;
-        this.assigner = new Assigner(set);
+        this.assigner = new LeaseAssigner(set);
         this.maintenanceBudget = new MaintenanceBudget(set, zoneOf, zoneSize);
         this.quotaAllocator = new QuotaAllocator(set);
     }
@@ -65,19 +65,19 @@
     }
 
     /** What this member has seen of sites of late. */
-    public Command.Signed sighted(Map<String, SiteObservation> siteObservations) {
-        return sign(new Command.Sighted(siteObservations));
+    public Command.Envelope sighted(Map<String, SiteObservation> siteObservations) {
+        return sign(new Command.ReportSiteObservation(siteObservations));
     }
 
     /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
     public FailoverController.Question question(long now) {
-        return failoverController == null || token(DutyState.SITES, now) == 0
+        return failoverController == null || token(ClusterState.SITES, now) == 0
                 ? null
                 : failoverController.question(now, state.failover());
     }
 
     /** The plan for the last {@link #question}. */
-    public void planned(long now, Plan plan) {
+    public void planned(long now, FailoverPlan plan) {
         if (failoverController != null) {
             failoverController.answered(now, plan);
         }
@@ -95,12 +95,12 @@
         from = other;
     }
 
-    public DutyState state() {
+    public ClusterState state() {
         return state;
     }
 
     /** A snapshot takes the place of the state. */
-    public void restored(long now, DutyState to) {
+    public void restored(long now, ClusterState to) {
         state = to;
         myLoans.clear(); // By whose wish they came is not known any more.
         myAsks.clear();
@@ -108,23 +108,25 @@
     }
 
     /** The next entry was agreed. */
-    public DutyState.Result applied(long now, long index, Command.Signed s) {
-        DutyState.Result r = state.apply(index, s);
+    public ClusterState.Result applied(long now, long index, Command.Envelope s) {
+        ClusterState.Result r = state.apply(index, s);
         if (r.done()) {
-            if (s.command() instanceof Command.Renew n
+            if (s.command() instanceof Command.RenewLease n
                     && s.by().equals(self)
                     && mine.containsKey(n.duty())
                     && mine.get(n.duty()).token == n.token()) {
                 mine.get(n.duty()).renewed(s.id(), asked -> from.applyAsLong(asked, now));
-            } else if (s.command() instanceof Command.Borrow && s.by().equals(self)) {
+            } else if (s.command() instanceof Command.RequestQuota && s.by().equals(self)) {
                 Long at = askedLoan.remove(s.id());
                 if (at != null) {
                     myAsks.clear();
                     myAsks.put(index, at);
                 }
-            } else if (s.command() instanceof Command.Sighted t && failoverController != null) {
+            } else if (s.command() instanceof Command.ReportSiteObservation t && failoverController != null) {
                 failoverController.detector().see(now, s.by(), t.siteObservations());
-            } else if (s.command() instanceof Command.Lend l && l.to().equals(self) && set.quotaAllocator() != null) {
+            } else if (s.command() instanceof Command.GrantQuota l
+                    && l.to().equals(self)
+                    && set.quotaAllocator() != null) {
                 Long at = myAsks.remove(l.ask());
                 if (at != null) {
                     myLoans.put(
@@ -184,8 +186,8 @@
         standingAt = Long.MIN_VALUE;
     }
 
-    public Command.Signed sign(Command c) {
-        return new Command.Signed(self, nextId++, c);
+    public Command.Envelope sign(Command c) {
+        return new Command.Envelope(self, nextId++, c);
     }
 
     /**
@@ -201,34 +203,34 @@
     }
 
     /** It could use so many thousandths more; null where there is nothing to ask for, or it was asked just now. */
-    public Command.Signed borrow(long now, long thousandths) {
+    public Command.Envelope borrow(long now, long thousandths) {
         if (set.quotaAllocator() == null || now < borrowAt) {
             return null;
         }
-        DutyState.Wish wish = state.wishes().get(self);
+        ClusterState.QuotaRequest wish = state.wishes().get(self);
         if (thousandths <= 0 && wish == null) {
             return null;
         }
         borrowAt = now + set.again();
         askedLoan.clear();
-        Command.Signed s = sign(new Command.Borrow(thousandths));
+        Command.Envelope s = sign(new Command.RequestQuota(thousandths));
         askedLoan.put(s.id(), now);
         return s;
     }
 
     /** What this member wishes to have agreed now. Called every few milliseconds, and after what was applied. */
-    public List<Command.Signed> tick(long now, View view) {
+    public List<Command.Envelope> tick(long now, View view) {
         List<Command> orders = new ArrayList<>();
         if (willing == state.unwilling().contains(self) && now >= standingAt) {
             standingAt = now + set.again();
-            orders.add(new Command.Standing(willing));
+            orders.add(new Command.SetEligibility(willing));
         }
         if (view.heard() == null) {
             assigner.reset();
         } else {
             orders.addAll(assigner.orders(now, state, watch, view.members(), view.heard()));
         }
-        List<Command.Signed> signed = new ArrayList<>();
+        List<Command.Envelope> signed = new ArrayList<>();
         orders.forEach(c -> signed.add(sign(c)));
         mine.forEach((name, lease) -> hold(now, name, lease, signed));
         // Checked here, right before: it may have been stopped for long since the last time.
@@ -238,36 +240,36 @@
         return signed;
     }
 
-    private void act(List<Command.Signed> signed, List<Command> orders) {
+    private void act(List<Command.Envelope> signed, List<Command> orders) {
         acts += orders.size();
         orders.forEach(c -> signed.add(sign(c)));
     }
 
-    private void hold(long now, String name, Lease lease, List<Command.Signed> signed) {
-        DutyState.Duty d = state.duty(name);
+    private void hold(long now, String name, Lease lease, List<Command.Envelope> signed) {
+        ClusterState.LeaseRecord d = state.duty(name);
         boolean leave = !willing || d.moves() && !d.preferred().equals(self);
         if (leave) {
             lease.handOn();
         }
         if ((leave || lease.handedOn()) && lease.again(now)) {
             String to = d.moves() && !state.unwilling().contains(d.preferred()) ? d.preferred() : "";
-            signed.add(sign(new Command.HandOn(name, lease.token, to)));
+            signed.add(sign(new Command.ReleaseLease(name, lease.token, to)));
         } else if (!leave && lease.due(now)) {
-            Command.Signed s = sign(new Command.Renew(name, lease.token, d.renewals()));
+            Command.Envelope s = sign(new Command.RenewLease(name, lease.token, d.renewals()));
             lease.ask(now, s.id());
             signed.add(s);
         }
     }
 
     private List<Command> maintenanceBudget(long now, View view) {
-        long token = token(DutyState.MAINTENANCE, now);
+        long token = token(ClusterState.MAINTENANCE, now);
         return token == 0 || set.maintenanceBudget() == null
                 ? List.of()
                 : maintenanceBudget.orders(now, view.unixMs(), token, state);
     }
 
     private List<Command> sites(long now, View view) {
-        long token = token(DutyState.SITES, now);
+        long token = token(ClusterState.SITES, now);
         if (token == 0 || failoverController == null) {
             return List.of();
         }
@@ -275,16 +277,16 @@
         List<Command> orders = new ArrayList<>();
         failoverController
                 .orders(now, state.failover(), state.absent())
-                .forEach(d -> orders.add(new Command.Declare(d, token)));
-        Plan plan = failoverController.planned(state.failover());
+                .forEach(d -> orders.add(new Command.ChangeSiteStatus(d, token)));
+        FailoverPlan plan = failoverController.planned(state.failover());
         if (plan != null) {
-            orders.add(new Command.Planned(plan, token));
+            orders.add(new Command.PublishFailoverPlan(plan, token));
         }
         return orders;
     }
 
     private List<Command> quotaAllocator(long now, View view) {
-        long token = token(DutyState.QUOTA, now);
+        long token = token(ClusterState.QUOTA, now);
         return token == 0 || set.quotaAllocator() == null
                 ? List.of()
                 : quotaAllocator.orders(now, token, state, view.members().size());
--- a/src/main/java/pewtercourse/duty/DutySettings.java
+++ b/src/main/java/pewtercourse/lease/LeaseSettings.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.Set;
 
@@ -7,7 +7,7 @@
  * difference of two members' clock rates, as a share; {@code again}: after how long an order that showed no effect is
  * given again; {@code names}: the duties that are given out. {@code maintenanceBudget} and {@code quotaAllocator} may be null.
  */
-public record DutySettings(
+public record LeaseSettings(
         long lease,
         double drift,
         long again,
--- a/src/main/java/pewtercourse/duty/LeaseWatch.java
+++ b/src/main/java/pewtercourse/lease/LeaseWatch.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -13,7 +13,7 @@
     private final Map<String, Seen> seen = new HashMap<>();
 
     /** The state after an entry was applied at {@code now}, or was found at a start. */
-    void see(long now, DutyState state) {
+    void see(long now, ClusterState state) {
         state.duties().forEach((name, d) -> {
             Seen s = seen.get(name);
             if (s == null || s.token() != d.token() || s.renewals() != d.renewals()) {
--- a/src/main/java/pewtercourse/duty/QuotaAllocator.java
+++ b/src/main/java/pewtercourse/lease/QuotaAllocator.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,11 +14,11 @@
 final class QuotaAllocator {
     private static final long WHOLE = 1_000; // One director's part, in thousandths.
 
-    private final DutySettings set;
+    private final LeaseSettings set;
     private final Map<Long, Long> seen = new HashMap<>(), settledAt = new HashMap<>(); // By loan.
     private final Map<Long, Long> lentAt = new HashMap<>(); // By wish.
 
-    QuotaAllocator(DutySettings set) {
+    QuotaAllocator(LeaseSettings set) {
         this.set = set;
     }
 
@@ -27,19 +27,19 @@
         return members * (WHOLE - set.quotaAllocator().reserve());
     }
 
-    void see(long now, DutyState state) {
+    void see(long now, ClusterState state) {
         seen.keySet().retainAll(state.loans().keySet());
         state.loans().keySet().forEach(n -> seen.putIfAbsent(n, now));
     }
 
-    List<Command> orders(long now, long token, DutyState state, int members) {
+    List<Command> orders(long now, long token, ClusterState state, int members) {
         List<Command> orders = new ArrayList<>();
         settledAt.values().removeIf(at -> now - at >= set.again());
         lentAt.values().removeIf(at -> now - at >= set.again());
         long back = (long) (set.quotaAllocator().loan() * (1 + set.drift()));
         state.loans().forEach((n, loan) -> {
             if (now - seen.getOrDefault(n, now) > back && settledAt.putIfAbsent(n, now) == null) {
-                orders.add(new Command.Settle(n, token));
+                orders.add(new Command.ReleaseQuota(n, token));
             }
         });
         Map<String, Long> wishes = new TreeMap<>(), has = new TreeMap<>();
@@ -53,7 +53,7 @@
         divide(wishes, has, pool).forEach((m, amount) -> {
             long ask = state.wishes().get(m).ask();
             if (amount > 0 && lentAt.putIfAbsent(ask, now) == null) {
-                orders.add(new Command.Lend(m, ask, amount, token, pool));
+                orders.add(new Command.GrantQuota(m, ask, amount, token, pool));
             }
         });
         return orders;
--- a/src/main/java/pewtercourse/duty/WireNames.java
+++ b/src/main/java/pewtercourse/lease/WireNames.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import java.util.Map;
 import java.util.stream.Collectors;
@@ -9,7 +9,7 @@
  */
 final class WireNames {
     private static final Map<String, String> TO_WIRE =
-            Map.of(DutyState.MAINTENANCE, "warden", DutyState.QUOTA, "divider");
+            Map.of(ClusterState.MAINTENANCE, "warden", ClusterState.QUOTA, "divider");
     private static final Map<String, String> FROM_WIRE =
             TO_WIRE.entrySet().stream().collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
 
--- a/src/main/java/pewtercourse/bench/BenchLink.java
+++ b/src/main/java/pewtercourse/simulator/BenchLink.java
@@ -1,4 +1,4 @@
-package pewtercourse.bench;
+package pewtercourse.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/pewtercourse/bench/package-info.java
+++ b/src/main/java/pewtercourse/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** Hosts the decisions on the wire of the simulator. */
-package pewtercourse.bench;
+package pewtercourse.simulator;
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pewtercourse.site.Sites;
+import pewtercourse.failover.Sites;
 
 class SitesConfigTest {
     private static final String GOOD =
--- a/src/test/java/pewtercourse/decision/DecisionStream.java
+++ b/src/test/java/pewtercourse/decision/DecisionStream.java
@@ -123,7 +123,9 @@
     }
 
     private void step() {
-        long next = scheduled.isEmpty() ? nextArrival : Math.min(nextArrival, scheduled.peek().at());
+        long next = scheduled.isEmpty()
+                ? nextArrival
+                : Math.min(nextArrival, scheduled.peek().at());
         long stall = random.nextInt(300) == 0 ? random.nextInt(400) * MS : 0;
         long quiet = random.nextInt(2000) == 0 ? random.nextInt(12_000) * MS : 0;
         now = Math.max(now, next + stall + quiet);
@@ -457,8 +459,17 @@
     private void record(Action action) {
         if (action instanceof Send s) {
             noteSend(s);
-            write("send", s.id(), s.member(), s.timeout(), s.source(), s.keep(), s.maxAge(), s.join(),
-                    s.sourceHoldsOnly(), s.renew());
+            write(
+                    "send",
+                    s.id(),
+                    s.member(),
+                    s.timeout(),
+                    s.source(),
+                    s.keep(),
+                    s.maxAge(),
+                    s.join(),
+                    s.sourceHoldsOnly(),
+                    s.renew());
         } else if (action instanceof Router.Cancel c) {
             write("cancel", c.id(), c.attempt());
         } else if (action instanceof Router.Refuse r) {
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -24,7 +24,7 @@
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.decision.Router;
-import pewtercourse.feed.FeedEvent;
+import pewtercourse.discovery.FeedEvent;
 
 /** Calls by hand among events of the feed, in any order, against who may be used. */
 class ServiceRegistryModelTest {
--- a/src/test/java/pewtercourse/feed/FeedModelTest.java
+++ b/src/test/java/pewtercourse/discovery/FeedModelTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.feed;
+package pewtercourse.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pewtercourse.duty.Command;
+import pewtercourse.lease.Command;
 
 /** The agreement and the duties over many seeds of faults; a failing seed is named and plays the same again. */
 class ClusterSimTest {
@@ -84,16 +84,16 @@
         String target = "c" + sim.random.nextInt(ClusterSim.CACHES);
         long unix = sim.now / MS;
         int kind = sim.random.nextInt(3);
-        Command.Signed s = kind == 0
+        Command.Envelope s = kind == 0
                 ? n.duties.borrow(n.clock(), 200 + sim.random.nextInt(2_000))
                 : n.duties.sign(
                         kind == 1
-                                ? new Command.Ask(
+                                ? new Command.RequestMaintenance(
                                         target,
                                         "z" + Math.floorMod(target.hashCode(), 2),
                                         unix,
                                         n.duties.state().lastWord(target))
-                                : new Command.Back(
+                                : new Command.ReinstateCache(
                                         target, unix, n.duties.state().lastWord(target)));
         if (s != null) {
             n.offer(s);
--- a/src/test/java/pewtercourse/site/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverControllerTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -34,7 +34,7 @@
 
     @BeforeEach
     void start() {
-        failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
+        failoverController = new FailoverController(FailoverPlannerTest.sites(20, 20, 20, 20));
         failover = new FailoverState();
         now = 10 * SECOND;
         entry = 0;
@@ -65,7 +65,7 @@
         }
     }
 
-    private Status.Phase phase() {
+    private SiteStatus.Phase phase() {
         return failover.status("s0").phase();
     }
 
@@ -83,23 +83,25 @@
     void aSiteWithItsDirectorsIsAnotherLossThanWithout() {
         pass(3, WELL, FAR);
         pass(6, null, FAR_DEAD, "d0");
-        assertEquals(Health.ALL, failover.status("s0").health());
-        assertEquals(Status.Phase.LOST, phase());
+        assertEquals(SiteHealth.ALL, failover.status("s0").health());
+        assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
     void silentDirectorsAreNoLossOfTheCaches() {
         pass(3, WELL, FAR);
         pass(6, null, FAR_WELL, "d0");
-        assertEquals(new Status(Status.Phase.IMPAIRED, Health.DIRECTORS, 0, 0, false, false, 1), failover.status("s0"));
+        assertEquals(
+                new SiteStatus(SiteStatus.Phase.IMPAIRED, SiteHealth.DIRECTORS, 0, 0, false, false, 1),
+                failover.status("s0"));
         pass(3, WELL, FAR_WELL);
-        assertEquals(Status.Phase.WHOLE, phase());
+        assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
     void whatOnlyOthersCannotReachIsNotLost() {
         pass(10, WELL, FAR_DEAD);
-        assertFalse(phase() == Status.Phase.LOST, told::toString);
+        assertFalse(phase() == SiteStatus.Phase.LOST, told::toString);
     }
 
     @Test
@@ -107,19 +109,19 @@
         pass(3, WELL, FAR);
         pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), FAR);
         pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), UNLISTED);
-        assertFalse(phase() == Status.Phase.LOST, told::toString);
+        assertFalse(phase() == SiteStatus.Phase.LOST, told::toString);
         pass(4, UNLISTED, UNLISTED);
-        assertEquals(Status.Phase.LOST, phase());
+        assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
     void aSlowSiteAndOneWithoutParentsAreImpaired() {
         pass(3, SLOW, FAR);
-        assertEquals(Health.SLOW, failover.status("s0").health());
+        assertEquals(SiteHealth.SLOW, failover.status("s0").health());
         pass(4, WELL, FAR);
-        assertEquals(Status.Phase.WHOLE, phase());
+        assertEquals(SiteStatus.Phase.WHOLE, phase());
         pass(3, NO_PARENTS, NO_PARENTS);
-        assertEquals(Health.PARENTS, failover.status("s0").health());
+        assertEquals(SiteHealth.PARENTS, failover.status("s0").health());
         assertFalse(failover.away().contains("s0"));
     }
 
@@ -136,17 +138,17 @@
         pass(4, WELL, FAR);
         int before = failover.status("s0").step();
         pass(2, new SiteObservation(4, 4, 2, 2, 15, 0, 6, 0, 10), FAR);
-        assertTrue(failover.status("s0").step() < before || phase() == Status.Phase.LOST, told::toString);
+        assertTrue(failover.status("s0").step() < before || phase() == SiteStatus.Phase.LOST, told::toString);
     }
 
     @Test
     void slowAnswersHoldAStepAndDoNotUndoIt() {
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
-        assertEquals(Status.Phase.RETURNING, phase());
+        assertEquals(SiteStatus.Phase.RETURNING, phase());
         int step = failover.status("s0").step();
         pass(6, new SiteObservation(4, 4, 2, 2, 6, 14, 0, 0, 10), FAR);
-        assertEquals(Status.Phase.RETURNING, phase());
+        assertEquals(SiteStatus.Phase.RETURNING, phase());
         assertTrue(failover.status("s0").step() <= step + 1, told::toString);
     }
 
@@ -155,9 +157,9 @@
         List<Integer> waits = new ArrayList<>();
         for (int flap = 0; flap < 4; flap++) {
             pass(4, DEAD, FAR);
-            assertEquals(Status.Phase.LOST, phase());
+            assertEquals(SiteStatus.Phase.LOST, phase());
             int seconds = 0;
-            while (phase() == Status.Phase.LOST) {
+            while (phase() == SiteStatus.Phase.LOST) {
                 pass(1, WELL, FAR);
                 seconds++;
             }
@@ -176,10 +178,10 @@
         pass(6, WELL, FAR);
         assertEquals(List.of("s0 RETURNING WELL 1", "s0 RETURNING WELL 0", "s0 LOST WELL 0"), told);
         pass(10, WELL, FAR);
-        assertEquals(Status.Phase.LOST, phase(), "until it is let go");
+        assertEquals(SiteStatus.Phase.LOST, phase(), "until it is let go");
         assertTrue(failover.hold(++entry, "s0", false, failover.status("s0").entry()));
         pass(12, WELL, FAR);
-        assertEquals(Status.Phase.WHOLE, phase());
+        assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
@@ -187,27 +189,27 @@
         pass(4, DEAD, FAR);
         assertTrue(failover.hold(++entry, "s0", true, failover.status("s0").entry()));
         pass(20, WELL, FAR);
-        assertEquals(Status.Phase.LOST, phase());
+        assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
     void aChangeThatBuildsOnAnOlderOneIsRefused() {
-        assertTrue(failover.declare(1, "s0", Status.Phase.LOST, Health.CACHES, 0, 0, 0));
-        assertFalse(failover.declare(2, "s0", Status.Phase.WHOLE, Health.WELL, 0, 0, 0));
+        assertTrue(failover.declare(1, "s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0));
+        assertFalse(failover.declare(2, "s0", SiteStatus.Phase.WHOLE, SiteHealth.WELL, 0, 0, 0));
         assertFalse(failover.hold(3, "s0", true, 0));
-        assertEquals(Status.Phase.LOST, phase());
+        assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
     void aNewHolderGoesOnFromTheAgreedStep() {
         pass(4, DEAD, FAR);
         pass(5, WELL, FAR);
-        Status before = failover.status("s0");
-        assertEquals(Status.Phase.RETURNING, before.phase());
-        failoverController = new FailoverController(PlannerTest.sites(20, 20, 20, 20));
+        SiteStatus before = failover.status("s0");
+        assertEquals(SiteStatus.Phase.RETURNING, before.phase());
+        failoverController = new FailoverController(FailoverPlannerTest.sites(20, 20, 20, 20));
         told.clear();
         pass(8, WELL, FAR);
-        assertEquals(Status.Phase.WHOLE, phase());
+        assertEquals(SiteStatus.Phase.WHOLE, phase());
         assertTrue(told.stream().noneMatch(t -> t.contains("LOST")), told::toString);
     }
 
@@ -218,10 +220,10 @@
         Random random = new Random(seed);
         SiteObservation[] own = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, null};
         SiteObservation[] far = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, null};
-        Status before = failover.status("s0");
+        SiteStatus before = failover.status("s0");
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
-                Status s = failover.status("s0");
+                SiteStatus s = failover.status("s0");
                 boolean done = random.nextBoolean()
                         ? failover.hold(++entry, "s0", random.nextBoolean(), s.entry())
                         : failover.drill(++entry, "s0", s.entry());
@@ -235,25 +237,26 @@
                 for (String t : told) {
                     String[] word = t.split(" ");
                     if (word[0].equals("s0")) {
-                        Status.Phase to = Status.Phase.valueOf(word[1]);
+                        SiteStatus.Phase to = SiteStatus.Phase.valueOf(word[1]);
                         int step = Integer.parseInt(word[3]);
                         assertTrue(legal(before, to, step), before + " to " + t);
-                        before = new Status(to, Health.valueOf(word[2]), step, 0, before.held(), before.drill(), 0);
+                        before = new SiteStatus(
+                                to, SiteHealth.valueOf(word[2]), step, 0, before.held(), before.drill(), 0);
                     }
                 }
             }
         }
     }
 
-    private static boolean legal(Status from, Status.Phase to, int step) {
+    private static boolean legal(SiteStatus from, SiteStatus.Phase to, int step) {
         int last = 2;
         return switch (from.phase()) {
-            case WHOLE, IMPAIRED -> to != Status.Phase.RETURNING || from.drill() && step == last - 1;
-            case LOST -> to == Status.Phase.RETURNING && step == 0 && !from.held();
+            case WHOLE, IMPAIRED -> to != SiteStatus.Phase.RETURNING || from.drill() && step == last - 1;
+            case LOST -> to == SiteStatus.Phase.RETURNING && step == 0 && !from.held();
             case RETURNING ->
-                to == Status.Phase.LOST
-                        || to == Status.Phase.WHOLE && from.step() == last
-                        || to == Status.Phase.RETURNING && Math.abs(step - from.step()) == 1;
+                to == SiteStatus.Phase.LOST
+                        || to == SiteStatus.Phase.WHOLE && from.step() == last
+                        || to == SiteStatus.Phase.RETURNING && Math.abs(step - from.step()) == 1;
         };
     }
 }
--- a/src/test/java/pewtercourse/site/PlannerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverPlannerTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class PlannerTest {
+class FailoverPlannerTest {
     static final Sites.Timing TIMING =
             new Sites.Timing(1_500_000, 2_000_000, 60_000_000, 1_000_000, List.of(0.2, 0.5, 1.0), 3_000_000);
 
@@ -43,14 +43,14 @@
     @Test
     void theNearestIsUsedFirstAndNoTakerBeyondWhatItLends() {
         // s1 can lend 4, s2 and s4 8 each, s3 4.8.
-        Plan p =
-                new Planner().plan(sites(20, 20, 20, 20, 20), loads(14, 15, 10, 14, 10), Set.of(), Set.of(), Plan.NONE);
-        Plan.Shares s = p.when(Set.of("s0")).get("s0");
+        FailoverPlan p = new FailoverPlanner()
+                .plan(sites(20, 20, 20, 20, 20), loads(14, 15, 10, 14, 10), Set.of(), Set.of(), FailoverPlan.NONE);
+        FailoverPlan.Shares s = p.when(Set.of("s0")).get("s0");
         assertEquals(0, s.refused(), 1e-6);
         assertEquals(Map.of("s1", 4.0, "s4", 8.0, "s2", 2.0), works(s));
     }
 
-    private static Map<String, Double> works(Plan.Shares s) {
+    private static Map<String, Double> works(FailoverPlan.Shares s) {
         Map<String, Double> works = new TreeMap<>();
         s.parts().forEach(p -> works.put(p.site(), Math.round(p.work() * 1e6) / 1e6));
         return works;
@@ -58,31 +58,35 @@
 
     @Test
     void whatNobodyCanTakeIsRefused() {
-        Plan p = new Planner().plan(sites(20, 20, 20), loads(18, 18, 18), Set.of(), Set.of(), Plan.NONE);
-        Plan.Shares s = p.when(Set.of("s1")).get("s1");
+        FailoverPlan p =
+                new FailoverPlanner().plan(sites(20, 20, 20), loads(18, 18, 18), Set.of(), Set.of(), FailoverPlan.NONE);
+        FailoverPlan.Shares s = p.when(Set.of("s1")).get("s1");
         assertEquals(18 - 2 * 1.6, s.refused(), 1e-6);
         // One that is impaired takes none.
-        Plan q = new Planner().plan(sites(20, 20, 20), loads(18, 18, 18), Set.of(), Set.of("s2"), Plan.NONE);
+        FailoverPlan q = new FailoverPlanner()
+                .plan(sites(20, 20, 20), loads(18, 18, 18), Set.of(), Set.of("s2"), FailoverPlan.NONE);
         assertEquals(Map.of("s0", 1.6), works(q.when(Set.of("s1")).get("s1")));
     }
 
     @Test
     void aPlanStaysWhileLittleIsGainedAndGoesOnceItIsTooMuch() {
         Sites sites = sites(20, 20, 20, 20);
-        Plan first = new Planner().plan(sites, loads(10, 10, 10, 10), Set.of(), Set.of(), Plan.NONE);
-        assertEquals(first, new Planner().plan(sites, loads(10.2, 9.9, 10.1, 10), Set.of(), Set.of(), first));
-        assertNotEquals(first, new Planner().plan(sites, loads(10, 18, 10, 18), Set.of(), Set.of(), first));
+        FailoverPlan first =
+                new FailoverPlanner().plan(sites, loads(10, 10, 10, 10), Set.of(), Set.of(), FailoverPlan.NONE);
+        assertEquals(first, new FailoverPlanner().plan(sites, loads(10.2, 9.9, 10.1, 10), Set.of(), Set.of(), first));
+        assertNotEquals(first, new FailoverPlanner().plan(sites, loads(10, 18, 10, 18), Set.of(), Set.of(), first));
     }
 
     @Test
     void aSetThatWasNotPlannedForPushesNoTakerOver() {
         Sites sites = sites(20, 20, 20, 20);
-        Plan singles = new Planner().plan(sites, loads(10, 10, 10, 10), Set.of(), Set.of(), Plan.NONE);
+        FailoverPlan singles =
+                new FailoverPlanner().plan(sites, loads(10, 10, 10, 10), Set.of(), Set.of(), FailoverPlan.NONE);
         Set<String> three = Set.of("s0", "s1", "s2");
         double asked = singles.when(three).values().stream()
                 .flatMap(s -> s.parts().stream())
                 .filter(p -> p.site().equals("s3"))
-                .mapToDouble(Plan.Part::most)
+                .mapToDouble(FailoverPlan.Part::most)
                 .sum();
         assertTrue(asked <= 8 + 1e-6, "s3 lends 8, asked for " + asked);
         assertTrue(singles.when(three).values().stream()
@@ -100,9 +104,10 @@
             asked[i] = bears[i] * random.nextDouble() * 1.1;
         }
         Sites sites = sites(bears);
-        Planner planner = solverGivesUp ? new Planner(1) : new Planner();
-        Plan p = planner.plan(sites, loads(asked), Set.of(), Set.of(), Plan.NONE);
-        assertEquals(p, planner.plan(sites, loads(asked), Set.of(), Set.of(), Plan.NONE), "equal input, equal plan");
+        FailoverPlanner planner = solverGivesUp ? new FailoverPlanner(1) : new FailoverPlanner();
+        FailoverPlan p = planner.plan(sites, loads(asked), Set.of(), Set.of(), FailoverPlan.NONE);
+        assertEquals(
+                p, planner.plan(sites, loads(asked), Set.of(), Set.of(), FailoverPlan.NONE), "equal input, equal plan");
         p.cases().forEach((key, shares) -> {
             Map<String, Double> at = new TreeMap<>();
             shares.forEach((site, s) -> {
@@ -125,13 +130,16 @@
         for (int i = 0; i < 5; i++) {
             asked[i] = bears[i] * random.nextDouble();
         }
-        Plan solved = new Planner().plan(sites(bears), loads(asked), Set.of(), Set.of(), Plan.NONE);
-        Plan fixed = new Planner(1).plan(sites(bears), loads(asked), Set.of(), Set.of(), Plan.NONE);
+        FailoverPlan solved =
+                new FailoverPlanner().plan(sites(bears), loads(asked), Set.of(), Set.of(), FailoverPlan.NONE);
+        FailoverPlan fixed =
+                new FailoverPlanner(1).plan(sites(bears), loads(asked), Set.of(), Set.of(), FailoverPlan.NONE);
         solved.cases().forEach((key, shares) -> {
-            double a =
-                    shares.values().stream().mapToDouble(Plan.Shares::refused).sum();
+            double a = shares.values().stream()
+                    .mapToDouble(FailoverPlan.Shares::refused)
+                    .sum();
             double b = fixed.cases().get(key).values().stream()
-                    .mapToDouble(Plan.Shares::refused)
+                    .mapToDouble(FailoverPlan.Shares::refused)
                     .sum();
             assertTrue(a <= b + 1e-6, key + ": " + a + " over " + b);
         });
--- a/src/test/java/pewtercourse/site/FailoverTrace.java
+++ b/src/test/java/pewtercourse/failover/FailoverTrace.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,7 @@
         SOME_FAIL
     }
 
-    private record PendingAnswer(long at, FailoverController controller, Plan plan) {}
+    private record PendingAnswer(long at, FailoverController controller, FailoverPlan plan) {}
 
     private final Random random;
     private final TraceDigest digest = new TraceDigest();
@@ -216,13 +216,14 @@
             }
         }
         int good = Math.max(0, attempts - late - bad);
-        double load = own ? site.capacity() * random.nextDouble() / site.directors().size() : 0;
+        double load =
+                own ? site.capacity() * random.nextDouble() / site.directors().size() : 0;
         return new SiteObservation(4, ready, 2, parentsReady, good, late, bad, refused, load);
     }
 
     private void addJudgements() {
         for (FailoverController controller : controllers) {
-            Detector detector = controller.detector();
+            SiteFailureDetector detector = controller.detector();
             detector.loads().forEach((site, load) -> digest.add(site).add(load));
             for (String site : sites.sites().keySet()) {
                 SiteObservation ends = detector.ownEnds(now, site);
@@ -256,7 +257,7 @@
         if (question != null) {
             answer(controller, question);
         }
-        Plan plan = controller.planned(agreed);
+        FailoverPlan plan = controller.planned(agreed);
         if (plan != null) {
             digest.add("planned");
             addPlan(plan);
@@ -265,7 +266,7 @@
     }
 
     private void addOrder(FailoverController.Declaration order) {
-        Status before = agreed.status(order.site());
+        SiteStatus before = agreed.status(order.site());
         digest.add("order")
                 .add(order.site())
                 .add(order.phase().ordinal())
@@ -275,7 +276,7 @@
                 .add(order.after());
         String drill = before.drill() ? " in a drill" : "";
         count("order " + before.phase().ordinal() + " to " + order.phase().ordinal() + drill);
-        if (before.phase() == Status.Phase.RETURNING && order.phase() == Status.Phase.RETURNING) {
+        if (before.phase() == SiteStatus.Phase.RETURNING && order.phase() == SiteStatus.Phase.RETURNING) {
             count(order.step() > before.step() ? "step on" : "step back" + drill);
         }
         if (order.flaps() > before.flaps()) {
@@ -295,8 +296,8 @@
     private void answer(FailoverController controller, FailoverController.Question question) {
         digest.add("question").add(String.join(" ", question.lost())).add(String.join(" ", question.unfit()));
         question.loads().forEach((site, load) -> digest.add(site).add(load));
-        Planner planner = chance(5) ? new Planner(1) : new Planner();
-        Plan plan = planner.plan(sites, question.loads(), question.lost(), question.unfit(), question.before());
+        FailoverPlanner planner = chance(5) ? new FailoverPlanner(1) : new FailoverPlanner();
+        FailoverPlan plan = planner.plan(sites, question.loads(), question.lost(), question.unfit(), question.before());
         addPlan(plan);
         countPlan(plan, outcomes);
         switch (random.nextInt(6)) {
@@ -317,27 +318,27 @@
         }
     }
 
-    private void addPlan(Plan plan) {
+    private void addPlan(FailoverPlan plan) {
         addPlan(plan, digest);
     }
 
     /** Adds every case of a plan in its order. */
-    static void addPlan(Plan plan, TraceDigest digest) {
+    static void addPlan(FailoverPlan plan, TraceDigest digest) {
         plan.cases().forEach((key, shares) -> {
             digest.add("case").add(key);
             shares.forEach((site, share) -> addShares(site, share, digest));
         });
     }
 
-    private static void addShares(String site, Plan.Shares shares, TraceDigest digest) {
+    private static void addShares(String site, FailoverPlan.Shares shares, TraceDigest digest) {
         digest.add(site).add(shares.refused()).add(shares.taken());
-        for (Plan.Part part : shares.parts()) {
+        for (FailoverPlan.Part part : shares.parts()) {
             digest.add(part.site()).add(part.work()).add(part.most());
         }
     }
 
     /** Counts the sites that each lost one is spread over. */
-    static void countPlan(Plan plan, Map<String, Integer> outcomes) {
+    static void countPlan(FailoverPlan plan, Map<String, Integer> outcomes) {
         plan.cases()
                 .values()
                 .forEach(shares -> shares.values().forEach(share -> {
@@ -368,7 +369,7 @@
         }
     }
 
-    private void addStatus(String site, Status status) {
+    private void addStatus(String site, SiteStatus status) {
         digest.add("status")
                 .add(site)
                 .add(status.phase().ordinal())
@@ -405,8 +406,7 @@
         long object = OverflowRouter.hash("object " + random.nextInt(400));
         OverflowRouter.Choice choice = router.choose(
                 at,
-                new OverflowRouter.Ask(
-                        object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
+                new OverflowRouter.Ask(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
         digest.add("choice").add(object).add(choice.holdOff());
         String kind;
         if (choice.site() == null) {
--- a/src/test/java/pewtercourse/site/FailoverTraceTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverTraceTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -57,14 +57,15 @@
         recorded.forEach((name, digest) -> expected.put((String) name, (String) digest));
 
         StringBuilder actual = new StringBuilder("actual digests:\n");
-        digests.forEach((name, digest) -> actual.append(name).append('=').append(digest).append('\n'));
+        digests.forEach(
+                (name, digest) -> actual.append(name).append('=').append(digest).append('\n'));
         assertEquals(expected, digests, actual::toString);
     }
 
     @Test
     void theStreamsReachEveryKindOfOutcome() {
         Stream<String> phases = Stream.of(0, 1, 2, 3).map(phase -> "phase " + phase);
-        Stream<String> healths = Stream.of(Health.values())
+        Stream<String> healths = Stream.of(SiteHealth.values())
                 .flatMap(health -> Stream.of("health " + health.ordinal(), "agreed health " + health.ordinal()));
         Stream<String> orders = Stream.of(
                 "order 0 to 1",
@@ -139,11 +140,11 @@
             Sites sites = TraceSites.draw(random, problem == 0 ? 18 : 2 + random.nextInt(6));
             Map<String, Double> loads = new TreeMap<>();
             sites.sites().forEach((name, site) -> loads.put(name, site.capacity() * 1.1 * random.nextDouble()));
-            Plan plan = Plan.NONE;
+            FailoverPlan plan = FailoverPlan.NONE;
             for (int round = 0; round < 4; round++) {
-                Planner planner = random.nextInt(4) == 0 ? new Planner(1) : new Planner();
+                FailoverPlanner planner = random.nextInt(4) == 0 ? new FailoverPlanner(1) : new FailoverPlanner();
                 Set<String> lost = random.nextBoolean() ? Set.of() : some(sites, random, 6);
-                Plan next = planner.plan(sites, loads, lost, some(sites, random, 8), plan);
+                FailoverPlan next = planner.plan(sites, loads, lost, some(sites, random, 8), plan);
                 FailoverTrace.addPlan(next, digest);
                 FailoverTrace.countPlan(next, outcomes);
                 if (round > 0) {
@@ -186,7 +187,7 @@
     private static String shedderDigest(int seed) {
         Random random = new Random(seed);
         TraceDigest digest = new TraceDigest();
-        Shedder shedder = new Shedder(0);
+        LoadShedder shedder = new LoadShedder(0);
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
             if (i % 1_000 == 0) {
@@ -238,14 +239,14 @@
         Random random = new Random(seed);
         TraceDigest digest = new TraceDigest();
         FailoverState state = new FailoverState();
-        state.restore("s0", new Status(Status.Phase.RETURNING, Health.ALL, 1, 2, true, true, 7));
+        state.restore("s0", new SiteStatus(SiteStatus.Phase.RETURNING, SiteHealth.ALL, 1, 2, true, true, 7));
         for (int i = 0; i < 2_000; i++) {
             String site = "s" + random.nextInt(Sites.MOST + 20);
             long after = state.status(site).entry() - (random.nextInt(4) == 0 ? 1 : 0);
             boolean known = state.statuses().containsKey(site);
             boolean full = state.statuses().size() == Sites.MOST;
-            Status.Phase phase = Status.Phase.values()[random.nextInt(4)];
-            Health health = Health.values()[random.nextInt(Health.values().length)];
+            SiteStatus.Phase phase = SiteStatus.Phase.values()[random.nextInt(4)];
+            SiteHealth health = SiteHealth.values()[random.nextInt(SiteHealth.values().length)];
             boolean accepted = state.declare(100 + i, site, phase, health, random.nextInt(3), random.nextInt(9), after);
             digest.add(accepted).add(state.version()).add(state.away().size());
             if (accepted) {
@@ -254,7 +255,8 @@
                 count("declaration of one site too many");
             }
         }
-        state.statuses().forEach((site, status) -> digest.add(site).add(status.entry()).add(status.away()));
+        state.statuses()
+                .forEach((site, status) -> digest.add(site).add(status.entry()).add(status.away()));
         return digest.hex();
     }
 }
--- a/src/test/java/pewtercourse/site/OverflowRouterTest.java
+++ b/src/test/java/pewtercourse/failover/OverflowRouterTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -16,7 +16,7 @@
 
 class OverflowRouterTest {
     private static final long SECOND = 1_000_000;
-    private static final Sites SITES = PlannerTest.sites(20, 20, 20, 20);
+    private static final Sites SITES = FailoverPlannerTest.sites(20, 20, 20, 20);
 
     private static OverflowRouter overflowRouter(FailoverState failover, long seed) {
         OverflowRouter g = new OverflowRouter(SITES, "s0", 500_000, seed);
@@ -25,11 +25,16 @@
         return g;
     }
 
-    private static FailoverState failover(Status.Phase phase, int step, double load) {
+    private static FailoverState failover(SiteStatus.Phase phase, int step, double load) {
         FailoverState failover = new FailoverState();
-        failover.plan(new Planner()
-                .plan(SITES, Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0), Set.of(), Set.of(), Plan.NONE));
-        failover.declare(1, "s0", phase, Health.CACHES, step, 0, 0);
+        failover.plan(new FailoverPlanner()
+                .plan(
+                        SITES,
+                        Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0),
+                        Set.of(),
+                        Set.of(),
+                        FailoverPlan.NONE));
+        failover.declare(1, "s0", phase, SiteHealth.CACHES, step, 0, 0);
         return failover;
     }
 
@@ -39,7 +44,7 @@
 
     @Test
     void eachObjectGoesToOneTakerByThePlanFromWhicheverDirector() {
-        FailoverState failover = failover(Status.Phase.LOST, 0, 20);
+        FailoverState failover = failover(SiteStatus.Phase.LOST, 0, 20);
         OverflowRouter a = overflowRouter(failover, 1), b = overflowRouter(failover, 2);
         Map<String, Integer> count = new TreeMap<>();
         for (int i = 0; i < 20_000; i++) {
@@ -56,8 +61,8 @@
 
     @Test
     void aStepFurtherMovesNoObjectAwayAgain() {
-        OverflowRouter first = overflowRouter(failover(Status.Phase.RETURNING, 0, 12), 1),
-                second = overflowRouter(failover(Status.Phase.RETURNING, 1, 12), 1);
+        OverflowRouter first = overflowRouter(failover(SiteStatus.Phase.RETURNING, 0, 12), 1),
+                second = overflowRouter(failover(SiteStatus.Phase.RETURNING, 1, 12), 1);
         int home = 0;
         for (int i = 0; i < 10_000; i++) {
             long object = OverflowRouter.hash("o" + i), now = i * SECOND;
@@ -71,7 +76,7 @@
 
     @Test
     void nobodyIsAskedForMoreThanItLendsAndTheWorthlessIsRefusedFirst() {
-        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
+        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
         Random random = new Random(3);
         Map<String, Double> taken = new TreeMap<>();
         int[] asked = new int[2], served = new int[2];
@@ -108,7 +113,7 @@
 
     @Test
     void ordersAlwaysPass() {
-        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 40), 1);
+        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 40), 1);
         for (long now = 0; now < 20 * SECOND; now += 1_000) {
             g.choose(now, read(now, 300_000));
             OverflowRouter.Choice order =
@@ -119,7 +124,7 @@
 
     @Test
     void whatCannotBeInTimeAndLargeOneOffsGoFirst() {
-        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 12), 1);
+        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 12), 1);
         assertEquals(
                 null,
                 g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false))
@@ -139,7 +144,7 @@
 
     @Test
     void whileTheListHasItsCachesOneIsTriedAtHomeNowAndThen() {
-        OverflowRouter g = overflowRouter(failover(Status.Phase.LOST, 0, 12), 1);
+        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 12), 1);
         g.listed(true);
         int home = 0;
         for (long now = SECOND; now < 11 * SECOND; now += 10_000) {
@@ -153,7 +158,7 @@
     void theBucketBoundsWhatPasses(@ForAll long seed) {
         Random random = new Random(seed);
         double limit = 0.5 + 10 * random.nextDouble();
-        Shedder s = new Shedder(0);
+        LoadShedder s = new LoadShedder(0);
         s.limit(limit);
         double passed = 0, largest = 0;
         long now = 0, latest = 0;
@@ -171,7 +176,7 @@
 
     @Test
     void thePartIsSharedByTheDirectorsThatAreThere() {
-        FailoverState failover = failover(Status.Phase.LOST, 0, 40);
+        FailoverState failover = failover(SiteStatus.Phase.LOST, 0, 40);
         double[] taken = new double[2];
         for (int n = 1; n <= 2; n++) {
             OverflowRouter g = overflowRouter(failover, 1);
--- a/src/test/java/pewtercourse/site/TraceDigest.java
+++ b/src/test/java/pewtercourse/failover/TraceDigest.java
@@ -1,4 +1,4 @@
-package pewtercourse.site;
+package pewtercourse.failover;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/pewtercourse/peer/PeerSocketTest.java
+++ b/src/test/java/pewtercourse/gossip/PeerSocketTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.peer;
+package pewtercourse.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/pewtercourse/duty/LeaseTraceTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTraceTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.duty;
+package pewtercourse.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -19,14 +19,14 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import pewtercourse.duty.wire.DutyWire;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.Health;
-import pewtercourse.site.Plan;
-import pewtercourse.site.Site;
-import pewtercourse.site.SiteObservation;
-import pewtercourse.site.Sites;
-import pewtercourse.site.Status;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.Site;
+import pewtercourse.failover.SiteHealth;
+import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.Sites;
+import pewtercourse.lease.wire.LeaseWire;
 
 /**
  * Replays random but fixed command streams and a small cluster on a virtual clock, and compares the SHA-256 of all
@@ -41,7 +41,7 @@
     private static final List<String> MEMBERS = List.of("d1", "d2", "d3", "d4");
     private static final List<String> SITES = List.of("east", "north", "west");
     private static final List<String> LEASES =
-            List.of(DutyState.MAINTENANCE, DutyState.QUOTA, DutyState.SITES, "other");
+            List.of(ClusterState.MAINTENANCE, ClusterState.QUOTA, ClusterState.SITES, "other");
 
     private static final Set<String> ALL_REJECTIONS = Set.of(
             "an older token",
@@ -114,7 +114,7 @@
     }
 
     /** "done", or the text of the rejection; one that only came too late is marked. */
-    private static String outcome(DutyState.Result result) {
+    private static String outcome(ClusterState.Result result) {
         if (result.done()) {
             return "done";
         }
@@ -123,7 +123,7 @@
 
     /** The number of the command's field in the stored form, which no renaming changes. */
     private static int kind(byte[] command) throws IOException {
-        return DutyWire.Command.parseFrom(command).getWhatCase().getNumber();
+        return LeaseWire.Command.parseFrom(command).getWhatCase().getNumber();
     }
 
     /** Hashes values by position. */
@@ -159,7 +159,7 @@
     /** Draws commands, mostly valid ones, and applies them to one state. */
     private static final class CommandStream {
         private final Trace trace = new Trace();
-        private final DutyState state = new DutyState();
+        private final ClusterState state = new ClusterState();
         private final Random random;
         private final Set<Integer> kinds;
         private final Set<String> rejections;
@@ -180,9 +180,9 @@
         }
 
         private void apply(String by, Command command) throws Exception {
-            Command.Signed signed = new Command.Signed(by, id++, command);
-            byte[] bytes = DutyCodec.encode(signed);
-            assertEquals(signed, DutyCodec.decode(bytes));
+            Command.Envelope signed = new Command.Envelope(by, id++, command);
+            byte[] bytes = CommandCodec.encode(signed);
+            assertEquals(signed, CommandCodec.decode(bytes));
             kinds.add(kind(bytes));
             trace.bytes(bytes);
             index += 1 + random.nextInt(3);
@@ -198,7 +198,7 @@
             trace.bytes(bytes);
             trace.number(state.words());
             trace.number(state.lent());
-            trace.bytes(DutyState.decode(bytes).encode());
+            trace.bytes(ClusterState.decode(bytes).encode());
         }
 
         private Command draw(int kind) {
@@ -209,23 +209,25 @@
             long amount = random.nextInt(400) - 20;
             long renewals = mostly(state.duty(lease).renewals());
             return switch (kind) {
-                case 0 -> new Command.Assign(lease, member, token(lease), renewals);
-                case 1 -> new Command.Renew(lease, token(lease), renewals);
-                case 2 -> new Command.HandOn(lease, token(lease), random.nextBoolean() ? member : "");
-                case 3 -> new Command.Out(target, atMs, mostly(state.lastWord(target)));
-                case 4 -> new Command.Back(target, atMs, mostly(state.lastWord(target)));
-                case 5 -> new Command.Ask(target, "z" + random.nextInt(3), atMs, mostly(state.lastWord(target)));
+                case 0 -> new Command.AssignLease(lease, member, token(lease), renewals);
+                case 1 -> new Command.RenewLease(lease, token(lease), renewals);
+                case 2 -> new Command.ReleaseLease(lease, token(lease), random.nextBoolean() ? member : "");
+                case 3 -> new Command.DrainCache(target, atMs, mostly(state.lastWord(target)));
+                case 4 -> new Command.ReinstateCache(target, atMs, mostly(state.lastWord(target)));
+                case 5 ->
+                    new Command.RequestMaintenance(
+                            target, "z" + random.nextInt(3), atMs, mostly(state.lastWord(target)));
                 case 6 -> maintenance(target, true, atMs);
                 case 7 -> maintenance(target, false, atMs);
-                case 8 -> new Command.Borrow(amount);
+                case 8 -> new Command.RequestQuota(amount);
                 case 9 -> lend(member, amount);
-                case 10 -> new Command.Settle(some(state.loans()), token(DutyState.QUOTA));
-                case 11 -> new Command.Standing(random.nextInt(3) > 0);
-                case 12 -> new Command.Prefer(lease, token(lease), random.nextBoolean() ? member : "");
-                case 13 -> new Command.Absent(member, random.nextInt(3) == 0);
-                case 14 -> new Command.Sighted(Map.of(site(), observation(random)));
-                case 15 -> new Command.Declare(declaration(), token(DutyState.SITES));
-                case 16 -> new Command.Planned(plan(), token(DutyState.SITES));
+                case 10 -> new Command.ReleaseQuota(some(state.loans()), token(ClusterState.QUOTA));
+                case 11 -> new Command.SetEligibility(random.nextInt(3) > 0);
+                case 12 -> new Command.RequestTransfer(lease, token(lease), random.nextBoolean() ? member : "");
+                case 13 -> new Command.ReportAbsence(member, random.nextInt(3) == 0);
+                case 14 -> new Command.ReportSiteObservation(Map.of(site(), observation(random)));
+                case 15 -> new Command.ChangeSiteStatus(declaration(), token(ClusterState.SITES));
+                case 16 -> new Command.PublishFailoverPlan(plan(), token(ClusterState.SITES));
                 case 17 -> holdSite();
                 default -> drill();
             };
@@ -235,25 +237,25 @@
             long number = some(state.tickets());
             boolean known = state.tickets().containsKey(number) && random.nextInt(5) > 0;
             String target = known ? state.tickets().get(number).target() : drawn;
-            long token = random.nextInt(4) == 0 ? 0 : token(DutyState.MAINTENANCE);
+            long token = random.nextInt(4) == 0 ? 0 : token(ClusterState.MAINTENANCE);
             return grant
-                    ? new Command.Let(target, number, token, atMs)
-                    : new Command.Withdraw(target, number, token, atMs);
+                    ? new Command.GrantMaintenance(target, number, token, atMs)
+                    : new Command.CancelMaintenance(target, number, token, atMs);
         }
 
         private Command lend(String member, long amount) {
             long ask = state.wishes().containsKey(member)
                     ? mostly(state.wishes().get(member).ask())
                     : random.nextInt(50);
-            return new Command.Lend(member, ask, amount, token(DutyState.QUOTA), 1_000);
+            return new Command.GrantQuota(member, ask, amount, token(ClusterState.QUOTA), 1_000);
         }
 
         private FailoverController.Declaration declaration() {
             String site = site();
             return new FailoverController.Declaration(
                     site,
-                    Status.Phase.values()[random.nextInt(Status.Phase.values().length)],
-                    Health.values()[random.nextInt(Health.values().length)],
+                    SiteStatus.Phase.values()[random.nextInt(SiteStatus.Phase.values().length)],
+                    SiteHealth.values()[random.nextInt(SiteHealth.values().length)],
                     random.nextInt(4),
                     random.nextInt(5),
                     entry(site));
@@ -261,29 +263,29 @@
 
         private Command holdSite() {
             String site = site();
-            return new Command.HoldSite(site, random.nextBoolean(), entry(site));
+            return new Command.PauseSiteRecovery(site, random.nextBoolean(), entry(site));
         }
 
         private Command drill() {
             String site = site();
-            return new Command.Drill(site, entry(site));
+            return new Command.StartFailoverDrill(site, entry(site));
         }
 
         private long entry(String site) {
             return mostly(state.failover().status(site).entry());
         }
 
-        private Plan plan() {
-            SortedMap<String, SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+        private FailoverPlan plan() {
+            SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
             for (int i = random.nextInt(3); i >= 0; i--) {
-                SortedMap<String, Plan.Shares> shares = new TreeMap<>();
-                List<Plan.Part> parts = List.of(
-                        new Plan.Part(site(), random.nextDouble(), 1 + random.nextDouble()),
-                        new Plan.Part(site(), random.nextDouble(), 2 * random.nextDouble()));
-                shares.put(site(), new Plan.Shares(parts, random.nextDouble()));
+                SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
+                List<FailoverPlan.Part> parts = List.of(
+                        new FailoverPlan.Part(site(), random.nextDouble(), 1 + random.nextDouble()),
+                        new FailoverPlan.Part(site(), random.nextDouble(), 2 * random.nextDouble()));
+                shares.put(site(), new FailoverPlan.Shares(parts, random.nextDouble()));
                 cases.put(site(), shares);
             }
-            return new Plan(cases);
+            return new FailoverPlan(cases);
         }
 
         private String site() {
@@ -307,49 +309,49 @@
 
         /** Exceeds each bound of the state, and hashes a snapshot now and then: each is large. */
         void exceedBounds() throws Exception {
-            apply("d1", new Command.Assign(DutyState.QUOTA, "d1", 0, 0));
-            apply("d1", new Command.Assign(DutyState.MAINTENANCE, "d1", 0, 0));
+            apply("d1", new Command.AssignLease(ClusterState.QUOTA, "d1", 0, 0));
+            apply("d1", new Command.AssignLease(ClusterState.MAINTENANCE, "d1", 0, 0));
             for (int i = 0; i < 1_030; i++) {
-                apply("d1", new Command.Out("out" + i, i, 0));
+                apply("d1", new Command.DrainCache("out" + i, i, 0));
             }
             snapshot();
             for (int i = 0; i < 1_030; i++) {
-                apply("d1", new Command.Ask("asked" + i, "z", i, 0));
+                apply("d1", new Command.RequestMaintenance("asked" + i, "z", i, 0));
             }
             snapshot();
             Map.Entry<Long, ?> first = state.tickets().entrySet().iterator().next();
             long ticket = first.getKey();
-            long token = state.duty(DutyState.MAINTENANCE).token();
-            apply("d1", new Command.Let(state.tickets().get(ticket).target(), ticket, token, 1));
+            long token = state.duty(ClusterState.MAINTENANCE).token();
+            apply("d1", new Command.GrantMaintenance(state.tickets().get(ticket).target(), ticket, token, 1));
             for (int i = 0; i < 1_030; i++) {
-                apply("d2", new Command.Back("out" + i, 5_000 - i % 7, state.lastWord("out" + i)));
-                apply("d2", new Command.Out("more" + i, i, 0));
+                apply("d2", new Command.ReinstateCache("out" + i, 5_000 - i % 7, state.lastWord("out" + i)));
+                apply("d2", new Command.DrainCache("more" + i, i, 0));
             }
             snapshot();
             for (int i = 0; i < 1_030; i++) {
-                apply("d2", new Command.Back("more" + i, i % 11, state.lastWord("more" + i)));
+                apply("d2", new Command.ReinstateCache("more" + i, i % 11, state.lastWord("more" + i)));
             }
             snapshot();
             // More caches than words are kept of.
             for (int i = 0; i < 4_100; i++) {
-                apply("d3", new Command.Back("word" + i, i, 0));
+                apply("d3", new Command.ReinstateCache("word" + i, i, 0));
             }
             snapshot();
             for (int i = 0; i < 70; i++) {
-                apply("member" + i, new Command.Borrow(1 + i));
-                apply("member" + i, new Command.Standing(false));
-                apply("d1", new Command.Absent("member" + i, true));
+                apply("member" + i, new Command.RequestQuota(1 + i));
+                apply("member" + i, new Command.SetEligibility(false));
+                apply("d1", new Command.ReportAbsence("member" + i, true));
             }
             snapshot();
-            long quota = state.duty(DutyState.QUOTA).token();
+            long quota = state.duty(ClusterState.QUOTA).token();
             for (int i = 0; i < 270; i++) {
-                apply("member1", new Command.Borrow(2));
+                apply("member1", new Command.RequestQuota(2));
                 long ask = state.wishes().get("member1").ask();
-                apply("d1", new Command.Lend("member1", ask, 1, quota, 1_000_000));
+                apply("d1", new Command.GrantQuota("member1", ask, 1, quota, 1_000_000));
             }
             snapshot();
             for (int i = 0; i < 260; i++) {
-                apply("d1", new Command.HoldSite("site" + i, true, 0));
+                apply("d1", new Command.PauseSiteRecovery("site" + i, true, 0));
             }
             snapshot();
         }
@@ -379,7 +381,7 @@
             final String name;
             final double rate;
             final long offset;
-            Duties duties;
+            LeaseManager duties;
             int applied;
             long stoppedUntil;
             long unwillingUntil;
@@ -393,7 +395,7 @@
             }
 
             void start() {
-                duties = new Duties(
+                duties = new LeaseManager(
                         SETTINGS.settings,
                         name,
                         random.nextInt(1 << 20),
@@ -473,7 +475,7 @@
             }
             if (random.nextInt(500) == 0) {
                 any.duties.restored(
-                        any.clock(), DutyState.decode(any.duties.state().encode()));
+                        any.clock(), ClusterState.decode(any.duties.state().encode()));
             }
             if (!calm && random.nextInt(600) == 0) {
                 restart(any);
@@ -497,7 +499,7 @@
             byte[] state = node.duties.state().encode();
             node.start();
             node.unwillingUntil = 0;
-            node.duties.restored(node.clock(), DutyState.decode(state));
+            node.duties.restored(node.clock(), ClusterState.decode(state));
         }
 
         private void operate() throws Exception {
@@ -505,7 +507,7 @@
                 return;
             }
             Node node = nodes.get(random.nextInt(nodes.size()));
-            DutyState state = node.duties.state();
+            ClusterState state = node.duties.state();
             String target = "c" + random.nextInt(3) + random.nextInt(3);
             long after = state.lastWord(target);
             String site = SITES.get(random.nextInt(SITES.size()));
@@ -514,15 +516,16 @@
             String to = nodes.get(random.nextInt(nodes.size())).name;
             long unixMs = now / 1_000;
             Command command = switch (random.nextInt(12)) {
-                case 0 -> new Command.Out(target, unixMs, after);
-                case 1, 2 -> new Command.Back(target, unixMs, after);
-                case 3, 4, 5, 6 -> new Command.Ask(target, "z" + target.charAt(1), unixMs, after);
-                case 7, 8 -> new Command.Prefer(lease, state.duty(lease).token(), to);
-                case 9 -> new Command.HoldSite(site, random.nextInt(3) == 0, entry);
-                case 10 -> new Command.Drill(site, entry);
-                default -> new Command.Renew(lease, state.duty(lease).token(), 1);
+                case 0 -> new Command.DrainCache(target, unixMs, after);
+                case 1, 2 -> new Command.ReinstateCache(target, unixMs, after);
+                case 3, 4, 5, 6 -> new Command.RequestMaintenance(target, "z" + target.charAt(1), unixMs, after);
+                case 7, 8 ->
+                    new Command.RequestTransfer(lease, state.duty(lease).token(), to);
+                case 9 -> new Command.PauseSiteRecovery(site, random.nextInt(3) == 0, entry);
+                case 10 -> new Command.StartFailoverDrill(site, entry);
+                default -> new Command.RenewLease(lease, state.duty(lease).token(), 1);
             };
-            send(DutyCodec.encode(node.duties.sign(command)));
+            send(CommandCodec.encode(node.duties.sign(command)));
         }
 
         private void send(byte[] command) {
@@ -535,8 +538,8 @@
             }
         }
 
-        private void sendOwn(Command.Signed signed) throws Exception {
-            byte[] bytes = DutyCodec.encode(signed);
+        private void sendOwn(Command.Envelope signed) throws Exception {
+            byte[] bytes = CommandCodec.encode(signed);
             kinds.add(kind(bytes));
             send(bytes);
         }
@@ -546,15 +549,15 @@
                 return; // It lags.
             }
             while (node.applied < log.size()) {
-                Command.Signed signed = DutyCodec.decode(log.get(node.applied++));
+                Command.Envelope signed = CommandCodec.decode(log.get(node.applied++));
                 trace.text(outcome(node.duties.applied(node.clock(), node.applied, signed)));
             }
         }
 
         private void tick(Node node, int i) throws Exception {
             long clock = node.clock();
-            Duties.View view = new Duties.View(members(), heard(node), now / 1_000);
-            for (Command.Signed signed : node.duties.tick(clock, view)) {
+            LeaseManager.View view = new LeaseManager.View(members(), heard(node), now / 1_000);
+            for (Command.Envelope signed : node.duties.tick(clock, view)) {
                 sendOwn(signed);
             }
             if (i % 50 == nodes.indexOf(node)) {
@@ -564,7 +567,7 @@
             if (question != null) {
                 node.duties.planned(clock, plan(question.loads()));
             }
-            Command.Signed borrow = node.duties.borrow(clock, node.wanted);
+            Command.Envelope borrow = node.duties.borrow(clock, node.wanted);
             if (borrow != null) {
                 sendOwn(borrow);
             }
@@ -601,14 +604,14 @@
             return observations;
         }
 
-        private Plan plan(SortedMap<String, Double> loads) {
-            SortedMap<String, SortedMap<String, Plan.Shares>> cases = new TreeMap<>();
+        private FailoverPlan plan(SortedMap<String, Double> loads) {
+            SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
             loads.forEach((site, load) -> {
                 String other = SITES.get((SITES.indexOf(site) + 1) % SITES.size());
-                Plan.Part part = new Plan.Part(other, load / 2, load);
-                cases.put(site, new TreeMap<>(Map.of(site, new Plan.Shares(List.of(part), load / 4))));
+                FailoverPlan.Part part = new FailoverPlan.Part(other, load / 2, load);
+                cases.put(site, new TreeMap<>(Map.of(site, new FailoverPlan.Shares(List.of(part), load / 4))));
             });
-            return new Plan(cases);
+            return new FailoverPlan(cases);
         }
 
         private void record(Node node) {
@@ -629,13 +632,13 @@
 
     /** The configuration of {@link VirtualCluster}; times in microseconds. */
     private static final class ClusterConfiguration {
-        final DutySettings settings = new DutySettings(
+        final LeaseSettings settings = new LeaseSettings(
                 1_000_000,
                 0.01,
                 150_000,
-                Set.of(DutyState.MAINTENANCE, DutyState.QUOTA, DutyState.SITES),
-                new DutySettings.MaintenanceBudget(0, 0.25, 2_500_000, true),
-                new DutySettings.QuotaAllocator(400, 1_500_000));
+                Set.of(ClusterState.MAINTENANCE, ClusterState.QUOTA, ClusterState.SITES),
+                new LeaseSettings.MaintenanceBudget(0, 0.25, 2_500_000, true),
+                new LeaseSettings.QuotaAllocator(400, 1_500_000));
         final Sites sites = sites();
 
         private static Sites sites() {
--- a/src/test/java/pewtercourse/raft/RaftTraceTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTraceTest.java
@@ -71,7 +71,9 @@
                         Wire.Frame.BodyCase.INSTALL_REPLY,
                         Wire.Frame.BodyCase.TIMEOUT_NOW)
                 .forEach(kind -> expected.add("message " + kind.getNumber()));
-        return expected.stream().filter(kind -> !counts.containsKey(kind)).collect(Collectors.toCollection(TreeSet::new));
+        return expected.stream()
+                .filter(kind -> !counts.containsKey(kind))
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     private static String recorded() throws IOException {
--- a/src/test/java/pewtercourse/raft/SimulatedDisk.java
+++ b/src/test/java/pewtercourse/raft/SimulatedDisk.java
@@ -79,7 +79,8 @@
     }
 
     Saved read() {
-        List<Entry> after = new ArrayList<>(entries.tailMap(snapshot.index(), false).values());
+        List<Entry> after =
+                new ArrayList<>(entries.tailMap(snapshot.index(), false).values());
         return new Saved(incarnation, term, votedFor, commit, snapshot, after);
     }
 }
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -19,8 +19,7 @@
  */
 final class TracedGroup {
     private static final long MS = 1_000;
-    static final RaftSettings SETTINGS =
-            new RaftSettings(50 * MS, 150 * MS, 300 * MS, 600, 8, 2, 16, 150, 1 << 20, 4);
+    static final RaftSettings SETTINGS = new RaftSettings(50 * MS, 150 * MS, 300 * MS, 600, 8, 2, 16, 150, 1 << 20, 4);
     private static final int SNAPSHOT_EVERY = 25;
     private static final int SPARE_MEMBERS = 2;
 
--- a/src/test/java/pewtercourse/raft/TracedMember.java
+++ b/src/test/java/pewtercourse/raft/TracedMember.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.TreeSet;
-import pewtercourse.duty.DutyCodec;
-import pewtercourse.duty.DutyState;
-import pewtercourse.duty.wire.DutyWire;
+import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.wire.LeaseWire;
 import pewtercourse.raft.wire.Wire;
 
 /** One member of a {@link TracedGroup}: its disk, its Raft instance and its copy of the lease state machine. */
@@ -19,7 +19,7 @@
     private SimulatedDisk disk;
     private SimulatedDisk backup;
     private Raft raft;
-    private DutyState state = new DutyState();
+    private ClusterState state = new ClusterState();
     private long applied;
     private int starts;
     private boolean restoredAtStart;
@@ -47,7 +47,7 @@
         restoredAtStart = true;
         Saved saved = disk.read();
         applied = saved.snapshot().index();
-        state = new DutyState();
+        state = new ClusterState();
         raft = new Raft(TracedGroup.SETTINGS, name, saved, clock(now), new Random(seed));
         trace.line("start", name, saved.incarnation());
     }
@@ -169,9 +169,9 @@
                 && raft.regressed().isEmpty();
     }
 
-    DutyWire.State wireState() {
+    LeaseWire.State wireState() {
         try {
-            return DutyWire.State.parseFrom(state.encode());
+            return LeaseWire.State.parseFrom(state.encode());
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
@@ -224,7 +224,7 @@
         trace.count(restoredAtStart ? "restore at start" : "restore from leader");
         applied = snapshot.index();
         try {
-            state = DutyState.decode(snapshot.state());
+            state = ClusterState.decode(snapshot.state());
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
@@ -254,7 +254,7 @@
 
     private boolean accepted(long index, byte[] command) {
         try {
-            return state.apply(index, DutyCodec.decode(command)).done();
+            return state.apply(index, CommandCodec.decode(command)).done();
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.Fixtures;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.DutyCodec;
-import pewtercourse.duty.SampleCommands;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.SampleCommands;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
 import pewtercourse.raft.Save;
@@ -82,8 +82,8 @@
         List<Entry> entries = new ArrayList<>();
         entries.add(empty(13, 6));
         entries.add(Entry.members(14, 6, CHANGED));
-        for (Command.Signed command : SampleCommands.signed()) {
-            entries.add(Entry.command(entries.get(entries.size() - 1).index() + 1, TERM, DutyCodec.encode(command)));
+        for (Command.Envelope command : SampleCommands.signed()) {
+            entries.add(Entry.command(entries.get(entries.size() - 1).index() + 1, TERM, CommandCodec.encode(command)));
         }
         return entries;
     }
@@ -147,10 +147,10 @@
         try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Saved saved = store.recover();
             Fixtures.assertSameContent(wholeContent(), saved);
-            List<Command.Signed> commands = new ArrayList<>();
+            List<Command.Envelope> commands = new ArrayList<>();
             for (Entry entry : saved.entries()) {
                 if (entry.kind() == Entry.Kind.COMMAND) {
-                    commands.add(DutyCodec.decode(entry.command()));
+                    commands.add(CommandCodec.decode(entry.command()));
                 }
             }
             Fixtures.assertSameContent(SampleCommands.signed(), commands);
--- a/src/test/java/pewtercourse/bench/BenchLinkTest.java
+++ b/src/test/java/pewtercourse/simulator/BenchLinkTest.java
@@ -1,4 +1,4 @@
-package pewtercourse.bench;
+package pewtercourse.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
