--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -163,7 +163,7 @@
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
         return cluster.agree(() -> {
-                    long after = cluster.state().failover().status(name).entry();
+                    long after = cluster.state().failover().status(name).lastChangeIndex();
                     return switch (call) {
                         case "drill" -> new Command.StartFailoverDrill(name, after);
                         case "hold" -> new Command.PauseSiteRecovery(name, true, after);
--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ChangeLog.java
@@ -65,6 +65,6 @@
                 "drill",
                 status.drill(),
                 "entry",
-                status.entry());
+                status.lastChangeIndex());
     }
 }
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -21,7 +21,7 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.DirectorConfig;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.FailoverPlanner;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.SiteObservation;
@@ -449,12 +449,12 @@
 
     // Off the event loop: a plan for many sites takes some milliseconds.
     private void plan() {
-        FailoverController.Question q = sites == null ? null : duties.question(now());
+        FailoverPlanRequest q = sites == null ? null : duties.question(now());
         if (q == null) {
             return;
         }
         Sites of = sites;
-        vertx.executeBlocking(() -> new FailoverPlanner().plan(of, q.loads(), q.lost(), q.unfit(), q.before()))
+        vertx.executeBlocking(() -> new FailoverPlanner().plan(of, q))
                 .onComplete(p -> {
                     if (p.failed()) {
                         Log.warn("site.not_planned", "error", p.cause());
@@ -610,7 +610,7 @@
     }
 
     public boolean knowsSite(String name) {
-        return sites != null && sites.sites().containsKey(name);
+        return sites != null && sites.byName().containsKey(name);
     }
 
     /** For operators, see {@link ClusterReport#sites}. Null where sites are not kept. */
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -37,7 +37,7 @@
         FailoverState failover = agreed().failover();
         Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
         JsonArray all = new JsonArray();
-        sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
+        sites.byName().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
                 .put("controller", agreed().duty(ClusterState.SITES).holder())
@@ -48,15 +48,16 @@
 
     private static JsonObject site(FailoverState failover, String name, Site site, double load) {
         SiteStatus status = failover.status(name);
-        Set<String> lost = new TreeSet<>(failover.away());
+        Set<String> lost = new TreeSet<>(failover.divertedSites());
         lost.add(name);
-        FailoverPlan.Shares shares = failover.plan().when(lost).getOrDefault(name, FailoverPlan.Shares.NOTHING);
+        FailoverPlan.Distribution shares =
+                failover.plan().distributions(lost).getOrDefault(name, FailoverPlan.Distribution.EMPTY);
         JsonArray takers = new JsonArray();
-        shares.parts()
+        shares.allocations()
                 .forEach(part -> takers.add(new JsonObject()
                         .put("site", part.site())
-                        .put("work", part.work())
-                        .put("most", part.most())));
+                        .put("work", part.load())
+                        .put("most", part.max())));
         return new JsonObject()
                 .put("site", name)
                 .put("phase", lowerCase(status.phase()))
@@ -67,9 +68,9 @@
                 .put("drill", status.drill())
                 .put("load", load)
                 .put("capacity", site.capacity())
-                .put("spare", site.spare(load))
+                .put("spare", site.spareCapacity(load))
                 .put("takers", takers)
-                .put("refused", shares.refused());
+                .put("refused", shares.rejected());
     }
 
     private static String lowerCase(Enum<?> value) {
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -15,6 +15,7 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import pewtercourse.failover.FailoverTiming;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.Sites;
 
@@ -61,14 +62,14 @@
             }
             inOrder.add(s);
         }
-        if (sites.size() < 2 || sites.size() > Sites.MOST) {
-            throw new ConfigException("sites", "are " + sites.size() + ": 2 to " + Sites.MOST + " are of use");
+        if (sites.size() < 2 || sites.size() > Sites.MAX_SITES) {
+            throw new ConfigException("sites", "are " + sites.size() + ": 2 to " + Sites.MAX_SITES + " are of use");
         }
         together(inOrder, sites);
         return new Sites(
                 sites,
                 number("miss", json.getValue("miss"), 0.5, 0.01, 1),
-                new Sites.Timing(
+                new FailoverTiming(
                         lostAfter,
                         back,
                         flapMost,
@@ -83,8 +84,8 @@
         for (int i = 0; i < inOrder.size(); i++) {
             Site s = inOrder.get(i);
             String key = "sites[" + i + "].";
-            for (int t = 0; t < s.takers().size(); t++) {
-                String to = s.takers().get(t).site();
+            for (int t = 0; t < s.failoverTargets().size(); t++) {
+                String to = s.failoverTargets().get(t).site();
                 if (!sites.containsKey(to) || to.equals(s.name())) {
                     throw new ConfigException(
                             key + "takers[" + t + "].site",
@@ -110,14 +111,14 @@
                 throw new ConfigException(key + "directors[" + i + "]", "is there twice");
             }
         }
-        List<Site.Taker> takers = new ArrayList<>();
+        List<Site.FailoverTarget> takers = new ArrayList<>();
         JsonArray given = s.getValue("takers") == null ? new JsonArray() : list(key + "takers", s.getValue("takers"));
         Set<String> once = new HashSet<>();
         for (int i = 0; i < given.size(); i++) {
             String at = key + "takers[" + i + "].";
             JsonObject t = object(at, given.getValue(i));
             known(at, t, TAKER_KEYS);
-            takers.add(new Site.Taker(
+            takers.add(new Site.FailoverTarget(
                     text(at + "site", t.getValue("site"), null),
                     number(at + "distance", t.getValue("distance"), 1, 0.001, 1_000_000)));
             if (!once.add(takers.get(i).site())) {
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -26,16 +26,19 @@
 import pewtercourse.discovery.FeedEvent;
 import pewtercourse.discovery.HttpFeedTransport;
 import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.OverflowDecision;
+import pewtercourse.failover.OverflowRequest;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.SiteObservation;
-import pewtercourse.failover.SiteObservations;
+import pewtercourse.failover.SiteObserver;
 import pewtercourse.failover.Sites;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 import pewtercourse.front.RequestHandler;
 import pewtercourse.gossip.PeerSocket;
 import pewtercourse.handover.OperatorState;
+import pewtercourse.hash.StableHash;
 
 /**
  * Between the sockets and the decision module: hands it what happened, in order of arrival and in one batch for
@@ -76,7 +79,7 @@
     private FeedClient feed;
     private Sites sites; // Null where no site takes another's clients.
     private OverflowRouter overflowRouter;
-    private SiteObservations siteObservations;
+    private SiteObserver siteObservations;
     private Runnable peerHeard = () -> {};
     private boolean stopped;
 
@@ -299,7 +302,7 @@
 
     private void noteListed() {
         if (overflowRouter != null) {
-            overflowRouter.listed(registry.readyCaches().getOrDefault(config.zone(), 0) > 0);
+            overflowRouter.setOwnCachesListed(registry.readyCaches().getOrDefault(config.zone(), 0) > 0);
         }
     }
 
@@ -315,7 +318,7 @@
     public void sites(Sites to) {
         sites = to;
         overflowRouter = new OverflowRouter(to, config.zone(), site.router().maxRetryAfter(), config.seed());
-        siteObservations = siteObservations == null ? new SiteObservations(config.zone()) : siteObservations;
+        siteObservations = siteObservations == null ? new SiteObserver(config.zone()) : siteObservations;
         noteListed();
     }
 
@@ -324,7 +327,7 @@
         if (sites == null) {
             return;
         }
-        Site own = sites.sites().get(config.zone());
+        Site own = sites.byName().get(config.zone());
         int there = own == null
                 ? 1
                 : (int) own.directors().stream()
@@ -337,15 +340,15 @@
     public Map<String, SiteObservation> siteObservations() {
         return sites == null
                 ? Map.of()
-                : siteObservations.told(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
+                : siteObservations.observe(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
     }
 
-    SiteObservations sightsOrNull() {
+    SiteObserver sightsOrNull() {
         return siteObservations;
     }
 
     /** Where a request is to go, or null: to no other site than the own one. */
-    OverflowRouter.Choice choose(ClientRequest r, int cls, long expires) {
+    OverflowDecision choose(ClientRequest r, int cls, long expires) {
         if (overflowRouter == null) {
             return null;
         }
@@ -354,15 +357,15 @@
         double work = r.sizeKb() > 0 && site.router().clientKbPerS() > 0
                 ? r.sizeKb() / site.router().clientKbPerS() * 1e6
                 : c.aim() / 2.0;
-        siteObservations.asked(now, work);
-        if (!overflowRouter.away()) {
+        siteObservations.recordRequest(now, work);
+        if (!overflowRouter.diverting()) {
             return null;
         }
         boolean must = c.effect() == Router.Effect.SIDE_EFFECT || c.goesThrough();
         return overflowRouter.choose(
                 now,
-                new OverflowRouter.Ask(
-                        OverflowRouter.hash(r.object()),
+                new OverflowRequest(
+                        StableHash.of(r.object()),
                         site.worths().get(r.className()).worth(),
                         work,
                         c.aim(),
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -9,7 +9,7 @@
 import pewtercourse.cache.End;
 import pewtercourse.decision.Router;
 import pewtercourse.discovery.FeedEvent;
-import pewtercourse.failover.OverflowRouter;
+import pewtercourse.failover.OverflowDecision;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 
@@ -65,13 +65,13 @@
 
     // ---- It arrives: the module of the site that is to serve it plans ----
     void arrive() {
-        OverflowRouter.Choice choice = director.choose(request, cls, expires);
-        if (choice != null && choice.site() == null) {
-            refuse(choice.holdOff());
+        OverflowDecision choice = director.choose(request, cls, expires);
+        if (choice != null && choice.rejected()) {
+            refuse(choice.retryAfterMicros());
             return;
         }
         if (choice != null) {
-            queue = director.queue(choice.site());
+            queue = director.queue(choice.site().orElseThrow());
         }
         arrival = new Router.Request(
                 id,
@@ -203,7 +203,7 @@
             double work = director.site.router().clientKbPerS() > 0
                     ? request.sizeKb() / director.site.router().clientKbPerS() * 1e6
                     : 0;
-            director.sightsOrNull().ended(now, at.zone(), end, now - sentAt > c.aim() + c.aimStretch() * work);
+            director.sightsOrNull().recordAttempt(now, at.zone(), end, now - sentAt > c.aim() + c.aimStretch() * work);
         }
     }
 
@@ -215,7 +215,7 @@
     // ---- The module gives up ----
     void refuse(long holdOff) {
         if (director.sightsOrNull() != null && !queue.guest() && arrival != null) {
-            director.sightsOrNull().refused(director.clock.getAsLong());
+            director.sightsOrNull().recordRejection(director.clock.getAsLong());
         }
         finish(Answer.refused(holdOff / 1000));
         leave();
--- a/src/main/java/pewtercourse/emulator/Catalogue.java
+++ b/src/main/java/pewtercourse/emulator/Catalogue.java
@@ -3,7 +3,7 @@
 import org.apache.commons.math3.distribution.LogNormalDistribution;
 import org.apache.commons.math3.distribution.ZipfDistribution;
 import org.apache.commons.math3.random.Well19937c;
-import pewtercourse.failover.OverflowRouter;
+import pewtercourse.hash.StableHash;
 
 /** What clients ask for: objects by popularity, with sizes that belong to them. */
 final class Catalogue {
@@ -44,7 +44,7 @@
             if (u < 0) {
                 String object = String.format(
                         "%016x",
-                        OverflowRouter.hash(c.name()
+                        StableHash.of(c.name()
                                 + (c.through() ? "#" + orders++ + random.nextLong() : "/" + popularity.sample())));
                 return new Pick(c, object, sizeKb(c, object));
             }
@@ -62,7 +62,7 @@
         if (c.through()) {
             return c.meanWorkMs() * KB_PER_MS;
         }
-        double u = ((OverflowRouter.hash("size" + object) >>> 11) + 0.5) * 0x1.0p-53;
+        double u = ((StableHash.of("size" + object) >>> 11) + 0.5) * 0x1.0p-53;
         double ms = new LogNormalDistribution(null, Math.log(c.meanWorkMs()) - SIGMA * SIGMA / 2, SIGMA)
                 .inverseCumulativeProbability(u);
         return Math.round(10 * Math.max(1, Math.min(2_000, ms * KB_PER_MS))) / 10.0;
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -1,6 +1,6 @@
 package pewtercourse.emulator;
 
-import pewtercourse.failover.OverflowRouter;
+import pewtercourse.hash.StableHash;
 
 /**
  * What is behind the caches of some sites, without sockets: the link that they fill through, parents that hold a part of all
@@ -29,7 +29,7 @@
     /** A fill begins; {@code through}: it runs at the origin whatever the parents hold. Ends with {@link #end}. */
     public Fill begin(long object, boolean through) {
         fills++;
-        boolean origin = through || (OverflowRouter.hash("held" + object) >>> 11) * 0x1.0p-53 >= set.holds();
+        boolean origin = through || (StableHash.of("held" + object) >>> 11) * 0x1.0p-53 >= set.holds();
         asked += origin ? 1 : 0;
         double crowd = Math.max(1, asked / set.bears());
         return new Fill(
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -14,16 +14,22 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverController;
-import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.FailoverPlanner;
 import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.FailoverTiming;
+import pewtercourse.failover.OverflowRequest;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.failover.Sites;
+import pewtercourse.hash.StableHash;
 
 /** The loss of a site and its return: worth served in time over seeds, several ways; false alarms; costs. */
 final class SitesExperiment {
@@ -152,7 +158,7 @@
         Sites sites = sites(5, random);
         FailoverController failoverController = new FailoverController(sites);
         FailoverState failover = new FailoverState();
-        List<String> names = List.copyOf(sites.sites().keySet());
+        List<String> names = List.copyOf(sites.byName().keySet());
         long alarms = 0, entry = 0;
         double[] bad = new double[names.size()];
         long[] badUntil = new long[names.size()],
@@ -186,21 +192,20 @@
                     told.put(
                             names.get(x),
                             new SiteObservation(
-                                    4,
-                                    s < emptyUntil[m] ? 0 : 4,
-                                    2,
-                                    2,
-                                    good,
-                                    ends - failed - good,
-                                    failed,
-                                    x == m && noisy ? random.nextInt(6) : 0,
+                                    new EndpointCount(4, s < emptyUntil[m] ? 0 : 4),
+                                    new EndpointCount(2, 2),
+                                    new AttemptCounts(
+                                            good,
+                                            ends - failed - good,
+                                            failed,
+                                            x == m && noisy ? random.nextInt(6) : 0),
                                     x == m ? 10 : 0));
                 }
-                failoverController.detector().see(now, "d" + m, told);
+                failoverController.detector().observe(now, "d" + m, told);
             }
-            for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of())) {
+            for (SiteStatusChange d : failoverController.proposeChanges(now, failover, Set.of())) {
                 alarms += d.phase() == SiteStatus.Phase.LOST ? 1 : 0;
-                failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after());
+                failover.changeStatus(++entry, d);
             }
         }
         return alarms;
@@ -209,9 +214,9 @@
     private static Sites sites(int count, Random random) {
         TreeMap<String, Site> all = new TreeMap<>();
         for (int i = 0; i < count; i++) {
-            List<Site.Taker> takers = new ArrayList<>();
+            List<Site.FailoverTarget> takers = new ArrayList<>();
             for (int d = 1; d <= Math.min(6, count - 1); d++) {
-                takers.add(new Site.Taker(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
+                takers.add(new Site.FailoverTarget(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
             }
             all.put(
                     String.format("s%03d", i),
@@ -220,7 +225,7 @@
         return new Sites(
                 all,
                 0.5,
-                new Sites.Timing(
+                new FailoverTiming(
                         1_500_000, 2_000_000, 120_000_000, 1_500_000, List.of(0.15, 0.3, 0.5, 0.75, 1.0), 3_000_000));
     }
 
@@ -232,13 +237,13 @@
             Random random = new Random(n);
             Sites sites = sites(n, random);
             Map<String, Double> loads = new TreeMap<>();
-            sites.sites().keySet().forEach(s -> loads.put(s, 8 + 8 * random.nextDouble()));
+            sites.byName().keySet().forEach(s -> loads.put(s, 8 + 8 * random.nextDouble()));
             DescriptiveStatistics ms = new DescriptiveStatistics();
             int cases = 0;
             for (int i = 0; i < 14; i++) {
                 long from = System.nanoTime();
                 cases = new FailoverPlanner()
-                        .plan(sites, loads, Set.of(), Set.of(), FailoverPlan.NONE)
+                        .plan(sites, FailoverPlanRequest.first(loads))
                         .cases()
                         .size();
                 if (i >= 5) {
@@ -255,13 +260,13 @@
         Random random = new Random(1);
         Sites sites = sites(5, random);
         Map<String, Double> loads = new TreeMap<>();
-        sites.sites().keySet().forEach(s -> loads.put(s, 12.0));
+        sites.byName().keySet().forEach(s -> loads.put(s, 12.0));
         FailoverState failover = new FailoverState();
-        failover.plan(new FailoverPlanner().plan(sites, loads, Set.of(), Set.of(), FailoverPlan.NONE));
+        failover.setPlan(new FailoverPlanner().plan(sites, FailoverPlanRequest.first(loads)));
         OverflowRouter overflowRouter = new OverflowRouter(sites, "s000", 500_000, 1);
         overflowRouter.follow(0, failover, 1);
         double whole = nanos(overflowRouter);
-        failover.declare(1, "s000", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0);
+        failover.changeStatus(1, new SiteStatusChange("s000", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0));
         overflowRouter.follow(0, failover, 1);
         return String.format(
                 "A request's choice of a site takes %.0f ns while its site is whole and %.0f ns while it is lost.%n",
@@ -276,8 +281,8 @@
                 long now = round * 2_000_000_000L + i * 10_000L;
                 overflowRouter.choose(
                         now,
-                        new OverflowRouter.Ask(
-                                OverflowRouter.hash("o" + i % 3_000),
+                        new OverflowRequest(
+                                StableHash.of("o" + i % 3_000),
                                 1 + i % 2,
                                 50_000 + i % 300_000,
                                 600_000,
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -21,15 +21,21 @@
 import pewtercourse.emulator.UpstreamModel;
 import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.FailoverPlanner;
 import pewtercourse.failover.FailoverState;
+import pewtercourse.failover.FailoverTiming;
+import pewtercourse.failover.OverflowDecision;
+import pewtercourse.failover.OverflowRequest;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
-import pewtercourse.failover.SiteObservations;
+import pewtercourse.failover.SiteObserver;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.failover.Sites;
+import pewtercourse.hash.StableHash;
 
 /**
  * Several sites on a virtual clock: the real decision module and the real parts that keep sites, around modelled caches,
@@ -168,7 +174,7 @@
             } else if (a instanceof Router.Refuse r) {
                 of.end(r.id(), false);
                 if (this == of.home) {
-                    of.siteObservations.refused(now);
+                    of.siteObservations.recordRejection(now);
                 }
             } else if (a instanceof Router.Fail f) {
                 of.end(f.id(), false);
@@ -182,7 +188,7 @@
         final Map<Long, Asked> open = new HashMap<>();
         final Map<Long, long[]> out = new HashMap<>(); // By request: its attempt's number, a mark and its cache.
         OverflowRouter overflowRouter;
-        SiteObservations siteObservations;
+        SiteObserver siteObservations;
         FailoverController failoverController;
         Desk home;
         Map<Integer, Desk> abroad = new TreeMap<>();
@@ -202,7 +208,7 @@
             out.clear();
             abroad.clear();
             overflowRouter = new OverflowRouter(sites, siteName(site), 500 * MS, random.nextLong());
-            siteObservations = new SiteObservations(siteName(site));
+            siteObservations = new SiteObserver(siteName(site));
             failoverController = new FailoverController(sites);
             home = new Desk(this, new Logic(settings(site), random.nextLong()));
             home.tell(listed());
@@ -216,10 +222,10 @@
             }
             Map<String, Integer> ready = new TreeMap<>();
             listedReady.forEach(c -> ready.merge(siteName(c.site), 1, Integer::sum));
-            Map<String, SiteObservation> told = siteObservations.told(now, sites, ready, Map.of("hub", 2));
+            Map<String, SiteObservation> told = siteObservations.observe(now, sites, ready, Map.of("hub", 2));
             agree(() -> directors.forEach(d -> {
                 if (d.up) {
-                    d.failoverController.detector().see(now, name, told);
+                    d.failoverController.detector().observe(now, name, told);
                 }
             }));
             at(now + SECOND, () -> report(mine));
@@ -238,7 +244,7 @@
         void relist() {
             home.tell(listed());
             abroad.values().forEach(d -> d.tell(listed()));
-            overflowRouter.listed(listedReady.stream().anyMatch(c -> c.site == site));
+            overflowRouter.setOwnCachesListed(listedReady.stream().anyMatch(c -> c.site == site));
         }
 
         void arrive(Asked q) {
@@ -251,18 +257,18 @@
                     end(q.id, false);
                 }
             });
-            siteObservations.asked(now, q.work);
+            siteObservations.recordRequest(now, q.work);
             boolean must = CLASSES[q.cls].effect() == Router.Effect.SIDE_EFFECT;
-            OverflowRouter.Choice c = overflowRouter.choose(
+            OverflowDecision c = overflowRouter.choose(
                     now,
-                    new OverflowRouter.Ask(
+                    new OverflowRequest(
                             q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires, q.work, must, false));
-            if (c.site() == null) {
+            if (c.rejected()) {
                 shed++;
                 end(q.id, false);
                 return;
             }
-            int to = Integer.parseInt(c.site().substring(1));
+            int to = Integer.parseInt(c.site().orElseThrow().substring(1));
             if (to != site) {
                 crossed++;
             }
@@ -369,7 +375,7 @@
             boolean over = q == null;
             Cache c = byId.get(s.member());
             if (q != null) {
-                siteObservations.ended(now, siteName(c.site), end, now - began > q.aim());
+                siteObservations.recordAttempt(now, siteName(c.site), end, now - began > q.aim());
                 if (end == End.SERVED) {
                     end(s.id(), true);
                     over = true;
@@ -464,10 +470,10 @@
             load[i] = (0.5 + 0.2 * random.nextDouble()) * BEARS * CACHES;
         }
         for (int i = 0; i < SITES; i++) {
-            List<Site.Taker> takers = new ArrayList<>();
+            List<Site.FailoverTarget> takers = new ArrayList<>();
             for (int d = 1; d < SITES; d++) {
                 int step = Math.min(d, SITES - d);
-                takers.add(new Site.Taker(siteName((i + d) % SITES), step));
+                takers.add(new Site.FailoverTarget(siteName((i + d) % SITES), step));
             }
             takers.sort((a, b) -> Double.compare(a.distance(), b.distance()));
             all.put(
@@ -478,7 +484,7 @@
         this.sites = new Sites(
                 all,
                 0.5,
-                new Sites.Timing(
+                new FailoverTiming(
                         1_500 * MS,
                         2 * SECOND,
                         120 * SECOND,
@@ -556,13 +562,13 @@
             double u = random.nextDouble();
             int cls = u < SHARE[0] ? 0 : u < SHARE[1] ? 1 : 2;
             long work = cls == 2 ? (long) MEAN_WORK[2] : (long) Math.min(3e6, Math.max(5e3, sizes[cls].sample()));
-            long object = OverflowRouter.hash(cls == 2 ? "o" + nextId : cls + "/" + popularity.sample());
+            long object = StableHash.of(cls == 2 ? "o" + nextId : cls + "/" + popularity.sample());
             boolean odd = now > LOST_AT && now < BACK_AT + 10 * SECOND && cls == 0;
             if (kind == Trouble.SCAN && odd && random.nextDouble() < 0.2) {
                 object = random.nextLong(); // Wanted once.
             } else if (kind == Trouble.OVERSIZED && odd && random.nextDouble() < 0.02) {
                 work = 12 * work;
-                object = OverflowRouter.hash("large" + random.nextInt(5));
+                object = StableHash.of("large" + random.nextInt(5));
             }
             Asked q = new Asked(site, cls, now, work, object);
             asked.add(q);
@@ -599,28 +605,28 @@
                 absent.add(x.name);
             }
         });
-        for (FailoverController.Declaration o : d.failoverController.orders(now, failover, absent)) {
+        for (SiteStatusChange o : d.failoverController.proposeChanges(now, failover, absent)) {
             if (way != Way.SEEING || o.phase() == SiteStatus.Phase.RETURNING || o.phase() == SiteStatus.Phase.WHOLE) {
                 declare(o);
             }
         }
-        FailoverController.Question q = d.failoverController.question(now, failover);
+        FailoverPlanRequest q = d.failoverController.requestPlan(now, failover).orElse(null);
         if (q != null) {
             FailoverPlan plan = plan(q);
-            d.failoverController.answered(now, plan);
-            FailoverPlan changed = d.failoverController.planned(failover);
+            d.failoverController.planComputed(now, plan);
+            FailoverPlan changed = d.failoverController.takeComputedPlan(failover).orElse(null);
             if (changed != null) {
                 agree(() -> {
-                    failover.plan(changed);
+                    failover.setPlan(changed);
                     follow();
                 });
             }
         }
     }
 
-    private void declare(FailoverController.Declaration o) {
+    private void declare(SiteStatusChange o) {
         agree(() -> {
-            if (failover.declare(++entry, o.site(), o.phase(), o.health(), o.step(), o.flaps(), o.after())) {
+            if (failover.changeStatus(++entry, o)) {
                 boolean lost = o.phase() == SiteStatus.Phase.LOST;
                 boolean dead = caches.stream()
                         .filter(c -> siteName(c.site).equals(o.site()))
@@ -640,30 +646,30 @@
     private void follow() {
         directors.forEach(x -> {
             if (x.up) {
-                x.failoverController.see(now, failover);
+                x.failoverController.trackChanges(now, failover);
                 x.overflowRouter.follow(now, failover, 1);
             }
         });
     }
 
-    private FailoverPlan plan(FailoverController.Question q) {
+    private FailoverPlan plan(FailoverPlanRequest q) {
         if (way == Way.PLANNED || way == Way.SEEING) {
-            FailoverPlan p = new FailoverPlanner().plan(sites, q.loads(), q.lost(), q.unfit(), q.before());
+            FailoverPlan p = new FailoverPlanner().plan(sites, q);
             return planted == Planted.NO_BOUND ? unbounded(p, q.lost()) : p;
         }
-        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
-        for (String s : sites.sites().keySet()) {
+        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
+        for (String s : sites.byName().keySet()) {
             Set<String> lost = new TreeSet<>(q.lost());
             lost.add(s);
-            java.util.SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
+            java.util.SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
             for (String l : lost) {
-                List<FailoverPlan.Part> parts = new ArrayList<>();
-                for (Site.Taker t : sites.sites().get(l).takers()) {
+                List<FailoverPlan.Allocation> parts = new ArrayList<>();
+                for (Site.FailoverTarget t : sites.byName().get(l).failoverTargets()) {
                     if (!lost.contains(t.site()) && (way == Way.PROPORTIONAL || parts.isEmpty())) {
-                        parts.add(new FailoverPlan.Part(t.site(), 1, 1e6));
+                        parts.add(new FailoverPlan.Allocation(t.site(), 1, 1e6));
                     }
                 }
-                shares.put(l, new FailoverPlan.Shares(parts, 0));
+                shares.put(l, new FailoverPlan.Distribution(parts, 0));
             }
             cases.put(String.join("+", lost), shares);
         }
@@ -671,16 +677,16 @@
     }
 
     private static FailoverPlan unbounded(FailoverPlan p, Set<String> lost) {
-        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+        TreeMap<String, java.util.SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         p.cases().forEach((k, c) -> {
-            java.util.SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
+            java.util.SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
             c.forEach((s, x) -> shares.put(
                     s,
-                    new FailoverPlan.Shares(
-                            x.parts().stream()
-                                    .map(y -> new FailoverPlan.Part(y.site(), y.work(), 1e6))
+                    new FailoverPlan.Distribution(
+                            x.allocations().stream()
+                                    .map(y -> new FailoverPlan.Allocation(y.site(), y.load(), 1e6))
                                     .toList(),
-                            x.refused())));
+                            x.rejected())));
             cases.put(k, shares);
         });
         return new FailoverPlan(cases);
@@ -751,14 +757,11 @@
                 d.open.clear();
             }
             if (way == Way.SEEING) {
-                failover.declare(
+                String lost = siteName(site);
+                long expected = failover.status(lost).lastChangeIndex();
+                failover.changeStatus(
                         ++entry,
-                        siteName(site),
-                        SiteStatus.Phase.LOST,
-                        SiteHealth.CACHES,
-                        0,
-                        0,
-                        failover.status(siteName(site)).entry());
+                        new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
                 declaredAt = declaredAt < 0 ? now : declaredAt;
                 follow();
             }
--- a/src/main/java/pewtercourse/failover/FailoverController.java
+++ b/src/main/java/pewtercourse/failover/FailoverController.java
@@ -4,37 +4,29 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.SortedMap;
-import java.util.TreeSet;
 
 /**
- * The acts of whoever keeps the sites: declares losses, paces returns and has plans made before they are needed. Fed at
- * every member; what it counts by its own clock begins anew where the duty changes hands, what is agreed does not.
+ * What the lease holder of the sites does: declares losses, paces recoveries and has plans computed before they are
+ * needed. Every member feeds one. Durations that it measures by its own clock start anew when the lease moves to
+ * another member; what is agreed does not. {@code now} is microseconds of this member's monotonic clock.
  */
 public final class FailoverController {
-    /** A change to be agreed on. {@code after}: the entry that it builds on. */
-    public record Declaration(
-            String site, SiteStatus.Phase phase, SiteHealth health, int step, int flaps, long after) {}
+    // A change that was not agreed by then is proposed again.
+    private static final long PROPOSE_AGAIN_MICROS = 300_000;
 
-    /** What a plan is made from. */
-    public record Question(SortedMap<String, Double> loads, Set<String> lost, Set<String> unfit, FailoverPlan before) {}
-
-    // Of its ends at a step: failed ones from which it steps back, and up to which it goes on; slow ones up to which it
-    // does.
-    private static final double TROUBLE = 0.2, FINE = 0.05, LATE_FINE = 0.5;
-    private static final int ENDS_LEAST = 4;
-    // Without any ends, as where nobody asks, a step lasts so many times as long.
-    private static final int BLIND = 3;
-    private static final long PLAN_EVERY = 5_000_000, PLAN_MOST = 2_000_000, ORDER_AGAIN = 300_000;
+    /** When this member first saw a site's last change. */
+    private record SeenChange(long index, long at) {}
 
     private final Sites sites;
     private final SiteFailureDetector detector;
-    private final Map<String, Long> entryOf = new HashMap<>(), entrySeen = new HashMap<>(), ordered = new HashMap<>();
-    private Set<String> plannedFor = Set.of(), plannedLoads = Set.of();
-    private long planAt = Long.MIN_VALUE, askedAt = Long.MIN_VALUE;
-    private FailoverPlan answer;
+    private final SiteStatusPolicy policy;
+    private final FailoverPlanSchedule planSchedule;
+    private final Map<String, SeenChange> lastChanges = new HashMap<>(); // By site.
+    private final Map<String, Long> proposedAt = new HashMap<>(); // By site.
 
+    /** A controller that has seen nothing yet. */
     public FailoverController(Sites sites) {
         this(sites, new SiteFailureDetector(sites));
     }
@@ -42,152 +34,76 @@
     private FailoverController(Sites sites, SiteFailureDetector detector) {
         this.sites = sites;
         this.detector = detector;
+        this.policy = new SiteStatusPolicy(sites.timing());
+        this.planSchedule = new FailoverPlanSchedule(sites.byName().keySet());
     }
 
-    /** One that goes on with what was seen so far, for sites that are described anew. */
-    public FailoverController with(Sites to) {
-        return new FailoverController(to, detector.with(to));
+    /** A controller for changed sites that keeps what was observed so far. */
+    public FailoverController withSites(Sites changed) {
+        return new FailoverController(changed, detector.withSites(changed));
     }
 
+    /** The detector that members' observations are fed to. */
     public SiteFailureDetector detector() {
         return detector;
     }
 
-    /** Whether or not it keeps them: when each site's last change was seen. */
-    public void see(long now, FailoverState failover) {
-        for (String s : sites.sites().keySet()) {
-            long entry = failover.status(s).entry();
-            if (!Long.valueOf(entry).equals(entryOf.put(s, entry))) {
-                entrySeen.put(s, now);
-                ordered.remove(s);
+    /** Notes when each site's last change was made; to be called at every member, whether or not it holds the lease. */
+    public void trackChanges(long now, FailoverState state) {
+        for (String site : sites.byName().keySet()) {
+            long index = state.status(site).lastChangeIndex();
+            SeenChange seen = lastChanges.get(site);
+            if (seen == null || seen.index() != index) {
+                lastChanges.put(site, new SeenChange(index, now));
+                proposedAt.remove(site);
             }
         }
     }
 
-    /** What it has to have agreed now; to be asked only where it holds the duty. */
-    public List<Declaration> orders(long now, FailoverState failover, Set<String> absent) {
-        see(now, failover);
+    /**
+     * The changes that the lease holder has to propose now.
+     *
+     * @param absent members that the cluster counts as absent
+     */
+    public List<SiteStatusChange> proposeChanges(long now, FailoverState state, Set<String> absent) {
+        trackChanges(now, state);
         detector.judge(now, absent);
-        ordered.values().removeIf(at -> now - at >= ORDER_AGAIN);
-        List<Declaration> orders = new ArrayList<>();
-        for (String site : sites.sites().keySet()) {
-            Declaration d = next(now, site, failover.status(site));
-            if (d != null && ordered.putIfAbsent(site, now) == null) {
-                orders.add(d);
-            }
-        }
-        return orders;
-    }
-
-    private Declaration next(long now, String site, SiteStatus s) {
-        SiteHealth h = detector.health(site);
-        long lasts = detector.lasts(now, site), stood = now - entrySeen.get(site);
-        Sites.Timing t = sites.timing();
-        int last = t.steps().size() - 1;
-        switch (s.phase()) {
-            case WHOLE, IMPAIRED -> {
-                if (s.drill()) {
-                    return last == 0 ? lost(site, s, SiteHealth.WELL, s.flaps()) : step(site, s, Math.max(0, last - 1));
-                }
-                if (h.lost()) {
-                    return lasts >= t.lostAfter() && detector.confirmed(now, site) ? lost(site, s, h, s.flaps()) : null;
-                }
-                if (h == SiteHealth.WELL) {
-                    boolean calm = s.flaps() > 0 && lasts >= t.flapMost() && stood >= t.flapMost();
-                    return calm || s.phase() == SiteStatus.Phase.IMPAIRED && lasts >= t.lostAfter()
-                            ? new Declaration(site, SiteStatus.Phase.WHOLE, h, 0, calm ? 0 : s.flaps(), s.entry())
-                            : null;
-                }
-                return h != s.health() && lasts >= t.lostAfter() / 2
-                        ? new Declaration(site, SiteStatus.Phase.IMPAIRED, h, 0, s.flaps(), s.entry())
-                        : null;
+        proposedAt.values().removeIf(at -> now - at >= PROPOSE_AGAIN_MICROS);
+        List<SiteStatusChange> changes = new ArrayList<>();
+        for (String site : sites.byName().keySet()) {
+            Optional<SiteStatusChange> change = policy.nextChange(situation(now, site, state.status(site)));
+            if (change.isPresent() && proposedAt.putIfAbsent(site, now) == null) {
+                changes.add(change.get());
             }
-            case LOST -> {
-                boolean well = !h.lost() && h != SiteHealth.SLOW && h != SiteHealth.PARENTS;
-                long wait = Math.min(t.flapMost(), t.backAfter() << Math.min(20, s.flaps()));
-                return !s.held() && !s.drill() && well && lasts >= wait && stood >= wait ? step(site, s, 0) : null;
-            }
-            default -> {
-                return onTheWay(site, s, h, lasts, stood, detector.ownEnds(now, site), last);
-            }
-        }
-    }
-
-    private Declaration onTheWay(
-            String site, SiteStatus s, SiteHealth h, long lasts, long stood, SiteObservation ends, int last) {
-        Sites.Timing t = sites.timing();
-        if (h.lost() && lasts >= t.lostAfter() / 2) {
-            return lost(site, s, h, s.flaps() + 1);
         }
-        // A sight covers some time before it was told: what it says of a step is known once that is over.
-        if (stood < Math.min(t.step(), t.fresh()) / 2) {
-            return null;
-        }
-        if (s.drill()) {
-            return stood < t.step()
-                    ? null
-                    : s.step() == 0 ? lost(site, s, SiteHealth.WELL, s.flaps()) : step(site, s, s.step() - 1);
-        }
-        boolean told = ends.ends() >= ENDS_LEAST;
-        if (told && ends.bad() >= TROUBLE * ends.ends()) {
-            return s.step() == 0 ? lost(site, s, h, s.flaps() + 1) : step(site, s, s.step() - 1);
-        }
-        // What is refused for lack of room is as good as late: cold caches can't bear the next step yet.
-        int slow = ends.late() + ends.refused(), all = ends.ends() + ends.refused();
-        boolean fine = told ? ends.bad() <= FINE * ends.ends() && slow <= LATE_FINE * all : stood >= BLIND * t.step();
-        if (s.held() || stood < t.step() || !fine) {
-            return null;
-        }
-        return s.step() >= last
-                ? new Declaration(site, SiteStatus.Phase.WHOLE, h, 0, s.flaps(), s.entry())
-                : step(site, s, s.step() + 1);
-    }
-
-    private static Declaration lost(String site, SiteStatus s, SiteHealth h, int flaps) {
-        return new Declaration(site, SiteStatus.Phase.LOST, h, 0, flaps, s.entry());
+        return changes;
     }
 
-    private static Declaration step(String site, SiteStatus s, int step) {
-        return new Declaration(site, SiteStatus.Phase.RETURNING, s.health(), step, s.flaps(), s.entry());
+    private SiteSituation situation(long now, String site, SiteStatus status) {
+        return new SiteSituation(
+                site,
+                status,
+                now - lastChanges.get(site).at(),
+                detector.health(site),
+                detector.healthAgeMicros(now, site),
+                detector.lossConfirmed(now, site),
+                detector.ownAttempts(now, site));
     }
 
-    // ---- Plans: asked for here, made elsewhere ----
-
-    /** What a plan is to be made from now, or null: none is due, or one is being made. */
-    public Question question(long now, FailoverState failover) {
-        Set<String> lost = failover.away();
-        lost.retainAll(sites.sites().keySet());
-        boolean waits = askedAt != Long.MIN_VALUE && now - askedAt < PLAN_MOST;
-        // The first that is heard of a site's load counts at once: without it the plan has nothing to place.
-        Set<String> loaded = detector.loads().keySet();
-        if (waits || now < planAt && lost.equals(plannedFor) && loaded.equals(plannedLoads)) {
-            return null;
-        }
-        plannedLoads = Set.copyOf(loaded);
-        planAt = now + PLAN_EVERY;
-        plannedFor = lost;
-        askedAt = now;
-        Set<String> unfit = new TreeSet<>();
-        failover.statuses().forEach((name, s) -> {
-            if (s.phase() != SiteStatus.Phase.WHOLE) {
-                unfit.add(name);
-            }
-        });
-        return new Question(detector.loads(), lost, unfit, failover.plan());
+    /**
+     * What the lease holder has to have a plan computed from now; empty if none is due, or if one is being computed.
+     */
+    public Optional<FailoverPlanRequest> requestPlan(long now, FailoverState state) {
+        return planSchedule.request(now, state, detector.loads());
     }
 
-    /** A plan was made; one that comes too late, or not at all, leaves the last one in force. */
-    public void answered(long now, FailoverPlan plan) {
-        if (askedAt != Long.MIN_VALUE && now - askedAt < PLAN_MOST) {
-            answer = plan;
-        }
-        askedAt = Long.MIN_VALUE;
+    /** Takes the plan for the last {@link #requestPlan}; one that comes too late is dropped. */
+    public void planComputed(long now, FailoverPlan plan) {
+        planSchedule.computed(now, plan);
     }
 
-    /** The plan that is to be agreed on, or null. */
-    public FailoverPlan planned(FailoverState failover) {
-        FailoverPlan p = answer;
-        answer = null;
-        return p == null || p.equals(failover.plan()) ? null : p;
+    /** Hands out the computed plan once, to be proposed; empty if there is none, or if it is already in force. */
+    public Optional<FailoverPlan> takeComputedPlan(FailoverState state) {
+        return planSchedule.takeComputed(state);
     }
 }
--- a/src/main/java/pewtercourse/failover/FailoverPlan.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlan.java
@@ -8,61 +8,86 @@
 import java.util.TreeSet;
 
 /**
- * Where the load of lost sites goes, made before it happens: for each set of lost sites that was planned for, the shares
- * of each of them.
+ * Where the load of lost sites goes, computed before they are lost.
+ *
+ * @param cases for each set of lost sites that was planned for, by its {@link #key}: the distribution of each lost
+ *              site's load, by its name
  */
-public record FailoverPlan(SortedMap<String, SortedMap<String, Shares>> cases) {
-    public static final FailoverPlan NONE = new FailoverPlan(new TreeMap<>());
+public record FailoverPlan(SortedMap<String, SortedMap<String, Distribution>> cases) {
+    /** Plans for nothing. */
+    public static final FailoverPlan EMPTY = new FailoverPlan(new TreeMap<>());
 
     /**
-     * {@code work}: transfers at once that go to {@code site}; {@code most}: what may go there at most, where more is asked
-     * for than was planned.
+     * One failover target's part of a lost site's load, in concurrent transfers.
+     *
+     * @param site the target's name
+     * @param load what goes there
+     * @param max  the most that may go there if clients ask for more than was planned for
      */
-    public record Part(String site, double work, double most) {}
+    public record Allocation(String site, double load, double max) {}
 
-    /** {@code refused}: transfers at once for which there is no room. */
-    public record Shares(List<Part> parts, double refused) {
-        public static final Shares NOTHING = new Shares(List.of(), 0);
+    /**
+     * Where the load of one lost site goes, in concurrent transfers.
+     *
+     * @param allocations one for each target that takes some
+     * @param rejected    load for which no target has capacity
+     */
+    public record Distribution(List<Allocation> allocations, double rejected) {
+        /** Of a site without load. */
+        public static final Distribution EMPTY = new Distribution(List.of(), 0);
+
+        /** What all targets take together. */
+        public double allocated() {
+            return allocations.stream().mapToDouble(Allocation::load).sum();
+        }
 
-        public double taken() {
-            return parts.stream().mapToDouble(Part::work).sum();
+        /** All of the site's load that was planned for. */
+        double total() {
+            return allocated() + rejected;
+        }
+
+        boolean uses(String target) {
+            return allocations.stream()
+                    .anyMatch(allocation -> allocation.site().equals(target));
         }
     }
 
+    /** The name of a case: the lost sites in order, joined by plus signs. */
     static String key(Set<String> lost) {
         return String.join("+", new TreeSet<>(lost));
     }
 
     /**
-     * The shares of each of these lost sites. A set that was not planned for gets what was planned for each alone, each
-     * part cut by how many of them lean on the same taker, so that none is pushed over.
+     * The distributions of these lost sites by name. A set that was not planned for gets what was planned for each of
+     * them alone, divided among those of them that use the same target, so that none is overloaded.
      */
-    public SortedMap<String, Shares> when(Set<String> lost) {
-        SortedMap<String, Shares> known = cases.get(key(lost));
-        if (known != null) {
-            return known;
-        }
-        SortedMap<String, Shares> single = new TreeMap<>();
-        for (String s : new TreeSet<>(lost)) {
-            Shares of = cases.getOrDefault(s, Collections.emptySortedMap()).getOrDefault(s, Shares.NOTHING);
-            double whole = of.taken() + of.refused();
-            List<Part> parts = of.parts().stream()
-                    .filter(p -> !lost.contains(p.site()))
-                    .map(p -> {
-                        long leaning = lost.stream()
-                                .filter(o -> cases
-                                        .getOrDefault(o, Collections.emptySortedMap())
-                                        .getOrDefault(o, Shares.NOTHING)
-                                        .parts()
-                                        .stream()
-                                        .anyMatch(q -> q.site().equals(p.site())))
-                                .count();
-                        return new Part(p.site(), p.work() / leaning, p.most() / leaning);
-                    })
+    public SortedMap<String, Distribution> distributions(Set<String> lost) {
+        SortedMap<String, Distribution> planned = cases.get(key(lost));
+        return planned != null ? planned : combinedSingleLosses(lost);
+    }
+
+    private SortedMap<String, Distribution> combinedSingleLosses(Set<String> lost) {
+        SortedMap<String, Distribution> combined = new TreeMap<>();
+        for (String site : new TreeSet<>(lost)) {
+            Distribution alone = singleLoss(site);
+            List<Allocation> divided = alone.allocations().stream()
+                    .filter(allocation -> !lost.contains(allocation.site()))
+                    .map(allocation -> divide(allocation, lost))
                     .toList();
-            Shares cut = new Shares(parts, 0);
-            single.put(s, new Shares(parts, Math.max(0, whole - cut.taken())));
+            double allocated = new Distribution(divided, 0).allocated();
+            combined.put(site, new Distribution(divided, Math.max(0, alone.total() - allocated)));
         }
-        return single;
+        return combined;
+    }
+
+    private Allocation divide(Allocation allocation, Set<String> lost) {
+        long users = lost.stream()
+                .filter(site -> singleLoss(site).uses(allocation.site()))
+                .count();
+        return new Allocation(allocation.site(), allocation.load() / users, allocation.max() / users);
+    }
+
+    private Distribution singleLoss(String site) {
+        return cases.getOrDefault(site, Collections.emptySortedMap()).getOrDefault(site, Distribution.EMPTY);
     }
 }
--- a/src/main/java/pewtercourse/failover/OverflowRouter.java
+++ b/src/main/java/pewtercourse/failover/OverflowRouter.java
@@ -1,154 +1,126 @@
 package pewtercourse.failover;
 
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
+import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import pewtercourse.hash.StableHash;
 
 /**
- * At one director: which site serves a request of its own clients, by what is agreed, or whether it is refused. While its
- * own site is whole that is always the own one. Knows no sockets; {@code now} is microseconds.
+ * At one director: which site serves a request of its own clients by what is agreed, or whether it is rejected. While
+ * the own site is whole that is always the own one. {@code now} is microseconds of a monotonic clock.
  */
 public final class OverflowRouter {
-    /**
-     * A request. {@code must}: may not be made twice, and only the origin can serve it: it is never refused here.
-     * {@code work}: how long its answer takes to send. {@code needs}: how long it takes in all, where all is well.
-     */
-    public record Ask(
-            long object,
-            double worth,
-            double work,
-            long aim,
-            long expires,
-            long needs,
-            boolean must,
-            boolean renewal) {}
-
-    /** {@code site} null: refused, and to come again after {@code holdOff}. */
-    public record Choice(String site, long holdOff) {}
-
-    // While the own site is lost, one request so often is tried there: else nobody would see it come back.
-    private static final long TRIAL_EVERY = 300_000;
-    // Advice to those refused, as a share of their aim, and how much it is spread.
-    private static final double HOLD_OFF = 0.25, SPREAD = 3;
+    // While the own site is lost, one request per interval is tried there: else nobody would see it recover.
+    private static final long TRIAL_INTERVAL_MICROS = 300_000;
+    // Rejected clients are told to retry after this share of the latency objective, up to so many times as long:
+    // spread, so that they don't come back all at once.
+    private static final double RETRY_AFTER_SHARE = 0.25;
+    private static final double RETRY_AFTER_SPREAD = 3;
+    // Makes the order in which objects come back independent of the choice among targets (2^64 / golden ratio).
+    private static final long RECOVERY_SALT = 0x9e3779b97f4a7c15L;
 
     private final Sites sites;
-    private final String own;
-    private final long holdOffMost;
+    private final String ownSite;
+    private final long maxRetryAfterMicros;
     private final Random random;
-    private final RequestPriorities worths = new RequestPriorities();
-    private final Map<String, LoadShedder> shedders = new HashMap<>();
-    private SiteStatus status = SiteStatus.WHOLE;
-    private SortedMap<String, Double> weights = new TreeMap<>();
-    private long trialAt;
-    private boolean listed = true;
+    private final RequestPriorities priorities = new RequestPriorities();
+    private final Map<String, LoadShedder> shedders = new HashMap<>(); // By target.
+    private SortedMap<String, Double> targetWeights = new TreeMap<>();
+    private SiteStatus ownStatus = SiteStatus.INITIAL;
+    private long nextTrialAt;
+    private boolean ownCachesListed = true;
 
-    /** {@code holdOffMost}: the longest advice that clients follow. */
-    public OverflowRouter(Sites sites, String own, long holdOffMost, long seed) {
+    /**
+     * @param ownSite             site of this director
+     * @param maxRetryAfterMicros the longest retry delay that clients follow
+     * @param seed                of the spread of retry delays
+     */
+    public OverflowRouter(Sites sites, String ownSite, long maxRetryAfterMicros, long seed) {
         this.sites = sites;
-        this.own = own;
-        this.holdOffMost = holdOffMost;
+        this.ownSite = ownSite;
+        this.maxRetryAfterMicros = maxRetryAfterMicros;
         this.random = new Random(seed);
     }
 
-    /** What is agreed has changed. {@code directors}: of the own site, that share what is lent to it; at least 1. */
-    public void follow(long now, FailoverState failover, int directors) {
-        status = failover.status(own);
-        weights = new TreeMap<>();
-        if (!status.away()) {
+    /**
+     * Follows a change of what is agreed.
+     *
+     * @param directors present directors of the own site, among which its allocations are divided; 0 counts as 1
+     */
+    public void follow(long now, FailoverState state, int directors) {
+        ownStatus = state.status(ownSite);
+        targetWeights = new TreeMap<>();
+        if (!ownStatus.diverted()) {
             shedders.clear();
             return;
         }
-        FailoverPlan.Shares shares =
-                failover.plan().when(failover.away()).getOrDefault(own, FailoverPlan.Shares.NOTHING);
-        for (FailoverPlan.Part p : shares.parts()) {
-            weights.put(p.site(), p.work());
-            shedders.computeIfAbsent(p.site(), s -> new LoadShedder(now)).limit(p.most() / Math.max(1, directors));
+        FailoverPlan.Distribution distribution = state.plan()
+                .distributions(state.divertedSites())
+                .getOrDefault(ownSite, FailoverPlan.Distribution.EMPTY);
+        for (FailoverPlan.Allocation allocation : distribution.allocations()) {
+            targetWeights.put(allocation.site(), allocation.load());
+            shedders.computeIfAbsent(allocation.site(), site -> new LoadShedder(now))
+                    .setLimit(allocation.max() / Math.max(1, directors));
         }
-        shedders.keySet().retainAll(weights.keySet());
+        shedders.keySet().retainAll(targetWeights.keySet());
     }
 
-    /** Whether any cache of the own site is listed: with none a trial there is in vain. */
-    public void listed(boolean any) {
-        listed = any;
+    /** Tells whether any cache of the own site is listed: without one, a trial there is in vain. */
+    public void setOwnCachesListed(boolean listed) {
+        ownCachesListed = listed;
     }
 
-    public boolean away() {
-        return status.away();
+    /** Whether the load of the own site, or a part of it, is served elsewhere. */
+    public boolean diverting() {
+        return ownStatus.diverted();
     }
 
-    /** Sites that it may send to now besides its own. */
-    public Iterable<String> takers() {
-        return weights.keySet();
+    /** Sites besides the own one that requests may go to now; a read-only view. */
+    public Set<String> failoverTargets() {
+        return Collections.unmodifiableSet(targetWeights.keySet());
     }
 
-    public Choice choose(long now, Ask a) {
-        if (!status.away() || atHome(now, a)) {
-            return new Choice(own, 0);
+    /** Chooses the site of a request. */
+    public OverflowDecision choose(long now, OverflowRequest request) {
+        if (!ownStatus.diverted() || servedAtHome(now, request)) {
+            return OverflowDecision.serveAt(ownSite);
         }
-        double rank = worths.rank(now, a.worth(), Math.max(1, a.work()), a.object(), a.renewal());
-        String taker = pick(a.object());
-        if (taker == null) {
-            // Nobody takes it. What only the origin can serve is tried by what is left of the own site.
-            return a.must() ? new Choice(own, 0) : refused(a);
+        double rank = priorities.rank(now, request);
+        Optional<String> target = WeightedRendezvous.choose(request.objectHash(), targetWeights);
+        if (target.isEmpty()) {
+            // What only the origin can serve is tried by what is left of the own site.
+            return request.unconditional() ? OverflowDecision.serveAt(ownSite) : reject(request);
         }
-        if (!a.must() && now + a.needs() > a.expires()) {
-            return refused(a);
+        if (!request.unconditional() && request.tooLate(now)) {
+            return reject(request);
         }
-        return shedders.get(taker).admit(now, rank, a.work(), a.must()) ? new Choice(taker, 0) : refused(a);
+        boolean admitted = shedders.get(target.get())
+                .admit(now, rank, request.serviceMicros(), request.unconditional());
+        return admitted ? OverflowDecision.serveAt(target.get()) : reject(request);
     }
 
-    private boolean atHome(long now, Ask a) {
-        if (status.phase() == SiteStatus.Phase.RETURNING) {
+    private boolean servedAtHome(long now, OverflowRequest request) {
+        if (ownStatus.phase() == SiteStatus.Phase.RETURNING) {
             // Objects come back in one order, so that a further step moves none away again.
-            return unit(a.object() ^ 0x9e3779b97f4a7c15L)
-                    < sites.timing().steps().get(status.step());
+            double place = StableHash.toUnitInterval(request.objectHash() ^ RECOVERY_SALT);
+            return place < sites.timing().recoverySteps().get(ownStatus.step());
         }
-        if (!listed || a.must() || a.renewal() || now < trialAt || status.drill()) {
+        boolean trialAllowed = ownCachesListed && !ownStatus.drill();
+        if (!trialAllowed || request.unconditional() || request.revalidation() || now < nextTrialAt) {
             return false;
         }
-        trialAt = now + TRIAL_EVERY;
+        nextTrialAt = now + TRIAL_INTERVAL_MICROS;
         return true;
     }
 
-    // Weighted rendezvous hashing: an object's requests meet at one taker, from whichever director, and a change of the
-    // plan moves only what it must. At the taker its caches' own order sends them to the object's home there.
-    private String pick(long object) {
-        String best = null;
-        double most = 0;
-        for (Map.Entry<String, Double> w : weights.entrySet()) {
-            double score = -w.getValue() / Math.log(unit(object ^ hash(w.getKey())));
-            if (best == null || score > most) {
-                best = w.getKey();
-                most = score;
-            }
-        }
-        return best;
-    }
-
-    private Choice refused(Ask a) {
-        double off = HOLD_OFF * a.aim() * (1 + (SPREAD - 1) * random.nextDouble());
-        return new Choice(null, Math.min(holdOffMost, (long) off));
-    }
-
-    // Between 0 and 1, neither of them.
-    private static double unit(long x) {
-        return ((mix(x) >>> 11) + 0.5) * 0x1.0p-53;
-    }
-
-    /** Of an object's or a site's name. */
-    public static long hash(String text) {
-        long h = 0xcbf29ce484222325L;
-        for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
-        }
-        return mix(h);
-    }
-
-    private static long mix(long x) {
-        x = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
-        x = (x ^ x >>> 27) * 0x94d049bb133111ebL;
-        return x ^ x >>> 31;
+    private OverflowDecision reject(OverflowRequest request) {
+        double factor = 1 + (RETRY_AFTER_SPREAD - 1) * random.nextDouble();
+        double retryAfter = RETRY_AFTER_SHARE * request.objectiveMicros() * factor;
+        return OverflowDecision.reject(Math.min(maxRetryAfterMicros, (long) retryAfter));
     }
 }
--- a/src/main/java/pewtercourse/failover/RequestPriorities.java
+++ b/src/main/java/pewtercourse/failover/RequestPriorities.java
@@ -4,55 +4,70 @@
 import java.util.Map;
 
 /**
- * What is refused first: the order of requests by their worth for what they cost at a taker, against what was asked for of
- * late. Memory is bounded.
+ * Ranks requests by their priority weight for what they cost at a failover target, against what was asked for lately:
+ * the lowest ranks are shed first. Memory is bounded: a histogram on a logarithmic scale, aged by halving, and the
+ * objects that were asked for last.
  */
 final class RequestPriorities {
-    private static final int BINS = 40, OBJECTS_MOST = 4_096;
-    private static final double PER_DOUBLING = 2; // Bins for each doubling of worth for cost.
-    private static final long HALVING = 5_000_000;
-    // What is renewed behind is nobody's answer yet. A fill costs its taker as much again as the sending.
-    private static final double RENEWAL = 0.25, FILL = 1.0;
+    private static final int BINS = 40;
+    private static final double BINS_PER_DOUBLING = 2;
+    private static final long HALF_LIFE_MICROS = 5_000_000;
+    private static final long MAX_HALVINGS = 60;
+    private static final int MAX_OBJECTS = 4_096;
+    private static final int INITIAL_OBJECTS = 256;
+    private static final float LOAD_FACTOR = 0.75f;
+    private static final double MICROS_PER_SECOND = 1e6;
+    // No client waits for a background revalidation.
+    private static final double REVALIDATION_FACTOR = 0.25;
+    // Filling an object costs the target as much again as sending it.
+    private static final double FILL_COST = 1.0;
 
-    private final double[] asked = new double[BINS]; // Work by bin, the worthiest first, halved with time.
-    private final Map<Long, Boolean> objects = new LinkedHashMap<>(256, 0.75f, true) {
+    private final double[] askedByBin = new double[BINS]; // Service time, the highest priorities first.
+    private final Map<Long, Boolean> recentObjects = new LinkedHashMap<>(INITIAL_OBJECTS, LOAD_FACTOR, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > OBJECTS_MOST;
+            return size() > MAX_OBJECTS;
         }
     };
-    private double total;
-    private long epoch = Long.MIN_VALUE;
+    private double askedInAll;
+    private long halfLives = Long.MIN_VALUE;
 
-    /** Between 0, worthier than all that was asked for of late, and 1. Counts this one. */
-    double rank(long now, double worth, double work, long object, boolean renewal) {
-        boolean known = objects.put(object, Boolean.TRUE) != null;
-        double density = worth * (renewal ? RENEWAL : 1) / (work * (known ? 1 : 1 + FILL));
-        // 1 per second of work is in the middle.
-        int bin = (int) Math.round(BINS / 2.0 - PER_DOUBLING * Math.log(density * 1e6) / Math.log(2));
-        bin = Math.max(0, Math.min(BINS - 1, bin));
+    /** Ranks a request and counts it: from 0, above all that was asked for lately, to 1. */
+    double rank(long now, OverflowRequest request) {
+        double service = Math.max(1, request.serviceMicros());
+        int bin = bin(request, service);
         age(now);
-        asked[bin] += work;
-        total += work;
-        double better = asked[bin] / 2;
+        askedByBin[bin] += service;
+        askedInAll += service;
+        double higher = askedByBin[bin] / 2;
         for (int i = 0; i < bin; i++) {
-            better += asked[i];
+            higher += askedByBin[i];
         }
-        return Math.min(1, better / total);
+        return Math.min(1, higher / askedInAll);
+    }
+
+    private int bin(OverflowRequest request, double service) {
+        boolean cached = recentObjects.put(request.objectHash(), Boolean.TRUE) != null;
+        double weight = request.priorityWeight() * (request.revalidation() ? REVALIDATION_FACTOR : 1);
+        double cost = service * (cached ? 1 : 1 + FILL_COST);
+        // A weight of 1 for each second of cost is in the middle.
+        double doublings = Math.log(weight / cost * MICROS_PER_SECOND) / Math.log(2);
+        int bin = (int) Math.round(BINS / 2.0 - BINS_PER_DOUBLING * doublings);
+        return Math.max(0, Math.min(BINS - 1, bin));
     }
 
     private void age(long now) {
-        long at = now / HALVING;
-        if (epoch != Long.MIN_VALUE && at > epoch) {
-            double down = Math.pow(0.5, Math.min(60, at - epoch));
-            total = 0;
+        long current = now / HALF_LIFE_MICROS;
+        if (halfLives != Long.MIN_VALUE && current > halfLives) {
+            double factor = Math.pow(0.5, Math.min(MAX_HALVINGS, current - halfLives));
+            askedInAll = 0;
             for (int i = 0; i < BINS; i++) {
-                asked[i] *= down;
-                total += asked[i];
+                askedByBin[i] *= factor;
+                askedInAll += askedByBin[i];
             }
         }
-        epoch = Math.max(epoch, at);
+        halfLives = Math.max(halfLives, current);
     }
 }
--- a/src/main/java/pewtercourse/failover/Site.java
+++ b/src/main/java/pewtercourse/failover/Site.java
@@ -4,15 +4,16 @@
 import java.util.Set;
 
 /**
- * One site as its operators describe it. Work is in transfers at once: how many answers are under way on average.
+ * One site as its operators describe it. Capacities are in concurrent transfers.
  *
- * @param hub           the parents that its fills come from; "" if that is not told
- * @param directors     members of the cluster that stand there
- * @param capacity      what its caches serve when they are warm, over 0
- * @param spareShare    share, 0 to 1, of what it has to spare that clients of other sites may use
- * @param reservedShare share, 0 to 1, of {@code capacity} that stays for its own clients whatever happens
- * @param link          fills at once that its link carries; 0 for no bound
- * @param takers        who may serve its clients when it is lost; empty where nothing may cross
+ * @param name            unique among the sites; also the zone of its caches
+ * @param hub             zone of the parents that it fills from; empty if the file names none
+ * @param directors       members of the cluster that stand at this site
+ * @param capacity        what its caches serve when they are warm; over 0
+ * @param spareShare      share, 0 to 1, of its unused capacity that clients of other sites may use
+ * @param reservedShare   share, 0 to 1, of {@code capacity} that is always kept for its own clients
+ * @param fillCapacity    concurrent fills that its uplink carries; 0 for no limit
+ * @param failoverTargets sites that may serve its clients when it is lost; empty if none may
  */
 public record Site(
         String name,
@@ -21,13 +22,27 @@
         double capacity,
         double spareShare,
         double reservedShare,
-        double link,
-        List<Taker> takers) {
-    /** {@code distance}: what a crossing costs, beside others; over 0. */
-    public record Taker(String site, double distance) {}
+        double fillCapacity,
+        List<FailoverTarget> failoverTargets) {
+    /**
+     * A site that may serve another one's clients.
+     *
+     * @param site     its name
+     * @param distance cost of one transfer from there, relative to other targets; over 0
+     */
+    public record FailoverTarget(String site, double distance) {}
 
-    /** What it can lend while its own clients ask for so much. */
-    public double spare(double load) {
+    /** Whether the file names a hub, so that the site's parents can be counted. */
+    boolean hasHub() {
+        return !hub.isEmpty();
+    }
+
+    /**
+     * What this site can serve for clients of other sites.
+     *
+     * @param load concurrent transfers that its own clients ask for
+     */
+    public double spareCapacity(double load) {
         return Math.max(0, Math.min(spareShare * (capacity - load), (1 - reservedShare) * capacity));
     }
 }
--- a/src/main/java/pewtercourse/failover/SiteFailureDetector.java
+++ b/src/main/java/pewtercourse/failover/SiteFailureDetector.java
@@ -8,181 +8,172 @@
 import java.util.TreeMap;
 
 /**
- * Judges how sites are from what all members see of them: many weak signs, each of which may be stale or one-sided.
- * Every member feeds one, so that whoever gets the duty has it at hand. {@code now} is microseconds of the own
- * monotonic clock.
+ * Judges the health of the sites by the observations of all members, each of which may be stale or one-sided. Every
+ * member feeds one, so that whichever gets the lease has the observations at hand. {@code now} is microseconds of this
+ * member's monotonic clock.
  */
 public final class SiteFailureDetector {
-    // Fewer ends than these prove nothing.
-    private static final int ENDS_LEAST = 4, REFUSED_LEAST = 8;
-    // Shares of failed attempts from which caches fail, and up to which they are well; of slow answers, from which a
-    // site is slow.
-    private static final double FAILS = 0.8, WELL = 0.25, SLOW = 0.7, HALF = 0.5;
+    // Older than any signal that still counts.
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private record Seen(long at, Map<String, SiteObservation> siteObservations) {}
+    private record MemberReport(long at, Map<String, SiteObservation> bySite) {}
 
-    private record Since(SiteHealth health, long at) {}
+    private record JudgedHealth(SiteHealth health, long since) {}
+
+    /** When the last two observations that look like a loss came. */
+    private record LossSignals(long previous, long latest) {
+        static final LossSignals NONE = new LossSignals(NEVER, NEVER);
+
+        LossSignals next(long now) {
+            return new LossSignals(latest, now);
+        }
+    }
 
     private final Sites sites;
-    private final Map<String, Seen> seen = new HashMap<>(); // By member.
-    private final Map<String, Since> since = new HashMap<>(); // By site: what it looks like now.
-    private final Map<String, Double> loads = new TreeMap<>();
-    private final Map<String, long[]> failing = new HashMap<>(); // By site: when the last two sights told of a loss.
+    private final Map<String, MemberReport> reports = new HashMap<>(); // By member.
+    private final Map<String, JudgedHealth> judged = new HashMap<>(); // By site.
+    private final Map<String, Double> loads = new TreeMap<>(); // By site.
+    private final Map<String, LossSignals> lossSignals = new HashMap<>(); // By site.
 
+    /** A detector that has seen nothing yet. */
     public SiteFailureDetector(Sites sites) {
         this.sites = sites;
     }
 
-    /** The same with what was seen so far, for sites that are described anew. */
-    SiteFailureDetector with(Sites to) {
-        SiteFailureDetector d = new SiteFailureDetector(to);
-        d.seen.putAll(seen);
-        d.loads.putAll(loads);
-        d.failing.putAll(failing);
-        return d;
-    }
-
-    /** A member tells what it has seen of late. */
-    public void see(long now, String member, Map<String, SiteObservation> siteObservations) {
-        seen.put(member, new Seen(now, Map.copyOf(siteObservations)));
-        siteObservations.forEach((site, s) -> {
-            boolean told =
-                    s.ends() >= ENDS_LEAST || s.bad() > 0 && s.good() + s.late() == 0 && s.refused() >= REFUSED_LEAST;
-            if (told && s.bad() >= FAILS * s.ends() || s.usual() > 0 && s.ready() == 0) {
-                long[] last = failing.computeIfAbsent(site, n -> new long[] {Long.MIN_VALUE / 2, Long.MIN_VALUE / 2});
-                last[0] = last[1];
-                last[1] = now;
+    /**
+     * A detector for changed sites that keeps the observations of this one; how long a site's health lasts starts anew.
+     */
+    SiteFailureDetector withSites(Sites changed) {
+        SiteFailureDetector detector = new SiteFailureDetector(changed);
+        detector.reports.putAll(reports);
+        detector.loads.putAll(loads);
+        detector.lossSignals.putAll(lossSignals);
+        return detector;
+    }
+
+    /** Takes in what a member has seen in the last seconds, by site. */
+    public void observe(long now, String member, Map<String, SiteObservation> bySite) {
+        reports.put(member, new MemberReport(now, Map.copyOf(bySite)));
+        bySite.forEach((site, observation) -> {
+            if (observation.signalsLoss()) {
+                lossSignals.put(
+                        site, lossSignals.getOrDefault(site, LossSignals.NONE).next(now));
             }
         });
-        for (Site s : sites.sites().values()) {
-            if (s.directors().contains(member) && siteObservations.containsKey(s.name())) {
-                double load = 0;
-                for (String d : s.directors()) {
-                    SiteObservation of =
-                            seen.containsKey(d) ? seen.get(d).siteObservations().get(s.name()) : null;
-                    load += of == null ? 0 : of.load();
-                }
-                loads.put(s.name(), load);
+        for (Site site : sites.byName().values()) {
+            if (site.directors().contains(member) && bySite.containsKey(site.name())) {
+                loads.put(site.name(), reportedLoad(site));
             }
         }
     }
 
-    /** Transfers at once that each site's clients ask for, as was last told; one that fell silent keeps what it had. */
+    private double reportedLoad(Site site) {
+        double load = 0;
+        for (String director : site.directors()) {
+            MemberReport report = reports.get(director);
+            SiteObservation observation =
+                    report == null ? null : report.bySite().get(site.name());
+            load += observation == null ? 0 : observation.load();
+        }
+        return load;
+    }
+
+    /**
+     * Concurrent transfers that each site's clients ask for, as last reported; a site whose directors fell silent keeps
+     * its last load. A copy.
+     */
     public SortedMap<String, Double> loads() {
         return new TreeMap<>(loads);
     }
 
-    /** Takes in the time and who is silent. To be called before {@link #health} and {@link #lasts}. */
+    /**
+     * Judges every site by the observations that are fresh now. To be called before {@link #health} and
+     * {@link #healthAgeMicros}.
+     *
+     * @param absent members that the cluster counts as absent
+     */
     public void judge(long now, Set<String> absent) {
-        for (Site s : sites.sites().values()) {
-            SiteHealth h = raw(now, s, absent);
-            Since before = since.get(s.name());
-            if (before == null || before.health() != h && !alike(before.health(), h)) {
-                since.put(s.name(), new Since(h, now));
-            } else {
-                since.put(s.name(), new Since(h, before.at()));
-            }
+        for (Site site : sites.byName().values()) {
+            SiteHealth health = currentHealth(now, site, absent);
+            JudgedHealth before = judged.get(site.name());
+            boolean lasts = before != null && sameLoss(before.health(), health);
+            judged.put(site.name(), new JudgedHealth(health, lasts ? before.since() : now));
         }
     }
 
     // A loss whose extent shows bit by bit is one loss.
-    private static boolean alike(SiteHealth a, SiteHealth b) {
-        return a.lost() && b.lost();
+    private static boolean sameLoss(SiteHealth before, SiteHealth now) {
+        return before == now || before.lost() && now.lost();
     }
 
+    /** The health of a site at the last judgement; well before the first. */
     public SiteHealth health(String site) {
-        Since s = since.get(site);
-        return s == null ? SiteHealth.WELL : s.health();
+        JudgedHealth last = judged.get(site);
+        return last == null ? SiteHealth.WELL : last.health();
     }
 
-    /** How long it has looked so. */
-    public long lasts(long now, String site) {
-        Since s = since.get(site);
-        return s == null ? 0 : now - s.at();
+    /** How long the site has been in this health, in microseconds. */
+    public long healthAgeMicros(long now, String site) {
+        JudgedHealth last = judged.get(site);
+        return last == null ? 0 : now - last.since();
     }
 
     /**
-     * Whether two sights have told of a loss of late. Guards against one that is bad by chance, after which its director falls
-     * silent: nothing would contradict it while it counts.
+     * Whether at least two fresh observations looked like a loss. A single one may be bad by chance, and if its
+     * director falls silent after it, nothing contradicts it while it counts.
      */
-    public boolean confirmed(long now, String site) {
-        long[] last = failing.get(site);
-        return last != null && now - last[0] <= sites.timing().fresh();
-    }
-
-    /** Attempts at a site's caches by its own directors of late: good, late and bad ones; for the pace of its return. */
-    public SiteObservation ownEnds(long now, String site) {
-        int good = 0, late = 0, bad = 0, refused = 0;
-        for (String d : sites.sites().get(site).directors()) {
-            SiteObservation s = fresh(now, d, site);
-            if (s != null) {
-                good += s.good();
-                late += s.late();
-                bad += s.bad();
-                refused += s.refused();
-            }
+    public boolean lossConfirmed(long now, String site) {
+        LossSignals signals = lossSignals.getOrDefault(site, LossSignals.NONE);
+        return now - signals.previous() <= sites.timing().observationLifetimeMicros();
+    }
+
+    /** Recent attempts at a site's caches by its own directors: they set the pace of its recovery. */
+    public AttemptCounts ownAttempts(long now, String site) {
+        AttemptCounts sum = AttemptCounts.NONE;
+        for (String director : sites.byName().get(site).directors()) {
+            MemberReport report = reports.get(director);
+            SiteObservation observation =
+                    report != null && fresh(now, report) ? report.bySite().get(site) : null;
+            sum = observation == null ? sum : sum.plus(observation.attempts());
         }
-        return new SiteObservation(0, 0, 0, 0, good, late, bad, refused, 0);
-    }
-
-    private SiteObservation fresh(long now, String member, String site) {
-        Seen s = seen.get(member);
-        return s == null || now - s.at() > sites.timing().fresh()
-                ? null
-                : s.siteObservations().get(site);
-    }
-
-    private SiteHealth raw(long now, Site s, Set<String> absent) {
-        boolean staffed = !s.directors().isEmpty(), heard = false, ownWell = false;
-        int good = 0, late = 0, bad = 0, refused = 0, listeners = 0, empty = 0, half = 0, noParents = 0;
-        for (Map.Entry<String, Seen> e : seen.entrySet()) {
-            SiteObservation sight = fresh(now, e.getKey(), s.name());
-            boolean own = s.directors().contains(e.getKey());
-            heard |= own
-                    && !absent.contains(e.getKey())
-                    && now - e.getValue().at() <= sites.timing().fresh();
-            if (sight == null || absent.contains(e.getKey())) {
-                continue;
-            }
-            good += sight.good();
-            late += sight.late();
-            bad += sight.bad();
-            refused += sight.refused();
-            ownWell |= own && sight.ends() >= ENDS_LEAST && sight.bad() <= WELL * sight.ends();
-            if (sight.usual() > 0) {
-                listeners++;
-                empty += sight.ready() == 0 ? 1 : 0;
-                half += sight.ready() < HALF * sight.usual() ? 1 : 0;
-                noParents += sight.parents() > 0 && sight.up() == 0 ? 1 : 0;
+        return sum;
+    }
+
+    private boolean fresh(long now, MemberReport report) {
+        return now - report.at() <= sites.timing().observationLifetimeMicros();
+    }
+
+    private SiteHealth currentHealth(long now, Site site, Set<String> absent) {
+        SiteEvidence evidence = new SiteEvidence();
+        reports.forEach((member, report) -> {
+            if (!absent.contains(member) && fresh(now, report)) {
+                addReport(evidence, site, member, report);
             }
+        });
+        return evidence.health(evidence.noDirectorHeard() && expectsDirectors(site, absent));
+    }
+
+    private static void addReport(SiteEvidence evidence, Site site, String member, MemberReport report) {
+        boolean fromInside = site.directors().contains(member);
+        if (fromInside) {
+            evidence.directorHeard();
         }
-        int ends = good + late + bad;
-        // A director's module soon leaves dead caches alone: few attempts fail, and all else is refused.
-        boolean told = ends >= ENDS_LEAST || bad > 0 && good + late == 0 && refused >= REFUSED_LEAST;
-        // Lists come late and shrink by mistake: an empty one counts where most have it and no attempt says otherwise.
-        boolean unlisted = listeners > 0 && 2 * empty > listeners && (!told || bad > WELL * ends);
-        boolean fails = told && bad >= FAILS * ends && !ownWell || unlisted;
-        boolean silent = staffed
-                && !heard
-                && !seen.isEmpty()
-                && s.directors().stream().allMatch(d -> absent.contains(d) || seen.containsKey(d));
-        if (fails) {
-            return silent ? SiteHealth.ALL : SiteHealth.CACHES;
-        }
-        if (silent) {
-            return SiteHealth.DIRECTORS;
-        }
-        if (listeners > 0 && 2 * noParents > listeners) {
-            return SiteHealth.PARENTS;
-        }
-        if (told && bad > WELL * ends || listeners > 0 && 2 * half > listeners) {
-            return SiteHealth.PARTLY;
+        SiteObservation observation = report.bySite().get(site.name());
+        if (observation != null) {
+            evidence.add(observation, fromInside);
         }
-        return told && late >= SLOW * (good + late) ? SiteHealth.SLOW : SiteHealth.WELL;
     }
 
-    /** Members' sights that are kept, of no more members than these. */
-    public void members(Collection<String> members) {
-        seen.keySet().retainAll(members);
+    // After a start the silence of directors that were never heard from means nothing.
+    private boolean expectsDirectors(Site site, Set<String> absent) {
+        return !site.directors().isEmpty()
+                && !reports.isEmpty()
+                && site.directors().stream()
+                        .allMatch(director -> absent.contains(director) || reports.containsKey(director));
+    }
+
+    /** Forgets the reports of all other members. */
+    public void retainMembers(Collection<String> members) {
+        reports.keySet().retainAll(members);
     }
 }
--- a/src/main/java/pewtercourse/failover/SiteObservation.java
+++ b/src/main/java/pewtercourse/failover/SiteObservation.java
@@ -1,21 +1,16 @@
 package pewtercourse.failover;
 
 /**
- * What one member saw of one site of late.
+ * What one member saw of one site in the last seconds.
  *
- * @param usual   caches of it that its list has had
- * @param ready   those that it has now
- * @param parents parents of the site's hub that the list has had, {@code up} those that it has now
- * @param good    attempts at its caches that were answered in time
- * @param late    those answered, and slowly
- * @param bad     those that failed, or were never answered
- * @param refused requests of its own clients that its module turned away for lack of room
- * @param load    transfers at once that its own clients ask for; 0 where the member is not of this site
+ * @param caches   the site's caches in the member's endpoint list
+ * @param parents  parents of the site's hub in that list
+ * @param attempts how the member's attempts at the site's caches ended
+ * @param load     concurrent transfers that the site's own clients ask this member for; 0 where it stands elsewhere
  */
-public record SiteObservation(
-        int usual, int ready, int parents, int up, int good, int late, int bad, int refused, double load) {
-    /** Attempts that tell something. */
-    public int ends() {
-        return good + late + bad;
+public record SiteObservation(EndpointCount caches, EndpointCount parents, AttemptCounts attempts, double load) {
+    /** Whether this observation alone looks like a lost site. */
+    boolean signalsLoss() {
+        return attempts.conclusive() && attempts.mostFailed() || caches.allGone();
     }
 }
--- a/src/main/java/pewtercourse/lease/ClusterState.java
+++ b/src/main/java/pewtercourse/lease/ClusterState.java
@@ -122,26 +122,19 @@
         } else if (c instanceof Command.ChangeSiteStatus d) {
             return duty(SITES).token() != d.token()
                     ? new Result("an older token")
-                    : failover.declare(
-                                    index,
-                                    d.what().site(),
-                                    d.what().phase(),
-                                    d.what().health(),
-                                    d.what().step(),
-                                    d.what().flaps(),
-                                    d.what().after())
+                    : failover.changeStatus(index, d.what())
                             ? Result.DONE
                             : new Result("another change of this site came first");
         } else if (c instanceof Command.PublishFailoverPlan p) {
             if (duty(SITES).token() != p.token()) {
                 return new Result("an older token");
             }
-            failover.plan(p.plan());
+            failover.setPlan(p.plan());
             return Result.DONE;
         } else if (c instanceof Command.PauseSiteRecovery h) {
-            return failover.hold(index, h.site(), h.on(), h.after()) ? Result.DONE : Result.LATE;
+            return failover.setHeld(index, h.site(), h.on(), h.after()) ? Result.DONE : Result.LATE;
         } else if (c instanceof Command.StartFailoverDrill d) {
-            return failover.drill(index, d.site(), d.after()) ? Result.DONE : Result.LATE;
+            return failover.startDrill(index, d.site(), d.after()) ? Result.DONE : Result.LATE;
         }
         throw new IllegalArgumentException(c.toString());
     }
--- a/src/main/java/pewtercourse/lease/Command.java
+++ b/src/main/java/pewtercourse/lease/Command.java
@@ -1,9 +1,9 @@
 package pewtercourse.lease;
 
 import java.util.Map;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteStatusChange;
 
 /**
  * What members have agreed before it counts. {@code token}s are those of the duty that orders it; the state refuses
@@ -59,7 +59,7 @@
     record ReportSiteObservation(Map<String, SiteObservation> siteObservations) implements Command {}
 
     /** By the holder of the sites duty. */
-    record ChangeSiteStatus(FailoverController.Declaration what, long token) implements Command {}
+    record ChangeSiteStatus(SiteStatusChange what, long token) implements Command {}
 
     /** By the holder of the sites duty: where loads go. */
     record PublishFailoverPlan(FailoverPlan plan, long token) implements Command {}
--- a/src/main/java/pewtercourse/lease/FailoverCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -6,12 +6,14 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.wire.LeaseWire;
 
 /** Between what is agreed on sites and its form in the log. */
@@ -23,14 +25,14 @@
         new TreeMap<>(t.siteObservations())
                 .forEach((site, s) -> b.addSight(LeaseWire.Sight.newBuilder()
                         .setSite(site)
-                        .setUsual(s.usual())
-                        .setReady(s.ready())
-                        .setParents(s.parents())
-                        .setUp(s.up())
-                        .setGood(s.good())
-                        .setLate(s.late())
-                        .setBad(s.bad())
-                        .setRefused(s.refused())
+                        .setUsual(s.caches().usual())
+                        .setReady(s.caches().ready())
+                        .setParents(s.parents().usual())
+                        .setUp(s.parents().ready())
+                        .setGood(s.attempts().onTime())
+                        .setLate(s.attempts().late())
+                        .setBad(s.attempts().failed())
+                        .setRefused(s.attempts().rejected())
                         .setLoad(s.load())));
         return b.build();
     }
@@ -41,34 +43,29 @@
                 .forEach(s -> siteObservations.put(
                         s.getSite(),
                         new SiteObservation(
-                                s.getUsual(),
-                                s.getReady(),
-                                s.getParents(),
-                                s.getUp(),
-                                s.getGood(),
-                                s.getLate(),
-                                s.getBad(),
-                                s.getRefused(),
+                                new EndpointCount(s.getUsual(), s.getReady()),
+                                new EndpointCount(s.getParents(), s.getUp()),
+                                new AttemptCounts(s.getGood(), s.getLate(), s.getBad(), s.getRefused()),
                                 s.getLoad())));
         return new Command.ReportSiteObservation(siteObservations);
     }
 
     static LeaseWire.Declare encode(Command.ChangeSiteStatus d) {
-        FailoverController.Declaration w = d.what();
+        SiteStatusChange w = d.what();
         return LeaseWire.Declare.newBuilder()
                 .setSite(w.site())
                 .setPhase(w.phase().name())
                 .setHealth(w.health().name())
                 .setStep(w.step())
                 .setFlaps(w.flaps())
-                .setAfter(w.after())
+                .setAfter(w.expectedIndex())
                 .setToken(d.token())
                 .build();
     }
 
     static Command.ChangeSiteStatus decode(LeaseWire.Declare d) throws InvalidProtocolBufferException {
         return new Command.ChangeSiteStatus(
-                new FailoverController.Declaration(
+                new SiteStatusChange(
                         d.getSite(),
                         one(SiteStatus.Phase.class, d.getPhase()),
                         one(SiteHealth.class, d.getHealth()),
@@ -92,12 +89,12 @@
             LeaseWire.Case.Builder c = LeaseWire.Case.newBuilder().setKey(key);
             shares.forEach((site, s) -> {
                 LeaseWire.Shares.Builder of =
-                        LeaseWire.Shares.newBuilder().setSite(site).setRefused(s.refused());
-                s.parts()
+                        LeaseWire.Shares.newBuilder().setSite(site).setRefused(s.rejected());
+                s.allocations()
                         .forEach(x -> of.addPart(LeaseWire.Part.newBuilder()
                                 .setSite(x.site())
-                                .setWork(x.work())
-                                .setMost(x.most())));
+                                .setWork(x.load())
+                                .setMost(x.max())));
                 c.addShares(of);
             });
             b.addCase(c);
@@ -106,13 +103,14 @@
     }
 
     static FailoverPlan decode(LeaseWire.Plan p) {
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+        SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         p.getCaseList().forEach(c -> {
-            SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
+            SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
             c.getSharesList().forEach(s -> {
-                List<FailoverPlan.Part> parts = new ArrayList<>();
-                s.getPartList().forEach(x -> parts.add(new FailoverPlan.Part(x.getSite(), x.getWork(), x.getMost())));
-                shares.put(s.getSite(), new FailoverPlan.Shares(parts, s.getRefused()));
+                List<FailoverPlan.Allocation> parts = new ArrayList<>();
+                s.getPartList()
+                        .forEach(x -> parts.add(new FailoverPlan.Allocation(x.getSite(), x.getWork(), x.getMost())));
+                shares.put(s.getSite(), new FailoverPlan.Distribution(parts, s.getRefused()));
             });
             cases.put(c.getKey(), shares);
         });
@@ -129,7 +127,7 @@
                         .setFlaps(s.flaps())
                         .setHeld(s.held())
                         .setDrill(s.drill())
-                        .setEntry(s.entry())));
+                        .setEntry(s.lastChangeIndex())));
         to.setPlan(encode(failover.plan()));
     }
 
@@ -147,7 +145,7 @@
                             s.getEntry()));
         }
         if (from.hasPlan() && from.getPlan().getCaseCount() > 0) {
-            to.plan(decode(from.getPlan()));
+            to.setPlan(decode(from.getPlan()));
         }
     }
 }
--- a/src/main/java/pewtercourse/lease/LeaseManager.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -11,6 +11,7 @@
 import java.util.function.ToIntFunction;
 import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.Sites;
 
@@ -60,8 +61,8 @@
     /** The sites as this member's operators describe them, from now on. */
     public void sites(long now, Sites sites) {
         failoverController =
-                failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
-        failoverController.see(now, state.failover());
+                failoverController == null ? new FailoverController(sites) : failoverController.withSites(sites);
+        failoverController.trackChanges(now, state.failover());
     }
 
     /** What this member has seen of sites of late. */
@@ -70,16 +71,16 @@
     }
 
     /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
-    public FailoverController.Question question(long now) {
+    public FailoverPlanRequest question(long now) {
         return failoverController == null || token(ClusterState.SITES, now) == 0
                 ? null
-                : failoverController.question(now, state.failover());
+                : failoverController.requestPlan(now, state.failover()).orElse(null);
     }
 
     /** The plan for the last {@link #question}. */
     public void planned(long now, FailoverPlan plan) {
         if (failoverController != null) {
-            failoverController.answered(now, plan);
+            failoverController.planComputed(now, plan);
         }
     }
 
@@ -123,7 +124,7 @@
                     myAsks.put(index, at);
                 }
             } else if (s.command() instanceof Command.ReportSiteObservation t && failoverController != null) {
-                failoverController.detector().see(now, s.by(), t.siteObservations());
+                failoverController.detector().observe(now, s.by(), t.siteObservations());
             } else if (s.command() instanceof Command.GrantQuota l
                     && l.to().equals(self)
                     && set.quotaAllocator() != null) {
@@ -147,7 +148,7 @@
         maintenanceBudget.see(now, state);
         quotaAllocator.see(now, state);
         if (failoverController != null) {
-            failoverController.see(now, state.failover());
+            failoverController.trackChanges(now, state.failover());
         }
         mine.keySet().removeIf(name -> !state.duty(name).holder().equals(self));
         state.duties().forEach((name, d) -> {
@@ -273,12 +274,12 @@
         if (token == 0 || failoverController == null) {
             return List.of();
         }
-        failoverController.detector().members(view.members());
+        failoverController.detector().retainMembers(view.members());
         List<Command> orders = new ArrayList<>();
         failoverController
-                .orders(now, state.failover(), state.absent())
+                .proposeChanges(now, state.failover(), state.absent())
                 .forEach(d -> orders.add(new Command.ChangeSiteStatus(d, token)));
-        FailoverPlan plan = failoverController.planned(state.failover());
+        FailoverPlan plan = failoverController.takeComputedPlan(state.failover()).orElse(null);
         if (plan != null) {
             orders.add(new Command.PublishFailoverPlan(plan, token));
         }
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -24,10 +24,10 @@
 
     @Test
     void theOperatorsFileIsTakenAndDefaultsAreFilledIn() throws Exception {
-        assertEquals(2, read(GOOD).sites().size());
-        assertEquals(0.5, read(GOOD).sites().get("a").spareShare());
+        assertEquals(2, read(GOOD).byName().size());
+        assertEquals(0.5, read(GOOD).byName().get("a").spareShare());
         Sites shipped = SitesConfig.fromFile(Path.of("deploy/sites.json"));
-        assertTrue(shipped.sites().size() >= 3);
+        assertTrue(shipped.byName().size() >= 3);
     }
 
     @ParameterizedTest
--- a/src/test/java/pewtercourse/failover/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverControllerTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -15,146 +16,216 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Seeing how sites are, declaring losses and pacing returns, at a controller that is told once a second. */
+/**
+ * Detection of losses and pacing of recoveries, at a controller that gets one report a second from each of four
+ * members.
+ */
 class FailoverControllerTest {
     private static final long SECOND = 1_000_000;
-    private static final SiteObservation WELL = new SiteObservation(4, 4, 2, 2, 20, 1, 0, 0, 10),
-            DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 20, 0, 10),
-            UNLISTED = new SiteObservation(4, 0, 2, 2, 0, 0, 0, 0, 10),
-            SLOW = new SiteObservation(4, 4, 2, 2, 3, 17, 0, 0, 10),
-            NO_PARENTS = new SiteObservation(4, 4, 2, 0, 20, 1, 0, 0, 10),
-            FAR = new SiteObservation(4, 4, 2, 2, 0, 0, 0, 0, 0),
-            FAR_DEAD = new SiteObservation(4, 4, 2, 2, 0, 0, 6, 0, 0),
-            FAR_WELL = new SiteObservation(4, 4, 2, 2, 6, 0, 0, 0, 0);
-
-    private FailoverController failoverController;
-    private FailoverState failover;
-    private long now, entry;
-    private final List<String> told = new ArrayList<>();
+    private static final int MEMBERS = 4;
+    private static final int CONTROLS_PER_SECOND = 10;
+    private static final SiteObservation SILENT = null;
+
+    // What s0's own director sees of it.
+    private static final SiteObservation WELL = observation(4, 2, new AttemptCounts(20, 1, 0, 0), 10);
+    private static final SiteObservation DEAD = observation(4, 2, new AttemptCounts(0, 0, 20, 0), 10);
+    private static final SiteObservation UNLISTED = observation(0, 2, AttemptCounts.NONE, 10);
+    private static final SiteObservation UNLISTED_YET_WELL = observation(0, 2, new AttemptCounts(20, 0, 0, 0), 10);
+    private static final SiteObservation SLOW = observation(4, 2, new AttemptCounts(3, 17, 0, 0), 10);
+    private static final SiteObservation RATHER_SLOW = observation(4, 2, new AttemptCounts(6, 14, 0, 0), 10);
+    private static final SiteObservation SOME_FAIL = observation(4, 2, new AttemptCounts(15, 0, 6, 0), 10);
+    private static final SiteObservation NO_PARENTS = observation(4, 0, new AttemptCounts(20, 1, 0, 0), 10);
+    // What the other members see of it.
+    private static final SiteObservation FAR = observation(4, 2, AttemptCounts.NONE, 0);
+    private static final SiteObservation FAR_DEAD = observation(4, 2, new AttemptCounts(0, 0, 6, 0), 0);
+    private static final SiteObservation FAR_WELL = observation(4, 2, new AttemptCounts(6, 0, 0, 0), 0);
+
+    private FailoverController controller;
+    private FailoverState state;
+    private long now;
+    private long logIndex;
+    private final List<SiteStatusChange> changes = new ArrayList<>();
+
+    private static SiteObservation observation(int readyCaches, int readyParents, AttemptCounts attempts, double load) {
+        return new SiteObservation(
+                new EndpointCount(4, readyCaches), new EndpointCount(2, readyParents), attempts, load);
+    }
 
     @BeforeEach
     void start() {
-        failoverController = new FailoverController(FailoverPlannerTest.sites(20, 20, 20, 20));
-        failover = new FailoverState();
+        controller = newController();
+        state = new FailoverState();
         now = 10 * SECOND;
-        entry = 0;
-        told.clear();
+        logIndex = 0;
+        changes.clear();
     }
 
-    /** Some seconds in which d0 sees {@code own} of s0 and the others {@code far}; null is silence. */
+    private static FailoverController newController() {
+        return new FailoverController(TestSites.ring(20, 20, 20, 20));
+    }
+
+    /** Some seconds in which s0's director d0 sees {@code own} of it, and the others {@code far}. */
     private void pass(int seconds, SiteObservation own, SiteObservation far, String... absent) {
-        for (int i = 0; i < seconds; i++) {
-            for (int m = 0; m < 4; m++) {
-                SiteObservation s = m == 0 ? own : far;
-                if (s != null) {
-                    Map<String, SiteObservation> siteObservations = new TreeMap<>(Map.of("s0", s));
-                    if (m > 0) {
-                        siteObservations.put("s" + m, WELL);
-                    }
-                    failoverController.detector().see(now, "d" + m, siteObservations);
-                }
+        for (int second = 0; second < seconds; second++) {
+            for (int member = 0; member < MEMBERS; member++) {
+                report(member, member == 0 ? own : far);
             }
-            for (int t = 0; t < 10; t++) {
-                now += SECOND / 10;
-                for (FailoverController.Declaration d : failoverController.orders(now, failover, Set.of(absent))) {
-                    assertTrue(
-                            failover.declare(++entry, d.site(), d.phase(), d.health(), d.step(), d.flaps(), d.after()));
-                    told.add(d.site() + " " + d.phase() + " " + d.health() + " " + d.step());
-                }
+            for (int i = 0; i < CONTROLS_PER_SECOND; i++) {
+                now += SECOND / CONTROLS_PER_SECOND;
+                agreeOnProposedChanges(Set.of(absent));
             }
         }
     }
 
+    private void report(int member, SiteObservation ofFirstSite) {
+        if (ofFirstSite == SILENT) {
+            return;
+        }
+        Map<String, SiteObservation> bySite = new TreeMap<>(Map.of("s0", ofFirstSite));
+        if (member > 0) {
+            bySite.put("s" + member, WELL);
+        }
+        controller.detector().observe(now, "d" + member, bySite);
+    }
+
+    private void agreeOnProposedChanges(Set<String> absent) {
+        for (SiteStatusChange change : controller.proposeChanges(now, state, absent)) {
+            assertTrue(state.changeStatus(++logIndex, change));
+            changes.add(change);
+        }
+    }
+
     private SiteStatus.Phase phase() {
-        return failover.status("s0").phase();
+        return state.status("s0").phase();
+    }
+
+    private List<String> changesAsText() {
+        return changes.stream()
+                .map(change -> change.site() + " " + change.phase() + " " + change.health() + " " + change.step())
+                .toList();
     }
 
     @Test
-    void cachesThatFailAreALossAfterAWhileAndNotBefore() {
+    void failingCachesAreALossOnceTheSignsLast() {
         pass(5, WELL, FAR);
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), changes);
+
         pass(1, DEAD, FAR);
-        assertEquals(List.of(), told, "not in the first second");
+        assertEquals(List.of(), changes, "not in the first second");
+
         pass(2, DEAD, FAR);
-        assertEquals(List.of("s0 LOST CACHES 0"), told);
+        assertEquals(List.of("s0 LOST CACHES 0"), changesAsText());
     }
 
     @Test
-    void aSiteWithItsDirectorsIsAnotherLossThanWithout() {
+    void aSiteThatIsLostWithItsDirectorsHasAllLost() {
         pass(3, WELL, FAR);
-        pass(6, null, FAR_DEAD, "d0");
-        assertEquals(SiteHealth.ALL, failover.status("s0").health());
+        pass(6, SILENT, FAR_DEAD, "d0");
+
+        assertEquals(SiteHealth.ALL, state.status("s0").health());
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void silentDirectorsAreNoLossOfTheCaches() {
+    void silentDirectorsImpairASiteAndAreNoLossOfItsCaches() {
         pass(3, WELL, FAR);
-        pass(6, null, FAR_WELL, "d0");
+        pass(6, SILENT, FAR_WELL, "d0");
         assertEquals(
                 new SiteStatus(SiteStatus.Phase.IMPAIRED, SiteHealth.DIRECTORS, 0, 0, false, false, 1),
-                failover.status("s0"));
+                state.status("s0"));
+
         pass(3, WELL, FAR_WELL);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
-    void whatOnlyOthersCannotReachIsNotLost() {
+    void aSiteThatOnlyOtherSitesCannotReachIsNotLost() {
         pass(10, WELL, FAR_DEAD);
-        assertFalse(phase() == SiteStatus.Phase.LOST, told::toString);
+
+        assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
+    }
+
+    @Test
+    void anEmptyListAtOneMemberIsNoLoss() {
+        pass(3, WELL, FAR);
+        pass(6, UNLISTED_YET_WELL, FAR);
+
+        assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
     }
 
     @Test
-    void aListThatIsEmptyAtOneMemberOrWhileAttemptsSucceedIsNoLoss() {
+    void anEmptyListIsNoLossWhileAttemptsSucceed() {
         pass(3, WELL, FAR);
-        pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), FAR);
-        pass(6, new SiteObservation(4, 0, 2, 2, 20, 0, 0, 0, 10), UNLISTED);
-        assertFalse(phase() == SiteStatus.Phase.LOST, told::toString);
+        pass(6, UNLISTED_YET_WELL, FAR);
+        pass(6, UNLISTED_YET_WELL, UNLISTED);
+        assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
+
         pass(4, UNLISTED, UNLISTED);
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void aSlowSiteAndOneWithoutParentsAreImpaired() {
+    void aSlowSiteIsImpairedUntilItIsWell() {
         pass(3, SLOW, FAR);
-        assertEquals(SiteHealth.SLOW, failover.status("s0").health());
+        assertEquals(SiteHealth.SLOW, state.status("s0").health());
+
         pass(4, WELL, FAR);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
+    }
+
+    @Test
+    void aSiteWithoutParentsIsImpairedAndKeepsItsClients() {
+        pass(7, WELL, FAR);
         pass(3, NO_PARENTS, NO_PARENTS);
-        assertEquals(SiteHealth.PARENTS, failover.status("s0").health());
-        assertFalse(failover.away().contains("s0"));
+
+        assertEquals(SiteHealth.PARENTS, state.status("s0").health());
+        assertFalse(state.divertedSites().contains("s0"));
     }
 
     @Test
-    void itReturnsStepByStepAndStepsBackOnTrouble() {
+    void aSiteRecoversStepByStep() {
         pass(4, DEAD, FAR);
         pass(2, UNLISTED, UNLISTED);
-        told.clear();
+        changes.clear();
+
         pass(8, WELL, FAR);
+
         assertEquals(
                 List.of("s0 RETURNING CACHES 0", "s0 RETURNING CACHES 1", "s0 RETURNING CACHES 2", "s0 WHOLE WELL 0"),
-                told);
+                changesAsText());
+    }
+
+    @Test
+    void aRecoveringSiteStepsBackWhenAttemptsFail() {
+        pass(4, DEAD, FAR);
+        pass(2, UNLISTED, UNLISTED);
+        pass(8, WELL, FAR);
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
-        int before = failover.status("s0").step();
-        pass(2, new SiteObservation(4, 4, 2, 2, 15, 0, 6, 0, 10), FAR);
-        assertTrue(failover.status("s0").step() < before || phase() == SiteStatus.Phase.LOST, told::toString);
+        int step = state.status("s0").step();
+
+        pass(2, SOME_FAIL, FAR);
+
+        assertTrue(state.status("s0").step() < step || phase() == SiteStatus.Phase.LOST, changes::toString);
     }
 
     @Test
-    void slowAnswersHoldAStepAndDoNotUndoIt() {
+    void slowAnswersHoldARecoveryStepAndDoNotUndoIt() {
         pass(4, DEAD, FAR);
         pass(4, WELL, FAR);
         assertEquals(SiteStatus.Phase.RETURNING, phase());
-        int step = failover.status("s0").step();
-        pass(6, new SiteObservation(4, 4, 2, 2, 6, 14, 0, 0, 10), FAR);
+        int step = state.status("s0").step();
+
+        pass(6, RATHER_SLOW, FAR);
+
         assertEquals(SiteStatus.Phase.RETURNING, phase());
-        assertTrue(failover.status("s0").step() <= step + 1, told::toString);
+        assertTrue(state.status("s0").step() <= step + 1, changes::toString);
     }
 
     @Test
-    void oneThatFlapsWaitsLongerEachTime() {
-        List<Integer> waits = new ArrayList<>();
+    void aFlappingSiteWaitsLongerEachTime() {
+        List<Integer> delays = new ArrayList<>();
+
         for (int flap = 0; flap < 4; flap++) {
             pass(4, DEAD, FAR);
             assertEquals(SiteStatus.Phase.LOST, phase());
@@ -163,100 +234,104 @@
                 pass(1, WELL, FAR);
                 seconds++;
             }
-            waits.add(seconds);
+            delays.add(seconds);
             pass(1, WELL, FAR);
         }
-        assertTrue(
-                waits.get(1) > waits.get(0) && waits.get(2) > waits.get(1) && waits.get(3) > waits.get(2),
-                waits::toString);
+
+        for (int i = 1; i < delays.size(); i++) {
+            assertTrue(delays.get(i) > delays.get(i - 1), delays::toString);
+        }
     }
 
     @Test
-    void aDrillTakesItOutByStepsAndLettingGoBringsItBack() {
+    void aDrillTakesASiteOutStepByStepUntilItIsReleased() {
         pass(3, WELL, FAR);
-        assertTrue(failover.drill(++entry, "s0", 0));
+        assertTrue(state.startDrill(++logIndex, "s0", 0));
+
         pass(6, WELL, FAR);
-        assertEquals(List.of("s0 RETURNING WELL 1", "s0 RETURNING WELL 0", "s0 LOST WELL 0"), told);
+        assertEquals(List.of("s0 RETURNING WELL 1", "s0 RETURNING WELL 0", "s0 LOST WELL 0"), changesAsText());
         pass(10, WELL, FAR);
-        assertEquals(SiteStatus.Phase.LOST, phase(), "until it is let go");
-        assertTrue(failover.hold(++entry, "s0", false, failover.status("s0").entry()));
+        assertEquals(SiteStatus.Phase.LOST, phase(), "until it is released");
+
+        assertTrue(state.setHeld(++logIndex, "s0", false, state.status("s0").lastChangeIndex()));
         pass(12, WELL, FAR);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
-    void oneThatIsHeldStaysWhereItIs() {
+    void aHeldSiteDoesNotRecover() {
         pass(4, DEAD, FAR);
-        assertTrue(failover.hold(++entry, "s0", true, failover.status("s0").entry()));
+        assertTrue(state.setHeld(++logIndex, "s0", true, state.status("s0").lastChangeIndex()));
+
         pass(20, WELL, FAR);
-        assertEquals(SiteStatus.Phase.LOST, phase());
-    }
 
-    @Test
-    void aChangeThatBuildsOnAnOlderOneIsRefused() {
-        assertTrue(failover.declare(1, "s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0));
-        assertFalse(failover.declare(2, "s0", SiteStatus.Phase.WHOLE, SiteHealth.WELL, 0, 0, 0));
-        assertFalse(failover.hold(3, "s0", true, 0));
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void aNewHolderGoesOnFromTheAgreedStep() {
+    void aNewLeaseHolderGoesOnFromTheAgreedStep() {
         pass(4, DEAD, FAR);
         pass(5, WELL, FAR);
-        SiteStatus before = failover.status("s0");
-        assertEquals(SiteStatus.Phase.RETURNING, before.phase());
-        failoverController = new FailoverController(FailoverPlannerTest.sites(20, 20, 20, 20));
-        told.clear();
+        assertEquals(SiteStatus.Phase.RETURNING, phase());
+        controller = newController();
+        changes.clear();
+
         pass(8, WELL, FAR);
+
         assertEquals(SiteStatus.Phase.WHOLE, phase());
-        assertTrue(told.stream().noneMatch(t -> t.contains("LOST")), told::toString);
+        assertTrue(
+                changes.stream().noneMatch(change -> change.phase() == SiteStatus.Phase.LOST), changes::toString);
     }
 
-    /** Whatever is seen: only the changes that there are, one step at a time, and none without a sign that lasts. */
+    /** Whatever is seen: no other transitions than these, and one step at a time. */
     @Property(tries = 200)
-    void onlyKnownChangesAreMade(@ForAll long seed) {
+    void onlyKnownTransitionsAreMade(@ForAll long seed) {
         start();
         Random random = new Random(seed);
-        SiteObservation[] own = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, null};
-        SiteObservation[] far = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, null};
-        SiteStatus before = failover.status("s0");
+        SiteObservation[] ownViews = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, SILENT};
+        SiteObservation[] farViews = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, SILENT};
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
-                SiteStatus s = failover.status("s0");
-                boolean done = random.nextBoolean()
-                        ? failover.hold(++entry, "s0", random.nextBoolean(), s.entry())
-                        : failover.drill(++entry, "s0", s.entry());
-                assertTrue(done);
-                before = failover.status("s0");
+                assertTrue(giveRandomOrder(random));
+            }
+            SiteObservation own = ownViews[random.nextInt(ownViews.length)];
+            String[] absent = own == SILENT ? new String[] {"d0"} : new String[0];
+            for (int seconds = 1 + random.nextInt(4); seconds > 0; seconds--) {
+                SiteStatus before = state.status("s0");
+                changes.clear();
+                pass(1, own, farViews[random.nextInt(farViews.length)], absent);
+                assertKnownTransitions(before);
             }
-            SiteObservation mine = own[random.nextInt(own.length)];
-            for (int s = 1 + random.nextInt(4); s > 0; s--) {
-                told.clear();
-                pass(1, mine, far[random.nextInt(far.length)], mine == null ? new String[] {"d0"} : new String[0]);
-                for (String t : told) {
-                    String[] word = t.split(" ");
-                    if (word[0].equals("s0")) {
-                        SiteStatus.Phase to = SiteStatus.Phase.valueOf(word[1]);
-                        int step = Integer.parseInt(word[3]);
-                        assertTrue(legal(before, to, step), before + " to " + t);
-                        before = new SiteStatus(
-                                to, SiteHealth.valueOf(word[2]), step, 0, before.held(), before.drill(), 0);
-                    }
-                }
+        }
+    }
+
+    private boolean giveRandomOrder(Random random) {
+        long expectedIndex = state.status("s0").lastChangeIndex();
+        return random.nextBoolean()
+                ? state.setHeld(++logIndex, "s0", random.nextBoolean(), expectedIndex)
+                : state.startDrill(++logIndex, "s0", expectedIndex);
+    }
+
+    private void assertKnownTransitions(SiteStatus first) {
+        SiteStatus before = first;
+        for (SiteStatusChange change : changes) {
+            if (change.site().equals("s0")) {
+                assertTrue(known(before, change), before + " to " + change);
+                before = before.with(change, 0);
             }
         }
     }
 
-    private static boolean legal(SiteStatus from, SiteStatus.Phase to, int step) {
-        int last = 2;
+    private static boolean known(SiteStatus from, SiteStatusChange change) {
+        int lastStep = TestSites.TIMING.lastStep();
+        SiteStatus.Phase to = change.phase();
         return switch (from.phase()) {
-            case WHOLE, IMPAIRED -> to != SiteStatus.Phase.RETURNING || from.drill() && step == last - 1;
-            case LOST -> to == SiteStatus.Phase.RETURNING && step == 0 && !from.held();
+            case WHOLE, IMPAIRED -> to != SiteStatus.Phase.RETURNING || from.drill() && change.step() == lastStep - 1;
+            case LOST -> to == SiteStatus.Phase.RETURNING && change.step() == 0 && !from.held();
             case RETURNING ->
                 to == SiteStatus.Phase.LOST
-                        || to == SiteStatus.Phase.WHOLE && from.step() == last
-                        || to == SiteStatus.Phase.RETURNING && Math.abs(step - from.step()) == 1;
+                        || to == SiteStatus.Phase.WHOLE && from.step() == lastStep
+                        || to == SiteStatus.Phase.RETURNING && Math.abs(change.step() - from.step()) == 1;
         };
     }
 }
--- a/src/test/java/pewtercourse/failover/FailoverTrace.java
+++ b/src/test/java/pewtercourse/failover/FailoverTrace.java
@@ -8,6 +8,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import pewtercourse.hash.StableHash;
 
 /**
  * One random stream through the detector, two members' controllers, the planner, the agreed state and two directors'
@@ -48,7 +49,7 @@
     private Sites sites;
     private int holder;
     private long now = 10_000_000;
-    private long entry;
+    private long logIndex;
     private long followedVersion = -1;
 
     /** @param outcomes how often each kind of output was seen; this stream adds its own */
@@ -60,7 +61,7 @@
             controllers.add(new FailoverController(sites));
             routers.add(new OverflowRouter(sites, "s" + i, 500_000, seed + i));
         }
-        sites.sites().keySet().forEach(name -> conditions.put(name, Condition.WELL));
+        sites.byName().keySet().forEach(name -> conditions.put(name, Condition.WELL));
     }
 
     /** Plays the stream to its end. */
@@ -96,7 +97,7 @@
                 conditions.put(name, chance(2) ? Condition.WELL : all[random.nextInt(all.length)]);
             }
         }
-        for (Site site : sites.sites().values()) {
+        for (Site site : sites.byName().values()) {
             for (String director : site.directors()) {
                 boolean silent = silent(site);
                 if (chance(silent ? 6 : 12)) {
@@ -120,8 +121,8 @@
             return;
         }
         sites = TraceSites.redraw(random, sites);
-        sites.sites().keySet().forEach(name -> conditions.putIfAbsent(name, Condition.WELL));
-        controllers.replaceAll(controller -> controller.with(sites));
+        sites.byName().keySet().forEach(name -> conditions.putIfAbsent(name, Condition.WELL));
+        controllers.replaceAll(controller -> controller.withSites(sites));
         for (int i = 0; i < routers.size(); i++) {
             routers.set(i, new OverflowRouter(sites, "s" + i, 400_000, random.nextLong()));
         }
@@ -135,30 +136,30 @@
             return;
         }
         String site = anySite();
-        long after = agreed.status(site).entry() - (chance(5) ? 1 : 0);
+        long after = agreed.status(site).lastChangeIndex() - (chance(5) ? 1 : 0);
         boolean accepted = switch (random.nextInt(4)) {
-            case 0 -> agreed.drill(++entry, site, after);
-            case 1 -> agreed.hold(++entry, site, true, after);
-            default -> agreed.hold(++entry, site, false, after);
+            case 0 -> agreed.startDrill(++logIndex, site, after);
+            case 1 -> agreed.setHeld(++logIndex, site, true, after);
+            default -> agreed.setHeld(++logIndex, site, false, after);
         };
         digest.add("operator").add(site).add(accepted);
         count(accepted ? "operator accepted" : "operator stale");
     }
 
     private String anySite() {
-        List<String> names = List.copyOf(sites.sites().keySet());
+        List<String> names = List.copyOf(sites.byName().keySet());
         return names.get(random.nextInt(names.size()));
     }
 
     private Set<String> members() {
         Set<String> members = new TreeSet<>(Set.of(OBSERVER));
-        sites.sites().values().forEach(site -> members.addAll(site.directors()));
+        sites.byName().values().forEach(site -> members.addAll(site.directors()));
         return members;
     }
 
     private void report() {
         for (String member : members()) {
-            Site home = sites.sites().values().stream()
+            Site home = sites.byName().values().stream()
                     .filter(site -> site.directors().contains(member))
                     .findFirst()
                     .orElse(null);
@@ -166,15 +167,15 @@
                 continue;
             }
             SortedMap<String, SiteObservation> seen = new TreeMap<>();
-            for (Site site : sites.sites().values()) {
+            for (Site site : sites.byName().values()) {
                 if (site == home || !chance(6)) {
                     seen.put(site.name(), observation(site, site == home));
                 }
             }
-            controllers.forEach(controller -> controller.detector().see(now, member, seen));
+            controllers.forEach(controller -> controller.detector().observe(now, member, seen));
         }
         if (chance(60)) {
-            controllers.get(holder).detector().members(members());
+            controllers.get(holder).detector().retainMembers(members());
         }
     }
 
@@ -218,23 +219,27 @@
         int good = Math.max(0, attempts - late - bad);
         double load =
                 own ? site.capacity() * random.nextDouble() / site.directors().size() : 0;
-        return new SiteObservation(4, ready, 2, parentsReady, good, late, bad, refused, load);
+        return new SiteObservation(
+                new EndpointCount(4, ready),
+                new EndpointCount(2, parentsReady),
+                new AttemptCounts(good, late, bad, refused),
+                load);
     }
 
     private void addJudgements() {
         for (FailoverController controller : controllers) {
             SiteFailureDetector detector = controller.detector();
             detector.loads().forEach((site, load) -> digest.add(site).add(load));
-            for (String site : sites.sites().keySet()) {
-                SiteObservation ends = detector.ownEnds(now, site);
+            for (String site : sites.byName().keySet()) {
+                AttemptCounts attempts = detector.ownAttempts(now, site);
                 digest.add("judged")
                         .add(detector.health(site).ordinal())
-                        .add(detector.lasts(now, site))
-                        .add(detector.confirmed(now, site))
-                        .add(ends.good())
-                        .add(ends.late())
-                        .add(ends.bad())
-                        .add(ends.refused());
+                        .add(detector.healthAgeMicros(now, site))
+                        .add(detector.lossConfirmed(now, site))
+                        .add(attempts.onTime())
+                        .add(attempts.late())
+                        .add(attempts.failed())
+                        .add(attempts.rejected());
                 count("health " + detector.health(site).ordinal());
             }
         }
@@ -242,8 +247,8 @@
 
     private void control() {
         FailoverController controller = controllers.get(holder);
-        controllers.get(1 - holder).see(now, agreed);
-        for (FailoverController.Declaration order : controller.orders(now, agreed, absent)) {
+        controllers.get(1 - holder).trackChanges(now, agreed);
+        for (SiteStatusChange order : controller.proposeChanges(now, agreed, absent)) {
             addOrder(order);
             if (!chance(12)) { // Else it is lost on its way.
                 apply(order);
@@ -253,19 +258,15 @@
             }
         }
         answerDue();
-        FailoverController.Question question = controller.question(now, agreed);
-        if (question != null) {
-            answer(controller, question);
-        }
-        FailoverPlan plan = controller.planned(agreed);
-        if (plan != null) {
+        controller.requestPlan(now, agreed).ifPresent(request -> answer(controller, request));
+        controller.takeComputedPlan(agreed).ifPresent(plan -> {
             digest.add("planned");
             addPlan(plan);
-            agreed.plan(plan);
-        }
+            agreed.setPlan(plan);
+        });
     }
 
-    private void addOrder(FailoverController.Declaration order) {
+    private void addOrder(SiteStatusChange order) {
         SiteStatus before = agreed.status(order.site());
         digest.add("order")
                 .add(order.site())
@@ -273,7 +274,7 @@
                 .add(order.health().ordinal())
                 .add(order.step())
                 .add(order.flaps())
-                .add(order.after());
+                .add(order.expectedIndex());
         String drill = before.drill() ? " in a drill" : "";
         count("order " + before.phase().ordinal() + " to " + order.phase().ordinal() + drill);
         if (before.phase() == SiteStatus.Phase.RETURNING && order.phase() == SiteStatus.Phase.RETURNING) {
@@ -286,32 +287,31 @@
         }
     }
 
-    private void apply(FailoverController.Declaration order) {
-        boolean accepted = agreed.declare(
-                ++entry, order.site(), order.phase(), order.health(), order.step(), order.flaps(), order.after());
+    private void apply(SiteStatusChange order) {
+        boolean accepted = agreed.changeStatus(++logIndex, order);
         digest.add(accepted);
         count(accepted ? "order accepted" : "order stale");
     }
 
-    private void answer(FailoverController controller, FailoverController.Question question) {
-        digest.add("question").add(String.join(" ", question.lost())).add(String.join(" ", question.unfit()));
-        question.loads().forEach((site, load) -> digest.add(site).add(load));
+    private void answer(FailoverController controller, FailoverPlanRequest request) {
+        digest.add("question").add(String.join(" ", request.lost())).add(String.join(" ", request.ineligible()));
+        request.loads().forEach((site, load) -> digest.add(site).add(load));
         FailoverPlanner planner = chance(5) ? new FailoverPlanner(1) : new FailoverPlanner();
-        FailoverPlan plan = planner.plan(sites, question.loads(), question.lost(), question.unfit(), question.before());
+        FailoverPlan plan = planner.plan(sites, request);
         addPlan(plan);
         countPlan(plan, outcomes);
         switch (random.nextInt(6)) {
             case 0 -> pendingAnswers.add(new PendingAnswer(now + 3_000_000, controller, plan)); // Too late.
             case 1 -> pendingAnswers.add(new PendingAnswer(now + 1_000_000, controller, plan));
             case 2 -> count("question unanswered");
-            default -> controller.answered(now, plan);
+            default -> controller.planComputed(now, plan);
         }
     }
 
     private void answerDue() {
         for (PendingAnswer pending : List.copyOf(pendingAnswers)) {
             if (now >= pending.at()) {
-                pending.controller().answered(now, pending.plan());
+                pending.controller().planComputed(now, pending.plan());
                 pendingAnswers.remove(pending);
                 count("answer delayed");
             }
@@ -324,16 +324,16 @@
 
     /** Adds every case of a plan in its order. */
     static void addPlan(FailoverPlan plan, TraceDigest digest) {
-        plan.cases().forEach((key, shares) -> {
+        plan.cases().forEach((key, distributions) -> {
             digest.add("case").add(key);
-            shares.forEach((site, share) -> addShares(site, share, digest));
+            distributions.forEach((site, distribution) -> addDistribution(site, distribution, digest));
         });
     }
 
-    private static void addShares(String site, FailoverPlan.Shares shares, TraceDigest digest) {
-        digest.add(site).add(shares.refused()).add(shares.taken());
-        for (FailoverPlan.Part part : shares.parts()) {
-            digest.add(part.site()).add(part.work()).add(part.most());
+    private static void addDistribution(String site, FailoverPlan.Distribution distribution, TraceDigest digest) {
+        digest.add(site).add(distribution.rejected()).add(distribution.allocated());
+        for (FailoverPlan.Allocation allocation : distribution.allocations()) {
+            digest.add(allocation.site()).add(allocation.load()).add(allocation.max());
         }
     }
 
@@ -341,9 +341,9 @@
     static void countPlan(FailoverPlan plan, Map<String, Integer> outcomes) {
         plan.cases()
                 .values()
-                .forEach(shares -> shares.values().forEach(share -> {
-                    outcomes.merge("plan over " + Math.min(3, share.parts().size()), 1, Integer::sum);
-                    if (share.refused() > 0) {
+                .forEach(distributions -> distributions.values().forEach(distribution -> {
+                    outcomes.merge("plan over " + Math.min(3, distribution.allocations().size()), 1, Integer::sum);
+                    if (distribution.rejected() > 0) {
                         outcomes.merge("plan refuses", 1, Integer::sum);
                     }
                 }));
@@ -355,17 +355,19 @@
         }
         followedVersion = agreed.version();
         agreed.statuses().forEach((site, status) -> addStatus(site, status));
-        Set<String> away = agreed.away();
-        digest.add("away").add(String.join(" ", away));
-        if (!away.isEmpty()) {
-            String key = String.join("+", away);
+        Set<String> diverted = agreed.divertedSites();
+        digest.add("away").add(String.join(" ", diverted));
+        if (!diverted.isEmpty()) {
+            String key = String.join("+", diverted);
             count(agreed.plan().cases().containsKey(key) ? "losses planned for" : "losses not planned for");
         }
-        agreed.plan().when(away).forEach((site, shares) -> addShares(site, shares, digest));
+        agreed.plan()
+                .distributions(diverted)
+                .forEach((site, distribution) -> addDistribution(site, distribution, digest));
         for (OverflowRouter router : routers) {
             router.follow(now, agreed, 1 + random.nextInt(2));
-            digest.add(router.away());
-            router.takers().forEach(digest::add);
+            digest.add(router.diverting());
+            router.failoverTargets().forEach(digest::add);
         }
     }
 
@@ -378,8 +380,8 @@
                 .add(status.flaps())
                 .add(status.held())
                 .add(status.drill())
-                .add(status.entry())
-                .add(status.away());
+                .add(status.lastChangeIndex())
+                .add(status.diverted());
         count("phase " + status.phase().ordinal());
         count("agreed health " + status.health().ordinal());
         count(status.held() ? "held" : "free");
@@ -389,7 +391,7 @@
         for (int i = 0; i < routers.size(); i++) {
             OverflowRouter router = routers.get(i);
             if (chance(20)) {
-                router.listed(!chance(3));
+                router.setOwnCachesListed(!chance(3));
             }
             for (int r = 0; r < REQUESTS_PER_TICK; r++) {
                 route(router, "s" + i, now + r * TICK / REQUESTS_PER_TICK);
@@ -403,18 +405,19 @@
         double work = chance(20) ? 3_000_000 * random.nextDouble() : 20_000 + 300_000 * random.nextDouble();
         long needs = (long) work / 2;
         long expires = at + (chance(12) ? needs / 2 : 2_000_000);
-        long object = OverflowRouter.hash("object " + random.nextInt(400));
-        OverflowRouter.Choice choice = router.choose(
+        long object = StableHash.of("object " + random.nextInt(400));
+        OverflowDecision decision = router.choose(
                 at,
-                new OverflowRouter.Ask(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
-        digest.add("choice").add(object).add(choice.holdOff());
+                new OverflowRequest(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
+        digest.add("choice").add(object).add(decision.retryAfterMicros());
         String kind;
-        if (choice.site() == null) {
+        if (decision.rejected()) {
             kind = "refused";
             digest.add(false);
         } else {
-            kind = choice.site().equals(own) ? "own site" : "other site";
-            digest.add(true).add(choice.site());
+            String site = decision.site().orElseThrow();
+            kind = site.equals(own) ? "own site" : "other site";
+            digest.add(true).add(site);
         }
         String phase = " in phase " + agreed.status(own).phase().ordinal();
         count(kind + (must ? ", must" : "") + phase);
--- a/src/test/java/pewtercourse/failover/FailoverTraceTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverTraceTest.java
@@ -11,6 +11,7 @@
 import java.util.Properties;
 import java.util.Random;
 import java.util.Set;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
@@ -138,13 +139,15 @@
         TraceDigest digest = new TraceDigest();
         for (int problem = 0; problem < 25; problem++) {
             Sites sites = TraceSites.draw(random, problem == 0 ? 18 : 2 + random.nextInt(6));
-            Map<String, Double> loads = new TreeMap<>();
-            sites.sites().forEach((name, site) -> loads.put(name, site.capacity() * 1.1 * random.nextDouble()));
-            FailoverPlan plan = FailoverPlan.NONE;
+            SortedMap<String, Double> loads = new TreeMap<>();
+            sites.byName().forEach((name, site) -> loads.put(name, site.capacity() * 1.1 * random.nextDouble()));
+            FailoverPlan plan = FailoverPlan.EMPTY;
             for (int round = 0; round < 4; round++) {
                 FailoverPlanner planner = random.nextInt(4) == 0 ? new FailoverPlanner(1) : new FailoverPlanner();
                 Set<String> lost = random.nextBoolean() ? Set.of() : some(sites, random, 6);
-                FailoverPlan next = planner.plan(sites, loads, lost, some(sites, random, 8), plan);
+                FailoverPlanRequest request =
+                        new FailoverPlanRequest(loads, lost, some(sites, random, 8), plan);
+                FailoverPlan next = planner.plan(sites, request);
                 FailoverTrace.addPlan(next, digest);
                 FailoverTrace.countPlan(next, outcomes);
                 if (round > 0) {
@@ -160,7 +163,7 @@
 
     private static Set<String> some(Sites sites, Random random, int oneIn) {
         Set<String> some = new TreeSet<>();
-        for (String name : sites.sites().keySet()) {
+        for (String name : sites.byName().keySet()) {
             if (random.nextInt(oneIn) == 0) {
                 some.add(name);
             }
@@ -176,9 +179,11 @@
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
             now += random.nextInt(500) == 0 ? 40_000_000L * random.nextInt(10) : random.nextInt(20_000);
-            double worth = 0.1 + 10 * random.nextDouble();
-            double work = 1_000 + 400_000 * random.nextDouble() * random.nextDouble();
-            digest.add(priorities.rank(now, worth, work, random.nextInt(8_000), random.nextInt(8) == 0));
+            double weight = 0.1 + 10 * random.nextDouble();
+            double service = 1_000 + 400_000 * random.nextDouble() * random.nextDouble();
+            OverflowRequest request =
+                    new OverflowRequest(random.nextInt(8_000), weight, service, 0, 0, 0, false, random.nextInt(8) == 0);
+            digest.add(priorities.rank(now, request));
         }
         return digest.hex();
     }
@@ -191,7 +196,7 @@
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
             if (i % 1_000 == 0) {
-                shedder.limit(random.nextInt(6) == 0 ? 0 : 8 * random.nextDouble());
+                shedder.setLimit(random.nextInt(6) == 0 ? 0 : 8 * random.nextDouble());
             }
             now += random.nextInt(50) == 0 ? -random.nextInt(100_000) : random.nextInt(100_000);
             double work = 1_000 + random.nextInt(random.nextInt(30) == 0 ? 3_000_000 : 400_000);
@@ -208,26 +213,28 @@
         Random random = new Random(seed);
         TraceDigest digest = new TraceDigest();
         Sites sites = TraceSites.draw(random, 4);
-        SiteObservations observations = new SiteObservations("s0");
+        SiteObserver observer = new SiteObserver("s0");
         End[] ends = End.values();
         long now = 5_000_000;
         for (int i = 0; i < 4_000; i++) {
             now += random.nextInt(200) == 0 ? 100_000_000L * random.nextInt(8) : random.nextInt(100_000);
             switch (random.nextInt(4)) {
-                case 0 -> observations.asked(now, 300_000 * random.nextDouble());
-                case 1 -> observations.refused(now);
+                case 0 -> observer.recordRequest(now, 300_000 * random.nextDouble());
+                case 1 -> observer.recordRejection(now);
                 default ->
-                    observations.ended(
+                    observer.recordAttempt(
                             now, "s" + random.nextInt(4), ends[random.nextInt(ends.length)], random.nextBoolean());
             }
             if (i % 10 == 0) {
                 Map<String, Integer> caches = new TreeMap<>();
                 some(sites, random, 2).forEach(name -> caches.put(name, random.nextInt(6)));
                 Map<String, Integer> parents = random.nextInt(5) == 0 ? Map.of() : Map.of("hub", random.nextInt(4));
-                observations.told(now, sites, caches, parents).forEach((site, seen) -> {
-                    digest.add(site).add(seen.usual()).add(seen.ready()).add(seen.parents());
-                    digest.add(seen.up()).add(seen.good()).add(seen.late()).add(seen.bad());
-                    digest.add(seen.refused()).add(seen.ends()).add(seen.load());
+                observer.observe(now, sites, caches, parents).forEach((site, seen) -> {
+                    AttemptCounts attempts = seen.attempts();
+                    digest.add(site).add(seen.caches().usual()).add(seen.caches().ready());
+                    digest.add(seen.parents().usual()).add(seen.parents().ready());
+                    digest.add(attempts.onTime()).add(attempts.late()).add(attempts.failed());
+                    digest.add(attempts.rejected()).add(attempts.completed()).add(seen.load());
                 });
             }
         }
@@ -241,14 +248,15 @@
         FailoverState state = new FailoverState();
         state.restore("s0", new SiteStatus(SiteStatus.Phase.RETURNING, SiteHealth.ALL, 1, 2, true, true, 7));
         for (int i = 0; i < 2_000; i++) {
-            String site = "s" + random.nextInt(Sites.MOST + 20);
-            long after = state.status(site).entry() - (random.nextInt(4) == 0 ? 1 : 0);
+            String site = "s" + random.nextInt(Sites.MAX_SITES + 20);
+            long after = state.status(site).lastChangeIndex() - (random.nextInt(4) == 0 ? 1 : 0);
             boolean known = state.statuses().containsKey(site);
-            boolean full = state.statuses().size() == Sites.MOST;
+            boolean full = state.statuses().size() == Sites.MAX_SITES;
             SiteStatus.Phase phase = SiteStatus.Phase.values()[random.nextInt(4)];
             SiteHealth health = SiteHealth.values()[random.nextInt(SiteHealth.values().length)];
-            boolean accepted = state.declare(100 + i, site, phase, health, random.nextInt(3), random.nextInt(9), after);
-            digest.add(accepted).add(state.version()).add(state.away().size());
+            boolean accepted = state.changeStatus(
+                    100 + i, new SiteStatusChange(site, phase, health, random.nextInt(3), random.nextInt(9), after));
+            digest.add(accepted).add(state.version()).add(state.divertedSites().size());
             if (accepted) {
                 count("declaration taken");
             } else if (full && !known) {
@@ -256,7 +264,7 @@
             }
         }
         state.statuses()
-                .forEach((site, status) -> digest.add(site).add(status.entry()).add(status.away()));
+                .forEach((site, status) -> digest.add(site).add(status.lastChangeIndex()).add(status.diverted()));
         return digest.hex();
     }
 }
--- a/src/test/java/pewtercourse/failover/OverflowRouterTest.java
+++ b/src/test/java/pewtercourse/failover/OverflowRouterTest.java
@@ -1,192 +1,196 @@
 package pewtercourse.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import net.jqwik.api.ForAll;
-import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
+import pewtercourse.hash.StableHash;
 
 class OverflowRouterTest {
     private static final long SECOND = 1_000_000;
-    private static final Sites SITES = FailoverPlannerTest.sites(20, 20, 20, 20);
+    private static final long MAX_RETRY_AFTER = 500_000;
+    private static final long OBJECTIVE = 600_000;
+    private static final long NO_DEADLINE = Long.MAX_VALUE;
+    private static final Sites SITES = TestSites.ring(20, 20, 20, 20);
 
-    private static OverflowRouter overflowRouter(FailoverState failover, long seed) {
-        OverflowRouter g = new OverflowRouter(SITES, "s0", 500_000, seed);
-        g.listed(false); // No trials at home.
-        g.follow(0, failover, 1);
-        return g;
+    /** The state in which s0 is in this phase, with this load planned for it. */
+    private static FailoverState state(SiteStatus.Phase phase, int step, double load) {
+        FailoverState state = TestSites.planned(SITES, load, 10, 10, 10);
+        state.changeStatus(1, new SiteStatusChange("s0", phase, SiteHealth.CACHES, step, 0, 0));
+        return state;
     }
 
-    private static FailoverState failover(SiteStatus.Phase phase, int step, double load) {
-        FailoverState failover = new FailoverState();
-        failover.plan(new FailoverPlanner()
-                .plan(
-                        SITES,
-                        Map.of("s0", load, "s1", 10.0, "s2", 10.0, "s3", 10.0),
-                        Set.of(),
-                        Set.of(),
-                        FailoverPlan.NONE));
-        failover.declare(1, "s0", phase, SiteHealth.CACHES, step, 0, 0);
-        return failover;
+    /** The router of a director of s0; it makes no trials at home. */
+    private static OverflowRouter router(FailoverState state, long seed) {
+        OverflowRouter router = new OverflowRouter(SITES, "s0", MAX_RETRY_AFTER, seed);
+        router.setOwnCachesListed(false);
+        router.follow(0, state, 1);
+        return router;
     }
 
-    private static OverflowRouter.Ask read(long object, double work) {
-        return new OverflowRouter.Ask(object, 1, work, 600_000, Long.MAX_VALUE, 0, false, false);
+    private static OverflowRequest read(long objectHash, double serviceMicros) {
+        return new OverflowRequest(objectHash, 1, serviceMicros, OBJECTIVE, NO_DEADLINE, 0, false, false);
+    }
+
+    private static String chosenSite(OverflowRouter router, long now, OverflowRequest request) {
+        return router.choose(now, request).site().orElseThrow();
     }
 
     @Test
-    void eachObjectGoesToOneTakerByThePlanFromWhicheverDirector() {
-        FailoverState failover = failover(SiteStatus.Phase.LOST, 0, 20);
-        OverflowRouter a = overflowRouter(failover, 1), b = overflowRouter(failover, 2);
-        Map<String, Integer> count = new TreeMap<>();
-        for (int i = 0; i < 20_000; i++) {
-            long object = OverflowRouter.hash("o" + i), now = i * SECOND; // Far from any bound.
-            String to = a.choose(now, read(object, 1)).site();
-            assertEquals(to, b.choose(now, read(object, 1)).site());
-            count.merge(to, 1, Integer::sum);
+    void whileTheOwnSiteIsWholeItServesEveryRequest() {
+        OverflowRouter router = router(TestSites.planned(SITES, 20, 10, 10, 10), 1);
+
+        assertFalse(router.diverting());
+        assertEquals("s0", chosenSite(router, 0, read(1, 200_000)));
+    }
+
+    @Test
+    void allDirectorsSendAnObjectToTheSameTargetInTheProportionsOfThePlan() {
+        FailoverState state = state(SiteStatus.Phase.LOST, 0, 20);
+        OverflowRouter first = router(state, 1);
+        OverflowRouter second = router(state, 2);
+        int requests = 20_000;
+        Map<String, Integer> counts = new TreeMap<>();
+
+        for (int i = 0; i < requests; i++) {
+            long farFromAnyLimit = i * SECOND;
+            OverflowRequest request = read(StableHash.of("o" + i), 1);
+            String target = chosenSite(first, farFromAnyLimit, request);
+            assertEquals(target, chosenSite(second, farFromAnyLimit, request));
+            counts.merge(target, 1, Integer::sum);
         }
+
         // 8 each at the two nearest, 4 at the third.
-        assertEquals(0.4, count.get("s1") / 20_000.0, 0.02);
-        assertEquals(0.4, count.get("s3") / 20_000.0, 0.02);
-        assertEquals(0.2, count.get("s2") / 20_000.0, 0.02);
+        assertEquals(0.4, counts.get("s1") / (double) requests, 0.02);
+        assertEquals(0.4, counts.get("s3") / (double) requests, 0.02);
+        assertEquals(0.2, counts.get("s2") / (double) requests, 0.02);
     }
 
     @Test
-    void aStepFurtherMovesNoObjectAwayAgain() {
-        OverflowRouter first = overflowRouter(failover(SiteStatus.Phase.RETURNING, 0, 12), 1),
-                second = overflowRouter(failover(SiteStatus.Phase.RETURNING, 1, 12), 1);
-        int home = 0;
-        for (int i = 0; i < 10_000; i++) {
-            long object = OverflowRouter.hash("o" + i), now = i * SECOND;
-            boolean before = first.choose(now, read(object, 1)).site().equals("s0");
-            boolean after = second.choose(now, read(object, 1)).site().equals("s0");
+    void aFurtherRecoveryStepMovesNoObjectAwayAgain() {
+        OverflowRouter atFirstStep = router(state(SiteStatus.Phase.RETURNING, 0, 12), 1);
+        OverflowRouter atSecondStep = router(state(SiteStatus.Phase.RETURNING, 1, 12), 1);
+        int requests = 10_000;
+        int servedAtHome = 0;
+
+        for (int i = 0; i < requests; i++) {
+            OverflowRequest request = read(StableHash.of("o" + i), 1);
+            boolean before = chosenSite(atFirstStep, i * SECOND, request).equals("s0");
+            boolean after = chosenSite(atSecondStep, i * SECOND, request).equals("s0");
             assertTrue(!before || after);
-            home += before ? 1 : 0;
+            servedAtHome += before ? 1 : 0;
         }
-        assertEquals(0.2, home / 10_000.0, 0.02);
+
+        assertEquals(0.2, servedAtHome / (double) requests, 0.02);
     }
 
     @Test
-    void nobodyIsAskedForMoreThanItLendsAndTheWorthlessIsRefusedFirst() {
-        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 40), 1); // 24 are lent, 40 asked for.
+    void noTargetGetsMoreThanItsSpareCapacityAndLowPrioritiesAreShedFirst() {
+        // 24 can be spared, 40 are asked for: 200 requests a second of 200 ms each.
+        OverflowRouter router = router(state(SiteStatus.Phase.LOST, 0, 40), 1);
         Random random = new Random(3);
-        Map<String, Double> taken = new TreeMap<>();
-        int[] asked = new int[2], served = new int[2];
-        Set<Long> advice = new HashSet<>();
+        double[] weights = {1, 3};
+        int[] asked = new int[2];
+        int[] served = new int[2];
+        Map<String, Double> serviceByTarget = new TreeMap<>();
+        Set<Long> retryDelays = new HashSet<>();
         long end = 60 * SECOND;
-        for (long now = 0; now < end; now += 5_000) { // 200 a second of 200 ms: 40 transfers at once.
-            int cls = random.nextInt(2);
-            OverflowRouter.Choice c = g.choose(
+
+        for (long now = 0; now < end; now += 5_000) {
+            int priority = random.nextInt(2);
+            asked[priority]++;
+            OverflowDecision decision = router.choose(
                     now,
-                    new OverflowRouter.Ask(
+                    new OverflowRequest(
                             random.nextLong(),
-                            cls == 0 ? 1 : 3,
+                            weights[priority],
                             200_000,
-                            600_000,
+                            OBJECTIVE,
                             now + 3 * SECOND,
                             200_000,
                             false,
                             false));
-            asked[cls]++;
-            if (c.site() == null) {
-                advice.add(c.holdOff());
-                assertTrue(c.holdOff() >= 150_000 && c.holdOff() <= 500_000);
+            if (decision.rejected()) {
+                retryDelays.add(decision.retryAfterMicros());
             } else {
-                served[cls]++;
-                taken.merge(c.site(), 200_000.0, Double::sum);
+                served[priority]++;
+                serviceByTarget.merge(decision.site().orElseThrow(), 200_000.0, Double::sum);
             }
         }
-        taken.forEach((site, work) ->
-                assertTrue(work <= 8 * (end + SECOND) * 1.01, site + " got " + work / end + " at once"));
-        assertTrue(served[1] > 0.9 * asked[1], "the worthier: " + served[1] + " of " + asked[1]);
-        assertTrue(served[0] < 0.4 * asked[0], "the others: " + served[0] + " of " + asked[0]);
-        assertTrue(advice.size() > 1_000, "clients don't come back in step");
+
+        serviceByTarget.forEach((site, service) ->
+                assertTrue(service <= 8 * (end + SECOND) * 1.01, site + " got " + service / end + " at once"));
+        assertTrue(served[1] > 0.9 * asked[1], "high priority: " + served[1] + " of " + asked[1]);
+        assertTrue(served[0] < 0.4 * asked[0], "low priority: " + served[0] + " of " + asked[0]);
+        assertTrue(retryDelays.stream().allMatch(delay -> delay >= 150_000 && delay <= MAX_RETRY_AFTER));
+        assertTrue(retryDelays.size() > 1_000, "clients don't come back in step");
     }
 
     @Test
-    void ordersAlwaysPass() {
-        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 40), 1);
+    void unconditionalRequestsAreNeverRejected() {
+        OverflowRouter router = router(state(SiteStatus.Phase.LOST, 0, 40), 1);
+
         for (long now = 0; now < 20 * SECOND; now += 1_000) {
-            g.choose(now, read(now, 300_000));
-            OverflowRouter.Choice order =
-                    g.choose(now, new OverflowRouter.Ask(now, 3, 30_000, 600_000, now + 1, 30_000, true, false));
-            assertNotNull(order.site());
+            router.choose(now, read(now, 300_000));
+            OverflowRequest unconditional =
+                    new OverflowRequest(now, 3, 30_000, OBJECTIVE, now + 1, 30_000, true, false);
+            assertFalse(router.choose(now, unconditional).rejected());
         }
     }
 
     @Test
-    void whatCannotBeInTimeAndLargeOneOffsGoFirst() {
-        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 12), 1);
-        assertEquals(
-                null,
-                g.choose(0, new OverflowRouter.Ask(1, 2, 400_000, 600_000, 300_000, 400_000, false, false))
-                        .site());
-        RequestPriorities w = new RequestPriorities();
-        for (int i = 0; i < 1_000; i++) {
-            w.rank(i * 1_000, 1, 100_000, i % 50, false);
-        }
-        double small = w.rank(SECOND, 1, 100_000, 7, false),
-                large = w.rank(SECOND, 1, 2_000_000, 99_999, false),
-                oneOff = w.rank(SECOND, 1, 100_000, 99_998, false),
-                renewal = w.rank(SECOND, 1, 100_000, 8, true);
-        assertTrue(
-                small < oneOff && oneOff <= renewal + 1e-9 && small < large && large > 0.9,
-                small + " " + oneOff + " " + renewal + " " + large);
+    void aRequestThatCannotMeetItsDeadlineIsRejected() {
+        OverflowRouter router = router(state(SiteStatus.Phase.LOST, 0, 12), 1);
+        OverflowRequest tooLate = new OverflowRequest(1, 2, 400_000, OBJECTIVE, 300_000, 400_000, false, false);
+
+        assertEquals(Optional.empty(), router.choose(0, tooLate).site());
     }
 
     @Test
-    void whileTheListHasItsCachesOneIsTriedAtHomeNowAndThen() {
-        OverflowRouter g = overflowRouter(failover(SiteStatus.Phase.LOST, 0, 12), 1);
-        g.listed(true);
-        int home = 0;
+    void whileCachesOfALostSiteAreListedAFewRequestsAreTriedThere() {
+        OverflowRouter router = router(state(SiteStatus.Phase.LOST, 0, 12), 1);
+        router.setOwnCachesListed(true);
+        int trials = 0;
+
         for (long now = SECOND; now < 11 * SECOND; now += 10_000) {
-            home += "s0".equals(g.choose(now, read(now, 1_000)).site()) ? 1 : 0;
+            Optional<String> site = router.choose(now, read(now, 1_000)).site();
+            trials += site.equals(Optional.of("s0")) ? 1 : 0;
         }
-        assertTrue(home >= 30 && home <= 34, home + " trials in ten seconds");
+
+        assertTrue(trials >= 30 && trials <= 34, trials + " trials in ten seconds");
     }
 
-    /** Over any span no more passes than the pace and one bucket, whatever the order, the sizes and the clock. */
-    @Property(tries = 300)
-    void theBucketBoundsWhatPasses(@ForAll long seed) {
-        Random random = new Random(seed);
-        double limit = 0.5 + 10 * random.nextDouble();
-        LoadShedder s = new LoadShedder(0);
-        s.limit(limit);
-        double passed = 0, largest = 0;
-        long now = 0, latest = 0;
-        for (int i = 0; i < 2_000; i++) {
-            now += random.nextInt(20) == 0 ? -random.nextInt(100_000) : random.nextInt(100_000);
-            latest = Math.max(latest, now);
-            double work = 1_000 + random.nextInt(random.nextInt(50) == 0 ? 3_000_000 : 200_000);
-            if (s.admit(now, random.nextDouble(), work, false)) {
-                passed += work;
-                largest = Math.max(largest, work);
-            }
+    @Test
+    void anAllocationIsDividedAmongThePresentDirectors() {
+        FailoverState state = state(SiteStatus.Phase.LOST, 0, 40);
+
+        double servedByOneOfTwo = servedServiceTime(state, 2);
+        double servedByTheOnlyOne = servedServiceTime(state, 1);
+
+        assertEquals(0.5, servedByOneOfTwo / servedByTheOnlyOne, 0.05);
+    }
+
+    private static double servedServiceTime(FailoverState state, int directors) {
+        OverflowRouter router = router(state, 1);
+        router.follow(0, state, directors);
+        double served = 0;
+        for (long now = 0; now < 60 * SECOND; now += 2_000) {
+            served += router.choose(now, read(now * 7919, 200_000)).rejected() ? 0 : 200_000;
         }
-        assertTrue(passed <= limit * (latest + SECOND) + largest + 1, passed + " of " + limit * (latest + SECOND));
+        return served;
     }
 
     @Test
-    void thePartIsSharedByTheDirectorsThatAreThere() {
-        FailoverState failover = failover(SiteStatus.Phase.LOST, 0, 40);
-        double[] taken = new double[2];
-        for (int n = 1; n <= 2; n++) {
-            OverflowRouter g = overflowRouter(failover, 1);
-            g.follow(0, failover, n);
-            for (long now = 0; now < 60 * SECOND; now += 2_000) {
-                taken[n - 1] += g.choose(now, read(now * 7919, 200_000)).site() != null ? 200_000 : 0;
-            }
-        }
-        assertEquals(0.5, taken[1] / taken[0], 0.05);
-        assertEquals(List.of("s1", "s2", "s3"), List.copyOf((Set<String>)
-                overflowRouter(failover, 1).takers()));
+    void theTargetsOfThePlanAreUsed() {
+        OverflowRouter router = router(state(SiteStatus.Phase.LOST, 0, 40), 1);
+
+        assertEquals(Set.of("s1", "s2", "s3"), router.failoverTargets());
     }
 }
--- a/src/test/java/pewtercourse/failover/TraceSites.java
+++ b/src/test/java/pewtercourse/failover/TraceSites.java
@@ -18,7 +18,7 @@
     private TraceSites() {}
 
     static Sites draw(Random random, int count) {
-        Sites.Timing timing = new Sites.Timing(
+        FailoverTiming timing = new FailoverTiming(
                 1_000_000 + random.nextInt(1_000_000),
                 1_000_000 + random.nextInt(2_000_000),
                 8_000_000 + random.nextInt(30_000_000),
@@ -30,11 +30,16 @@
 
     /** The same names, directors' names and steps; at times a site more or less. */
     static Sites redraw(Random random, Sites before) {
-        int count = Math.max(3, before.sites().size() + random.nextInt(3) - 1);
-        Sites.Timing old = before.timing();
-        Sites.Timing timing = new Sites.Timing(
-                old.lostAfter(), old.backAfter() / 2 + 500_000, old.flapMost(), old.step(), old.steps(), old.fresh());
-        return new Sites(sites(random, count), before.miss() / 2 + 0.01, timing);
+        int count = Math.max(3, before.byName().size() + random.nextInt(3) - 1);
+        FailoverTiming old = before.timing();
+        FailoverTiming timing = new FailoverTiming(
+                old.lossDelayMicros(),
+                old.recoveryDelayMicros() / 2 + 500_000,
+                old.maxRecoveryDelayMicros(),
+                old.minRecoveryStepMicros(),
+                old.recoverySteps(),
+                old.observationLifetimeMicros());
+        return new Sites(sites(random, count), before.guestMissRatio() / 2 + 0.01, timing);
     }
 
     private static SortedMap<String, Site> sites(Random random, int count) {
@@ -45,10 +50,10 @@
             for (int d = random.nextInt(4); d > 0; d--) {
                 directors.add("d" + i + "." + d);
             }
-            List<Site.Taker> takers = new ArrayList<>();
+            List<Site.FailoverTarget> targets = new ArrayList<>();
             for (int other = 1; other < count; other++) {
                 if (random.nextInt(6) > 0) {
-                    takers.add(new Site.Taker("s" + (i + other) % count, 1 + random.nextInt(4)));
+                    targets.add(new Site.FailoverTarget("s" + (i + other) % count, 1 + random.nextInt(4)));
                 }
             }
             sites.put(
@@ -61,7 +66,7 @@
                             SPARE_SHARES[random.nextInt(SPARE_SHARES.length)],
                             RESERVED_SHARES[random.nextInt(RESERVED_SHARES.length)],
                             random.nextInt(3) == 0 ? 2 + 8 * random.nextDouble() : 0,
-                            takers));
+                            targets));
         }
         return sites;
     }
--- a/src/test/java/pewtercourse/lease/LeaseTraceTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTraceTest.java
@@ -19,12 +19,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
+import pewtercourse.failover.FailoverTiming;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.failover.Sites;
 import pewtercourse.lease.wire.LeaseWire;
 
@@ -250,9 +254,9 @@
             return new Command.GrantQuota(member, ask, amount, token(ClusterState.QUOTA), 1_000);
         }
 
-        private FailoverController.Declaration declaration() {
+        private SiteStatusChange declaration() {
             String site = site();
-            return new FailoverController.Declaration(
+            return new SiteStatusChange(
                     site,
                     SiteStatus.Phase.values()[random.nextInt(SiteStatus.Phase.values().length)],
                     SiteHealth.values()[random.nextInt(SiteHealth.values().length)],
@@ -272,17 +276,17 @@
         }
 
         private long entry(String site) {
-            return mostly(state.failover().status(site).entry());
+            return mostly(state.failover().status(site).lastChangeIndex());
         }
 
         private FailoverPlan plan() {
-            SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+            SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
             for (int i = random.nextInt(3); i >= 0; i--) {
-                SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
-                List<FailoverPlan.Part> parts = List.of(
-                        new FailoverPlan.Part(site(), random.nextDouble(), 1 + random.nextDouble()),
-                        new FailoverPlan.Part(site(), random.nextDouble(), 2 * random.nextDouble()));
-                shares.put(site(), new FailoverPlan.Shares(parts, random.nextDouble()));
+                SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
+                List<FailoverPlan.Allocation> parts = List.of(
+                        new FailoverPlan.Allocation(site(), random.nextDouble(), 1 + random.nextDouble()),
+                        new FailoverPlan.Allocation(site(), random.nextDouble(), 2 * random.nextDouble()));
+                shares.put(site(), new FailoverPlan.Distribution(parts, random.nextDouble()));
                 cases.put(site(), shares);
             }
             return new FailoverPlan(cases);
@@ -359,14 +363,10 @@
 
     private static SiteObservation observation(Random random) {
         return new SiteObservation(
-                random.nextInt(9),
-                random.nextInt(9),
-                random.nextInt(4),
-                random.nextInt(4),
-                random.nextInt(40),
-                random.nextInt(40),
-                random.nextInt(40),
-                random.nextInt(40),
+                new EndpointCount(random.nextInt(9), random.nextInt(9)),
+                new EndpointCount(random.nextInt(4), random.nextInt(4)),
+                new AttemptCounts(
+                        random.nextInt(40), random.nextInt(40), random.nextInt(40), random.nextInt(40)),
                 random.nextDouble());
     }
 
@@ -511,7 +511,7 @@
             String target = "c" + random.nextInt(3) + random.nextInt(3);
             long after = state.lastWord(target);
             String site = SITES.get(random.nextInt(SITES.size()));
-            long entry = state.failover().status(site).entry();
+            long entry = state.failover().status(site).lastChangeIndex();
             String lease = LEASES.get(random.nextInt(3));
             String to = nodes.get(random.nextInt(nodes.size())).name;
             long unixMs = now / 1_000;
@@ -563,7 +563,7 @@
             if (i % 50 == nodes.indexOf(node)) {
                 sendOwn(node.duties.sighted(observations(node)));
             }
-            FailoverController.Question question = node.duties.question(clock);
+            FailoverPlanRequest question = node.duties.question(clock);
             if (question != null) {
                 node.duties.planned(clock, plan(question.loads()));
             }
@@ -594,22 +594,24 @@
         private Map<String, SiteObservation> observations(Node node) {
             Map<String, SiteObservation> observations = new TreeMap<>();
             for (String site : SITES) {
-                boolean own = SETTINGS.sites.sites().get(site).directors().contains(node.name);
+                boolean own = SETTINGS.sites.byName().get(site).directors().contains(node.name);
                 boolean lost = site.equals(lostSite);
                 int good = lost ? 0 : 20 + random.nextInt(20);
                 int bad = lost ? 20 : 0;
                 double load = own ? 4 + random.nextInt(3) : 0;
-                observations.put(site, new SiteObservation(4, lost ? 0 : 4, 1, 1, good, 1, bad, 0, load));
+                EndpointCount caches = new EndpointCount(4, lost ? 0 : 4);
+                AttemptCounts attempts = new AttemptCounts(good, 1, bad, 0);
+                observations.put(site, new SiteObservation(caches, new EndpointCount(1, 1), attempts, load));
             }
             return observations;
         }
 
         private FailoverPlan plan(SortedMap<String, Double> loads) {
-            SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+            SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
             loads.forEach((site, load) -> {
                 String other = SITES.get((SITES.indexOf(site) + 1) % SITES.size());
-                FailoverPlan.Part part = new FailoverPlan.Part(other, load / 2, load);
-                cases.put(site, new TreeMap<>(Map.of(site, new FailoverPlan.Shares(List.of(part), load / 4))));
+                FailoverPlan.Allocation part = new FailoverPlan.Allocation(other, load / 2, load);
+                cases.put(site, new TreeMap<>(Map.of(site, new FailoverPlan.Distribution(List.of(part), load / 4))));
             });
             return new FailoverPlan(cases);
         }
@@ -645,11 +647,11 @@
             SortedMap<String, Site> byName = new TreeMap<>();
             for (int i = 0; i < SITES.size(); i++) {
                 Set<String> directors = Set.of("d" + (i + 1));
-                Site.Taker taker = new Site.Taker(SITES.get((i + 1) % SITES.size()), 1);
+                Site.FailoverTarget taker = new Site.FailoverTarget(SITES.get((i + 1) % SITES.size()), 1);
                 byName.put(SITES.get(i), new Site(SITES.get(i), "", directors, 20, 0.5, 0.2, 0, List.of(taker)));
             }
             List<Double> steps = List.of(0.25, 0.5, 1.0);
-            Sites.Timing timing = new Sites.Timing(700_000, 1_000_000, 6_000_000, 400_000, steps, 1_500_000);
+            FailoverTiming timing = new FailoverTiming(700_000, 1_000_000, 6_000_000, 400_000, steps, 1_500_000);
             return new Sites(byName, 0.2, timing);
         }
     }
--- a/src/test/java/pewtercourse/lease/SampleCommands.java
+++ b/src/test/java/pewtercourse/lease/SampleCommands.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 
 /** One command of each kind with every field set, no two fields alike: for tests of what is kept and sent. */
 public final class SampleCommands {
@@ -57,18 +59,27 @@
 
     private static SortedMap<String, SiteObservation> observations() {
         SortedMap<String, SiteObservation> observations = new TreeMap<>();
-        observations.put("site-1", new SiteObservation(11, 12, 13, 14, 15, 16, 17, 18, 0.1));
-        observations.put("site-2", new SiteObservation(21, 22, 23, 24, 25, 26, 27, 28, 1e9 / 3));
+        observations.put("site-1", observation(11, 0.1));
+        observations.put("site-2", observation(21, 1e9 / 3));
         return observations;
     }
 
+    // Counts that differ from each other: the first one and those after it.
+    private static SiteObservation observation(int first, double load) {
+        return new SiteObservation(
+                new EndpointCount(first, first + 1),
+                new EndpointCount(first + 2, first + 3),
+                new AttemptCounts(first + 4, first + 5, first + 6, first + 7),
+                load);
+    }
+
     private static List<Command> declarations() {
         List<Command> declarations = new ArrayList<>();
         SiteStatus.Phase[] phases = SiteStatus.Phase.values();
         for (SiteHealth health : SiteHealth.values()) {
             int number = health.ordinal();
             declarations.add(new Command.ChangeSiteStatus(
-                    new FailoverController.Declaration(
+                    new SiteStatusChange(
                             "site-" + number,
                             phases[number % phases.length],
                             health,
@@ -82,11 +93,14 @@
 
     /** A plan for the loss of one site and of two. */
     public static FailoverPlan plan() {
-        FailoverPlan.Shares shares1 = new FailoverPlan.Shares(
-                List.of(new FailoverPlan.Part("site-2", 1.5, 2.25), new FailoverPlan.Part("site-3", 0.1, 0.7)), 0.3);
-        FailoverPlan.Shares shares2 =
-                new FailoverPlan.Shares(List.of(new FailoverPlan.Part("site-3", 100.0 / 3, 1e6)), 17);
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+        FailoverPlan.Distribution shares1 = new FailoverPlan.Distribution(
+                List.of(
+                        new FailoverPlan.Allocation("site-2", 1.5, 2.25),
+                        new FailoverPlan.Allocation("site-3", 0.1, 0.7)),
+                0.3);
+        FailoverPlan.Distribution shares2 =
+                new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("site-3", 100.0 / 3, 1e6)), 17);
+        SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         cases.put("site-1", new TreeMap<>(java.util.Map.of("site-1", shares1)));
         cases.put("site-1+site-2", new TreeMap<>(java.util.Map.of("site-1", shares1, "site-2", shares2)));
         return new FailoverPlan(cases);
--- a/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
+++ b/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import pewtercourse.Fixtures;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.wire.LeaseWire;
 
 /** Commands and the snapshot of the agreed state as an earlier version wrote them: read with the same content, written alike. */
@@ -67,7 +67,7 @@
             entries.add(apply(
                     C,
                     new Command.ChangeSiteStatus(
-                            new FailoverController.Declaration(
+                            new SiteStatusChange(
                                     "site-" + number, phases[number % phases.length], health, number, 10 + number, 0),
                             3))); // 19 to 25
         }
