--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -16,8 +16,8 @@
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.Sites;
 import pewtercourse.handover.OperatorState;
-import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
+import pewtercourse.lease.MaintenanceRequest;
 
 /** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
 final class Agreement implements ClusterCalls, ClusterHost {
@@ -72,12 +72,12 @@
 
     // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
     private Future<Verdict> turnedDown(String target) {
-        ClusterState.MaintenanceRequest t = cluster.state().ticketOf(target);
+        MaintenanceRequest t = cluster.state().maintenanceRequestFor(target).orElse(null);
         if (t == null || cluster.maintenanceWaits()) {
             long before = t == null
                     ? 0
-                    : cluster.state().tickets().headMap(t.number()).values().stream()
-                            .filter(o -> !o.let() && o.zone().equals(t.zone()))
+                    : cluster.state().maintenanceRequests().headMap(t.number()).values().stream()
+                            .filter(o -> !o.granted() && o.zone().equals(t.zone()))
                             .count();
             return Future.succeededFuture(Verdict.refused("not out: as many of its zone are out as may be; it waits, "
                     + before + " before it: call again, or call it back"));
@@ -94,12 +94,12 @@
     }
 
     private long lastWord(String target) {
-        return cluster.state().lastWord(target);
+        return cluster.state().lastOperatorCommand(target);
     }
 
     private Future<Verdict> agreed(String event, String target, Supplier<Command> word) {
         return cluster.agree(word)
-                .map(r -> r.done() ? Verdict.DONE : Verdict.refused(r.why()))
+                .map(r -> r.rejectionText().map(Verdict::refused).orElse(Verdict.DONE))
                 .otherwise(e -> Verdict.refused("not agreed: " + e.getMessage()))
                 .onSuccess(v -> {
                     if (v.refused() == null) {
@@ -126,7 +126,7 @@
 
     @Override
     public Future<String> handOn(String duty, String to) {
-        return cluster.handOn(duty, to).map(ClusterState.Result::why);
+        return cluster.handOn(duty, to).map(outcome -> outcome.rejectionText().orElse(null));
     }
 
     @Override
@@ -170,7 +170,7 @@
                         default -> new Command.PauseSiteRecovery(name, false, after);
                     };
                 })
-                .map(ClusterState.Result::why)
+                .map(outcome -> outcome.rejectionText().orElse(null))
                 .onSuccess(why -> Log.info("operator.site", "call", call, "site", name, "why", why));
     }
 
--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ChangeLog.java
@@ -7,6 +7,7 @@
 import pewtercourse.Log;
 import pewtercourse.failover.SiteStatus;
 import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
 
 /** Writes changes of what is agreed to the log, each once. */
@@ -19,7 +20,7 @@
     void write(Raft raft, ClusterState state) {
         writeLeader(raft);
         raft.regressed().forEach(this::writeRegressed);
-        state.duties().forEach(this::writeHolder);
+        state.leases().forEach(this::writeHolder);
     }
 
     private void writeLeader(Raft raft) {
@@ -36,7 +37,7 @@
         }
     }
 
-    private void writeHolder(String name, ClusterState.LeaseRecord duty) {
+    private void writeHolder(String name, LeaseRecord duty) {
         Long before = tokens.put(name, duty.token());
         if (!Long.valueOf(duty.token()).equals(before)) {
             String holder = duty.holder().isEmpty() ? "none" : duty.holder();
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -12,6 +12,7 @@
 import java.security.SecureRandom;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.ExecutorService;
@@ -29,7 +30,10 @@
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.CommandOutcome;
 import pewtercourse.lease.LeaseManager;
+import pewtercourse.lease.LeaseRecord;
+import pewtercourse.lease.RejectionReason;
 import pewtercourse.raft.Codec;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
@@ -123,7 +127,7 @@
     /** Fails with a {@link StoreException} where the folder must not be used, or when it can't listen. */
     public Future<Void> start() {
         Promise<Void> up = Promise.promise();
-        host.part(config.duties().kept() / 1_000.0);
+        host.part(config.duties().reservedThousandths() / 1_000.0);
         thread = Disk.thread();
         ExecutorService mine = thread;
         mine.execute(() -> {
@@ -163,9 +167,9 @@
         duties = new LeaseManager(
                 config.duties(), config.name(), new SecureRandom().nextLong() >>> 16, host::zoneOf, host::zoneSize);
         if (sites != null) {
-            duties.sites(now(), sites);
+            duties.configureSites(now(), sites);
         }
-        duties.willing(willing);
+        duties.setEligible(willing);
         raft = new Raft(config.raft(), config.name(), saved, now(), random);
         applied = saved.snapshot().index();
         reopenMs = REOPEN_FIRST_MS;
@@ -218,7 +222,7 @@
         reads.clear();
         net.close();
         disk.close();
-        host.part(config.duties().kept() / 1_000.0);
+        host.part(config.duties().reservedThousandths() / 1_000.0);
     }
 
     /** Nothing more is said or written. What it holds should be handed on before: {@link #willing}. */
@@ -309,7 +313,7 @@
         }
         if (raft != null) {
             timers.cancel(timer);
-            long next = Math.min(raft.wakeAt(), now() + config.duties().again() / 4);
+            long next = Math.min(raft.wakeAt(), now() + config.duties().retryMicros() / 4);
             timer = timers.set(Timers.millis(next - now()), this::due);
         }
     }
@@ -325,7 +329,7 @@
             if (r.install() != null) {
                 toldWords = -1;
                 toldSites = -1;
-                duties.restored(now(), ClusterState.decode(r.install().state()));
+                duties.restore(now(), ClusterState.decode(r.install().state()));
                 applied = r.install().index();
                 changed = true;
             }
@@ -347,10 +351,10 @@
             }
         });
         tellSites();
-        if (changed && duties.state().words() != toldWords) {
-            toldWords = duties.state().words();
-            host.agreed(duties.state().out(), duties.state().back());
-            grantWaiters.granted(duties.state().out().keySet());
+        if (changed && duties.state().drainRevision() != toldWords) {
+            toldWords = duties.state().drainRevision();
+            host.agreed(duties.state().drainedCaches(), duties.state().reinstatedCaches());
+            grantWaiters.granted(duties.state().drainedCaches().keySet());
         }
         changeLog.write(raft, duties.state());
         snapshot();
@@ -359,8 +363,8 @@
 
     private void apply(Entry e) throws InvalidProtocolBufferException {
         Command.Envelope s = CommandCodec.decode(e.command());
-        ClusterState.Result result = duties.applied(now(), e.index(), s);
-        if (s.by().equals(config.name())) {
+        CommandOutcome result = duties.apply(now(), e.index(), s);
+        if (s.proposer().equals(config.name())) {
             proposals.applied(s.id(), result);
         }
     }
@@ -388,12 +392,13 @@
         }
         sight(now);
         plan();
-        Command.Envelope borrow = duties.borrow(now, Math.round(1_000 * host.coldWanted()));
-        if (borrow != null) {
-            offer(CommandCodec.encode(borrow), borrow.id());
+        Optional<Command.Envelope> quotaRequest = duties.requestQuota(now, Math.round(1_000 * host.coldWanted()));
+        if (quotaRequest.isPresent()) {
+            Command.Envelope request = quotaRequest.get();
+            offer(CommandCodec.encode(request), request.id());
             any = true;
         }
-        host.part(duties.part(now) / 1_000.0);
+        host.part(duties.quotaThousandths(now) / 1_000.0);
         return any;
     }
 
@@ -428,11 +433,12 @@
     private void tellSites() {
         FailoverState failover = duties.state().failover();
         if (sites == null
-                || failover.version() == toldSites && duties.state().absent().equals(toldAbsent)) {
+                || failover.version() == toldSites
+                        && duties.state().absentMembers().equals(toldAbsent)) {
             return;
         }
         toldSites = failover.version();
-        toldAbsent = Set.copyOf(duties.state().absent());
+        toldAbsent = Set.copyOf(duties.state().absentMembers());
         failover.statuses().forEach(changeLog::writeSite);
         host.sites(failover, toldAbsent);
     }
@@ -442,14 +448,15 @@
         sites = to;
         toldSites = -1;
         if (raft != null) {
-            duties.sites(now(), to);
+            duties.configureSites(now(), to);
             pump();
         }
     }
 
     // Off the event loop: a plan for many sites takes some milliseconds.
     private void plan() {
-        FailoverController.Question q = sites == null ? null : duties.question(now());
+        FailoverController.Question q =
+                sites == null ? null : duties.planInput(now()).orElse(null);
         if (q == null) {
             return;
         }
@@ -459,7 +466,7 @@
                     if (p.failed()) {
                         Log.warn("site.not_planned", "error", p.cause());
                     } else if (raft != null && of == sites) {
-                        duties.planned(now(), p.result());
+                        duties.planComputed(now(), p.result());
                         pump();
                     }
                 });
@@ -470,7 +477,7 @@
             sightAt = now + SIGHT_EVERY;
             Map<String, SiteObservation> siteObservations = host.siteObservations();
             if (!siteObservations.isEmpty()) {
-                Command.Envelope s = duties.sighted(siteObservations);
+                Command.Envelope s = duties.reportObservations(siteObservations);
                 offer(CommandCodec.encode(s), s.id());
             }
         }
@@ -482,14 +489,14 @@
      * Has a command agreed; it is made anew where another word on the same cache was agreed first. Fails, with the reason,
      * when that is not known within 1.3 s: it may still be agreed later, and asking again does no harm.
      */
-    public Future<ClusterState.Result> agree(Supplier<Command> command) {
+    public Future<CommandOutcome> agree(Supplier<Command> command) {
         return proposals.agree(command);
     }
 
     /** Whether the maintenance budget lets the cache out within what a caller waits. Never fails. */
     public Future<Boolean> let(String target) {
         Future<Boolean> granted = grantWaiters.await(target);
-        grantWaiters.granted(state().out().keySet());
+        grantWaiters.granted(state().drainedCaches().keySet());
         return granted;
     }
 
@@ -524,7 +531,7 @@
     }
 
     public boolean maintenanceWaits() {
-        return config.duties().maintenanceBudget().waits();
+        return config.duties().maintenanceBudget().queues();
     }
 
     /** Whether it takes duties; when not, it hands on what it holds, and leadership too. */
@@ -532,7 +539,7 @@
         willing = on;
         transferAt = -1;
         if (raft != null) {
-            duties.willing(on);
+            duties.setEligible(on);
             pump();
         }
     }
@@ -542,7 +549,7 @@
         if (raft == null) {
             return true;
         }
-        if (!duties.free()) {
+        if (!duties.holdsNoLease()) {
             return raft.leader() == null;
         }
         if (raft.role() != Raft.Role.LEADER) {
@@ -558,13 +565,13 @@
     }
 
     /** By an operator: the duty's holder is to hand it on, to {@code to} or, if that is empty, to whoever is best. */
-    public Future<ClusterState.Result> handOn(String duty, String to) {
-        ClusterState.LeaseRecord d = state().duty(duty);
+    public Future<CommandOutcome> handOn(String duty, String to) {
+        LeaseRecord d = state().lease(duty);
         if (d.holder().isEmpty()) {
-            return Future.succeededFuture(new ClusterState.Result("nobody holds '" + duty + "'"));
+            return Future.succeededFuture(CommandOutcome.rejected(RejectionReason.LEASE_NOT_HELD, duty));
         }
         if (!to.isEmpty() && (raft == null || !raft.members().all().containsKey(to))) {
-            return Future.succeededFuture(new ClusterState.Result("'" + to + "' is no member"));
+            return Future.succeededFuture(CommandOutcome.rejected(RejectionReason.NOT_A_MEMBER, to));
         }
         return agree(() -> new Command.RequestTransfer(duty, d.token(), to));
     }
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -16,6 +16,8 @@
 import pewtercourse.failover.Sites;
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.LeaseManager;
+import pewtercourse.lease.LeaseNames;
+import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
 import pewtercourse.raft.net.MemberNet;
 
@@ -35,12 +37,12 @@
      */
     JsonObject sites(Sites sites) {
         FailoverState failover = agreed().failover();
-        Map<String, Double> loads = duties == null ? Map.of() : duties.loads();
+        Map<String, Double> loads = duties == null ? Map.of() : duties.siteLoads();
         JsonArray all = new JsonArray();
         sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
-                .put("controller", agreed().duty(ClusterState.SITES).holder())
+                .put("controller", agreed().lease(LeaseNames.SITES).holder())
                 .put("leader", raft == null ? null : raft.leader())
                 .put("planned", failover.plan().cases().size())
                 .put("sites", all);
@@ -107,17 +109,17 @@
         ClusterState agreed = agreed();
         figures.put(
                 "duty.held",
-                config.duties().names().stream()
-                        .filter(duty -> duties.token(duty, now) > 0)
+                config.duties().leaseNames().stream()
+                        .filter(duty -> duties.validToken(duty, now) > 0)
                         .count());
-        figures.put("duty.acts", duties.acts());
-        figures.put("duty.part_thousandths", duties.part(now));
-        figures.put("duty.lent_thousandths", agreed.lent());
-        figures.put("duty.out", (long) agreed.out().size());
+        figures.put("duty.acts", duties.orderCount());
+        figures.put("duty.part_thousandths", duties.quotaThousandths(now));
+        figures.put("duty.lent_thousandths", agreed.grantedQuotaThousandths());
+        figures.put("duty.out", (long) agreed.drainedCaches().size());
         figures.put(
                 "duty.waiting",
-                agreed.tickets().values().stream()
-                        .filter(ticket -> !ticket.let())
+                agreed.maintenanceRequests().values().stream()
+                        .filter(ticket -> !ticket.granted())
                         .count());
     }
 
@@ -139,10 +141,10 @@
                 .put("removed", raft.stranger())
                 .put("members", members(now))
                 .put("duties", leases(now))
-                .put("out", new JsonObject(new TreeMap<>(agreed.out())))
+                .put("out", new JsonObject(new TreeMap<>(agreed.drainedCaches())))
                 .put("tickets", tickets())
-                .put("part", duties.part(now))
-                .put("lent", agreed.lent())
+                .put("part", duties.quotaThousandths(now))
+                .put("lent", agreed.grantedQuotaThousandths())
                 .put("dropped_frames", net.dropped());
     }
 
@@ -166,27 +168,27 @@
 
     private JsonArray leases(long now) {
         JsonArray leases = new JsonArray();
-        for (String name : new TreeSet<>(agreed().duties().keySet())) {
-            ClusterState.LeaseRecord duty = agreed().duty(name);
+        for (String name : new TreeSet<>(agreed().leases().keySet())) {
+            LeaseRecord duty = agreed().lease(name);
             boolean own = duty.holder().equals(config.name());
             leases.add(new JsonObject()
                     .put("duty", name)
                     .put("holder", duty.holder())
                     .put("token", duty.token())
-                    .put("left_ms", own ? duties.left(name, now) / 1_000 : null));
+                    .put("left_ms", own ? duties.remainingMicros(name, now) / 1_000 : null));
         }
         return leases;
     }
 
     private JsonArray tickets() {
         JsonArray tickets = new JsonArray();
-        agreed().tickets()
+        agreed().maintenanceRequests()
                 .values()
                 .forEach(ticket -> tickets.add(new JsonObject()
                         .put("target", ticket.target())
                         .put("zone", ticket.zone())
-                        .put("by", ticket.by())
-                        .put("out", ticket.let())));
+                        .put("by", ticket.requestedBy())
+                        .put("out", ticket.granted())));
         return tickets;
     }
 }
--- a/src/main/java/pewtercourse/cluster/Proposals.java
+++ b/src/main/java/pewtercourse/cluster/Proposals.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import pewtercourse.Timers;
-import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.CommandOutcome;
 
 /** Commands of this member that wait to be agreed. They are offered again until they are, for a bounded time. */
 final class Proposals {
@@ -48,7 +48,7 @@
      * Has a command agreed; it is made anew where another command on the same cache was agreed first. Fails, with the
      * reason, when that is not known in time: it may still be agreed later, and asking again does no harm.
      */
-    Future<ClusterState.Result> agree(Supplier<Command> command) {
+    Future<CommandOutcome> agree(Supplier<Command> command) {
         if (!log.open()) {
             return Future.failedFuture("the folder of this member can't be used: see the log");
         }
@@ -61,7 +61,7 @@
     }
 
     /** The command with this number was applied. */
-    void applied(long id, ClusterState.Result result) {
+    void applied(long id, CommandOutcome result) {
         Proposal proposal = pending.get(id);
         if (proposal != null) {
             proposal.applied(result);
@@ -73,7 +73,7 @@
     }
 
     private final class Proposal {
-        private final Promise<ClusterState.Result> done = Promise.promise();
+        private final Promise<CommandOutcome> done = Promise.promise();
         private final Supplier<Command> command;
         private final long timeout;
         private long id, offerAgain = -1;
@@ -100,8 +100,8 @@
             }
         }
 
-        void applied(ClusterState.Result result) {
-            if (!result.late()) {
+        void applied(CommandOutcome result) {
+            if (!result.isSuperseded()) {
                 done.tryComplete(result);
                 return;
             }
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import pewtercourse.failover.Sites;
-import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseSettings;
 import pewtercourse.raft.RaftSettings;
 
@@ -43,7 +43,7 @@
             "drift",
             "duties");
     private static final Map<String, String> RENAMED_DUTIES =
-            Map.of("warden", ClusterState.MAINTENANCE, "divider", ClusterState.QUOTA);
+            Map.of("warden", LeaseNames.MAINTENANCE, "divider", LeaseNames.QUOTA);
     private static final int MEMBERS_MOST = 7, NAME_MOST = 64;
     private static final long SECOND = 1_000_000;
 
@@ -62,8 +62,8 @@
     }
 
     private ClusterConfig with(Sites of) {
-        Set<String> names = new TreeSet<>(duties.names());
-        names.add(ClusterState.SITES);
+        Set<String> names = new TreeSet<>(duties.leaseNames());
+        names.add(LeaseNames.SITES);
         return new ClusterConfig(
                 cluster,
                 name,
@@ -72,12 +72,12 @@
                 members,
                 raft,
                 new LeaseSettings(
-                        duties.lease(),
-                        duties.drift(),
-                        duties.again(),
+                        duties.durationMicros(),
+                        duties.clockDrift(),
+                        duties.retryMicros(),
                         names,
                         duties.maintenanceBudget(),
-                        duties.quotaAllocator()),
+                        duties.quotaPolicy()),
                 of);
     }
 
@@ -164,27 +164,25 @@
         }
         JsonObject json = value == null ? new JsonObject() : (JsonObject) value;
         LeaseSettings.MaintenanceBudget maintenanceBudget = null;
-        LeaseSettings.QuotaAllocator quotaAllocator = null;
+        LeaseSettings.QuotaPolicy quotaPolicy = null;
         for (String duty : json.fieldNames()) {
             String key = "duties." + duty;
             if (!(json.getValue(duty) instanceof JsonObject d)) {
                 throw new ConfigException(key, "is not an object");
             }
             switch (duty) {
-                case ClusterState.MAINTENANCE -> maintenanceBudget = maintenanceBudget(key + ".", d);
-                case ClusterState.QUOTA -> quotaAllocator = quotaAllocator(key + ".", d);
+                case LeaseNames.MAINTENANCE -> maintenanceBudget = maintenanceBudget(key + ".", d);
+                case LeaseNames.QUOTA -> quotaPolicy = quotaPolicy(key + ".", d);
                 default ->
                     throw new ConfigException(
                             key,
                             JsonFields.unusable(
                                     duty,
                                     RENAMED_DUTIES,
-                                    "is no duty: there are " + ClusterState.MAINTENANCE + " and "
-                                            + ClusterState.QUOTA));
+                                    "is no duty: there are " + LeaseNames.MAINTENANCE + " and " + LeaseNames.QUOTA));
             }
         }
-        return new LeaseSettings(
-                lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaAllocator);
+        return new LeaseSettings(lease, drift, again, new TreeSet<>(json.fieldNames()), maintenanceBudget, quotaPolicy);
     }
 
     private static LeaseSettings.MaintenanceBudget maintenanceBudget(String key, JsonObject d) {
@@ -202,13 +200,13 @@
                 most, share, millis(d, key, "out_most_ms", 3_600_000, 100, 7 * 86_400_000L), beyond.equals("wait"));
     }
 
-    private static LeaseSettings.QuotaAllocator quotaAllocator(String key, JsonObject d) {
+    private static LeaseSettings.QuotaPolicy quotaPolicy(String key, JsonObject d) {
         known(key, d, Set.of("reserve", "loan_ms"));
         double reserve = number(key + "reserve", d.getValue("reserve"), 0.5);
         if (reserve < 0.05 || reserve > 1) {
             throw new ConfigException(key + "reserve", "is not from 0.05 to 1");
         }
-        return new LeaseSettings.QuotaAllocator((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
+        return new LeaseSettings.QuotaPolicy((long) (reserve * 1_000), millis(d, key, "loan_ms", 1_000, 50, 60_000));
     }
 
     private static void known(String key, JsonObject d, Set<String> keys) {
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -14,7 +14,9 @@
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.CommandOutcome;
 import pewtercourse.lease.LeaseManager;
+import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseSettings;
 import pewtercourse.raft.Codec;
 import pewtercourse.raft.Entry;
@@ -107,7 +109,7 @@
         Node(int number) {
             this.number = number;
             this.name = "d" + number;
-            this.rate = 1 + (random.nextDouble() - 0.5) * set.drift();
+            this.rate = 1 + (random.nextDouble() - 0.5) * set.clockDrift();
             this.offset = random.nextInt(1_000_000);
         }
 
@@ -128,7 +130,7 @@
                     t -> "z" + Math.floorMod(t.hashCode(), 2),
                     z -> CACHES / 2);
             if (planted == Planted.LEASE_FROM_ANSWER || planted == Planted.LOAN_FROM_ANSWER) {
-                duties.countFrom((asked, answered) -> answered);
+                duties.countValidityFrom((asked, answered) -> answered);
             }
             applied = disk.snapshot.index();
             pump();
@@ -187,7 +189,7 @@
             boolean changed = r.install() != null;
             try {
                 if (r.install() != null) {
-                    duties.restored(clock(), ClusterState.decode(r.install().state()));
+                    duties.restore(clock(), ClusterState.decode(r.install().state()));
                     applied = r.install().index();
                 }
                 for (Entry e : r.committed()) {
@@ -201,24 +203,23 @@
                             "two entries agreed at " + e.index());
                     if (e.kind() == Entry.Kind.COMMAND) {
                         Command.Envelope s = CommandCodec.decode(e.command());
-                        long held =
-                                duties.state().duty(ClusterState.MAINTENANCE).token();
-                        ClusterState.Result result = duties.applied(
+                        long held = duties.state().lease(LeaseNames.MAINTENANCE).token();
+                        CommandOutcome result = duties.apply(
                                 clock(),
                                 e.index(),
                                 planted == Planted.TOKEN_UNCHECKED || planted == Planted.WORD_UNCHECKED
                                         ? forged(s)
                                         : s);
                         if (before == null
-                                && result.done()
+                                && result.isApplied()
                                 && (s.command() instanceof Command.RequestMaintenance
                                         || s.command() instanceof Command.ReinstateCache)) {
-                            check(counted.add(s.by() + ' ' + s.id()), "an operator's word counted twice");
+                            check(counted.add(s.proposer() + ' ' + s.id()), "an operator's word counted twice");
                         }
                         check(
                                 !(s.command() instanceof Command.GrantMaintenance l)
                                         || l.token() == held
-                                        || !result.done(),
+                                        || !result.isApplied(),
                                 "an order with an older token took effect");
                         changed = true;
                     }
@@ -245,16 +246,17 @@
                 c = c instanceof Command.GrantMaintenance l
                         ? new Command.GrantMaintenance(
                                 l.target(),
-                                l.ticket(),
-                                state.duty(ClusterState.MAINTENANCE).token(),
-                                l.atMs())
+                                l.request(),
+                                state.lease(LeaseNames.MAINTENANCE).token(),
+                                l.atUnixMs())
                         : c;
             } else if (c instanceof Command.ReinstateCache b) {
-                c = new Command.ReinstateCache(b.target(), b.atMs(), state.lastWord(b.target()));
+                c = new Command.ReinstateCache(b.target(), b.atUnixMs(), state.lastOperatorCommand(b.target()));
             } else if (c instanceof Command.RequestMaintenance a) {
-                c = new Command.RequestMaintenance(a.target(), a.zone(), a.atMs(), state.lastWord(a.target()));
+                c = new Command.RequestMaintenance(
+                        a.target(), a.zone(), a.atUnixMs(), state.lastOperatorCommand(a.target()));
             }
-            return new Command.Envelope(s.by(), s.id(), c);
+            return new Command.Envelope(s.proposer(), s.id(), c);
         }
 
         void offer(Command.Envelope s) {
@@ -317,9 +319,9 @@
             800 * MS,
             0.02,
             150 * MS,
-            Set.of(ClusterState.MAINTENANCE, ClusterState.QUOTA),
+            Set.of(LeaseNames.MAINTENANCE, LeaseNames.QUOTA),
             new LeaseSettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
-            new LeaseSettings.QuotaAllocator(400, 500 * MS));
+            new LeaseSettings.QuotaPolicy(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
     final Map<Long, Entry> agreed = new HashMap<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>(
@@ -467,7 +469,7 @@
         long parts = 0;
         for (Node n : nodes) {
             if (!n.up) {
-                parts += set.kept();
+                parts += set.reservedThousandths();
                 continue;
             }
             highestTerm = Math.max(highestTerm, n.raft.term());
@@ -475,8 +477,8 @@
                 String other = leaders.putIfAbsent(n.raft.term(), n.name);
                 check(other == null || other.equals(n.name), "two leaders of term " + n.raft.term());
             }
-            for (String duty : set.names()) {
-                long token = n.duties.token(duty, n.clock());
+            for (String duty : set.leaseNames()) {
+                long token = n.duties.validToken(duty, n.clock());
                 if (token > 0) {
                     String other = holding.put(duty, n.name);
                     check(other == null, "two hold " + duty + ": " + other + " and " + n.name);
@@ -485,14 +487,14 @@
                     greatestToken.put(duty, Math.max(token, greatest));
                 }
             }
-            parts += n.duties.part(n.clock());
-            lentMost = Math.max(lentMost, n.duties.state().lent());
+            parts += n.duties.quotaThousandths(n.clock());
+            lentMost = Math.max(lentMost, n.duties.state().grantedQuotaThousandths());
             for (int z = 0; z < 2; z++) {
                 String zone = "z" + z;
-                long out = n.duties.state().tickets().values().stream()
-                        .filter(t -> t.let() && t.zone().equals(zone))
+                long out = n.duties.state().maintenanceRequests().values().stream()
+                        .filter(t -> t.granted() && t.zone().equals(zone))
                         .count();
-                check(out <= set.maintenanceBudget().most(), out + " out in " + zone);
+                check(out <= set.maintenanceBudget().maxDrained(), out + " out in " + zone);
             }
         }
         check(parts <= 1_000L * nodes.size(), "parts of " + parts);
--- a/src/main/java/pewtercourse/experiment/DutiesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/DutiesExperiment.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
-import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
+import pewtercourse.lease.LeaseNames;
 
 /**
  * How long a duty is without a holder after each kind of fault, and how often two hold it at once, over seeds: beside two
@@ -63,7 +63,7 @@
 
     private static ClusterSim.Node holder(ClusterSim sim, Predicate<ClusterSim.Node> of) {
         return sim.nodes.stream()
-                .filter(n -> n.up && of.test(n) && n.duties.token(ClusterState.MAINTENANCE, n.clock()) > 0)
+                .filter(n -> n.up && of.test(n) && n.duties.validToken(LeaseNames.MAINTENANCE, n.clock()) > 0)
                 .findFirst()
                 .orElse(null);
     }
@@ -89,7 +89,7 @@
                 });
             case HAND_ON -> {
                 old.offer(old.duties.sign(new Command.RequestTransfer(
-                        ClusterState.MAINTENANCE, old.duties.token(ClusterState.MAINTENANCE, old.clock()), "")));
+                        LeaseNames.MAINTENANCE, old.duties.validToken(LeaseNames.MAINTENANCE, old.clock()), "")));
                 old.pump();
             }
         }
@@ -97,7 +97,7 @@
         while (sim.trouble == null && sim.now < end && holder(sim, n -> n != old) == null) {
             sim.play(sim.now + MS / 4);
             // Planned: nothing is missing before the old one lets go.
-            if (fault == Fault.HAND_ON && old.duties.token(ClusterState.MAINTENANCE, old.clock()) > 0) {
+            if (fault == Fault.HAND_ON && old.duties.validToken(LeaseNames.MAINTENANCE, old.clock()) > 0) {
                 from = sim.now;
             }
         }
@@ -143,7 +143,8 @@
     private static Use budget(long seed) {
         ClusterSim sim = new ClusterSim(seed, MEMBERS, ClusterSim.Planted.NONE);
         Random random = new Random(seed);
-        sim.until(PATIENCE, () -> sim.nodes.stream().anyMatch(n -> n.duties.token(ClusterState.QUOTA, n.clock()) > 0));
+        sim.until(
+                PATIENCE, () -> sim.nodes.stream().anyMatch(n -> n.duties.validToken(LeaseNames.QUOTA, n.clock()) > 0));
         double fixed = 0, divided = 0, there = 0;
         for (int phase = 0; phase < 10; phase++) {
             long[] wants = new long[MEMBERS];
@@ -153,13 +154,14 @@
             }
             for (long end = sim.now + 2 * SECOND; sim.now < end; ) {
                 for (ClusterSim.Node n : sim.nodes) {
-                    Command.Envelope s = n.duties.borrow(n.clock(), wants[n.number] - n.duties.part(n.clock()));
-                    if (s != null) {
-                        n.offer(s);
-                        n.pump();
-                    }
+                    n.duties
+                            .requestQuota(n.clock(), wants[n.number] - n.duties.quotaThousandths(n.clock()))
+                            .ifPresent(request -> {
+                                n.offer(request);
+                                n.pump();
+                            });
                     fixed += Math.min(wants[n.number], 1_000);
-                    divided += Math.min(wants[n.number], n.duties.part(n.clock()));
+                    divided += Math.min(wants[n.number], n.duties.quotaThousandths(n.clock()));
                 }
                 there += Math.min(java.util.Arrays.stream(wants).sum(), 1_000L * MEMBERS);
                 sim.play(sim.now + 20 * MS);
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -128,8 +128,8 @@
         boolean out = (done.get() & 1) == 0;
         String target = "c" + caller;
         c.agree(() -> out
-                        ? new Command.DrainCache(target, 1, c.state().lastWord(target))
-                        : new Command.ReinstateCache(target, 1, c.state().lastWord(target)))
+                        ? new Command.DrainCache(target, 1, c.state().lastOperatorCommand(target))
+                        : new Command.ReinstateCache(target, 1, c.state().lastOperatorCommand(target)))
                 .onComplete(r -> {
                     long now = System.nanoTime();
                     if (r.succeeded() && from >= begin && now < end) {
--- a/src/main/java/pewtercourse/lease/Command.java
+++ b/src/main/java/pewtercourse/lease/Command.java
@@ -6,70 +6,250 @@
 import pewtercourse.failover.SiteObservation;
 
 /**
- * What members have agreed before it counts. {@code token}s are those of the duty that orders it; the state refuses
- * an older one. A command that comes twice changes nothing the second time.
+ * A change of the replicated {@link ClusterState}, effective once the members have agreed on it. Orders of a lease
+ * holder carry its fencing token; the state rejects them once the lease has a later one. A command that is delivered
+ * twice changes nothing the second time. Entries are indexes of the replicated log.
  */
 public sealed interface Command {
-    /** The duty goes to {@code to}, if its token and renewals still are these: nobody has renewed it meanwhile. */
-    record AssignLease(String duty, String to, long token, long renewals) implements Command {}
+    /** Calls the method of {@code visitor} for this kind of command. */
+    <R> R accept(Visitor<R> visitor);
 
-    /** By the holder: its lease begins anew. {@code renewals}: as many as there have been. */
-    record RenewLease(String duty, long token, long renewals) implements Command {}
+    /**
+     * By the leader: the lease gets a new holder, unless it was renewed or assigned since.
+     *
+     * @param token    fencing token of the lease that the leader has judged to be vacant
+     * @param renewals renewals of that lease which the leader has seen
+     */
+    record AssignLease(String lease, String holder, long token, long renewals) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.assignLease(this);
+        }
+    }
+
+    /** By the holder: its lease begins anew. {@code renewals}: as many as there have been so far. */
+    record RenewLease(String lease, long token, long renewals) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.renewLease(this);
+        }
+    }
+
+    /** By the holder, which has stopped acting. {@code successor}: the next holder, or empty for any. */
+    record ReleaseLease(String lease, long token, String successor) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.releaseLease(this);
+        }
+    }
+
+    /** The holder of this token is to release the lease to {@code preferredHolder}, or to any member if that is empty. */
+    record RequestTransfer(String lease, long token, String preferredHolder) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.requestTransfer(this);
+        }
+    }
+
+    /** By the leader: the member has not been heard for long ({@code absent}), or is heard again. */
+    record ReportAbsence(String member, boolean absent) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.reportAbsence(this);
+        }
+    }
 
-    /** By the holder, which acts no more. {@code to}: who gets it, or empty. */
-    record ReleaseLease(String duty, long token, String to) implements Command {}
+    /**
+     * By an operator: the cache is drained.
+     *
+     * @param atUnixMs      when the operator said so, Unix milliseconds
+     * @param expectedEntry entry of the last operator command on this cache that the proposer has applied, 0 for none;
+     *                      the command is rejected if there is a later one
+     */
+    record DrainCache(String target, long atUnixMs, long expectedEntry) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.drainCache(this);
+        }
+    }
+
+    /** By an operator: the cache may serve again. Components as in {@link DrainCache}. */
+    record ReinstateCache(String target, long atUnixMs, long expectedEntry) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.reinstateCache(this);
+        }
+    }
+
+    /** By an operator: drain the cache as soon as the maintenance budget allows it. See {@link DrainCache}. */
+    record RequestMaintenance(String target, String zone, long atUnixMs, long expectedEntry) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.requestMaintenance(this);
+        }
+    }
+
+    /** By the holder of the maintenance lease: the cache of this request is drained from now on. */
+    record GrantMaintenance(String target, long request, long token, long atUnixMs) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.grantMaintenance(this);
+        }
+    }
 
-    /** The holder of this token is to hand on, to {@code to} or, if that is empty, to whoever is best. */
-    record RequestTransfer(String duty, long token, String to) implements Command {}
+    /**
+     * Removes a maintenance request, and reinstates its cache if it was granted.
+     *
+     * @param token that of the maintenance lease; or 0, by the member that has requested it and while it is not granted
+     */
+    record CancelMaintenance(String target, long request, long token, long atUnixMs) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.cancelMaintenance(this);
+        }
+    }
+
+    /** The proposer could use this much more quota, in thousandths of one director's share; 0 or less for none. */
+    record RequestQuota(long thousandths) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.requestQuota(this);
+        }
+    }
 
-    /** By the leader: it has not heard this member for long, or hears it again. */
-    record ReportAbsence(String member, boolean absent) implements Command {}
+    /**
+     * By the holder of the quota lease.
+     *
+     * @param requestEntry entry of the quota request that this answers
+     * @param pool         thousandths that may be granted to all members at once
+     */
+    record GrantQuota(String grantee, long requestEntry, long thousandths, long token, long pool) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.grantQuota(this);
+        }
+    }
+
+    /** By the holder of the quota lease: the grant of this entry has expired at its grantee for certain. */
+    record ReleaseQuota(long grant, long token) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.releaseQuota(this);
+        }
+    }
+
+    /** Whether the proposer takes leases: not while it drains or stands by. */
+    record SetEligibility(boolean eligible) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.setEligibility(this);
+        }
+    }
+
+    /** What the proposer has lately seen of each site. The state keeps none of it; each member judges by it. */
+    record ReportSiteObservation(Map<String, SiteObservation> observations) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.reportSiteObservation(this);
+        }
+    }
+
+    /** By the holder of the sites lease. */
+    record ChangeSiteStatus(FailoverController.Declaration change, long token) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.changeSiteStatus(this);
+        }
+    }
+
+    /** By the holder of the sites lease: where the load of lost sites goes. */
+    record PublishFailoverPlan(FailoverPlan plan, long token) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.publishFailoverPlan(this);
+        }
+    }
 
     /**
-     * An operator's word: this cache is out, since Unix milliseconds. {@code after}: the entry of the last word on this
-     * cache that its asker knows, 0 for none; the state refuses it once there is a later one.
+     * By an operator: the site is kept from recovering ({@code paused}), or may recover.
+     *
+     * @param expectedEntry entry of the last change of this site's status that the proposer has applied
      */
-    record DrainCache(String target, long atMs, long after) implements Command {}
+    record PauseSiteRecovery(String site, boolean paused, long expectedEntry) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.pauseSiteRecovery(this);
+        }
+    }
+
+    /** By an operator: the load of this site is moved away step by step. See {@link PauseSiteRecovery}. */
+    record StartFailoverDrill(String site, long expectedEntry) implements Command {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.startFailoverDrill(this);
+        }
+    }
+
+    /** A command with the member that proposes it and the number that this member has given to it. */
+    record Envelope(String proposer, long id, Command command) {}
+
+    /** One method for each kind of command. */
+    interface Visitor<R> {
+        /** Called for {@link AssignLease}. */
+        R assignLease(AssignLease command);
+
+        /** Called for {@link RenewLease}. */
+        R renewLease(RenewLease command);
+
+        /** Called for {@link ReleaseLease}. */
+        R releaseLease(ReleaseLease command);
+
+        /** Called for {@link RequestTransfer}. */
+        R requestTransfer(RequestTransfer command);
+
+        /** Called for {@link ReportAbsence}. */
+        R reportAbsence(ReportAbsence command);
 
-    /** A member may serve again. */
-    record ReinstateCache(String target, long atMs, long after) implements Command {}
+        /** Called for {@link DrainCache}. */
+        R drainCache(DrainCache command);
 
-    /** A cache is to be out once the maintenance budget lets it. */
-    record RequestMaintenance(String target, String zone, long atMs, long after) implements Command {}
+        /** Called for {@link ReinstateCache}. */
+        R reinstateCache(ReinstateCache command);
 
-    /** By the holder of the maintenance duty: the cache with this ticket is out from now on. */
-    record GrantMaintenance(String target, long ticket, long token, long atMs) implements Command {}
+        /** Called for {@link RequestMaintenance}. */
+        R requestMaintenance(RequestMaintenance command);
 
-    /** The ticket is void, and its cache back if it was out. By the holder of the maintenance duty; or with token 0 by whoever asked for it. */
-    record CancelMaintenance(String target, long ticket, long token, long atMs) implements Command {}
+        /** Called for {@link GrantMaintenance}. */
+        R grantMaintenance(GrantMaintenance command);
 
-    /** A member could use so much more, in thousandths of what one director's part of a cold budget is. */
-    record RequestQuota(long thousandths) implements Command {}
+        /** Called for {@link CancelMaintenance}. */
+        R cancelMaintenance(CancelMaintenance command);
 
-    /** By the holder of the quota duty. {@code pool}: all that may be lent at once. */
-    record GrantQuota(String to, long ask, long thousandths, long token, long pool) implements Command {}
+        /** Called for {@link RequestQuota}. */
+        R requestQuota(RequestQuota command);
 
-    /** By the holder of the quota duty: the loan's time is over for certain. */
-    record ReleaseQuota(long loan, long token) implements Command {}
+        /** Called for {@link GrantQuota}. */
+        R grantQuota(GrantQuota command);
 
-    /** Whether the member that says so takes duties: not while it drains or stands by. */
-    record SetEligibility(boolean willing) implements Command {}
+        /** Called for {@link ReleaseQuota}. */
+        R releaseQuota(ReleaseQuota command);
 
-    /** What a member has seen of sites of late, by site. Nothing is kept of it; each member judges by it. */
-    record ReportSiteObservation(Map<String, SiteObservation> siteObservations) implements Command {}
+        /** Called for {@link SetEligibility}. */
+        R setEligibility(SetEligibility command);
 
-    /** By the holder of the sites duty. */
-    record ChangeSiteStatus(FailoverController.Declaration what, long token) implements Command {}
+        /** Called for {@link ReportSiteObservation}. */
+        R reportSiteObservation(ReportSiteObservation command);
 
-    /** By the holder of the sites duty: where loads go. */
-    record PublishFailoverPlan(FailoverPlan plan, long token) implements Command {}
+        /** Called for {@link ChangeSiteStatus}. */
+        R changeSiteStatus(ChangeSiteStatus command);
 
-    /** An operator's word: this site is not to return ({@code on}), or may. {@code after}: the entry of its last change. */
-    record PauseSiteRecovery(String site, boolean on, long after) implements Command {}
+        /** Called for {@link PublishFailoverPlan}. */
+        R publishFailoverPlan(PublishFailoverPlan command);
 
-    /** An operator's word: this site is to be lost, step by step. */
-    record StartFailoverDrill(String site, long after) implements Command {}
+        /** Called for {@link PauseSiteRecovery}. */
+        R pauseSiteRecovery(PauseSiteRecovery command);
 
-    /** With who asked for it and its number there. */
-    record Envelope(String by, long id, Command command) {}
+        /** Called for {@link StartFailoverDrill}. */
+        R startFailoverDrill(StartFailoverDrill command);
+    }
 }
--- /dev/null
+++ b/src/main/java/pewtercourse/lease/CommandOutcome.java
@@ -0,0 +1,64 @@
+package pewtercourse.lease;
+
+import java.util.Optional;
+
+/** What applying an agreed command has come to: the same at every member. */
+public sealed interface CommandOutcome {
+    /** The command took effect, or its effect was there already. */
+    CommandOutcome APPLIED = new Applied();
+
+    /** Whether the command took effect, or its effect was there already. */
+    boolean isApplied();
+
+    /** Whether the same command, made anew from the state as it is now, can succeed. */
+    boolean isSuperseded();
+
+    /** The text for operators; empty if the command was applied. */
+    Optional<String> rejectionText();
+
+    /** A rejection that concerns nothing in particular. */
+    static CommandOutcome rejected(RejectionReason reason) {
+        return new Rejected(reason, "");
+    }
+
+    /** A rejection about {@code subject}: the limit that is reached, or the name that is wrong. */
+    static CommandOutcome rejected(RejectionReason reason, Object subject) {
+        return new Rejected(reason, subject.toString());
+    }
+
+    /** The command took effect, or its effect was there already. */
+    record Applied() implements CommandOutcome {
+        @Override
+        public boolean isApplied() {
+            return true;
+        }
+
+        @Override
+        public boolean isSuperseded() {
+            return false;
+        }
+
+        @Override
+        public Optional<String> rejectionText() {
+            return Optional.empty();
+        }
+    }
+
+    /** The command changed nothing. */
+    record Rejected(RejectionReason reason, String subject) implements CommandOutcome {
+        @Override
+        public boolean isApplied() {
+            return false;
+        }
+
+        @Override
+        public boolean isSuperseded() {
+            return reason == RejectionReason.SUPERSEDED;
+        }
+
+        @Override
+        public Optional<String> rejectionText() {
+            return Optional.of(reason.text(subject));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/lease/CommandSigner.java
@@ -0,0 +1,16 @@
+package pewtercourse.lease;
+
+/** Numbers this member's commands, so that it knows its own when they are agreed. */
+final class CommandSigner {
+    private final String member;
+    private long nextId;
+
+    CommandSigner(String member, long firstId) {
+        this.member = member;
+        this.nextId = firstId;
+    }
+
+    Command.Envelope sign(Command command) {
+        return new Command.Envelope(member, nextId++, command);
+    }
+}
--- a/src/main/java/pewtercourse/lease/FailoverCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -1,7 +1,6 @@
 package pewtercourse.lease;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
@@ -14,140 +13,159 @@
 import pewtercourse.failover.SiteStatus;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Between what is agreed on sites and its form in the log. */
+/** Between what members agree on sites and its stored form. */
 final class FailoverCodec {
     private FailoverCodec() {}
 
-    static LeaseWire.Sighted encode(Command.ReportSiteObservation t) {
-        LeaseWire.Sighted.Builder b = LeaseWire.Sighted.newBuilder();
-        new TreeMap<>(t.siteObservations())
-                .forEach((site, s) -> b.addSight(LeaseWire.Sight.newBuilder()
-                        .setSite(site)
-                        .setUsual(s.usual())
-                        .setReady(s.ready())
-                        .setParents(s.parents())
-                        .setUp(s.up())
-                        .setGood(s.good())
-                        .setLate(s.late())
-                        .setBad(s.bad())
-                        .setRefused(s.refused())
-                        .setLoad(s.load())));
-        return b.build();
+    static LeaseWire.ReportSiteObservation encode(Command.ReportSiteObservation command) {
+        LeaseWire.ReportSiteObservation.Builder wire = LeaseWire.ReportSiteObservation.newBuilder();
+        // Sorted, so that equal commands have equal bytes.
+        new TreeMap<>(command.observations())
+                .forEach((site, observation) -> wire.addObservation(encode(site, observation)));
+        return wire.build();
     }
 
-    static Command.ReportSiteObservation decode(LeaseWire.Sighted t) {
-        Map<String, SiteObservation> siteObservations = new TreeMap<>();
-        t.getSightList()
-                .forEach(s -> siteObservations.put(
-                        s.getSite(),
-                        new SiteObservation(
-                                s.getUsual(),
-                                s.getReady(),
-                                s.getParents(),
-                                s.getUp(),
-                                s.getGood(),
-                                s.getLate(),
-                                s.getBad(),
-                                s.getRefused(),
-                                s.getLoad())));
-        return new Command.ReportSiteObservation(siteObservations);
+    private static LeaseWire.SiteObservation encode(String site, SiteObservation observation) {
+        return LeaseWire.SiteObservation.newBuilder()
+                .setSite(site)
+                .setUsualCaches(observation.usual())
+                .setReadyCaches(observation.ready())
+                .setUsualParents(observation.parents())
+                .setReadyParents(observation.up())
+                .setSucceeded(observation.good())
+                .setSlow(observation.late())
+                .setFailed(observation.bad())
+                .setRejected(observation.refused())
+                .setLoad(observation.load())
+                .build();
+    }
+
+    static Command.ReportSiteObservation decode(LeaseWire.ReportSiteObservation wire) {
+        Map<String, SiteObservation> observations = new TreeMap<>();
+        wire.getObservationList().forEach(observation -> observations.put(observation.getSite(), decode(observation)));
+        return new Command.ReportSiteObservation(observations);
     }
 
-    static LeaseWire.Declare encode(Command.ChangeSiteStatus d) {
-        FailoverController.Declaration w = d.what();
-        return LeaseWire.Declare.newBuilder()
-                .setSite(w.site())
-                .setPhase(w.phase().name())
-                .setHealth(w.health().name())
-                .setStep(w.step())
-                .setFlaps(w.flaps())
-                .setAfter(w.after())
-                .setToken(d.token())
+    private static SiteObservation decode(LeaseWire.SiteObservation wire) {
+        return new SiteObservation(
+                wire.getUsualCaches(),
+                wire.getReadyCaches(),
+                wire.getUsualParents(),
+                wire.getReadyParents(),
+                wire.getSucceeded(),
+                wire.getSlow(),
+                wire.getFailed(),
+                wire.getRejected(),
+                wire.getLoad());
+    }
+
+    static LeaseWire.ChangeSiteStatus encode(Command.ChangeSiteStatus command) {
+        FailoverController.Declaration change = command.change();
+        return LeaseWire.ChangeSiteStatus.newBuilder()
+                .setSite(change.site())
+                .setPhase(change.phase().name())
+                .setHealth(change.health().name())
+                .setStep(change.step())
+                .setFlaps(change.flaps())
+                .setExpectedEntry(change.after())
+                .setToken(command.token())
                 .build();
     }
 
-    static Command.ChangeSiteStatus decode(LeaseWire.Declare d) throws InvalidProtocolBufferException {
+    static Command.ChangeSiteStatus decode(LeaseWire.ChangeSiteStatus wire) throws InvalidProtocolBufferException {
         return new Command.ChangeSiteStatus(
                 new FailoverController.Declaration(
-                        d.getSite(),
-                        one(SiteStatus.Phase.class, d.getPhase()),
-                        one(SiteHealth.class, d.getHealth()),
-                        d.getStep(),
-                        d.getFlaps(),
-                        d.getAfter()),
-                d.getToken());
+                        wire.getSite(),
+                        constant(SiteStatus.Phase.class, wire.getPhase()),
+                        constant(SiteHealth.class, wire.getHealth()),
+                        wire.getStep(),
+                        wire.getFlaps(),
+                        wire.getExpectedEntry()),
+                wire.getToken());
     }
 
-    private static <E extends Enum<E>> E one(Class<E> of, String name) throws InvalidProtocolBufferException {
+    private static <E extends Enum<E>> E constant(Class<E> type, String name) throws InvalidProtocolBufferException {
         try {
-            return Enum.valueOf(of, name);
+            return Enum.valueOf(type, name);
         } catch (IllegalArgumentException e) {
             throw new InvalidProtocolBufferException("'" + name + "' is of a later version");
         }
     }
 
-    static LeaseWire.Plan encode(FailoverPlan p) {
-        LeaseWire.Plan.Builder b = LeaseWire.Plan.newBuilder();
-        p.cases().forEach((key, shares) -> {
-            LeaseWire.Case.Builder c = LeaseWire.Case.newBuilder().setKey(key);
-            shares.forEach((site, s) -> {
-                LeaseWire.Shares.Builder of =
-                        LeaseWire.Shares.newBuilder().setSite(site).setRefused(s.refused());
-                s.parts()
-                        .forEach(x -> of.addPart(LeaseWire.Part.newBuilder()
-                                .setSite(x.site())
-                                .setWork(x.work())
-                                .setMost(x.most())));
-                c.addShares(of);
-            });
-            b.addCase(c);
+    static LeaseWire.FailoverPlan encode(FailoverPlan plan) {
+        LeaseWire.FailoverPlan.Builder wire = LeaseWire.FailoverPlan.newBuilder();
+        plan.cases().forEach((key, shares) -> {
+            LeaseWire.LossScenario.Builder scenario =
+                    LeaseWire.LossScenario.newBuilder().setKey(key);
+            shares.forEach((site, share) -> scenario.addShares(encode(site, share)));
+            wire.addScenario(scenario);
         });
-        return b.build();
+        return wire.build();
+    }
+
+    private static LeaseWire.SiteShares encode(String site, FailoverPlan.Shares shares) {
+        LeaseWire.SiteShares.Builder wire =
+                LeaseWire.SiteShares.newBuilder().setSite(site).setRejected(shares.refused());
+        shares.parts()
+                .forEach(part -> wire.addTarget(LeaseWire.TargetShare.newBuilder()
+                        .setSite(part.site())
+                        .setWork(part.work())
+                        .setMaxWork(part.most())));
+        return wire.build();
     }
 
-    static FailoverPlan decode(LeaseWire.Plan p) {
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
-        p.getCaseList().forEach(c -> {
-            SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
-            c.getSharesList().forEach(s -> {
-                List<FailoverPlan.Part> parts = new ArrayList<>();
-                s.getPartList().forEach(x -> parts.add(new FailoverPlan.Part(x.getSite(), x.getWork(), x.getMost())));
-                shares.put(s.getSite(), new FailoverPlan.Shares(parts, s.getRefused()));
-            });
-            cases.put(c.getKey(), shares);
+    static FailoverPlan decode(LeaseWire.FailoverPlan wire) {
+        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> scenarios = new TreeMap<>();
+        wire.getScenarioList().forEach(scenario -> {
+            SortedMap<String, FailoverPlan.Shares> bySite = new TreeMap<>();
+            scenario.getSharesList().forEach(shares -> bySite.put(shares.getSite(), decode(shares)));
+            scenarios.put(scenario.getKey(), bySite);
         });
-        return new FailoverPlan(cases);
+        return new FailoverPlan(scenarios);
     }
 
-    static void encode(FailoverState failover, LeaseWire.State.Builder to) {
-        failover.statuses()
-                .forEach((site, s) -> to.addSite(LeaseWire.SiteStatus.newBuilder()
-                        .setSite(site)
-                        .setPhase(s.phase().name())
-                        .setHealth(s.health().name())
-                        .setStep(s.step())
-                        .setFlaps(s.flaps())
-                        .setHeld(s.held())
-                        .setDrill(s.drill())
-                        .setEntry(s.entry())));
-        to.setPlan(encode(failover.plan()));
+    private static FailoverPlan.Shares decode(LeaseWire.SiteShares wire) {
+        List<FailoverPlan.Part> parts = wire.getTargetList().stream()
+                .map(target -> new FailoverPlan.Part(target.getSite(), target.getWork(), target.getMaxWork()))
+                .toList();
+        return new FailoverPlan.Shares(parts, wire.getRejected());
     }
 
-    static void decode(LeaseWire.State from, FailoverState to) throws InvalidProtocolBufferException {
-        for (LeaseWire.SiteStatus s : from.getSiteList()) {
-            to.restore(
-                    s.getSite(),
-                    new SiteStatus(
-                            one(SiteStatus.Phase.class, s.getPhase()),
-                            one(SiteHealth.class, s.getHealth()),
-                            s.getStep(),
-                            s.getFlaps(),
-                            s.getHeld(),
-                            s.getDrill(),
-                            s.getEntry()));
+    static void encode(FailoverState failover, LeaseWire.Snapshot.Builder snapshot) {
+        failover.statuses().forEach((site, status) -> snapshot.addSiteStatus(encode(site, status)));
+        snapshot.setFailoverPlan(encode(failover.plan()));
+    }
+
+    private static LeaseWire.SiteStatus encode(String site, SiteStatus status) {
+        return LeaseWire.SiteStatus.newBuilder()
+                .setSite(site)
+                .setPhase(status.phase().name())
+                .setHealth(status.health().name())
+                .setStep(status.step())
+                .setFlaps(status.flaps())
+                .setHeld(status.held())
+                .setDrill(status.drill())
+                .setEntry(status.entry())
+                .build();
+    }
+
+    static void decode(LeaseWire.Snapshot snapshot, FailoverState failover) throws InvalidProtocolBufferException {
+        for (LeaseWire.SiteStatus status : snapshot.getSiteStatusList()) {
+            failover.restore(status.getSite(), decode(status));
         }
-        if (from.hasPlan() && from.getPlan().getCaseCount() > 0) {
-            to.plan(decode(from.getPlan()));
+        if (snapshot.hasFailoverPlan() && snapshot.getFailoverPlan().getScenarioCount() > 0) {
+            failover.plan(decode(snapshot.getFailoverPlan()));
         }
     }
+
+    private static SiteStatus decode(LeaseWire.SiteStatus wire) throws InvalidProtocolBufferException {
+        return new SiteStatus(
+                constant(SiteStatus.Phase.class, wire.getPhase()),
+                constant(SiteHealth.class, wire.getHealth()),
+                wire.getStep(),
+                wire.getFlaps(),
+                wire.getHeld(),
+                wire.getDrill(),
+                wire.getEntry());
+    }
 }
--- a/src/main/java/pewtercourse/lease/Lease.java
+++ b/src/main/java/pewtercourse/lease/Lease.java
@@ -5,72 +5,83 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * One duty at the member that holds it. It counts from before it asked, by its own clock, so that it ends before anybody
- * else takes it to be over; asked again at a third of it. Before each act its holder asks {@link #token}.
+ * A lease at the member that holds it, by that member's own clock in microseconds. Its time counts from before the
+ * renewal was proposed, so that it ends here before any other member takes it to be over; it is renewed after a third of
+ * it. The holder reads {@link #token} before each act.
  */
 final class Lease {
-    private static final int PENDING_MOST = 16;
+    private static final int MAX_PENDING_RENEWALS = 16;
+    private static final int RENEWALS_PER_LEASE = 3;
 
-    final long token;
-    private final LeaseSettings set;
-    private final Map<Long, Long> asked = new LinkedHashMap<>(); // By the number of the command: when.
-    private long until = Long.MIN_VALUE, renewAt = Long.MIN_VALUE, handOnAt = Long.MIN_VALUE;
-    private boolean handedOn;
+    private final LeaseSettings settings;
+    private final long token;
+    private final Map<Long, Long> renewalProposedAt = new LinkedHashMap<>(); // By the number of the command.
+    private long validUntil = Long.MIN_VALUE;
+    private long renewAt = Long.MIN_VALUE;
+    private long releaseAt = Long.MIN_VALUE;
+    private boolean released;
 
-    Lease(LeaseSettings set, long token) {
-        this.set = set;
+    Lease(LeaseSettings settings, long token) {
+        this.settings = settings;
         this.token = token;
     }
 
-    /** Whether to ask for a renewal now. */
-    boolean due(long now) {
-        return !handedOn && now >= renewAt;
+    /** The fencing token, whether or not the lease is valid now. */
+    long token() {
+        return token;
     }
 
-    /** A renewal is asked for, by the command of this number. */
-    void ask(long now, long id) {
-        if (asked.size() >= PENDING_MOST) {
-            asked.remove(asked.keySet().iterator().next());
-        }
-        asked.put(id, now);
-        renewAt = now + set.again();
+    /** The fencing token, or 0: the holder must not act now. */
+    long validToken(long now) {
+        return !released && now < validUntil ? token : 0;
     }
 
-    /** The renewal of this number was agreed; {@code from} tells from when it counts. */
-    void renewed(long id, LongUnaryOperator from) {
-        Long askedAt = asked.remove(id);
-        if (askedAt == null) {
-            return; // Nobody knows when it was asked for: it extends nothing.
-        }
-        long at = from.applyAsLong(askedAt);
-        until = Math.max(until, at + set.held());
-        renewAt = at + set.lease() / 3;
-        asked.clear();
+    /** Microseconds until it ends, 0 if it has. */
+    long remainingMicros(long now) {
+        return released ? 0 : Math.max(0, validUntil - now);
     }
 
-    /** The token, or 0: it must not act now. */
-    long token(long now) {
-        return !handedOn && now < until ? token : 0;
+    /** Whether to propose a renewal now. */
+    boolean isRenewalDue(long now) {
+        return !released && now >= renewAt;
     }
 
-    /** Microseconds left, 0 for none. */
-    long left(long now) {
-        return handedOn ? 0 : Math.max(0, until - now);
+    /** A renewal is proposed by the command of this number. */
+    void renewalProposed(long now, long commandId) {
+        if (renewalProposedAt.size() >= MAX_PENDING_RENEWALS) {
+            renewalProposedAt.remove(renewalProposedAt.keySet().iterator().next());
+        }
+        renewalProposedAt.put(commandId, now);
+        renewAt = now + settings.retryMicros();
     }
 
-    /** From now on it does not act. */
-    void handOn() {
-        handedOn = true;
+    /** The renewal of this number was applied; {@code start} gives the time from which it counts. */
+    void renewed(long commandId, LongUnaryOperator start) {
+        Long proposedAt = renewalProposedAt.remove(commandId);
+        if (proposedAt == null) {
+            return; // It is not known when it was proposed: it extends nothing.
+        }
+        long startsAt = start.applyAsLong(proposedAt);
+        validUntil = Math.max(validUntil, startsAt + settings.usableMicros());
+        renewAt = startsAt + settings.durationMicros() / RENEWALS_PER_LEASE;
+        renewalProposedAt.clear();
     }
 
-    boolean handedOn() {
-        return handedOn;
+    /** From now on the member does not act by it. */
+    void release() {
+        released = true;
     }
 
-    /** Whether to say now, for the first time or again, that it is handed on. */
-    boolean again(long now) {
-        boolean due = now >= handOnAt;
-        handOnAt = due ? now + set.again() : handOnAt;
+    boolean isReleased() {
+        return released;
+    }
+
+    /** Whether to propose the release now, for the first time or again; then it counts as proposed. */
+    boolean tryProposeRelease(long now) {
+        boolean due = now >= releaseAt;
+        if (due) {
+            releaseAt = now + settings.retryMicros();
+        }
         return due;
     }
 }
--- a/src/main/java/pewtercourse/lease/LeaseAssigner.java
+++ b/src/main/java/pewtercourse/lease/LeaseAssigner.java
@@ -11,161 +11,198 @@
 import java.util.TreeSet;
 
 /**
- * The leader's part: gives duties that nobody holds to members that it hears, spread by rendezvous hashing (Thaler and
- * Ravishankar, 1998) with no more than an equal share for each, and moves one back only to a member that it has heard
- * without a break for long.
+ * The leader's part: assigns vacant leases to members that it hears, spread by rendezvous hashing (Thaler and
+ * Ravishankar, 1998) with no more than an equal share for each, moves a lease back only to a member that it has heard
+ * without a break for long, and reports absent members. Times are microseconds of the member's own clock.
  */
 final class LeaseAssigner {
-    // Of a lease: unheard for so long a member counts as absent; heard for so long it counts again, and gets duties
-    // back.
-    private static final double ABSENT_LEASES = 2, PRESENT_LEASES = 1, SETTLED_LEASES = 10;
+    // All in lease durations: not heard for so long a member is reported absent, heard for so long present again, and
+    // heard for so long it counts as stable.
+    private static final double ABSENT_LEASES = 2;
+    private static final double PRESENT_LEASES = 1;
+    private static final double STABLE_LEASES = 10;
 
-    private final LeaseSettings set;
-    private final Map<String, Long> heardSince = new HashMap<>(), unheardSince = new HashMap<>();
-    private final Map<String, Long> orderedAt = new HashMap<>(); // By order: when it was last given.
+    private enum Kind {
+        ABSENCE,
+        ASSIGNMENT,
+        TRANSFER
+    }
+
+    /** What a command is about; only one transfer is under way at a time. */
+    private record Topic(Kind kind, String subject) {
+        static final Topic TRANSFER = new Topic(Kind.TRANSFER, "");
+    }
+
+    private final LeaseSettings settings;
+    private final Map<String, Long> activeSince = new HashMap<>();
+    private final Map<String, Long> silentSince = new HashMap<>();
+    private final RetryThrottle<Topic> throttle;
 
-    LeaseAssigner(LeaseSettings set) {
-        this.set = set;
+    LeaseAssigner(LeaseSettings settings) {
+        this.settings = settings;
+        this.throttle = new RetryThrottle<>(settings.retryMicros());
     }
 
-    /** It does not lead, or no longer: what it knew of the others is void. */
+    /** This member does not lead, or no longer: what it knew of the others is void. */
     void reset() {
-        heardSince.clear();
-        unheardSince.clear();
-        orderedAt.clear();
+        activeSince.clear();
+        silentSince.clear();
+        throttle.clear();
     }
 
-    /** {@code heard}: who answered of late; {@code members}: who there is. */
-    List<Command> orders(long now, ClusterState state, LeaseWatch watch, Set<String> members, Set<String> heard) {
-        note(now, members, heard);
+    /** What the leader proposes now; {@code active}: members that answered lately. */
+    List<Command> orders(long now, ClusterState state, LeaseWatch watch, Set<String> members, Set<String> active) {
+        trackActivity(now, members, active);
+        throttle.expire(now);
         List<Command> orders = new ArrayList<>();
-        orderedAt.values().removeIf(at -> now - at >= set.again());
-        for (String m : members) {
-            boolean absent = state.absent().contains(m);
-            Long since = absent ? heardSince.get(m) : unheardSince.get(m);
-            if (since != null && now - since > (absent ? PRESENT_LEASES : ABSENT_LEASES) * set.lease()) {
-                order(now, orders, "absent " + m, new Command.ReportAbsence(m, !absent));
-            }
+        reportAbsences(now, state, members, orders);
+        Set<String> candidates = new TreeSet<>(active);
+        candidates.retainAll(members);
+        candidates.removeAll(state.ineligibleMembers());
+        if (!candidates.isEmpty()) {
+            Map<String, String> holders = holders(state);
+            assignVacant(now, state, watch, candidates, holders, orders);
+            rebalance(now, state, candidates, holders, orders);
         }
-        for (String m : state.absent()) {
-            if (!members.contains(m)) {
-                order(now, orders, "absent " + m, new Command.ReportAbsence(m, false)); // It was removed.
+        return orders;
+    }
+
+    private void trackActivity(long now, Set<String> members, Set<String> active) {
+        activeSince.keySet().retainAll(active);
+        silentSince.keySet().removeAll(active);
+        silentSince.keySet().retainAll(members);
+        active.forEach(member -> activeSince.putIfAbsent(member, now));
+        Set<String> silent = new HashSet<>(members);
+        silent.removeAll(active);
+        silent.forEach(member -> silentSince.putIfAbsent(member, now));
+    }
+
+    private void reportAbsences(long now, ClusterState state, Set<String> members, List<Command> orders) {
+        for (String member : members) {
+            boolean absent = state.absentMembers().contains(member);
+            Long since = absent ? activeSince.get(member) : silentSince.get(member);
+            double leases = absent ? PRESENT_LEASES : ABSENT_LEASES;
+            if (since != null && now - since > leases * settings.durationMicros()) {
+                reportAbsence(now, member, !absent, orders);
             }
         }
-        Set<String> able = new TreeSet<>(heard);
-        able.retainAll(members);
-        able.removeAll(state.unwilling());
-        if (able.isEmpty()) {
-            return orders;
-        }
-        Map<String, String> now0 = holders(state);
-        for (String name : new TreeSet<>(set.names())) {
-            ClusterState.LeaseRecord d = state.duty(name);
-            if (vacant(now, name, d, watch)) {
-                Map<String, String> others = new TreeMap<>(now0);
-                others.remove(name);
-                Set<String> but = new TreeSet<>(able);
-                if (but.size() > 1) {
-                    // It has handed it on, let it lapse, or not taken it up.
-                    but.remove(d.holder().isEmpty() ? d.preferred() : d.holder());
-                }
-                String to = best(name, but, others);
-                if (order(now, orders, "assign " + name, new Command.AssignLease(name, to, d.token(), d.renewals()))) {
-                    now0.put(name, to);
-                }
+        for (String member : state.absentMembers()) {
+            if (!members.contains(member)) {
+                reportAbsence(now, member, false, orders); // It was removed from the cluster.
             }
         }
-        move(now, state, able, now0, orders);
-        return orders;
     }
 
-    private boolean vacant(long now, String name, ClusterState.LeaseRecord d, LeaseWatch watch) {
-        // One that was assigned and not taken up holds no lease: only a renewal, which the log refuses from then on,
-        // begins one.
-        return d.holder().isEmpty() || watch.age(now, name) > (d.renewals() == 0 ? 2 * set.again() : set.waited());
+    private void reportAbsence(long now, String member, boolean absent, List<Command> orders) {
+        if (throttle.tryPropose(new Topic(Kind.ABSENCE, member), now)) {
+            orders.add(new Command.ReportAbsence(member, absent));
+        }
     }
 
     private static Map<String, String> holders(ClusterState state) {
         Map<String, String> holders = new TreeMap<>();
-        state.duties().forEach((name, d) -> {
-            if (!d.holder().isEmpty()) {
-                holders.put(name, d.holder());
+        state.leases().forEach((name, lease) -> {
+            if (lease.isHeld()) {
+                holders.put(name, lease.holder());
             }
         });
         return holders;
     }
 
-    // At most one move at a time, to a member that has been heard for long.
-    private void move(
-            long now, ClusterState state, Set<String> able, Map<String, String> holders, List<Command> orders) {
-        Set<String> settled = new TreeSet<>(able);
-        settled.removeIf(m -> now - heardSince.getOrDefault(m, now) < SETTLED_LEASES * set.lease());
-        boolean quiet = set.names().stream().allMatch(n -> {
-            ClusterState.LeaseRecord d = state.duty(n);
-            return !d.moves() && d.renewals() > 0 && able.contains(d.holder());
-        });
-        if (!quiet || !settled.containsAll(able)) {
+    private void assignVacant(
+            long now,
+            ClusterState state,
+            LeaseWatch watch,
+            Set<String> candidates,
+            Map<String, String> holders,
+            List<Command> orders) {
+        for (String name : new TreeSet<>(settings.leaseNames())) {
+            LeaseRecord lease = state.lease(name);
+            if (isVacant(lease, watch.ageMicros(now, name))) {
+                String holder = newHolder(name, lease, candidates, holders);
+                if (throttle.tryPropose(new Topic(Kind.ASSIGNMENT, name), now)) {
+                    orders.add(new Command.AssignLease(name, holder, lease.token(), lease.renewals()));
+                    holders.put(name, holder);
+                }
+            }
+        }
+    }
+
+    // A lease that was assigned and not taken up is not in force: only a renewal begins it, and the state rejects that
+    // renewal once the lease is assigned anew.
+    private boolean isVacant(LeaseRecord lease, long ageMicros) {
+        long expiryMicros = lease.renewals() == 0 ? 2 * settings.retryMicros() : settings.expiryMicros();
+        return !lease.isHeld() || ageMicros > expiryMicros;
+    }
+
+    private String newHolder(String name, LeaseRecord lease, Set<String> candidates, Map<String, String> holders) {
+        Map<String, String> otherHolders = new TreeMap<>(holders);
+        otherHolders.remove(name);
+        Set<String> preferred = new TreeSet<>(candidates);
+        if (preferred.size() > 1) {
+            // The last holder has released it, let it lapse, or not taken it up.
+            preferred.remove(lease.isHeld() ? lease.holder() : lease.preferredHolder());
+        }
+        return placement(name, preferred, otherHolders);
+    }
+
+    /** Moves one lease to where placement wants it, while all leases are in force and all candidates are stable. */
+    private void rebalance(
+            long now, ClusterState state, Set<String> candidates, Map<String, String> holders, List<Command> orders) {
+        if (!isQuiet(state, candidates) || !candidates.stream().allMatch(member -> isStable(now, member))) {
             return;
         }
         Map<String, String> wanted = new TreeMap<>();
-        for (String name : new TreeSet<>(set.names())) {
-            wanted.put(name, best(name, settled, wanted));
+        for (String name : new TreeSet<>(settings.leaseNames())) {
+            wanted.put(name, placement(name, candidates, wanted));
         }
-        for (Map.Entry<String, String> w : wanted.entrySet()) {
-            if (!w.getValue().equals(holders.get(w.getKey()))) {
-                order(
-                        now,
-                        orders,
-                        "move",
-                        new Command.RequestTransfer(
-                                w.getKey(), state.duty(w.getKey()).token(), w.getValue()));
+        for (Map.Entry<String, String> placed : wanted.entrySet()) {
+            String name = placed.getKey();
+            if (!placed.getValue().equals(holders.get(name))) {
+                if (throttle.tryPropose(Topic.TRANSFER, now)) {
+                    orders.add(
+                            new Command.RequestTransfer(name, state.lease(name).token(), placed.getValue()));
+                }
                 return;
             }
         }
     }
 
-    private void note(long now, Set<String> members, Set<String> heard) {
-        heardSince.keySet().retainAll(heard);
-        unheardSince.keySet().removeAll(heard);
-        unheardSince.keySet().retainAll(members);
-        heard.forEach(m -> heardSince.putIfAbsent(m, now));
-        Set<String> unheard = new HashSet<>(members);
-        unheard.removeAll(heard);
-        unheard.forEach(m -> unheardSince.putIfAbsent(m, now));
+    private boolean isQuiet(ClusterState state, Set<String> candidates) {
+        return settings.leaseNames().stream()
+                .map(state::lease)
+                .allMatch(lease ->
+                        !lease.transferRequested() && lease.renewals() > 0 && candidates.contains(lease.holder()));
     }
 
-    private boolean order(long now, List<Command> orders, String key, Command c) {
-        if (orderedAt.putIfAbsent(key, now) != null) {
-            return false;
-        }
-        orders.add(c);
-        return true;
+    private boolean isStable(long now, String member) {
+        return now - activeSince.getOrDefault(member, now) >= STABLE_LEASES * settings.durationMicros();
     }
 
-    /** By hash, among those that have fewer of the {@code taken} than an equal share. */
-    String best(String duty, Set<String> able, Map<String, String> taken) {
-        int share = (set.names().size() + able.size() - 1) / able.size();
+    /** By rendezvous hashing among the members that hold fewer leases than an equal share. */
+    private String placement(String lease, Set<String> members, Map<String, String> holders) {
+        int equalShare = (settings.leaseNames().size() + members.size() - 1) / members.size();
         String best = null;
-        long most = 0;
-        for (String m : able) {
-            long has = taken.values().stream().filter(m::equals).count();
-            long weight = hash(duty + '\0' + m) >>> 1;
-            if (has < share && (best == null || weight > most)) {
-                best = m;
-                most = weight;
+        long highest = 0;
+        for (String member : members) {
+            long leases = holders.values().stream().filter(member::equals).count();
+            long weight = hash(lease + '\0' + member) >>> 1;
+            if (leases < equalShare && (best == null || weight > highest)) {
+                best = member;
+                highest = weight;
             }
         }
-        return best == null ? able.iterator().next() : best;
+        return best == null ? members.iterator().next() : best;
     }
 
     // FNV-1a, then the finalizer of SplitMix64: the first alone hardly mixes the last letters.
     private static long hash(String text) {
-        long h = 0xcbf29ce484222325L;
-        for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            h = (h ^ (b & 0xff)) * 0x100000001b3L;
+        long hash = 0xcbf29ce484222325L;
+        for (byte letter : text.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ (letter & 0xff)) * 0x100000001b3L;
         }
-        h = (h ^ (h >>> 30)) * 0xbf58476d1ce4e5b9L;
-        h = (h ^ (h >>> 27)) * 0x94d049bb133111ebL;
-        return h ^ (h >>> 31);
+        hash = (hash ^ (hash >>> 30)) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ (hash >>> 27)) * 0x94d049bb133111ebL;
+        return hash ^ (hash >>> 31);
     }
 }
--- a/src/main/java/pewtercourse/lease/LeaseManager.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -1,11 +1,10 @@
 package pewtercourse.lease;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.LongBinaryOperator;
 import java.util.function.ToIntFunction;
@@ -15,280 +14,259 @@
 import pewtercourse.failover.Sites;
 
 /**
- * One member's part in the duties: what was agreed comes in, in order, and what it wishes to have agreed goes out. It
- * knows no sockets and reads no clock: {@code now} is microseconds of this member's own monotonic clock. What is asked
- * for may be lost; it is asked for again.
+ * One member's part in the leases: agreed commands come in, in order, and commands that are to be agreed go out. A pure
+ * core without sockets or clock: {@code now} is microseconds of the member's own monotonic clock. Proposed commands may
+ * be lost; they are proposed again. Confined to the thread that applies the log.
  */
 public final class LeaseManager {
-    /** What a member sees around it at a tick. {@code heard} is null where it does not lead. */
-    public record View(Set<String> members, Set<String> heard, long unixMs) {}
-
-    /** A director's loan, by its own clock: {@code until} it may use the amount. */
-    private record MyLoan(long until, long thousandths) {}
+    /**
+     * What a member sees of the cluster at a tick.
+     *
+     * @param active members that answered lately; null where this member does not lead
+     * @param unixMs Unix milliseconds, for what operators read
+     */
+    public record View(Set<String> members, Set<String> active, long unixMs) {}
 
-    private final LeaseSettings set;
-    private final String self;
+    private final LeaseSettings settings;
+    private final String member;
+    private final CommandSigner signer;
     private final LeaseWatch watch = new LeaseWatch();
     private final LeaseAssigner assigner;
-    private final MaintenanceBudget maintenanceBudget;
+    private final MaintenanceScheduler maintenance;
     private final QuotaAllocator quotaAllocator;
-    private FailoverController failoverController; // Null where sites are not kept.
-    private final Map<String, Lease> mine = new TreeMap<>();
-    private final Map<Long, Long> askedLoan = new HashMap<>(); // By the number of the command: when.
-    private final Map<Long, Long> myAsks = new HashMap<>(); // By the entry of the wish: when it was asked for.
-    private final Map<Long, MyLoan> myLoans = new TreeMap<>();
+    private final SiteOrders sites = new SiteOrders();
+    private final OwnLeases ownLeases;
+    private final OwnQuota ownQuota;
     private ClusterState state = new ClusterState();
-    private long nextId, borrowAt = Long.MIN_VALUE, standingAt = Long.MIN_VALUE, acts;
-    private boolean willing = true;
-    private LongBinaryOperator from = (asked, answered) -> asked;
+    private LongBinaryOperator validityStart = (proposedAt, appliedAt) -> proposedAt;
+    private boolean eligible = true;
+    private long eligibilityRetryAt = Long.MIN_VALUE;
+    private long orderCount;
 
-    /** {@code firstId}: numbers of commands begin there; drawn at random, so that two runs' do not meet. */
+    /**
+     * Creates the manager of a member that holds nothing and has applied nothing.
+     *
+     * @param firstId  number of its first command; drawn at random, so that those of two runs do not meet
+     * @param zoneOf   zone of a cache, "" where it is not known
+     * @param zoneSize caches listed in a zone
+     */
     public LeaseManager(
-            LeaseSettings set,
-            String self,
+            LeaseSettings settings,
+            String member,
             long firstId,
             Function<String, String> zoneOf,
             ToIntFunction<String> zoneSize) {
-        this.set = set;
-        this.self = self;
-        this.nextId = firstId;
-        this.assigner = new LeaseAssigner(set);
-        this.maintenanceBudget = new MaintenanceBudget(set, zoneOf, zoneSize);
-        this.quotaAllocator = new QuotaAllocator(set);
+        this.settings = settings;
+        this.member = member;
+        this.signer = new CommandSigner(member, firstId);
+        this.assigner = new LeaseAssigner(settings);
+        this.maintenance = new MaintenanceScheduler(settings, zoneOf, zoneSize);
+        this.quotaAllocator = new QuotaAllocator(settings);
+        this.ownLeases = new OwnLeases(settings, member, signer);
+        this.ownQuota = new OwnQuota(settings, member, signer);
     }
 
-    /** The sites as this member's operators describe them, from now on. */
-    public void sites(long now, Sites sites) {
-        failoverController =
-                failoverController == null ? new FailoverController(sites) : failoverController.with(sites);
-        failoverController.see(now, state.failover());
+    /** The sites as they are configured from now on. */
+    public void configureSites(long now, Sites configured) {
+        sites.configure(now, configured, state);
     }
 
-    /** What this member has seen of sites of late. */
-    public Command.Envelope sighted(Map<String, SiteObservation> siteObservations) {
-        return sign(new Command.ReportSiteObservation(siteObservations));
+    /** The command that reports what this member has lately seen of each site. */
+    public Command.Envelope reportObservations(Map<String, SiteObservation> observations) {
+        return signer.sign(new Command.ReportSiteObservation(observations));
     }
 
-    /** What a plan is to be made from, elsewhere, or null: this member doesn't keep the sites, or none is due. */
-    public FailoverController.Question question(long now) {
-        return failoverController == null || token(ClusterState.SITES, now) == 0
-                ? null
-                : failoverController.question(now, state.failover());
+    /** What a failover plan is to be computed from; empty if none is due, or this member does not hold the sites lease. */
+    public Optional<FailoverController.Question> planInput(long now) {
+        return validToken(LeaseNames.SITES, now) == 0 ? Optional.empty() : sites.planInput(now, state);
     }
 
-    /** The plan for the last {@link #question}. */
-    public void planned(long now, FailoverPlan plan) {
-        if (failoverController != null) {
-            failoverController.answered(now, plan);
-        }
+    /** The failover plan from the last {@link #planInput}. */
+    public void planComputed(long now, FailoverPlan plan) {
+        sites.planComputed(now, plan);
     }
 
-    /** What each site's clients ask for, as far as this member has heard. */
-    public Map<String, Double> loads() {
-        return failoverController == null
-                ? Map.of()
-                : failoverController.detector().loads();
+    /** Transfers at once that each site's clients ask for, as last reported. */
+    public Map<String, Double> siteLoads() {
+        return sites.loads();
     }
 
-    /** To see checks fail, and as a baseline: counts leases and loans from another time than when they were asked for. */
-    public void countFrom(LongBinaryOperator other) {
-        from = other;
+    /**
+     * Counts leases and quota grants from another time than when they were proposed. Unsafe: for baselines, and to see
+     * invariant checks fail.
+     *
+     * @param start gives the start from when the command was proposed and when it was applied
+     */
+    public void countValidityFrom(LongBinaryOperator start) {
+        validityStart = start;
     }
 
+    /** The replicated state as this member has applied it. */
     public ClusterState state() {
         return state;
     }
 
-    /** A snapshot takes the place of the state. */
-    public void restored(long now, ClusterState to) {
-        state = to;
-        myLoans.clear(); // By whose wish they came is not known any more.
-        myAsks.clear();
-        seen(now);
+    /** Replaces the state by that of a snapshot. */
+    public void restore(long now, ClusterState snapshot) {
+        state = snapshot;
+        ownQuota.reset();
+        follow(now);
     }
 
-    /** The next entry was agreed. */
-    public ClusterState.Result applied(long now, long index, Command.Envelope s) {
-        ClusterState.Result r = state.apply(index, s);
-        if (r.done()) {
-            if (s.command() instanceof Command.RenewLease n
-                    && s.by().equals(self)
-                    && mine.containsKey(n.duty())
-                    && mine.get(n.duty()).token == n.token()) {
-                mine.get(n.duty()).renewed(s.id(), asked -> from.applyAsLong(asked, now));
-            } else if (s.command() instanceof Command.RequestQuota && s.by().equals(self)) {
-                Long at = askedLoan.remove(s.id());
-                if (at != null) {
-                    myAsks.clear();
-                    myAsks.put(index, at);
-                }
-            } else if (s.command() instanceof Command.ReportSiteObservation t && failoverController != null) {
-                failoverController.detector().see(now, s.by(), t.siteObservations());
-            } else if (s.command() instanceof Command.GrantQuota l
-                    && l.to().equals(self)
-                    && set.quotaAllocator() != null) {
-                Long at = myAsks.remove(l.ask());
-                if (at != null) {
-                    myLoans.put(
-                            index,
-                            new MyLoan(
-                                    from.applyAsLong(at, now)
-                                            + (long) (set.quotaAllocator().loan() * (1 - set.drift())),
-                                    l.thousandths()));
-                }
-            }
+    /** Applies the command of the next log entry. */
+    public CommandOutcome apply(long now, long index, Command.Envelope envelope) {
+        CommandOutcome outcome = state.apply(index, envelope);
+        if (outcome.isApplied()) {
+            envelope.command().accept(new AppliedCommand(now, index, envelope));
         }
-        seen(now);
-        return r;
+        follow(now);
+        return outcome;
     }
 
-    private void seen(long now) {
-        watch.see(now, state);
-        maintenanceBudget.see(now, state);
-        quotaAllocator.see(now, state);
-        if (failoverController != null) {
-            failoverController.see(now, state.failover());
-        }
-        mine.keySet().removeIf(name -> !state.duty(name).holder().equals(self));
-        state.duties().forEach((name, d) -> {
-            if (d.holder().equals(self) && (!mine.containsKey(name) || mine.get(name).token != d.token())) {
-                mine.put(name, new Lease(set, d.token()));
-            }
-        });
-        myLoans.keySet().retainAll(state.loans().keySet());
+    private void follow(long now) {
+        watch.follow(now, state);
+        maintenance.follow(now, state);
+        quotaAllocator.follow(now, state);
+        sites.follow(now, state);
+        ownLeases.follow(state);
+        ownQuota.follow(state);
     }
 
-    /** The token with which this member may act in a duty at this very moment, or 0. */
-    public long token(String duty, long now) {
-        Lease l = mine.get(duty);
-        return l == null ? 0 : l.token(now);
+    /** The fencing token with which this member may act by a lease at this moment, or 0. */
+    public long validToken(String lease, long now) {
+        return ownLeases.validToken(lease, now);
     }
 
     /** Microseconds left of this member's lease, 0 for none. */
-    public long left(String duty, long now) {
-        Lease l = mine.get(duty);
-        return l == null ? 0 : l.left(now);
+    public long remainingMicros(String lease, long now) {
+        return ownLeases.remainingMicros(lease, now);
     }
 
-    /** Whether nothing of it is left to hand on. */
-    public boolean free() {
-        return mine.isEmpty();
+    /** Whether there is no lease left to hand over. */
+    public boolean holdsNoLease() {
+        return ownLeases.isEmpty();
     }
 
-    /** Orders given in a duty since the start. */
-    public long acts() {
-        return acts;
+    /** Orders that this member has given as a lease holder since it started. */
+    public long orderCount() {
+        return orderCount;
     }
 
-    /** Whether it takes duties: not while it drains or stands by. What it holds it hands on. */
-    public void willing(boolean on) {
-        willing = on;
-        standingAt = Long.MIN_VALUE;
+    /** Whether this member takes leases: not while it drains or stands by. Otherwise it releases those that it holds. */
+    public void setEligible(boolean eligible) {
+        this.eligible = eligible;
+        eligibilityRetryAt = Long.MIN_VALUE;
     }
 
-    public Command.Envelope sign(Command c) {
-        return new Command.Envelope(self, nextId++, c);
+    /** Gives a command the name of this member and a number. */
+    public Command.Envelope sign(Command command) {
+        return signer.sign(command);
     }
 
-    /**
-     * This director's factor on its part of a cold budget, in thousandths: what it keeps and what it has on loan at
-     * {@code now}. 1,000 without a quota allocator.
-     */
-    public long part(long now) {
-        return set.kept()
-                + myLoans.values().stream()
-                        .filter(l -> now < l.until())
-                        .mapToLong(MyLoan::thousandths)
-                        .sum();
+    /** This director's quota now, in thousandths of its share: 1,000 where quota is not divided. */
+    public long quotaThousandths(long now) {
+        return ownQuota.thousandths(now);
     }
 
-    /** It could use so many thousandths more; null where there is nothing to ask for, or it was asked just now. */
-    public Command.Envelope borrow(long now, long thousandths) {
-        if (set.quotaAllocator() == null || now < borrowAt) {
-            return null;
-        }
-        ClusterState.QuotaRequest wish = state.wishes().get(self);
-        if (thousandths <= 0 && wish == null) {
-            return null;
-        }
-        borrowAt = now + set.again();
-        askedLoan.clear();
-        Command.Envelope s = sign(new Command.RequestQuota(thousandths));
-        askedLoan.put(s.id(), now);
-        return s;
+    /** Requests so many thousandths more; empty where there is nothing to request, or it was requested just now. */
+    public Optional<Command.Envelope> requestQuota(long now, long thousandths) {
+        return ownQuota.request(now, thousandths, state);
     }
 
-    /** What this member wishes to have agreed now. Called every few milliseconds, and after what was applied. */
+    /** What this member proposes now. Called every few milliseconds, and after commands were applied. */
     public List<Command.Envelope> tick(long now, View view) {
-        List<Command> orders = new ArrayList<>();
-        if (willing == state.unwilling().contains(self) && now >= standingAt) {
-            standingAt = now + set.again();
-            orders.add(new Command.SetEligibility(willing));
-        }
-        if (view.heard() == null) {
+        List<Command.Envelope> proposals = new ArrayList<>();
+        proposeEligibility(now, proposals);
+        if (view.active() == null) {
             assigner.reset();
         } else {
-            orders.addAll(assigner.orders(now, state, watch, view.members(), view.heard()));
+            assigner.orders(now, state, watch, view.members(), view.active())
+                    .forEach(command -> proposals.add(sign(command)));
         }
-        List<Command.Envelope> signed = new ArrayList<>();
-        orders.forEach(c -> signed.add(sign(c)));
-        mine.forEach((name, lease) -> hold(now, name, lease, signed));
-        // Checked here, right before: it may have been stopped for long since the last time.
-        act(signed, maintenanceBudget(now, view));
-        act(signed, quotaAllocator(now, view));
-        act(signed, sites(now, view));
-        return signed;
+        ownLeases.propose(now, state, eligible, proposals::add);
+        proposeOrders(now, view, proposals);
+        return proposals;
     }
 
-    private void act(List<Command.Envelope> signed, List<Command> orders) {
-        acts += orders.size();
-        orders.forEach(c -> signed.add(sign(c)));
+    private void proposeEligibility(long now, List<Command.Envelope> proposals) {
+        boolean agreed = !state.ineligibleMembers().contains(member);
+        if (eligible != agreed && now >= eligibilityRetryAt) {
+            eligibilityRetryAt = now + settings.retryMicros();
+            proposals.add(sign(new Command.SetEligibility(eligible)));
+        }
     }
 
-    private void hold(long now, String name, Lease lease, List<Command.Envelope> signed) {
-        ClusterState.LeaseRecord d = state.duty(name);
-        boolean leave = !willing || d.moves() && !d.preferred().equals(self);
-        if (leave) {
-            lease.handOn();
+    // Tokens are read here, right before the orders: the process may have been stopped for long since the last tick.
+    private void proposeOrders(long now, View view, List<Command.Envelope> proposals) {
+        List<Command> orders = new ArrayList<>();
+        long maintenanceToken = validToken(LeaseNames.MAINTENANCE, now);
+        if (maintenanceToken != 0 && settings.maintenanceBudget() != null) {
+            orders.addAll(maintenance.orders(now, view.unixMs(), maintenanceToken, state));
+        }
+        long quotaToken = validToken(LeaseNames.QUOTA, now);
+        if (quotaToken != 0 && settings.quotaPolicy() != null) {
+            orders.addAll(
+                    quotaAllocator.orders(now, quotaToken, state, view.members().size()));
         }
-        if ((leave || lease.handedOn()) && lease.again(now)) {
-            String to = d.moves() && !state.unwilling().contains(d.preferred()) ? d.preferred() : "";
-            signed.add(sign(new Command.ReleaseLease(name, lease.token, to)));
-        } else if (!leave && lease.due(now)) {
-            Command.Envelope s = sign(new Command.RenewLease(name, lease.token, d.renewals()));
-            lease.ask(now, s.id());
-            signed.add(s);
+        long sitesToken = validToken(LeaseNames.SITES, now);
+        if (sitesToken != 0) {
+            orders.addAll(sites.orders(now, sitesToken, state, view.members()));
         }
+        orderCount += orders.size();
+        orders.forEach(command -> proposals.add(sign(command)));
     }
 
-    private List<Command> maintenanceBudget(long now, View view) {
-        long token = token(ClusterState.MAINTENANCE, now);
-        return token == 0 || set.maintenanceBudget() == null
-                ? List.of()
-                : maintenanceBudget.orders(now, view.unixMs(), token, state);
-    }
+    /** What this member notes of a command that was applied. */
+    private final class AppliedCommand implements DefaultCommandVisitor<Void> {
+        private final long now;
+        private final long entry;
+        private final Command.Envelope envelope;
 
-    private List<Command> sites(long now, View view) {
-        long token = token(ClusterState.SITES, now);
-        if (token == 0 || failoverController == null) {
-            return List.of();
+        AppliedCommand(long now, long entry, Command.Envelope envelope) {
+            this.now = now;
+            this.entry = entry;
+            this.envelope = envelope;
         }
-        failoverController.detector().members(view.members());
-        List<Command> orders = new ArrayList<>();
-        failoverController
-                .orders(now, state.failover(), state.absent())
-                .forEach(d -> orders.add(new Command.ChangeSiteStatus(d, token)));
-        FailoverPlan plan = failoverController.planned(state.failover());
-        if (plan != null) {
-            orders.add(new Command.PublishFailoverPlan(plan, token));
+
+        private boolean isOwn() {
+            return envelope.proposer().equals(member);
+        }
+
+        private long start(long proposedAt) {
+            return validityStart.applyAsLong(proposedAt, now);
+        }
+
+        @Override
+        public Void renewLease(Command.RenewLease command) {
+            if (isOwn()) {
+                ownLeases.renewed(command, envelope.id(), this::start);
+            }
+            return null;
+        }
+
+        @Override
+        public Void requestQuota(Command.RequestQuota command) {
+            if (isOwn()) {
+                ownQuota.requested(entry, envelope.id());
+            }
+            return null;
+        }
+
+        @Override
+        public Void grantQuota(Command.GrantQuota command) {
+            ownQuota.granted(entry, command, this::start);
+            return null;
         }
-        return orders;
-    }
 
-    private List<Command> quotaAllocator(long now, View view) {
-        long token = token(ClusterState.QUOTA, now);
-        return token == 0 || set.quotaAllocator() == null
-                ? List.of()
-                : quotaAllocator.orders(now, token, state, view.members().size());
+        @Override
+        public Void reportSiteObservation(Command.ReportSiteObservation command) {
+            sites.observed(now, envelope.proposer(), command.observations());
+            return null;
+        }
+
+        @Override
+        public Void other(Command command) {
+            return null;
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/pewtercourse/lease/LeaseNames.java
@@ -0,0 +1,31 @@
+package pewtercourse.lease;
+
+import java.util.Map;
+import java.util.stream.Collectors;
+
+/**
+ * The leases that this version knows. In the log, in snapshots and between members they keep the names of the first
+ * version: members of different versions work together during a rolling upgrade, and stored data stays readable.
+ */
+public final class LeaseNames {
+    /** Its holder decides when caches may be drained for maintenance. */
+    public static final String MAINTENANCE = "maintenance";
+    /** Its holder divides the quota of cold caches among the directors. */
+    public static final String QUOTA = "quota";
+    /** Its holder declares sites lost and recovered, and publishes failover plans. */
+    public static final String SITES = "sites";
+
+    private static final Map<String, String> TO_WIRE = Map.of(MAINTENANCE, "warden", QUOTA, "divider");
+    private static final Map<String, String> FROM_WIRE =
+            TO_WIRE.entrySet().stream().collect(Collectors.toUnmodifiableMap(Map.Entry::getValue, Map.Entry::getKey));
+
+    private LeaseNames() {}
+
+    static String toWire(String lease) {
+        return TO_WIRE.getOrDefault(lease, lease);
+    }
+
+    static String fromWire(String name) {
+        return FROM_WIRE.getOrDefault(name, name);
+    }
+}
--- a/src/main/java/pewtercourse/lease/LeaseWatch.java
+++ b/src/main/java/pewtercourse/lease/LeaseWatch.java
@@ -4,27 +4,28 @@
 import java.util.Map;
 
 /**
- * When the leases of others are over for certain, by this member's own clock: counted from when it applied the last
- * renewal, which is later than when its holder asked for it (Gray and Cheriton, "Leases", 1989, without comparing clocks).
+ * How long leases have stood unchanged by this member's own clock, in microseconds: counted from when it applied the last
+ * renewal, which is later than when the holder proposed it. So clocks are never compared (Gray and Cheriton, "Leases",
+ * 1989).
  */
 final class LeaseWatch {
     private record Seen(long token, long renewals, long at) {}
 
     private final Map<String, Seen> seen = new HashMap<>();
 
-    /** The state after an entry was applied at {@code now}, or was found at a start. */
-    void see(long now, ClusterState state) {
-        state.duties().forEach((name, d) -> {
-            Seen s = seen.get(name);
-            if (s == null || s.token() != d.token() || s.renewals() != d.renewals()) {
-                seen.put(name, new Seen(d.token(), d.renewals(), now));
+    /** The state after an entry was applied at {@code now}, or was read from a snapshot. */
+    void follow(long now, ClusterState state) {
+        state.leases().forEach((name, lease) -> {
+            Seen last = seen.get(name);
+            if (last == null || last.token() != lease.token() || last.renewals() != lease.renewals()) {
+                seen.put(name, new Seen(lease.token(), lease.renewals(), now));
             }
         });
     }
 
-    /** How long it has stood as it does. */
-    long age(long now, String duty) {
-        Seen s = seen.get(duty);
-        return s == null ? 0 : now - s.at();
+    /** Microseconds since the lease was last renewed or assigned, 0 for one that was never seen. */
+    long ageMicros(long now, String lease) {
+        Seen last = seen.get(lease);
+        return last == null ? 0 : now - last.at();
     }
 }
--- /dev/null
+++ b/src/main/java/pewtercourse/lease/SiteCommands.java
@@ -0,0 +1,58 @@
+package pewtercourse.lease;
+
+import com.google.protobuf.InvalidProtocolBufferException;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverState;
+import pewtercourse.lease.wire.LeaseWire;
+
+/** Applies the commands on sites to the agreed {@link FailoverState}, which it owns. */
+final class SiteCommands {
+    private final LeaseTable leases;
+    private final FailoverState failover = new FailoverState();
+
+    SiteCommands(LeaseTable leases) {
+        this.leases = leases;
+    }
+
+    FailoverState failover() {
+        return failover;
+    }
+
+    CommandOutcome changeStatus(long entry, Command.ChangeSiteStatus command) {
+        if (!leases.isCurrent(LeaseNames.SITES, command.token())) {
+            return CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN);
+        }
+        FailoverController.Declaration change = command.change();
+        boolean changed = failover.declare(
+                entry, change.site(), change.phase(), change.health(), change.step(), change.flaps(), change.after());
+        return changed ? CommandOutcome.APPLIED : CommandOutcome.rejected(RejectionReason.SITE_STATUS_CHANGED);
+    }
+
+    CommandOutcome publishPlan(Command.PublishFailoverPlan command) {
+        if (!leases.isCurrent(LeaseNames.SITES, command.token())) {
+            return CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN);
+        }
+        failover.plan(command.plan());
+        return CommandOutcome.APPLIED;
+    }
+
+    CommandOutcome pauseRecovery(long entry, Command.PauseSiteRecovery command) {
+        return applied(failover.hold(entry, command.site(), command.paused(), command.expectedEntry()));
+    }
+
+    CommandOutcome startDrill(long entry, Command.StartFailoverDrill command) {
+        return applied(failover.drill(entry, command.site(), command.expectedEntry()));
+    }
+
+    private static CommandOutcome applied(boolean changed) {
+        return changed ? CommandOutcome.APPLIED : CommandOutcome.rejected(RejectionReason.SUPERSEDED);
+    }
+
+    void writeTo(LeaseWire.Snapshot.Builder snapshot) {
+        FailoverCodec.encode(failover, snapshot);
+    }
+
+    void readFrom(LeaseWire.Snapshot snapshot) throws InvalidProtocolBufferException {
+        FailoverCodec.decode(snapshot, failover);
+    }
+}
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -24,14 +24,14 @@
         ClusterConfig c = ClusterConfig.fromEnvironment(Map.of("GW_CLUSTER", "deploy/cluster.json"));
         assertEquals("d1", c.name());
         assertEquals(3, c.members().size());
-        assertEquals(2_000_000, c.duties().lease());
-        assertEquals(500, c.duties().kept());
+        assertEquals(2_000_000, c.duties().durationMicros());
+        assertEquals(500, c.duties().reservedThousandths());
         assertEquals(2, c.duties().maintenanceBudget().limit(8));
         assertEquals(1, c.duties().maintenanceBudget().limit(3));
         assertNull(ClusterConfig.fromEnvironment(Map.of()));
         JsonObject bare = file();
         bare.remove("duties");
-        assertEquals(1_000, ClusterConfig.read(bare).duties().kept());
+        assertEquals(1_000, ClusterConfig.read(bare).duties().reservedThousandths());
     }
 
     @ParameterizedTest
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -85,16 +85,18 @@
         long unix = sim.now / MS;
         int kind = sim.random.nextInt(3);
         Command.Envelope s = kind == 0
-                ? n.duties.borrow(n.clock(), 200 + sim.random.nextInt(2_000))
+                ? n.duties
+                        .requestQuota(n.clock(), 200 + sim.random.nextInt(2_000))
+                        .orElse(null)
                 : n.duties.sign(
                         kind == 1
                                 ? new Command.RequestMaintenance(
                                         target,
                                         "z" + Math.floorMod(target.hashCode(), 2),
                                         unix,
-                                        n.duties.state().lastWord(target))
+                                        n.duties.state().lastOperatorCommand(target))
                                 : new Command.ReinstateCache(
-                                        target, unix, n.duties.state().lastWord(target)));
+                                        target, unix, n.duties.state().lastOperatorCommand(target)));
         if (s != null) {
             n.offer(s);
             n.pump();
@@ -109,9 +111,9 @@
             boolean well = sim.until(
                     20 * SECOND,
                     () -> sim.leader() != null
-                            && sim.set.names().stream()
-                                    .allMatch(duty ->
-                                            sim.nodes.stream().anyMatch(n -> n.duties.token(duty, n.clock()) > 0)));
+                            && sim.set.leaseNames().stream()
+                                    .allMatch(duty -> sim.nodes.stream()
+                                            .anyMatch(n -> n.duties.validToken(duty, n.clock()) > 0)));
             assertNull(sim.trouble, "seed " + seed);
             assertTrue(well, "seed " + seed + ": no leader, or a duty that nobody holds, after the faults were over");
             acts.addAndGet(sim.acts);
--- a/src/test/java/pewtercourse/lease/WireNamesTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseNamesTest.java
@@ -8,30 +8,31 @@
 import pewtercourse.lease.wire.LeaseWire;
 
 /** LeaseManager keep their first names between members and on disk: members of two versions have to understand one another. */
-class WireNamesTest {
+class LeaseNamesTest {
     @ParameterizedTest
     @CsvSource({"maintenance, warden", "quota, divider", "sites, sites"})
     void aCommandNamesADutyAsTheFirstVersionDid(String duty, String onTheWire) throws Exception {
         Command.Envelope command = new Command.Envelope("d1", 7, new Command.AssignLease(duty, "d2", 3, 0));
         byte[] encoded = CommandCodec.encode(command);
-        assertEquals(onTheWire, LeaseWire.Command.parseFrom(encoded).getAssign().getDuty());
+        assertEquals(
+                onTheWire, LeaseWire.Command.parseFrom(encoded).getAssignLease().getLease());
         assertEquals(command, CommandCodec.decode(encoded));
     }
 
     @Test
     void aSnapshotOfTheFirstVersionIsReadAndWrittenAlike() throws Exception {
-        byte[] first = LeaseWire.State.newBuilder()
+        byte[] first = LeaseWire.Snapshot.newBuilder()
                 .setLastToken(5)
-                .addDuty(LeaseWire.Duty.newBuilder()
+                .addLease(LeaseWire.Lease.newBuilder()
                         .setName("warden")
                         .setHolder("d1")
                         .setToken(5))
                 .build()
                 .toByteArray();
         ClusterState state = ClusterState.decode(first);
-        assertEquals("d1", state.duty(ClusterState.MAINTENANCE).holder());
+        assertEquals("d1", state.lease(LeaseNames.MAINTENANCE).holder());
         assertEquals(
-                LeaseWire.State.parseFrom(first).getDutyList(),
-                LeaseWire.State.parseFrom(state.encode()).getDutyList());
+                LeaseWire.Snapshot.parseFrom(first).getLeaseList(),
+                LeaseWire.Snapshot.parseFrom(state.encode()).getLeaseList());
     }
 }
--- a/src/test/java/pewtercourse/lease/LeaseTraceTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTraceTest.java
@@ -12,6 +12,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
@@ -41,7 +42,7 @@
     private static final List<String> MEMBERS = List.of("d1", "d2", "d3", "d4");
     private static final List<String> SITES = List.of("east", "north", "west");
     private static final List<String> LEASES =
-            List.of(ClusterState.MAINTENANCE, ClusterState.QUOTA, ClusterState.SITES, "other");
+            List.of(LeaseNames.MAINTENANCE, LeaseNames.QUOTA, LeaseNames.SITES, "other");
 
     private static final Set<String> ALL_REJECTIONS = Set.of(
             "an older token",
@@ -114,16 +115,15 @@
     }
 
     /** "done", or the text of the rejection; one that only came too late is marked. */
-    private static String outcome(ClusterState.Result result) {
-        if (result.done()) {
-            return "done";
-        }
-        return (result.late() ? "late: " : "") + result.why();
+    private static String outcome(CommandOutcome result) {
+        return result.rejectionText()
+                .map(text -> (result.isSuperseded() ? "late: " : "") + text)
+                .orElse("done");
     }
 
     /** The number of the command's field in the stored form, which no renaming changes. */
     private static int kind(byte[] command) throws IOException {
-        return LeaseWire.Command.parseFrom(command).getWhatCase().getNumber();
+        return LeaseWire.Command.parseFrom(command).getKindCase().getNumber();
     }
 
     /** Hashes values by position. */
@@ -196,8 +196,8 @@
         private void snapshot() throws Exception {
             byte[] bytes = state.encode();
             trace.bytes(bytes);
-            trace.number(state.words());
-            trace.number(state.lent());
+            trace.number(state.drainRevision());
+            trace.number(state.grantedQuotaThousandths());
             trace.bytes(ClusterState.decode(bytes).encode());
         }
 
@@ -207,47 +207,47 @@
             String member = MEMBERS.get(random.nextInt(MEMBERS.size()));
             long atMs = 1_000L + random.nextInt(1_000);
             long amount = random.nextInt(400) - 20;
-            long renewals = mostly(state.duty(lease).renewals());
+            long renewals = mostly(state.lease(lease).renewals());
             return switch (kind) {
                 case 0 -> new Command.AssignLease(lease, member, token(lease), renewals);
                 case 1 -> new Command.RenewLease(lease, token(lease), renewals);
                 case 2 -> new Command.ReleaseLease(lease, token(lease), random.nextBoolean() ? member : "");
-                case 3 -> new Command.DrainCache(target, atMs, mostly(state.lastWord(target)));
-                case 4 -> new Command.ReinstateCache(target, atMs, mostly(state.lastWord(target)));
+                case 3 -> new Command.DrainCache(target, atMs, mostly(state.lastOperatorCommand(target)));
+                case 4 -> new Command.ReinstateCache(target, atMs, mostly(state.lastOperatorCommand(target)));
                 case 5 ->
                     new Command.RequestMaintenance(
-                            target, "z" + random.nextInt(3), atMs, mostly(state.lastWord(target)));
+                            target, "z" + random.nextInt(3), atMs, mostly(state.lastOperatorCommand(target)));
                 case 6 -> maintenance(target, true, atMs);
                 case 7 -> maintenance(target, false, atMs);
                 case 8 -> new Command.RequestQuota(amount);
                 case 9 -> lend(member, amount);
-                case 10 -> new Command.ReleaseQuota(some(state.loans()), token(ClusterState.QUOTA));
+                case 10 -> new Command.ReleaseQuota(some(state.quotaGrants()), token(LeaseNames.QUOTA));
                 case 11 -> new Command.SetEligibility(random.nextInt(3) > 0);
                 case 12 -> new Command.RequestTransfer(lease, token(lease), random.nextBoolean() ? member : "");
                 case 13 -> new Command.ReportAbsence(member, random.nextInt(3) == 0);
                 case 14 -> new Command.ReportSiteObservation(Map.of(site(), observation(random)));
-                case 15 -> new Command.ChangeSiteStatus(declaration(), token(ClusterState.SITES));
-                case 16 -> new Command.PublishFailoverPlan(plan(), token(ClusterState.SITES));
+                case 15 -> new Command.ChangeSiteStatus(declaration(), token(LeaseNames.SITES));
+                case 16 -> new Command.PublishFailoverPlan(plan(), token(LeaseNames.SITES));
                 case 17 -> holdSite();
                 default -> drill();
             };
         }
 
         private Command maintenance(String drawn, boolean grant, long atMs) {
-            long number = some(state.tickets());
-            boolean known = state.tickets().containsKey(number) && random.nextInt(5) > 0;
-            String target = known ? state.tickets().get(number).target() : drawn;
-            long token = random.nextInt(4) == 0 ? 0 : token(ClusterState.MAINTENANCE);
+            long number = some(state.maintenanceRequests());
+            boolean known = state.maintenanceRequests().containsKey(number) && random.nextInt(5) > 0;
+            String target = known ? state.maintenanceRequests().get(number).target() : drawn;
+            long token = random.nextInt(4) == 0 ? 0 : token(LeaseNames.MAINTENANCE);
             return grant
                     ? new Command.GrantMaintenance(target, number, token, atMs)
                     : new Command.CancelMaintenance(target, number, token, atMs);
         }
 
         private Command lend(String member, long amount) {
-            long ask = state.wishes().containsKey(member)
-                    ? mostly(state.wishes().get(member).ask())
+            long ask = state.quotaRequests().containsKey(member)
+                    ? mostly(state.quotaRequests().get(member).entry())
                     : random.nextInt(50);
-            return new Command.GrantQuota(member, ask, amount, token(ClusterState.QUOTA), 1_000);
+            return new Command.GrantQuota(member, ask, amount, token(LeaseNames.QUOTA), 1_000);
         }
 
         private FailoverController.Declaration declaration() {
@@ -293,7 +293,7 @@
         }
 
         private long token(String lease) {
-            return mostly(state.duty(lease).token());
+            return mostly(state.lease(lease).token());
         }
 
         private long mostly(long right) {
@@ -309,8 +309,8 @@
 
         /** Exceeds each bound of the state, and hashes a snapshot now and then: each is large. */
         void exceedBounds() throws Exception {
-            apply("d1", new Command.AssignLease(ClusterState.QUOTA, "d1", 0, 0));
-            apply("d1", new Command.AssignLease(ClusterState.MAINTENANCE, "d1", 0, 0));
+            apply("d1", new Command.AssignLease(LeaseNames.QUOTA, "d1", 0, 0));
+            apply("d1", new Command.AssignLease(LeaseNames.MAINTENANCE, "d1", 0, 0));
             for (int i = 0; i < 1_030; i++) {
                 apply("d1", new Command.DrainCache("out" + i, i, 0));
             }
@@ -319,17 +319,21 @@
                 apply("d1", new Command.RequestMaintenance("asked" + i, "z", i, 0));
             }
             snapshot();
-            Map.Entry<Long, ?> first = state.tickets().entrySet().iterator().next();
+            Map.Entry<Long, ?> first =
+                    state.maintenanceRequests().entrySet().iterator().next();
             long ticket = first.getKey();
-            long token = state.duty(ClusterState.MAINTENANCE).token();
-            apply("d1", new Command.GrantMaintenance(state.tickets().get(ticket).target(), ticket, token, 1));
+            long token = state.lease(LeaseNames.MAINTENANCE).token();
+            apply(
+                    "d1",
+                    new Command.GrantMaintenance(
+                            state.maintenanceRequests().get(ticket).target(), ticket, token, 1));
             for (int i = 0; i < 1_030; i++) {
-                apply("d2", new Command.ReinstateCache("out" + i, 5_000 - i % 7, state.lastWord("out" + i)));
+                apply("d2", new Command.ReinstateCache("out" + i, 5_000 - i % 7, state.lastOperatorCommand("out" + i)));
                 apply("d2", new Command.DrainCache("more" + i, i, 0));
             }
             snapshot();
             for (int i = 0; i < 1_030; i++) {
-                apply("d2", new Command.ReinstateCache("more" + i, i % 11, state.lastWord("more" + i)));
+                apply("d2", new Command.ReinstateCache("more" + i, i % 11, state.lastOperatorCommand("more" + i)));
             }
             snapshot();
             // More caches than words are kept of.
@@ -343,10 +347,10 @@
                 apply("d1", new Command.ReportAbsence("member" + i, true));
             }
             snapshot();
-            long quota = state.duty(ClusterState.QUOTA).token();
+            long quota = state.lease(LeaseNames.QUOTA).token();
             for (int i = 0; i < 270; i++) {
                 apply("member1", new Command.RequestQuota(2));
-                long ask = state.wishes().get("member1").ask();
+                long ask = state.quotaRequests().get("member1").entry();
                 apply("d1", new Command.GrantQuota("member1", ask, 1, quota, 1_000_000));
             }
             snapshot();
@@ -401,7 +405,7 @@
                         random.nextInt(1 << 20),
                         cache -> cache.endsWith("0") ? "" : "z" + cache.charAt(1),
                         zone -> zone.isEmpty() ? 1 : 8);
-                duties.sites(clock(), SETTINGS.sites);
+                duties.configureSites(clock(), SETTINGS.sites);
             }
 
             long clock() {
@@ -462,19 +466,19 @@
             }
             if (!calm && random.nextInt(300) == 0) {
                 any.unwillingUntil = now + 500_000L + random.nextInt(2_000_000);
-                any.duties.willing(false);
+                any.duties.setEligible(false);
             }
             for (Node node : nodes) {
                 if (node.unwillingUntil > 0 && now >= node.unwillingUntil) {
                     node.unwillingUntil = 0;
-                    node.duties.willing(true);
+                    node.duties.setEligible(true);
                 }
             }
             if (!calm && random.nextInt(400) == 0) {
                 leader = random.nextInt(nodes.size());
             }
             if (random.nextInt(500) == 0) {
-                any.duties.restored(
+                any.duties.restore(
                         any.clock(), ClusterState.decode(any.duties.state().encode()));
             }
             if (!calm && random.nextInt(600) == 0) {
@@ -487,9 +491,9 @@
                 any.wanted = Math.max(0, random.nextInt(1_200) - 300);
             }
             if (i == ticks / 2) {
-                nodes.forEach(node -> node.duties.sites(node.clock(), SETTINGS.sites));
+                nodes.forEach(node -> node.duties.configureSites(node.clock(), SETTINGS.sites));
                 if (countsFromAnswer) {
-                    nodes.forEach(node -> node.duties.countFrom((asked, answered) -> answered));
+                    nodes.forEach(node -> node.duties.countValidityFrom((asked, answered) -> answered));
                 }
             }
             removed = i > ticks * 3 / 4;
@@ -499,7 +503,7 @@
             byte[] state = node.duties.state().encode();
             node.start();
             node.unwillingUntil = 0;
-            node.duties.restored(node.clock(), ClusterState.decode(state));
+            node.duties.restore(node.clock(), ClusterState.decode(state));
         }
 
         private void operate() throws Exception {
@@ -509,7 +513,7 @@
             Node node = nodes.get(random.nextInt(nodes.size()));
             ClusterState state = node.duties.state();
             String target = "c" + random.nextInt(3) + random.nextInt(3);
-            long after = state.lastWord(target);
+            long after = state.lastOperatorCommand(target);
             String site = SITES.get(random.nextInt(SITES.size()));
             long entry = state.failover().status(site).entry();
             String lease = LEASES.get(random.nextInt(3));
@@ -520,10 +524,10 @@
                 case 1, 2 -> new Command.ReinstateCache(target, unixMs, after);
                 case 3, 4, 5, 6 -> new Command.RequestMaintenance(target, "z" + target.charAt(1), unixMs, after);
                 case 7, 8 ->
-                    new Command.RequestTransfer(lease, state.duty(lease).token(), to);
+                    new Command.RequestTransfer(lease, state.lease(lease).token(), to);
                 case 9 -> new Command.PauseSiteRecovery(site, random.nextInt(3) == 0, entry);
                 case 10 -> new Command.StartFailoverDrill(site, entry);
-                default -> new Command.RenewLease(lease, state.duty(lease).token(), 1);
+                default -> new Command.RenewLease(lease, state.lease(lease).token(), 1);
             };
             send(CommandCodec.encode(node.duties.sign(command)));
         }
@@ -550,7 +554,7 @@
             }
             while (node.applied < log.size()) {
                 Command.Envelope signed = CommandCodec.decode(log.get(node.applied++));
-                trace.text(outcome(node.duties.applied(node.clock(), node.applied, signed)));
+                trace.text(outcome(node.duties.apply(node.clock(), node.applied, signed)));
             }
         }
 
@@ -561,15 +565,12 @@
                 sendOwn(signed);
             }
             if (i % 50 == nodes.indexOf(node)) {
-                sendOwn(node.duties.sighted(observations(node)));
-            }
-            FailoverController.Question question = node.duties.question(clock);
-            if (question != null) {
-                node.duties.planned(clock, plan(question.loads()));
+                sendOwn(node.duties.reportObservations(observations(node)));
             }
-            Command.Envelope borrow = node.duties.borrow(clock, node.wanted);
-            if (borrow != null) {
-                sendOwn(borrow);
+            node.duties.planInput(clock).ifPresent(question -> node.duties.planComputed(clock, plan(question.loads())));
+            Optional<Command.Envelope> quotaRequest = node.duties.requestQuota(clock, node.wanted);
+            if (quotaRequest.isPresent()) {
+                sendOwn(quotaRequest.get());
             }
         }
 
@@ -617,13 +618,13 @@
         private void record(Node node) {
             long clock = node.clock();
             for (String lease : LEASES) {
-                trace.number(node.duties.token(lease, clock));
-                trace.number(node.duties.left(lease, clock));
+                trace.number(node.duties.validToken(lease, clock));
+                trace.number(node.duties.remainingMicros(lease, clock));
             }
-            trace.number(node.duties.part(clock));
-            trace.number(node.duties.acts());
-            trace.number(node.duties.free() ? 1 : 0);
-            node.duties.loads().forEach((site, load) -> {
+            trace.number(node.duties.quotaThousandths(clock));
+            trace.number(node.duties.orderCount());
+            trace.number(node.duties.holdsNoLease() ? 1 : 0);
+            node.duties.siteLoads().forEach((site, load) -> {
                 trace.text(site);
                 trace.number(Double.doubleToLongBits(load));
             });
@@ -636,9 +637,9 @@
                 1_000_000,
                 0.01,
                 150_000,
-                Set.of(ClusterState.MAINTENANCE, ClusterState.QUOTA, ClusterState.SITES),
+                Set.of(LeaseNames.MAINTENANCE, LeaseNames.QUOTA, LeaseNames.SITES),
                 new LeaseSettings.MaintenanceBudget(0, 0.25, 2_500_000, true),
-                new LeaseSettings.QuotaAllocator(400, 1_500_000));
+                new LeaseSettings.QuotaPolicy(400, 1_500_000));
         final Sites sites = sites();
 
         private static Sites sites() {
--- /dev/null
+++ b/src/test/java/pewtercourse/lease/RejectionReasonTest.java
@@ -0,0 +1,44 @@
+package pewtercourse.lease;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+
+/** Operators and their scripts read these texts. */
+class RejectionReasonTest {
+    @Test
+    void theSubjectIsNamedWhereThereIsOne() {
+        assertEquals(
+                Optional.of("nobody holds '100% quota'"),
+                CommandOutcome.rejected(RejectionReason.LEASE_NOT_HELD, "100% quota")
+                        .rejectionText());
+        assertEquals(
+                Optional.of("1024 calls wait or are out"),
+                CommandOutcome.rejected(RejectionReason.MAINTENANCE_REQUEST_LIMIT_REACHED, 1_024)
+                        .rejectionText());
+    }
+
+    @Test
+    void everyReasonHasAText() {
+        for (RejectionReason reason : RejectionReason.values()) {
+            assertFalse(reason.text("subject").isBlank(), reason.name());
+        }
+    }
+
+    @Test
+    void onlyASupersededCommandIsWorthProposingAnew() {
+        for (RejectionReason reason : RejectionReason.values()) {
+            assertEquals(
+                    reason == RejectionReason.SUPERSEDED,
+                    CommandOutcome.rejected(reason).isSuperseded(),
+                    reason.name());
+        }
+    }
+
+    @Test
+    void anAppliedCommandHasNoText() {
+        assertEquals(Optional.empty(), CommandOutcome.APPLIED.rejectionText());
+    }
+}
--- a/src/test/java/pewtercourse/lease/SampleCommands.java
+++ b/src/test/java/pewtercourse/lease/SampleCommands.java
@@ -30,9 +30,9 @@
     /** Of each kind at least one, and one declaration for each value of the enums that it holds. */
     public static List<Command> all() {
         List<Command> all = new ArrayList<>();
-        all.add(new Command.AssignLease(ClusterState.MAINTENANCE, "member-b", 101, 102));
-        all.add(new Command.RenewLease(ClusterState.QUOTA, 103, 104));
-        all.add(new Command.ReleaseLease(ClusterState.SITES, 105, "member-c"));
+        all.add(new Command.AssignLease(LeaseNames.MAINTENANCE, "member-b", 101, 102));
+        all.add(new Command.RenewLease(LeaseNames.QUOTA, 103, 104));
+        all.add(new Command.ReleaseLease(LeaseNames.SITES, 105, "member-c"));
         all.add(new Command.RequestTransfer("another-lease", 106, "member-d"));
         all.add(new Command.ReportAbsence("member-e", true));
         all.add(new Command.ReportAbsence("member-f", false));
--- a/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
+++ b/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
@@ -2,12 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
@@ -32,19 +33,19 @@
     /** Applies the command as the next entry of the log, and returns that entry's index. */
     private long apply(String by, Command command) {
         index++;
-        ClusterState.Result result = state.apply(index, new Command.Envelope(by, 1_000 + index, command));
-        assertNull(result.why(), command.toString());
+        CommandOutcome outcome = state.apply(index, new Command.Envelope(by, 1_000 + index, command));
+        assertEquals(Optional.empty(), outcome.rejectionText(), command.toString());
         return index;
     }
 
     /** Fills every table of the state. */
     private void fill() {
-        apply(A, new Command.AssignLease(ClusterState.MAINTENANCE, A, 0, 0)); // 1
-        apply(A, new Command.AssignLease(ClusterState.QUOTA, B, 0, 0));
-        apply(A, new Command.AssignLease(ClusterState.SITES, C, 0, 0));
+        apply(A, new Command.AssignLease(LeaseNames.MAINTENANCE, A, 0, 0)); // 1
+        apply(A, new Command.AssignLease(LeaseNames.QUOTA, B, 0, 0));
+        apply(A, new Command.AssignLease(LeaseNames.SITES, C, 0, 0));
         apply(A, new Command.AssignLease("another-lease", C, 0, 0));
-        apply(A, new Command.RenewLease(ClusterState.MAINTENANCE, 1, 0)); // 5
-        apply(A, new Command.RequestTransfer(ClusterState.QUOTA, 2, A));
+        apply(A, new Command.RenewLease(LeaseNames.MAINTENANCE, 1, 0)); // 5
+        apply(A, new Command.RequestTransfer(LeaseNames.QUOTA, 2, A));
         apply(C, new Command.ReleaseLease("another-lease", 4, ""));
 
         apply(A, new Command.DrainCache("cache-1", AT_MS + 1, 0));
@@ -80,32 +81,32 @@
     void snapshotIsReadWithItsContent() throws Exception {
         ClusterState read = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
 
-        Map<String, ClusterState.LeaseRecord> leases = Map.of(
-                ClusterState.MAINTENANCE,
-                new ClusterState.LeaseRecord(A, 1, 1, false, ""),
-                ClusterState.QUOTA,
-                new ClusterState.LeaseRecord(B, 2, 0, true, A),
-                ClusterState.SITES,
-                new ClusterState.LeaseRecord(C, 3, 0, false, ""),
+        Map<String, LeaseRecord> leases = Map.of(
+                LeaseNames.MAINTENANCE,
+                new LeaseRecord(A, 1, 1, false, ""),
+                LeaseNames.QUOTA,
+                new LeaseRecord(B, 2, 0, true, A),
+                LeaseNames.SITES,
+                new LeaseRecord(C, 3, 0, false, ""),
                 "another-lease",
-                new ClusterState.LeaseRecord("", 5, 0, false, C));
-        assertEquals(leases, read.duties());
-        assertEquals(Map.of("cache-1", AT_MS + 1, "cache-4", AT_MS + 6), read.out());
-        assertEquals(Map.of("cache-2", AT_MS + 3), read.back());
-        assertEquals(8, read.lastWord("cache-1"));
-        assertEquals(10, read.lastWord("cache-2"));
-        assertEquals(11, read.lastWord("cache-3"));
-        assertEquals(12, read.lastWord("cache-4"));
-        assertEquals(0, read.lastWord("cache-5"));
+                new LeaseRecord("", 5, 0, false, C));
+        assertEquals(leases, read.leases());
+        assertEquals(Map.of("cache-1", AT_MS + 1, "cache-4", AT_MS + 6), read.drainedCaches());
+        assertEquals(Map.of("cache-2", AT_MS + 3), read.reinstatedCaches());
+        assertEquals(8, read.lastOperatorCommand("cache-1"));
+        assertEquals(10, read.lastOperatorCommand("cache-2"));
+        assertEquals(11, read.lastOperatorCommand("cache-3"));
+        assertEquals(12, read.lastOperatorCommand("cache-4"));
+        assertEquals(0, read.lastOperatorCommand("cache-5"));
         assertEquals(
                 Map.of(
-                        11L, new ClusterState.MaintenanceRequest(11, "cache-3", "zone-1", B, false),
-                        12L, new ClusterState.MaintenanceRequest(12, "cache-4", "zone-2", C, true)),
-                read.tickets());
-        assertEquals(Map.of(A, new ClusterState.QuotaRequest(14, 250)), read.wishes());
-        assertEquals(Map.of(16L, new ClusterState.QuotaGrant(B, 15, 300)), read.loans());
-        assertEquals(Set.of(C), read.unwilling());
-        assertEquals(Set.of("member-d"), read.absent());
+                        11L, new MaintenanceRequest(11, "cache-3", "zone-1", B, false),
+                        12L, new MaintenanceRequest(12, "cache-4", "zone-2", C, true)),
+                read.maintenanceRequests());
+        assertEquals(Map.of(A, new QuotaRequest(14, 250)), read.quotaRequests());
+        assertEquals(Map.of(16L, new QuotaGrant(B, 15, 300)), read.quotaGrants());
+        assertEquals(Set.of(C), read.ineligibleMembers());
+        assertEquals(Set.of("member-d"), read.absentMembers());
         assertEquals(SampleCommands.plan(), read.failover().plan());
     }
 
@@ -132,8 +133,8 @@
     void theTokenGoesOnFromTheSnapshot() throws Exception {
         ClusterState read = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
         Command assign = new Command.AssignLease("another-lease", B, 5, 0);
-        assertNull(read.apply(29, new Command.Envelope(A, 1, assign)).why());
-        assertEquals(6, read.duty("another-lease").token());
+        assertTrue(read.apply(29, new Command.Envelope(A, 1, assign)).isApplied());
+        assertEquals(6, read.lease("another-lease").token());
     }
 
     @Test
@@ -144,7 +145,8 @@
                 Fixtures.bytes(SNAPSHOT),
                 ClusterState.decode(Fixtures.bytes(SNAPSHOT)).encode());
         Fixtures.assertFile(EMPTY_SNAPSHOT, new ClusterState().encode());
-        assertEquals(Set.of(), Fixtures.fieldsNeverSet(List.of(LeaseWire.State.parseFrom(Fixtures.bytes(SNAPSHOT)))));
+        assertEquals(
+                Set.of(), Fixtures.fieldsNeverSet(List.of(LeaseWire.Snapshot.parseFrom(Fixtures.bytes(SNAPSHOT)))));
     }
 
     @Test
--- a/src/test/java/pewtercourse/raft/LeaseCommandSource.java
+++ b/src/test/java/pewtercourse/raft/LeaseCommandSource.java
@@ -18,136 +18,142 @@
         this.random = random;
     }
 
-    byte[] next(String by, LeaseWire.State state, List<String> members) {
+    byte[] next(String by, LeaseWire.Snapshot state, List<String> members) {
         LeaseWire.Command.Builder command =
-                LeaseWire.Command.newBuilder().setBy(by).setId(++lastId);
+                LeaseWire.Command.newBuilder().setProposer(by).setId(++lastId);
         switch (random.nextInt(KINDS)) {
             case 0, 1, 2, 3 -> lease(command, lease(state, pick(LEASES)), pick(members));
-            case 4 -> command.setOut(LeaseWire.Out.newBuilder().setAtMs(lastId).setTarget(target()));
+            case 4 ->
+                command.setDrainCache(
+                        LeaseWire.DrainCache.newBuilder().setAtUnixMs(lastId).setTarget(target()));
             case 5 -> returnCache(command, state);
             case 6, 7 -> requestMaintenance(command, state);
             case 8 -> grantMaintenance(command, state);
             case 9 -> cancelMaintenance(command, state);
-            case 10, 11 -> command.setBorrow(LeaseWire.Borrow.newBuilder().setThousandths(random.nextInt(400)));
+            case 10, 11 ->
+                command.setRequestQuota(LeaseWire.RequestQuota.newBuilder().setThousandths(random.nextInt(400)));
             case 12 -> grantQuota(command, state);
             case 13 -> settleQuota(command, state);
-            case 14 -> command.setStanding(LeaseWire.Standing.newBuilder().setWilling(random.nextInt(4) > 0));
+            case 14 ->
+                command.setSetEligibility(LeaseWire.SetEligibility.newBuilder().setEligible(random.nextInt(4) > 0));
             default ->
-                command.setAbsent(
-                        LeaseWire.Absent.newBuilder().setMember(pick(members)).setAbsent(random.nextInt(3) == 0));
+                command.setReportAbsence(LeaseWire.ReportAbsence.newBuilder()
+                        .setMember(pick(members))
+                        .setAbsent(random.nextInt(3) == 0));
         }
         return command.build().toByteArray();
     }
 
-    private void lease(LeaseWire.Command.Builder command, LeaseWire.Duty lease, String to) {
+    private void lease(LeaseWire.Command.Builder command, LeaseWire.Lease lease, String to) {
         String name = lease.getName();
         long token = lease.getToken() + (stale() ? 1 : 0);
         if (lease.getHolder().isEmpty() || random.nextInt(6) == 0) {
-            command.setAssign(LeaseWire.Assign.newBuilder()
-                    .setDuty(name)
-                    .setTo(to)
+            command.setAssignLease(LeaseWire.AssignLease.newBuilder()
+                    .setLease(name)
+                    .setHolder(to)
                     .setToken(token)
                     .setRenewals(lease.getRenewals()));
             return;
         }
-        command.setBy(lease.getHolder());
+        command.setProposer(lease.getHolder());
         switch (random.nextInt(4)) {
             case 0 ->
-                command.setHandOn(LeaseWire.HandOn.newBuilder()
-                        .setDuty(name)
+                command.setReleaseLease(LeaseWire.ReleaseLease.newBuilder()
+                        .setLease(name)
                         .setToken(token)
-                        .setTo(random.nextBoolean() ? to : ""));
+                        .setSuccessor(random.nextBoolean() ? to : ""));
             case 1 ->
-                command.setPrefer(LeaseWire.Prefer.newBuilder()
-                        .setDuty(name)
+                command.setRequestTransfer(LeaseWire.RequestTransfer.newBuilder()
+                        .setLease(name)
                         .setToken(token)
-                        .setTo(to));
+                        .setPreferredHolder(to));
             default ->
-                command.setRenew(LeaseWire.Renew.newBuilder()
-                        .setDuty(name)
+                command.setRenewLease(LeaseWire.RenewLease.newBuilder()
+                        .setLease(name)
                         .setToken(token)
                         .setRenewals(lease.getRenewals()));
         }
     }
 
-    private void returnCache(LeaseWire.Command.Builder command, LeaseWire.State state) {
-        String target = state.getOutCount() == 0
+    private void returnCache(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+        String target = state.getDrainedCount() == 0
                 ? target()
-                : state.getOut(random.nextInt(state.getOutCount())).getName();
-        command.setBack(LeaseWire.Back.newBuilder()
+                : state.getDrained(random.nextInt(state.getDrainedCount())).getTarget();
+        command.setReinstateCache(LeaseWire.ReinstateCache.newBuilder()
                 .setTarget(target)
-                .setAtMs(lastId)
-                .setAfter(stale() ? 1 : lastEntry(state, target)));
+                .setAtUnixMs(lastId)
+                .setExpectedEntry(stale() ? 1 : lastEntry(state, target)));
     }
 
-    private void requestMaintenance(LeaseWire.Command.Builder command, LeaseWire.State state) {
+    private void requestMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
         String target = target();
-        command.setAsk(LeaseWire.Ask.newBuilder()
+        command.setRequestMaintenance(LeaseWire.RequestMaintenance.newBuilder()
                 .setTarget(target)
                 .setZone("z" + random.nextInt(2))
-                .setAtMs(lastId)
-                .setAfter(stale() ? 1 : lastEntry(state, target)));
+                .setAtUnixMs(lastId)
+                .setExpectedEntry(stale() ? 1 : lastEntry(state, target)));
     }
 
-    private void grantMaintenance(LeaseWire.Command.Builder command, LeaseWire.State state) {
-        LeaseWire.Ticket ticket = ticket(state);
-        command.setLet(LeaseWire.Let.newBuilder()
+    private void grantMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+        LeaseWire.MaintenanceRequest ticket = ticket(state);
+        command.setGrantMaintenance(LeaseWire.GrantMaintenance.newBuilder()
                 .setTarget(ticket.getTarget())
-                .setTicket(ticket.getNumber())
+                .setRequest(ticket.getNumber())
                 .setToken(lease(state, "warden").getToken() + (stale() ? 1 : 0))
-                .setAtMs(lastId));
+                .setAtUnixMs(lastId));
     }
 
-    private void cancelMaintenance(LeaseWire.Command.Builder command, LeaseWire.State state) {
-        LeaseWire.Ticket ticket = ticket(state);
-        command.setWithdraw(LeaseWire.Withdraw.newBuilder()
+    private void cancelMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+        LeaseWire.MaintenanceRequest ticket = ticket(state);
+        command.setCancelMaintenance(LeaseWire.CancelMaintenance.newBuilder()
                 .setTarget(ticket.getTarget())
-                .setTicket(ticket.getNumber())
+                .setRequest(ticket.getNumber())
                 .setToken(random.nextBoolean() ? 0 : lease(state, "warden").getToken())
-                .setAtMs(lastId));
+                .setAtUnixMs(lastId));
     }
 
-    private void grantQuota(LeaseWire.Command.Builder command, LeaseWire.State state) {
-        LeaseWire.Wish request = state.getWishCount() == 0
-                ? LeaseWire.Wish.newBuilder().setBy("m0").build()
-                : state.getWish(random.nextInt(state.getWishCount()));
-        command.setLend(LeaseWire.Lend.newBuilder()
-                .setTo(request.getBy())
-                .setAsk(request.getAsk())
+    private void grantQuota(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+        LeaseWire.QuotaRequest request = state.getQuotaRequestCount() == 0
+                ? LeaseWire.QuotaRequest.newBuilder().setMember("m0").build()
+                : state.getQuotaRequest(random.nextInt(state.getQuotaRequestCount()));
+        command.setGrantQuota(LeaseWire.GrantQuota.newBuilder()
+                .setGrantee(request.getMember())
+                .setRequestEntry(request.getEntry())
                 .setThousandths(request.getThousandths())
                 .setToken(lease(state, "divider").getToken())
                 .setPool(1_500));
     }
 
-    private void settleQuota(LeaseWire.Command.Builder command, LeaseWire.State state) {
-        long grant = state.getLoanCount() == 0
+    private void settleQuota(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+        long grant = state.getQuotaGrantCount() == 0
                 ? lastId
-                : state.getLoan(random.nextInt(state.getLoanCount())).getNumber();
-        command.setSettle(LeaseWire.Settle.newBuilder()
-                .setLoan(grant)
+                : state.getQuotaGrant(random.nextInt(state.getQuotaGrantCount()))
+                        .getNumber();
+        command.setReleaseQuota(LeaseWire.ReleaseQuota.newBuilder()
+                .setGrant(grant)
                 .setToken(lease(state, "divider").getToken()));
     }
 
-    private LeaseWire.Ticket ticket(LeaseWire.State state) {
-        return state.getTicketCount() == 0
-                ? LeaseWire.Ticket.newBuilder()
+    private LeaseWire.MaintenanceRequest ticket(LeaseWire.Snapshot state) {
+        return state.getMaintenanceRequestCount() == 0
+                ? LeaseWire.MaintenanceRequest.newBuilder()
                         .setTarget(target())
                         .setNumber(lastId)
                         .build()
-                : state.getTicket(random.nextInt(state.getTicketCount()));
+                : state.getMaintenanceRequest(random.nextInt(state.getMaintenanceRequestCount()));
     }
 
-    private static LeaseWire.Duty lease(LeaseWire.State state, String name) {
-        return state.getDutyList().stream()
+    private static LeaseWire.Lease lease(LeaseWire.Snapshot state, String name) {
+        return state.getLeaseList().stream()
                 .filter(lease -> lease.getName().equals(name))
                 .findFirst()
-                .orElse(LeaseWire.Duty.newBuilder().setName(name).build());
+                .orElse(LeaseWire.Lease.newBuilder().setName(name).build());
     }
 
-    private static long lastEntry(LeaseWire.State state, String target) {
-        return state.getWordList().stream()
+    private static long lastEntry(LeaseWire.Snapshot state, String target) {
+        return state.getOperatorCommandList().stream()
                 .filter(change -> change.getTarget().equals(target))
-                .mapToLong(LeaseWire.Word::getEntry)
+                .mapToLong(LeaseWire.OperatorCommand::getEntry)
                 .findFirst()
                 .orElse(0);
     }
--- a/src/test/java/pewtercourse/raft/TracedMember.java
+++ b/src/test/java/pewtercourse/raft/TracedMember.java
@@ -169,9 +169,9 @@
                 && raft.regressed().isEmpty();
     }
 
-    LeaseWire.State wireState() {
+    LeaseWire.Snapshot wireState() {
         try {
-            return LeaseWire.State.parseFrom(state.encode());
+            return LeaseWire.Snapshot.parseFrom(state.encode());
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
@@ -254,7 +254,7 @@
 
     private boolean accepted(long index, byte[] command) {
         try {
-            return state.apply(index, CommandCodec.decode(command)).done();
+            return state.apply(index, CommandCodec.decode(command)).isApplied();
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
