--- a/examples/ToySite.java
+++ b/examples/ToySite.java
@@ -8,64 +8,73 @@
 import java.util.concurrent.Executors;
 
 /**
- * A toy site for one director: two caches, a parent, the origin and the control feed of config.json. The caches
- * answer every object with a line of text. It is there to be tried by hand, not to measure anything.
+ * A toy site for one director: the two caches, the parent, the origin and the control feed that config.json names. Each
+ * cache answers every object with a line of text. For trying things by hand; it measures nothing.
  *
- * Start: java examples/ToySite.java
+ * <p>Start: {@code java examples/ToySite.java [ADDRESS]}, by default on the loopback address.
  */
 public final class ToySite {
+    private static final int FIRST_CACHE_PORT = 9001;
+    private static final int LAST_CACHE_PORT = 9004;
+    private static final int FEED_PORT = 2379;
+    private static final int BACKLOG = 16;
+    private static final long FEED_COMMENT_INTERVAL_MS = 1_000;
+    private static final String ENTITY_TAG = "4be0c1927d55a6f3";
+
     private ToySite() {}
 
+    /** Listens until the process is stopped; the one optional argument is the address. */
     public static void main(String[] args) throws IOException {
-        for (int port = 9001; port <= 9004; port++) {
-            int mine = port;
-            listen(port, x -> answer(x, mine));
+        InetAddress address = args.length == 0 ? InetAddress.getLoopbackAddress() : InetAddress.getByName(args[0]);
+        for (int port = FIRST_CACHE_PORT; port <= LAST_CACHE_PORT; port++) {
+            int cachePort = port;
+            listen(address, port, exchange -> answer(exchange, cachePort));
         }
-        listen(2379, ToySite::feed);
+        listen(address, FEED_PORT, ToySite::sendFeed);
         System.out.println("toy site: caches on 9001 and 9002, parent 9003, origin 9004, control feed 2379");
     }
 
     private interface Handler {
-        void handle(HttpExchange x) throws IOException;
+        void handle(HttpExchange exchange) throws IOException;
     }
 
-    private static void listen(int port, Handler handler) throws IOException {
-        HttpServer s = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
-        s.setExecutor(Executors.newCachedThreadPool());
-        s.createContext("/", handler::handle);
-        s.start();
+    private static void listen(InetAddress address, int port, Handler handler) throws IOException {
+        HttpServer server = HttpServer.create(new InetSocketAddress(address, port), BACKLOG);
+        server.setExecutor(Executors.newCachedThreadPool());
+        server.createContext("/", handler::handle);
+        server.start();
     }
 
-    private static void answer(HttpExchange x, int port) throws IOException {
-        x.getRequestBody().readAllBytes();
-        String tag = "4be0c1927d55a6f3";
-        System.out.println(port + " " + x.getRequestURI() + " from "
-                + x.getRequestHeaders().getFirst("X-Fill-From"));
-        x.getResponseHeaders().set("ETag", tag);
-        x.getResponseHeaders().set("X-Born-Ms", String.valueOf(System.currentTimeMillis()));
-        x.getResponseHeaders().set("Outcome", "parent");
-        x.getResponseHeaders().set("Load-Report", "inflight:1;x0:0.5");
-        if (tag.equals(x.getRequestHeaders().getFirst("If-None-Match"))) {
-            x.sendResponseHeaders(304, -1);
+    private static void answer(HttpExchange exchange, int port) throws IOException {
+        exchange.getRequestBody().readAllBytes();
+        System.out.println(port + " " + exchange.getRequestURI() + " from "
+                + exchange.getRequestHeaders().getFirst("X-Fill-From"));
+        exchange.getResponseHeaders().set("ETag", ENTITY_TAG);
+        exchange.getResponseHeaders().set("X-Born-Ms", String.valueOf(System.currentTimeMillis()));
+        exchange.getResponseHeaders().set("Outcome", "parent");
+        exchange.getResponseHeaders().set("Load-Report", "inflight:1;x0:0.5");
+        if (ENTITY_TAG.equals(exchange.getRequestHeaders().getFirst("If-None-Match"))) {
+            exchange.sendResponseHeaders(304, -1);
         } else {
-            byte[] body = ("part of " + x.getRequestURI() + "\n").getBytes(StandardCharsets.UTF_8);
-            x.sendResponseHeaders(200, body.length);
-            x.getResponseBody().write(body);
+            byte[] body = ("part of " + exchange.getRequestURI() + "\n").getBytes(StandardCharsets.UTF_8);
+            exchange.sendResponseHeaders(200, body.length);
+            exchange.getResponseBody().write(body);
         }
-        x.close();
+        exchange.close();
     }
 
-    private static void feed(HttpExchange x) throws IOException {
-        x.getResponseHeaders().set("Content-Type", "text/event-stream");
-        x.sendResponseHeaders(200, 0);
-        try (OutputStream out = x.getResponseBody()) {
+    /** Says nothing new: comments keep the stream alive, and the director keeps the endpoints of its configuration. */
+    private static void sendFeed(HttpExchange exchange) throws IOException {
+        exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
+        exchange.sendResponseHeaders(200, 0);
+        try (OutputStream stream = exchange.getResponseBody()) {
             while (true) {
-                out.write(": here\n\n".getBytes(StandardCharsets.UTF_8));
-                out.flush();
-                Thread.sleep(1000);
+                stream.write(": keep-alive\n\n".getBytes(StandardCharsets.UTF_8));
+                stream.flush();
+                Thread.sleep(FEED_COMMENT_INTERVAL_MS);
             }
         } catch (IOException | InterruptedException e) {
-            // The director has left.
+            // The director has closed the stream.
         }
     }
 }
--- a/examples/sites.sh
+++ b/examples/sites.sh
@@ -1,20 +1,28 @@
 #!/bin/bash
-# A site lost and back: three emulated sites with clients, and three directors that agree, on this machine, for a minute.
-# At the end it tells what clients got and whether a rule was broken. Logs and folders are in target/sites.
+# Loss and recovery of a site: three emulated sites with clients and a cluster of three directors, on this machine, for a
+# minute. At the end it prints what the clients got and whether an invariant was violated; the exit code is 1 if one was.
+# Logs and data folders are in target/sites. Needs target/pewtercourse.jar.
 # Try meanwhile, in another shell:
 #   java -jar target/pewtercourse.jar sites status --admin 127.0.0.1:9101
 set -e
 cd "$(dirname "$0")/.."
 rm -rf target/sites
 mkdir -p target/sites
-trap 'kill $directors 2>/dev/null' EXIT
+emulator=
+directors=
+trap 'kill $emulator $directors 2>/dev/null || true' EXIT
 java -jar target/pewtercourse.jar emulate examples/site-loss.json --into target/sites &
 emulator=$!
 until [ -f target/sites/director-edge-3.json ]; do sleep 0.1; done
 sleep 0.5
-# What a site bears, as in examples/site-loss.json.
-sed -e 's/"bears": 40/"bears": 18/; s/"bears": 60/"bears": 24/; s/, "link": [0-9]*//' deploy/sites.json >target/sites/sites.json
-directors=
+# The capacity of each site is that of its caches in examples/site-loss.json: 3 or 4 caches of 6 transfers each. The
+# emulated caches have no link of bounded width.
+sed -e 's/"capacity": 40/"capacity": 18/; s/"capacity": 60/"capacity": 24/; s/, "link": [0-9]*//' \
+  deploy/sites.json >target/sites/sites.json
+if [ "$(grep -c '"capacity": \(18\|24\)' target/sites/sites.json)" != 3 ]; then
+  echo "examples/sites.sh: deploy/sites.json no longer has the capacities that are replaced here" >&2
+  exit 1
+fi
 for i in 1 2 3; do
   file=target/sites/d$i.json
   sed -e "s/^  \"name\": \"d1\"/  \"name\": \"d$i\"/" -e "s/7001\",\$/700$i\",/" \
--- a/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
+++ b/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
@@ -55,6 +55,11 @@
         params.put("HTTP_X_SUBJECT", object);
         params.put("HTTP_X_DEADLINE_MS", String.valueOf(deadlineMs));
         params.put("HTTP_X_NEED_KB", "10");
+        return request(requestId, params);
+    }
+
+    /** A complete request with these parameters, on a connection that is kept. */
+    public static byte[] request(int requestId, Map<String, String> params) {
         return Record.encode(Record.BEGIN, requestId, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0}))
                 .appendBuffer(Record.encode(Record.PARAMS, requestId, Record.pairs(params)))
                 .appendBuffer(Record.encode(Record.PARAMS, requestId, Buffer.buffer()))
