--- a/src/main/java/pewtercourse/ClusterCommands.java
+++ b/src/main/java/pewtercourse/ClusterCommands.java
@@ -13,7 +13,7 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.raft.Membership;
 import pewtercourse.raft.Saved;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -197,7 +197,7 @@
         @Override
         public Integer call() throws IOException {
             ClusterConfig c = ClusterConfig.fromFile(file);
-            Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
+            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
             System.out.println("laid " + c.data() + " for " + c.name() + " of "
                     + c.members().keySet());
             return DONE;
@@ -214,7 +214,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Saved s = Store.inspect(folder);
+            Saved s = LogStore.inspect(folder);
             long last = s.entries().isEmpty()
                     ? s.snapshot().index()
                     : s.entries().get(s.entries().size() - 1).index();
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -39,7 +39,7 @@
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
 import pewtercourse.raft.net.MemberNet;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
 
@@ -127,11 +127,11 @@
         thread = Disk.thread();
         ExecutorService mine = thread;
         mine.execute(() -> {
-            Store store = null;
+            LogStore store = null;
             try {
-                store = Store.open(config.data(), config.cluster(), config.name(), SEGMENT);
+                store = LogStore.open(config.data(), config.cluster(), config.name(), SEGMENT);
                 Saved saved = store.recover();
-                Store opened = store;
+                LogStore opened = store;
                 loop.runOnContext(v -> opened(opened, saved).onComplete(up));
             } catch (IOException | RuntimeException e) {
                 if (store != null) {
@@ -148,7 +148,7 @@
         return up.future();
     }
 
-    private Future<Void> opened(Store store, Saved saved) {
+    private Future<Void> opened(LogStore store, Saved saved) {
         if (closed) {
             thread.execute(() -> {
                 try {
--- a/src/main/java/pewtercourse/cluster/Disk.java
+++ b/src/main/java/pewtercourse/cluster/Disk.java
@@ -12,7 +12,7 @@
 import pewtercourse.raft.Save;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 
 /**
  * The store on a thread of its own. What is to be saved while a write is under way goes into the next one together, with
@@ -21,7 +21,7 @@
 final class Disk {
     private final ExecutorService thread;
     private final Context loop;
-    private final Store store;
+    private final LogStore store;
     private final LongConsumer saved;
     private final Consumer<IOException> failed;
     private final List<Save> waiting = new ArrayList<>();
@@ -30,7 +30,7 @@
     private boolean busy, broken, savedLast;
 
     /** {@code saved} and {@code failed} run on {@code loop}, where all calls come from. */
-    Disk(ExecutorService thread, Context loop, Store store, LongConsumer saved, Consumer<IOException> failed) {
+    Disk(ExecutorService thread, Context loop, LogStore store, LongConsumer saved, Consumer<IOException> failed) {
         this.thread = thread;
         this.loop = loop;
         this.store = store;
@@ -84,7 +84,7 @@
                     if (made == null) {
                         store.save(group);
                     } else {
-                        store.snapshot(made);
+                        store.saveSnapshot(made);
                     }
                     loop.runOnContext(v -> done(group, made));
                 } catch (IOException | RuntimeException e) {
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -23,7 +23,7 @@
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Membership;
 import pewtercourse.raft.Save;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 
 /** Agreed changes a second and how long one takes, with real sockets and disks; and how long a start takes by log length. */
 final class LogExperiment {
@@ -80,7 +80,7 @@
                             .put("members", members)
                             .encode());
             ClusterConfig config = ClusterConfig.fromFile(file);
-            Store.found(config.data(), config.cluster(), config.name(), Membership.founding(config.members()));
+            LogStore.bootstrap(config.data(), config.cluster(), config.name(), Membership.founding(config.members()));
             var started = new java.util.concurrent.CompletableFuture<Void>();
             Context loop = vertx.getOrCreateContext(); // Another one each time, as this is no thread of the library's.
             loops.add(loop);
@@ -146,8 +146,8 @@
                 "| entries after the snapshot | MB | start, ms (median of five) |\n| --- | --- | --- |\n");
         for (int entries : new int[] {1_000, 10_000, 100_000}) {
             Path folder = Files.createTempDirectory("experiment").resolve("d");
-            Store.found(folder, "c", "m", Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
-            try (Store s = Store.open(folder, "c", "m", 4 << 20)) {
+            LogStore.bootstrap(folder, "c", "m", Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
+            try (LogStore s = LogStore.open(folder, "c", "m", 4 << 20)) {
                 s.recover();
                 for (int i = 0; i < entries; i += 100) {
                     List<Entry> list = new ArrayList<>();
@@ -168,7 +168,7 @@
             double[] times = new double[5];
             for (int i = 0; i < times.length; i++) {
                 long from = System.nanoTime();
-                try (Store s = Store.open(folder, "c", "m", 4 << 20)) {
+                try (LogStore s = LogStore.open(folder, "c", "m", 4 << 20)) {
                     s.recover();
                 }
                 times[i] = (System.nanoTime() - from) / 1e6;
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -18,7 +18,7 @@
 import org.apache.commons.math3.stat.descriptive.rank.Percentile;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.raft.Membership;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 
 /**
  * How long {@code serve} takes to be ready, the processor time it uses until then and what memory it has, of several programs by turns, without a cluster and,
@@ -111,7 +111,7 @@
                                             .put("quota", new JsonObject()))
                             .encode());
             ClusterConfig c = ClusterConfig.fromFile(file);
-            Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
+            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
             files.add(file);
         }
         return files;
--- /dev/null
+++ b/src/main/java/pewtercourse/raft/store/FolderLock.java
@@ -0,0 +1,49 @@
+package pewtercourse.raft.store;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.channels.OverlappingFileLockException;
+import java.nio.file.StandardOpenOption;
+
+/** The exclusive use of a data folder by one store of one process, from its creation until it is closed. */
+final class FolderLock implements Closeable {
+    private final FileChannel channel;
+    private final FileLock lock;
+
+    private FolderLock(FileChannel channel, FileLock lock) {
+        this.channel = channel;
+        this.lock = lock;
+    }
+
+    /** Fails with {@link StoreException.Reason#IN_USE} while another store has it, in this process or another. */
+    static FolderLock acquire(DataFolder folder) throws IOException {
+        FileChannel channel = FileChannel.open(folder.lockFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        try {
+            FileLock lock = tryLock(channel);
+            if (lock == null) {
+                throw StoreException.inUse(folder.path());
+            }
+            return new FolderLock(channel, lock);
+        } catch (IOException e) {
+            channel.close();
+            throw e;
+        }
+    }
+
+    // Null, too, where a store of this process has the lock, which the library reports by an exception.
+    private static FileLock tryLock(FileChannel channel) throws IOException {
+        try {
+            return channel.tryLock();
+        } catch (OverlappingFileLockException e) {
+            return null;
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        lock.release();
+        channel.close();
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/raft/store/RecordFormat.java
@@ -0,0 +1,62 @@
+package pewtercourse.raft.store;
+
+import java.nio.ByteBuffer;
+import java.util.Optional;
+import java.util.zip.CRC32C;
+
+/**
+ * The format of one record in a file: the length of its content and a checksum, four bytes each and big-endian, then the
+ * content. The checksum is the CRC-32C of the length and the content; it covers the length so that a run of zeros, as a
+ * crash may leave it, is no valid record.
+ */
+final class RecordFormat {
+    /** Bytes before the content: the length and the checksum. */
+    static final int HEADER_BYTES = 2 * Integer.BYTES;
+
+    private static final int MAX_CONTENT_BYTES = 80 << 20;
+
+    private RecordFormat() {}
+
+    /** The record with this content, ready to be written. */
+    static ByteBuffer encode(byte[] content) {
+        return ByteBuffer.allocate(HEADER_BYTES + content.length)
+                .putInt(content.length)
+                .putInt(checksum(content))
+                .put(content)
+                .flip();
+    }
+
+    /** The content of the record at {@code offset}, or empty if no complete and undamaged record begins there. */
+    static Optional<byte[]> decode(ByteBuffer file, int offset) {
+        if (offset + HEADER_BYTES > file.limit()) {
+            return Optional.empty();
+        }
+        int length = file.getInt(offset);
+        if (length < 0 || length > MAX_CONTENT_BYTES || offset + HEADER_BYTES + length > file.limit()) {
+            return Optional.empty();
+        }
+        byte[] content = new byte[length];
+        file.get(offset + HEADER_BYTES, content);
+        int expectedChecksum = file.getInt(offset + Integer.BYTES);
+        return checksum(content) == expectedChecksum ? Optional.of(content) : Optional.empty();
+    }
+
+    /** Whether a complete record begins at {@code offset} or anywhere behind it. */
+    static boolean containsRecordFrom(ByteBuffer file, int offset) {
+        for (int start = offset; start + HEADER_BYTES <= file.limit(); start++) {
+            int length = file.getInt(start);
+            boolean fits = length >= 0 && length <= file.limit() - start - HEADER_BYTES;
+            if (fits && decode(file, start).isPresent()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static int checksum(byte[] content) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, content.length));
+        checksum.update(content);
+        return (int) checksum.getValue();
+    }
+}
--- a/src/main/java/pewtercourse/raft/store/StoreException.java
+++ b/src/main/java/pewtercourse/raft/store/StoreException.java
@@ -1,12 +1,128 @@
 package pewtercourse.raft.store;
 
 import java.io.IOException;
+import java.nio.file.Path;
+import java.util.OptionalLong;
 
-/** A data folder that can't be used; the message says what to do. */
+/**
+ * A data folder that can't be used as it is. It says why, which file or folder is concerned and, for a damaged file, at
+ * which byte; the message also tells an operator what to do.
+ */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
+    private static final String EMPTY_THE_FOLDER = "empty the folder and let the member learn anew";
 
-    public StoreException(String message) {
-        super(message);
+    /** Why a data folder can't be used. */
+    public enum Reason {
+        /** Another process, or another store of this one, has it open. */
+        IN_USE,
+        /** It was to be bootstrapped and holds a cluster's data already. */
+        ALREADY_BOOTSTRAPPED,
+        /** It was to be inspected and holds no cluster's data. */
+        NO_DATA,
+        /** A file is damaged before data that was synced. */
+        DAMAGED,
+        /** A segment between others is not there. */
+        MISSING_SEGMENT,
+        /** Entries are missing between others, or between the snapshot and the first entry. */
+        MISSING_ENTRIES,
+        /** Another version of the program wrote it, in another format. */
+        UNSUPPORTED_VERSION,
+        /** It belongs to another member or another cluster. */
+        OTHER_OWNER
+    }
+
+    private final Reason reason;
+    private final transient Path file;
+    private final long offset;
+
+    private StoreException(Reason reason, Path file, long offset, String message) {
+        super("'" + file + "' " + message);
+        this.reason = reason;
+        this.file = file;
+        this.offset = offset;
+    }
+
+    private StoreException(Reason reason, Path file, String message) {
+        this(reason, file, -1, message);
+    }
+
+    static StoreException inUse(Path folder) {
+        return new StoreException(
+                Reason.IN_USE, folder, "is in use by another process: end it, or name another folder");
+    }
+
+    static StoreException alreadyBootstrapped(Path folder) {
+        return new StoreException(
+                Reason.ALREADY_BOOTSTRAPPED, folder, "belongs to a cluster already: nothing was changed");
+    }
+
+    static StoreException noData(Path folder) {
+        return new StoreException(Reason.NO_DATA, folder, "is no data folder of a cluster");
+    }
+
+    static StoreException damaged(Path file, int offset) {
+        return new StoreException(
+                Reason.DAMAGED,
+                file,
+                offset,
+                "is damaged at byte " + offset + ", before data that was saved: keep a copy, " + EMPTY_THE_FOLDER
+                        + " from the others");
+    }
+
+    static StoreException missingSegment(Path folder, Path segment) {
+        return new StoreException(
+                Reason.MISSING_SEGMENT,
+                folder,
+                "lacks segment " + segment.getFileName() + ": restore it, or " + EMPTY_THE_FOLDER);
+    }
+
+    static StoreException missingEntries(Path segment, long lastIndex, long nextIndex) {
+        return new StoreException(
+                Reason.MISSING_ENTRIES,
+                segment,
+                "goes on with entry " + nextIndex + " after " + lastIndex + ": " + EMPTY_THE_FOLDER);
+    }
+
+    static StoreException missingEntriesAfterSnapshot(Path folder, long snapshotIndex, long firstIndex) {
+        return new StoreException(
+                Reason.MISSING_ENTRIES,
+                folder,
+                "has entry " + firstIndex + " after snapshot " + snapshotIndex + ": " + EMPTY_THE_FOLDER);
+    }
+
+    static StoreException unsupportedVersion(Path file, int version, int supported) {
+        return new StoreException(
+                Reason.UNSUPPORTED_VERSION,
+                file,
+                "has version " + version + ", this program reads " + supported
+                        + ": start it with the program that wrote it");
+    }
+
+    static StoreException ofOtherMember(Path file, String cluster, String member) {
+        return new StoreException(
+                Reason.OTHER_OWNER,
+                file,
+                "belongs to member '" + member + "' of cluster '" + cluster + "': name the folder of this member");
+    }
+
+    static StoreException ofOtherCluster(Path file, String cluster) {
+        return new StoreException(
+                Reason.OTHER_OWNER, file, "belongs to cluster '" + cluster + "': name the folder of this member");
+    }
+
+    /** Why the folder can't be used. */
+    public Reason reason() {
+        return reason;
+    }
+
+    /** The file that was found unusable, or the folder where no single file was. */
+    public Path file() {
+        return file;
+    }
+
+    /** Where in the file, in bytes from its beginning; empty where no place is to blame. */
+    public OptionalLong offset() {
+        return offset < 0 ? OptionalLong.empty() : OptionalLong.of(offset);
     }
 }
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -101,24 +101,24 @@
 
     /** A folder from its founding on, over three starts; a snapshot of the leader, one of its own, entries replaced. */
     private static Path writeLog(Path folder) throws IOException {
-        Store.found(folder, CLUSTER, MEMBER, FOUNDERS);
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        LogStore.bootstrap(folder, CLUSTER, MEMBER, FOUNDERS);
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
             store.save(List.of(new Save(1, 3, null, 0, null, List.of(empty(1, 3), command(2, 3, "before")))));
             store.save(List.of(
                     new Save(2, 4, "member-b", 1, null, List.of(command(3, 4, "void"))),
                     new Save(3, 4, "member-b", 9, installed(), List.of(command(10, 4, "after the snapshot")))));
         }
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
             store.save(
                     List.of(new Save(4, 5, null, 10, null, List.of(command(11, 4, "replaced"), command(12, 4, "x")))));
             store.save(
                     List.of(new Save(5, 5, "member-a", 10, null, List.of(command(11, 5, "a"), command(12, 5, "b")))));
-            store.snapshot(taken());
+            store.saveSnapshot(taken());
             store.save(List.of(new Save(6, 6, "member-b", 12, null, entries().subList(0, 2))));
         }
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
             List<Entry> commands = entries().subList(2, entries().size());
             for (Entry entry : commands) {
@@ -130,7 +130,7 @@
 
     /** The start of the folder of a member that joins: {@code joined} has but its first segment. */
     private static void writeJoined(Path joined) throws IOException {
-        try (Store store = Store.open(joined, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(joined, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
             store.save(List.of(new Save(1, 4, null, 9, installed(), List.of(command(10, 4, "after the snapshot")))));
         }
@@ -141,10 +141,10 @@
     @Test
     void folderIsReadWithItsContent() throws Exception {
         Path folder = Fixtures.copy(LOG, temporary.resolve("copy"));
-        Fixtures.assertSameContent(wholeContent(), Store.inspect(folder));
+        Fixtures.assertSameContent(wholeContent(), LogStore.inspect(folder));
         Fixtures.assertSameFiles(Fixtures.files(Fixtures.path(LOG)), Fixtures.files(folder));
 
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Saved saved = store.recover();
             Fixtures.assertSameContent(wholeContent(), saved);
             List<Command.Envelope> commands = new ArrayList<>();
@@ -166,7 +166,7 @@
     @Test
     void openingAddsOneSegmentAndChangesNoOther() throws Exception {
         Path folder = Fixtures.copy(LOG, temporary.resolve("copy"));
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
         }
         Map<String, byte[]> before = Fixtures.files(Fixtures.path(LOG));
@@ -207,17 +207,17 @@
         Path folder = Fixtures.copy(TORN, temporary.resolve("copy"));
         List<Entry> kept = entries().subList(0, entries().size() - 1);
         Saved expected = content(kept, kept.get(kept.size() - 1).index() - 2);
-        Fixtures.assertSameContent(expected, Store.inspect(folder));
+        Fixtures.assertSameContent(expected, LogStore.inspect(folder));
         Fixtures.assertSameFiles(Fixtures.files(Fixtures.path(TORN)), Fixtures.files(folder));
 
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
         Map<String, byte[]> whole = Fixtures.files(Fixtures.path(LOG));
         String torn = "log-" + newestSegment(whole);
         byte[] left = Fixtures.files(folder).get(torn);
         assertArrayEquals(Arrays.copyOf(whole.get(torn), whole.get(torn).length - lastRecordBytes(whole)), left);
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
     }
@@ -240,8 +240,8 @@
         long incarnation = incarnation(Fixtures.files(folder).get("log-1"));
         assertTrue(incarnation != 0 && incarnation != Membership.FOUNDING);
         Saved expected = new Saved(incarnation, 4, null, 9, installed(), List.of(command(10, 4, "after the snapshot")));
-        Fixtures.assertSameContent(expected, Store.inspect(folder));
-        try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+        Fixtures.assertSameContent(expected, LogStore.inspect(folder));
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
         assertEquals(incarnation, incarnation(Fixtures.files(folder).get("log-2")));
