--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ChangeLog.java
@@ -66,6 +66,6 @@
                 "drill",
                 status.drill(),
                 "entry",
-                status.entry());
+                status.lastChangeIndex());
     }
 }
--- a/src/main/java/pewtercourse/lease/FailoverCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -5,12 +5,14 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.wire.LeaseWire;
 
 /** Between what members agree on sites and its stored form. */
@@ -28,14 +30,14 @@
     private static LeaseWire.SiteObservation encode(String site, SiteObservation observation) {
         return LeaseWire.SiteObservation.newBuilder()
                 .setSite(site)
-                .setUsualCaches(observation.usual())
-                .setReadyCaches(observation.ready())
-                .setUsualParents(observation.parents())
-                .setReadyParents(observation.up())
-                .setSucceeded(observation.good())
-                .setSlow(observation.late())
-                .setFailed(observation.bad())
-                .setRejected(observation.refused())
+                .setUsualCaches(observation.caches().usual())
+                .setReadyCaches(observation.caches().ready())
+                .setUsualParents(observation.parents().usual())
+                .setReadyParents(observation.parents().ready())
+                .setSucceeded(observation.attempts().onTime())
+                .setSlow(observation.attempts().late())
+                .setFailed(observation.attempts().failed())
+                .setRejected(observation.attempts().rejected())
                 .setLoad(observation.load())
                 .build();
     }
@@ -48,33 +50,28 @@
 
     private static SiteObservation decode(LeaseWire.SiteObservation wire) {
         return new SiteObservation(
-                wire.getUsualCaches(),
-                wire.getReadyCaches(),
-                wire.getUsualParents(),
-                wire.getReadyParents(),
-                wire.getSucceeded(),
-                wire.getSlow(),
-                wire.getFailed(),
-                wire.getRejected(),
+                new EndpointCount(wire.getUsualCaches(), wire.getReadyCaches()),
+                new EndpointCount(wire.getUsualParents(), wire.getReadyParents()),
+                new AttemptCounts(wire.getSucceeded(), wire.getSlow(), wire.getFailed(), wire.getRejected()),
                 wire.getLoad());
     }
 
     static LeaseWire.ChangeSiteStatus encode(Command.ChangeSiteStatus command) {
-        FailoverController.Declaration change = command.change();
+        SiteStatusChange change = command.change();
         return LeaseWire.ChangeSiteStatus.newBuilder()
                 .setSite(change.site())
                 .setPhase(change.phase().name())
                 .setHealth(change.health().name())
                 .setStep(change.step())
                 .setFlaps(change.flaps())
-                .setExpectedEntry(change.after())
+                .setExpectedEntry(change.expectedIndex())
                 .setToken(command.token())
                 .build();
     }
 
     static Command.ChangeSiteStatus decode(LeaseWire.ChangeSiteStatus wire) throws InvalidProtocolBufferException {
         return new Command.ChangeSiteStatus(
-                new FailoverController.Declaration(
+                new SiteStatusChange(
                         wire.getSite(),
                         constant(SiteStatus.Phase.class, wire.getPhase()),
                         constant(SiteHealth.class, wire.getHealth()),
@@ -103,32 +100,32 @@
         return wire.build();
     }
 
-    private static LeaseWire.SiteShares encode(String site, FailoverPlan.Shares shares) {
+    private static LeaseWire.SiteShares encode(String site, FailoverPlan.Distribution distribution) {
         LeaseWire.SiteShares.Builder wire =
-                LeaseWire.SiteShares.newBuilder().setSite(site).setRejected(shares.refused());
-        shares.parts()
+                LeaseWire.SiteShares.newBuilder().setSite(site).setRejected(distribution.rejected());
+        distribution.allocations()
                 .forEach(part -> wire.addTarget(LeaseWire.TargetShare.newBuilder()
                         .setSite(part.site())
-                        .setWork(part.work())
-                        .setMaxWork(part.most())));
+                        .setWork(part.load())
+                        .setMaxWork(part.max())));
         return wire.build();
     }
 
     static FailoverPlan decode(LeaseWire.FailoverPlan wire) {
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> scenarios = new TreeMap<>();
+        SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> scenarios = new TreeMap<>();
         wire.getScenarioList().forEach(scenario -> {
-            SortedMap<String, FailoverPlan.Shares> bySite = new TreeMap<>();
+            SortedMap<String, FailoverPlan.Distribution> bySite = new TreeMap<>();
             scenario.getSharesList().forEach(shares -> bySite.put(shares.getSite(), decode(shares)));
             scenarios.put(scenario.getKey(), bySite);
         });
         return new FailoverPlan(scenarios);
     }
 
-    private static FailoverPlan.Shares decode(LeaseWire.SiteShares wire) {
-        List<FailoverPlan.Part> parts = wire.getTargetList().stream()
-                .map(target -> new FailoverPlan.Part(target.getSite(), target.getWork(), target.getMaxWork()))
+    private static FailoverPlan.Distribution decode(LeaseWire.SiteShares wire) {
+        List<FailoverPlan.Allocation> parts = wire.getTargetList().stream()
+                .map(target -> new FailoverPlan.Allocation(target.getSite(), target.getWork(), target.getMaxWork()))
                 .toList();
-        return new FailoverPlan.Shares(parts, wire.getRejected());
+        return new FailoverPlan.Distribution(parts, wire.getRejected());
     }
 
     static void encode(FailoverState failover, LeaseWire.Snapshot.Builder snapshot) {
@@ -145,7 +142,7 @@
                 .setFlaps(status.flaps())
                 .setHeld(status.held())
                 .setDrill(status.drill())
-                .setEntry(status.entry())
+                .setEntry(status.lastChangeIndex())
                 .build();
     }
 
@@ -154,7 +151,7 @@
             failover.restore(status.getSite(), decode(status));
         }
         if (snapshot.hasFailoverPlan() && snapshot.getFailoverPlan().getScenarioCount() > 0) {
-            failover.plan(decode(snapshot.getFailoverPlan()));
+            failover.setPlan(decode(snapshot.getFailoverPlan()));
         }
     }
 
--- a/src/main/java/pewtercourse/lease/LeaseManager.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 import java.util.function.LongBinaryOperator;
 import java.util.function.ToIntFunction;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.Sites;
 
@@ -77,7 +77,7 @@
     }
 
     /** What a failover plan is to be computed from; empty if none is due, or this member does not hold the sites lease. */
-    public Optional<FailoverController.Question> planInput(long now) {
+    public Optional<FailoverPlanRequest> planInput(long now) {
         return validToken(LeaseNames.SITES, now) == 0 ? Optional.empty() : sites.planInput(now, state);
     }
 
--- a/src/main/java/pewtercourse/lease/SiteCommands.java
+++ b/src/main/java/pewtercourse/lease/SiteCommands.java
@@ -1,7 +1,6 @@
 package pewtercourse.lease;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.lease.wire.LeaseWire;
 
@@ -22,9 +21,7 @@
         if (!leases.isCurrent(LeaseNames.SITES, command.token())) {
             return CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN);
         }
-        FailoverController.Declaration change = command.change();
-        boolean changed = failover.declare(
-                entry, change.site(), change.phase(), change.health(), change.step(), change.flaps(), change.after());
+        boolean changed = failover.changeStatus(entry, command.change());
         return changed ? CommandOutcome.APPLIED : CommandOutcome.rejected(RejectionReason.SITE_STATUS_CHANGED);
     }
 
@@ -32,16 +29,16 @@
         if (!leases.isCurrent(LeaseNames.SITES, command.token())) {
             return CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN);
         }
-        failover.plan(command.plan());
+        failover.setPlan(command.plan());
         return CommandOutcome.APPLIED;
     }
 
     CommandOutcome pauseRecovery(long entry, Command.PauseSiteRecovery command) {
-        return applied(failover.hold(entry, command.site(), command.paused(), command.expectedEntry()));
+        return applied(failover.setHeld(entry, command.site(), command.paused(), command.expectedEntry()));
     }
 
     CommandOutcome startDrill(long entry, Command.StartFailoverDrill command) {
-        return applied(failover.drill(entry, command.site(), command.expectedEntry()));
+        return applied(failover.startDrill(entry, command.site(), command.expectedEntry()));
     }
 
     private static CommandOutcome applied(boolean changed) {
--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -160,7 +160,7 @@
 
         Map<String, Double> capacities = new TreeMap<>();
         SitesConfig.fromFile(folder.resolve("target/sites/sites.json"))
-                .sites()
+                .byName()
                 .forEach((name, site) -> capacities.put(name, site.capacity()));
         assertEquals(expected, capacities);
         assertTrue(output.contains("all directors listen"), output);
