--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -38,7 +38,7 @@
 import pewtercourse.raft.Ready;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 import pewtercourse.raft.store.LogStore;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
@@ -70,7 +70,7 @@
     private LeaseManager duties;
     private ExecutorService thread;
     private Disk disk;
-    private MemberNet net;
+    private MemberTransport net;
     private Raft raft; // Null while the folder is not open.
     private long timer = -1,
             reopenMs = REOPEN_FIRST_MS,
@@ -183,7 +183,7 @@
                 Long.toHexString(saved.incarnation()),
                 "members",
                 raft.members().all().keySet());
-        net = new MemberNet(
+        net = new MemberTransport(
                 vertx, config.cluster(), config.name(), saved.incarnation(), random, this::address, this::receive);
         pump();
         return net.listen(SocketAddress.inetSocketAddress(config.listen())).mapEmpty();
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -17,7 +17,7 @@
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Raft;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
@@ -25,7 +25,7 @@
  * @param raft   null while the member's folder is not open
  * @param duties null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberNet net) {
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberTransport net) {
     private ClusterState agreed() {
         return duties == null ? new ClusterState() : duties.state();
     }
@@ -84,7 +84,7 @@
         if (raft != null) {
             addRaftFigures(figures, now, applied);
             figures.put("cluster.calls_waiting", (long) callsWaiting);
-            figures.put("cluster.dropped_frames", net.dropped());
+            figures.put("cluster.dropped_frames", net.droppedFrames());
             addDutyFigures(figures, now);
         }
         return figures;
@@ -143,7 +143,7 @@
                 .put("tickets", tickets())
                 .put("part", duties.part(now))
                 .put("lent", agreed.lent())
-                .put("dropped_frames", net.dropped());
+                .put("dropped_frames", net.droppedFrames());
     }
 
     // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by
--- /dev/null
+++ b/src/main/java/pewtercourse/raft/net/InboundConnection.java
@@ -0,0 +1,82 @@
+package pewtercourse.raft.net;
+
+import com.google.protobuf.InvalidProtocolBufferException;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.NetSocket;
+import pewtercourse.Log;
+import pewtercourse.Timers;
+import pewtercourse.raft.wire.Wire;
+
+/**
+ * A connection that another member has opened: it carries messages to this member, and one byte back for each read, by
+ * which the sender knows that the connection is alive. Whatever goes wrong on it ends this connection alone. On the event
+ * loop.
+ */
+final class InboundConnection {
+    private static final long HANDSHAKE_TIMEOUT_MS = 2_000;
+    private static final byte[] ACKNOWLEDGEMENT = {1};
+
+    private final NetSocket socket;
+    private final Timers timers;
+    private final Handshake handshake;
+    private final MemberTransport.Receiver receiver;
+    private final Runnable handshakeEnded;
+    private final FrameCodec codec = new FrameCodec();
+    private final long handshakeTimer;
+    private Handshake.Remote remote; // Null until the handshake has succeeded.
+
+    /**
+     * Takes over a socket that was accepted.
+     *
+     * @param handshakeEnded called when the handshake has succeeded, and when the connection is closed
+     */
+    InboundConnection(
+            NetSocket socket,
+            Timers timers,
+            Handshake handshake,
+            MemberTransport.Receiver receiver,
+            Runnable handshakeEnded) {
+        this.socket = socket;
+        this.timers = timers;
+        this.handshake = handshake;
+        this.receiver = receiver;
+        this.handshakeEnded = handshakeEnded;
+        this.handshakeTimer = timers.set(HANDSHAKE_TIMEOUT_MS, () -> reject("no hello in time"));
+        socket.exceptionHandler(e -> {}); // The close handler follows.
+        socket.closeHandler(v -> endHandshake());
+        socket.handler(this::read);
+    }
+
+    private void read(Buffer received) {
+        try {
+            for (Wire.Frame message : codec.decode(received)) {
+                handle(message);
+            }
+            socket.write(Buffer.buffer(ACKNOWLEDGEMENT));
+        } catch (InvalidProtocolBufferException | Handshake.RejectedException e) {
+            reject(e.getMessage());
+        } catch (RuntimeException e) {
+            Log.error("cluster.unexpected", e);
+            socket.close();
+        }
+    }
+
+    private void handle(Wire.Frame message) throws Handshake.RejectedException {
+        if (remote == null) {
+            remote = handshake.accept(message);
+            endHandshake();
+        } else {
+            receiver.receive(remote.member(), remote.incarnation(), message);
+        }
+    }
+
+    private void endHandshake() {
+        timers.cancel(handshakeTimer);
+        handshakeEnded.run();
+    }
+
+    private void reject(String reason) {
+        Log.counted("cluster.stranger", "from", socket.remoteAddress(), "error", reason);
+        socket.close();
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/raft/net/OutboundConnection.java
@@ -0,0 +1,179 @@
+package pewtercourse.raft.net;
+
+import io.vertx.core.AsyncResult;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.NetClient;
+import io.vertx.core.net.NetSocket;
+import io.vertx.core.net.SocketAddress;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Random;
+import java.util.function.Supplier;
+import pewtercourse.Timers;
+import pewtercourse.raft.wire.Wire;
+
+/**
+ * The messages to one other member, on one connection. It is opened with the first message, and again after a failure
+ * with exponential backoff and jitter. While it is down or slow the newest messages wait in a bounded queue; the oldest
+ * are dropped, as a network may drop them: Raft sends again what matters. On the event loop.
+ */
+final class OutboundConnection {
+    private static final int MAX_QUEUED_FRAMES = 256;
+    private static final long MAX_QUEUED_BYTES = 8L << 20;
+    private static final long FIRST_BACKOFF_MS = 25;
+    private static final long MAX_BACKOFF_MS = 400;
+    private static final long ACKNOWLEDGEMENT_TIMEOUT_MS = 2_000;
+    private static final long NO_TIMER = -1;
+
+    private final NetClient client;
+    private final Timers timers;
+    private final Random random;
+    private final Supplier<SocketAddress> address;
+    private final Wire.Frame hello;
+    private final Deque<Buffer> queue = new ArrayDeque<>();
+    private long queuedBytes;
+    private long droppedFrames;
+    private long backoffMs = FIRST_BACKOFF_MS;
+    private long reconnectTimer = NO_TIMER;
+    private long acknowledgementTimer = NO_TIMER;
+    private NetSocket socket; // Null while it is not connected.
+    private boolean connecting;
+    private boolean closed;
+
+    /**
+     * Made for one member; it connects when there is something to send.
+     *
+     * @param address where the member is reached, asked before each attempt to connect; null while it is not known
+     * @param hello the first message of each connection
+     */
+    OutboundConnection(
+            NetClient client, Timers timers, Random random, Supplier<SocketAddress> address, Wire.Frame hello) {
+        this.client = client;
+        this.timers = timers;
+        this.random = random;
+        this.address = address;
+        this.hello = hello;
+    }
+
+    /** Sends a message, or queues it while that can't be done. */
+    void send(Wire.Frame message) {
+        if (closed) {
+            return;
+        }
+        enqueue(FrameCodec.encode(message));
+        if (socket != null) {
+            writeQueued();
+        } else if (!connecting && reconnectTimer == NO_TIMER) {
+            connect();
+        }
+    }
+
+    private void enqueue(Buffer frame) {
+        queue.add(frame);
+        queuedBytes += frame.length();
+        while (queue.size() > MAX_QUEUED_FRAMES || queuedBytes > MAX_QUEUED_BYTES && queue.size() > 1) {
+            queuedBytes -= queue.poll().length();
+            droppedFrames++;
+        }
+    }
+
+    /** Messages that were dropped because the queue was full. */
+    long droppedFrames() {
+        return droppedFrames;
+    }
+
+    private void connect() {
+        SocketAddress to = address.get();
+        if (to == null) {
+            reconnectLater();
+            return;
+        }
+        connecting = true;
+        client.connect(to).onComplete(this::connectCompleted);
+    }
+
+    private void connectCompleted(AsyncResult<NetSocket> result) {
+        connecting = false;
+        if (closed) {
+            if (result.succeeded()) {
+                result.result().close();
+            }
+        } else if (result.failed()) {
+            reconnectLater();
+        } else {
+            connected(result.result());
+        }
+    }
+
+    private void connected(NetSocket opened) {
+        socket = opened;
+        opened.exceptionHandler(e -> {}); // The close handler follows.
+        opened.handler(acknowledgement -> acknowledged());
+        opened.drainHandler(v -> writeQueued());
+        opened.closeHandler(v -> disconnected(opened));
+        write(FrameCodec.encode(hello));
+        writeQueued();
+    }
+
+    // The remote end sends a byte for each read, from the hello on; without it the connection only looks alive.
+    private void acknowledged() {
+        backoffMs = FIRST_BACKOFF_MS;
+        stopAcknowledgementTimer();
+    }
+
+    private void disconnected(NetSocket closedSocket) {
+        if (socket == closedSocket) {
+            socket = null;
+            stopAcknowledgementTimer();
+            reconnectLater();
+        }
+    }
+
+    private void reconnectLater() {
+        if (closed || reconnectTimer != NO_TIMER) {
+            return;
+        }
+        long delayMs = backoffMs / 2 + (long) (random.nextDouble() * backoffMs);
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+        reconnectTimer = timers.set(Math.max(1, delayMs), this::reconnect);
+    }
+
+    private void reconnect() {
+        reconnectTimer = NO_TIMER;
+        if (!queue.isEmpty()) {
+            connect();
+        }
+    }
+
+    private void writeQueued() {
+        while (socket != null && !queue.isEmpty() && !socket.writeQueueFull()) {
+            Buffer frame = queue.poll();
+            queuedBytes -= frame.length();
+            write(frame);
+        }
+    }
+
+    private void write(Buffer frame) {
+        NetSocket current = socket;
+        if (acknowledgementTimer == NO_TIMER) {
+            acknowledgementTimer = timers.set(ACKNOWLEDGEMENT_TIMEOUT_MS, current::close);
+        }
+        current.write(frame);
+    }
+
+    private void stopAcknowledgementTimer() {
+        timers.cancel(acknowledgementTimer);
+        acknowledgementTimer = NO_TIMER;
+    }
+
+    /** Drops what is queued and does not connect again. */
+    void close() {
+        closed = true;
+        timers.cancel(reconnectTimer);
+        timers.cancel(acknowledgementTimer);
+        queue.clear();
+        if (socket != null) {
+            socket.close();
+        }
+    }
+}
--- a/src/main/java/pewtercourse/raft/net/package-info.java
+++ b/src/main/java/pewtercourse/raft/net/package-info.java
@@ -1,2 +1,5 @@
-/** Messages of the cluster over TCP: framing, bounded queues and reconnects with jitter. */
+/**
+ * Messages between the members of a cluster over TCP: framing, the handshake, bounded send queues, and reconnecting with
+ * backoff and jitter. {@link pewtercourse.raft.net.MemberTransport} is the entry point. Everything runs on the event loop.
+ */
 package pewtercourse.raft.net;
--- a/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -115,7 +115,7 @@
     }
 
     private static Wire.Frame read(String file) throws Exception {
-        List<Wire.Frame> frames = new FrameReader().add(Buffer.buffer(Fixtures.bytes(file)));
+        List<Wire.Frame> frames = new FrameCodec().decode(Buffer.buffer(Fixtures.bytes(file)));
         assertEquals(1, frames.size(), file);
         return frames.get(0);
     }
@@ -124,7 +124,7 @@
     void eachMessageIsWrittenWithTheSameBytes() throws Exception {
         for (Map.Entry<String, Wire.Frame> frame : frames().entrySet()) {
             Fixtures.assertFile(
-                    file(frame.getKey()), FrameReader.encode(frame.getValue()).getBytes());
+                    file(frame.getKey()), FrameCodec.encode(frame.getValue()).getBytes());
         }
     }
 
@@ -158,7 +158,7 @@
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(TIMEOUT_MS);
             SocketAddress address = SocketAddress.inetSocketAddress(server.getLocalPort(), "127.0.0.1");
-            MemberNet net = new MemberNet(
+            MemberTransport net = new MemberTransport(
                     vertx, CLUSTER, SENDER, INCARNATION, new Random(1), name -> address, (from, life, frame) -> {});
             vertx.runOnContext(v -> frames().values().forEach(frame -> net.send(RECEIVER, frame)));
             try (Socket socket = server.accept()) {
@@ -187,7 +187,7 @@
     @Test
     void aConnectionThatStartsWithTheHelloIsReadAndAcknowledged() throws Exception {
         BlockingQueue<Received> received = new LinkedBlockingQueue<>();
-        MemberNet net = new MemberNet(
+        MemberTransport net = new MemberTransport(
                 vertx,
                 CLUSTER,
                 RECEIVER,
