--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -19,7 +19,7 @@
 import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
@@ -27,7 +27,7 @@
  * @param raft   null while the member's folder is not open
  * @param duties null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberNet net) {
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberTransport net) {
     private ClusterState agreed() {
         return duties == null ? new ClusterState() : duties.state();
     }
@@ -87,7 +87,7 @@
         if (raft != null) {
             addRaftFigures(figures, now, applied);
             figures.put("cluster.calls_waiting", (long) callsWaiting);
-            figures.put("cluster.dropped_frames", net.dropped());
+            figures.put("cluster.dropped_frames", net.droppedFrames());
             addDutyFigures(figures, now);
         }
         return figures;
@@ -146,7 +146,7 @@
                 .put("tickets", tickets())
                 .put("part", duties.quotaThousandths(now))
                 .put("lent", agreed.grantedQuotaThousandths())
-                .put("dropped_frames", net.dropped());
+                .put("dropped_frames", net.droppedFrames());
     }
 
     // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by
