--- a/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTest.java
@@ -83,7 +83,7 @@
                 .forEach(m -> {
                     long token = Long.parseLong(m.group(4));
                     assertEquals(m.group(1), holders.get(token), "acts with another's token: " + m.group());
-                    if (m.group(3).equals("Let") || m.group(3).equals("Withdraw")) {
+                    if (m.group(3).equals("GrantMaintenance") || m.group(3).equals("CancelMaintenance")) {
                         assertTrue(token >= greatest[0], "acts after a later token: " + m.group());
                         greatest[0] = token;
                     }
@@ -505,7 +505,7 @@
     void theCheckOfActsFindsWhatItIsFor() {
         String first = "d0 10 INFO duty.assigned duty=maintenance holder=d0 token=1",
                 second = "d1 20 INFO duty.assigned duty=maintenance holder=d1 token=2",
-                act = " INFO duty.act order=Let[target=s-1, ticket=5, token=";
+                act = " INFO duty.act order=GrantMaintenance[target=s-1, ticket=5, token=";
         checkActs(List.of(first, second, "d0 15" + act + "1]", "d1 25" + act + "2]"));
         for (List<String> wrong : List.of(
                 List.of(first, "d1 20 INFO duty.assigned duty=maintenance holder=d1 token=1"),
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.config.ClusterConfig;
-import pewtercourse.duty.Command;
-import pewtercourse.duty.Duties;
+import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.SiteHealth;
+import pewtercourse.failover.SiteStatus;
+import pewtercourse.lease.Command;
+import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Membership;
 import pewtercourse.raft.Raft;
 import pewtercourse.raft.Ready;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
 import pewtercourse.raft.net.MemberNet;
-import pewtercourse.site.FailoverController;
-import pewtercourse.site.Health;
-import pewtercourse.site.Plan;
-import pewtercourse.site.Status;
 
 /**
  * The keys that operators and their scripts read: each JSON key of the cluster's and the sites' status in its order, with
@@ -75,12 +75,12 @@
         describe(text, "folder not open", new ClusterReport(config, null, null, null), false);
 
         Raft follower = raft();
-        Duties emptyState = duties();
+        LeaseManager emptyState = duties();
         describe(text, "no leader", new ClusterReport(config, follower, emptyState, net), false);
 
         Raft leader = raft();
         elect(leader);
-        Duties fullState = duties();
+        LeaseManager fullState = duties();
         fill(fullState);
         describe(text, "leader", new ClusterReport(config, leader, fullState, net), true);
 
@@ -178,33 +178,33 @@
         assertEquals(SELF, raft.leader());
     }
 
-    private Duties duties() {
-        Duties duties = new Duties(config.duties(), SELF, 1, target -> "z", zone -> 4);
+    private LeaseManager duties() {
+        LeaseManager duties = new LeaseManager(config.duties(), SELF, 1, target -> "z", zone -> 4);
         duties.sites(now, config.sites());
         return duties;
     }
 
     /** Leases of this member's and of another's, a cache that is out and one that waits, sites that are lost, and a plan. */
-    private void fill(Duties duties) {
-        apply(duties, new Command.Assign("maintenance", SELF, 0, 0));
-        apply(duties, new Command.Assign("quota", OTHER, 0, 0));
-        apply(duties, new Command.Assign("sites", SELF, 0, 0));
-        long ticket = apply(duties, new Command.Ask("s-00000001", "z", 5, 0));
-        apply(duties, new Command.Let("s-00000001", ticket, 1, 6));
-        apply(duties, new Command.Ask("s-00000002", "z", 7, 0));
-        long wish = apply(duties, new Command.Borrow(250));
-        apply(duties, new Command.Lend(SELF, wish, 250, 2, 1_000));
+    private void fill(LeaseManager duties) {
+        apply(duties, new Command.AssignLease("maintenance", SELF, 0, 0));
+        apply(duties, new Command.AssignLease("quota", OTHER, 0, 0));
+        apply(duties, new Command.AssignLease("sites", SELF, 0, 0));
+        long ticket = apply(duties, new Command.RequestMaintenance("s-00000001", "z", 5, 0));
+        apply(duties, new Command.GrantMaintenance("s-00000001", ticket, 1, 6));
+        apply(duties, new Command.RequestMaintenance("s-00000002", "z", 7, 0));
+        long wish = apply(duties, new Command.RequestQuota(250));
+        apply(duties, new Command.GrantQuota(SELF, wish, 250, 2, 1_000));
         apply(
                 duties,
-                new Command.Declare(
-                        new FailoverController.Declaration("s0", Status.Phase.LOST, Health.CACHES, 0, 1, 0), 3));
-        Plan.Shares shares = new Plan.Shares(List.of(new Plan.Part("s1", 2.5, 3.5)), 0.5);
-        Plan plan = new Plan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
-        apply(duties, new Command.Planned(plan, 3));
+                new Command.ChangeSiteStatus(
+                        new FailoverController.Declaration("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0), 3));
+        FailoverPlan.Shares shares = new FailoverPlan.Shares(List.of(new FailoverPlan.Part("s1", 2.5, 3.5)), 0.5);
+        FailoverPlan plan = new FailoverPlan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
+        apply(duties, new Command.PublishFailoverPlan(plan, 3));
     }
 
     /** Returns the entry's number. */
-    private long apply(Duties duties, Command command) {
+    private long apply(LeaseManager duties, Command command) {
         index++;
         assertTrue(duties.applied(now, index, duties.sign(command)).done(), "not applied: " + command);
         return index;
