--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -8,8 +8,8 @@
 import java.util.function.Supplier;
 import pewtercourse.admin.ClusterCalls;
 import pewtercourse.admin.Operations.Verdict;
-import pewtercourse.cluster.Cluster;
 import pewtercourse.cluster.ClusterHost;
+import pewtercourse.cluster.ClusterMember;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.director.Director;
 import pewtercourse.failover.FailoverState;
@@ -22,12 +22,12 @@
 /** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
 final class Agreement implements ClusterCalls, ClusterHost {
     private final Director director;
-    private final Cluster cluster;
+    private final ClusterMember cluster;
     private double part = 1;
 
     Agreement(Vertx vertx, ClusterConfig config, Director director) {
         this.director = director;
-        this.cluster = new Cluster(vertx, config, this);
+        this.cluster = new ClusterMember(vertx, config, this);
         if (config.sites() != null) {
             director.sites(config.sites());
         }
@@ -42,11 +42,11 @@
     }
 
     void willing(boolean on) {
-        cluster.willing(on);
+        cluster.setEligible(on);
     }
 
     boolean handedOn() {
-        return cluster.handedOn();
+        return cluster.handoverComplete();
     }
 
     // ---- What operators say ----
@@ -65,7 +65,7 @@
                     if (v != Verdict.DONE) {
                         return Future.succeededFuture(v);
                     }
-                    return cluster.let(target)
+                    return cluster.awaitMaintenanceGrant(target)
                             .compose(let -> let ? Future.succeededFuture(Verdict.DONE) : turnedDown(target));
                 });
     }
@@ -73,7 +73,7 @@
     // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
     private Future<Verdict> turnedDown(String target) {
         ClusterState.MaintenanceRequest t = cluster.state().ticketOf(target);
-        if (t == null || cluster.maintenanceWaits()) {
+        if (t == null || cluster.queuesMaintenanceRequests()) {
             long before = t == null
                     ? 0
                     : cluster.state().tickets().headMap(t.number()).values().stream()
@@ -83,7 +83,7 @@
                     + before + " before it: call again, or call it back"));
         }
         Command withdraw = new Command.CancelMaintenance(target, t.number(), 0, System.currentTimeMillis());
-        return cluster.agree(() -> withdraw)
+        return cluster.propose(() -> withdraw)
                 .map(r -> Verdict.refused("not out: as many of its zone are out as may be"))
                 .otherwise(e -> Verdict.refused("not out yet, and may be later: " + e.getMessage()));
     }
@@ -98,7 +98,7 @@
     }
 
     private Future<Verdict> agreed(String event, String target, Supplier<Command> word) {
-        return cluster.agree(word)
+        return cluster.propose(word)
                 .map(r -> r.done() ? Verdict.DONE : Verdict.refused(r.why()))
                 .otherwise(e -> Verdict.refused("not agreed: " + e.getMessage()))
                 .onSuccess(v -> {
@@ -113,7 +113,7 @@
     /** Figures of the cluster, a line for each, NAME=VALUE. */
     String figures() {
         StringBuilder out = new StringBuilder();
-        cluster.figures()
+        cluster.metrics()
                 .forEach((name, value) ->
                         out.append(name).append('=').append(value).append('\n'));
         return out.toString();
@@ -121,27 +121,27 @@
 
     @Override
     public Future<JsonObject> status() {
-        return cluster.confirm().map(cluster::status);
+        return cluster.confirmLeadership().map(cluster::status);
     }
 
     @Override
     public Future<String> handOn(String duty, String to) {
-        return cluster.handOn(duty, to).map(ClusterState.Result::why);
+        return cluster.transferLease(duty, to).map(ClusterState.Result::why);
     }
 
     @Override
     public String transfer(String to) {
-        return cluster.transfer(to);
+        return cluster.transferLeadership(to).rejection();
     }
 
     @Override
     public String add(String name, String address) {
-        return cluster.add(name, address);
+        return cluster.addMember(name, address).rejection();
     }
 
     @Override
     public String remove(String name) {
-        return cluster.remove(name);
+        return cluster.removeMember(name).rejection();
     }
 
     // ---- Sites ----
@@ -149,7 +149,7 @@
     /** A new file of sites, already checked. */
     void sites(Sites to) {
         director.sites(to);
-        cluster.sites(to);
+        cluster.updateSites(to);
     }
 
     @Override
@@ -162,7 +162,7 @@
         if (!cluster.knowsSite(name)) {
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
-        return cluster.agree(() -> {
+        return cluster.propose(() -> {
                     long after = cluster.state().failover().status(name).entry();
                     return switch (call) {
                         case "drill" -> new Command.StartFailoverDrill(name, after);
@@ -182,12 +182,12 @@
     }
 
     @Override
-    public void sites(FailoverState failover, Set<String> absent) {
+    public void failoverChanged(FailoverState failover, Set<String> absent) {
         director.follow(failover, absent);
     }
 
     @Override
-    public void agreed(Map<String, Long> out, Map<String, Long> back) {
+    public void drainsChanged(Map<String, Long> out, Map<String, Long> back) {
         director.follow(new OperatorState(ProcessHandle.current().pid(), false, out, back));
     }
 
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void part(double factor) {
+    public void setQuotaFactor(double factor) {
         if (factor != part) {
             part = factor;
             director.part(factor);
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public double coldWanted() {
+    public double wantedQuota() {
         return director.coldWanted();
     }
 }
--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
@@ -9,11 +9,16 @@
 import pewtercourse.lease.ClusterState;
 import pewtercourse.raft.Raft;
 
-/** Writes changes of what is agreed to the log, each once. */
-final class ChangeLog {
+/**
+ * Writes changes of what the members have committed to the log, each once.
+ *
+ * <p>Mutable state: what was written last of the leader, each lease, each site and each member that lost its log. Event
+ * loop only.
+ */
+final class ClusterChangeLogger {
     private final Set<String> regressedMembers = new HashSet<>();
-    private final Map<String, Long> tokens = new HashMap<>(); // By duty.
-    private final Map<String, SiteStatus> statuses = new HashMap<>(); // By site.
+    private final Map<String, Long> tokenByLease = new HashMap<>();
+    private final Map<String, SiteStatus> statusBySite = new HashMap<>();
     private String leader = "";
 
     void write(Raft raft, ClusterState state) {
@@ -23,10 +28,10 @@
     }
 
     private void writeLeader(Raft raft) {
-        String now = raft.leader() == null ? "" : raft.leader();
-        if (!now.equals(leader)) {
-            leader = now;
-            Log.info("cluster.leader", "name", now.isEmpty() ? "none" : now, "term", raft.term());
+        String current = raft.leader() == null ? "" : raft.leader();
+        if (!current.equals(leader)) {
+            leader = current;
+            Log.info("cluster.leader", "name", current.isEmpty() ? "none" : current, "term", raft.term());
         }
     }
 
@@ -36,22 +41,22 @@
         }
     }
 
-    private void writeHolder(String name, ClusterState.LeaseRecord duty) {
-        Long before = tokens.put(name, duty.token());
-        if (!Long.valueOf(duty.token()).equals(before)) {
-            String holder = duty.holder().isEmpty() ? "none" : duty.holder();
-            Log.info("duty.assigned", "duty", name, "holder", holder, "token", duty.token());
+    private void writeHolder(String lease, ClusterState.LeaseRecord record) {
+        Long before = tokenByLease.put(lease, record.token());
+        if (!Long.valueOf(record.token()).equals(before)) {
+            String holder = record.holder().isEmpty() ? "none" : record.holder();
+            Log.info("duty.assigned", "duty", lease, "holder", holder, "token", record.token());
         }
     }
 
-    void writeSite(String name, SiteStatus status) {
-        if (status.equals(statuses.put(name, status))) {
+    void writeSite(String site, SiteStatus status) {
+        if (status.equals(statusBySite.put(site, status))) {
             return;
         }
         Log.info(
                 "site.status",
                 "site",
-                name,
+                site,
                 "phase",
                 status.phase(),
                 "health",
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -76,45 +76,45 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Figures by name; {@code applied}: the last entry that was applied. */
-    Map<String, Long> figures(long now, long applied, int callsWaiting, long diskFailures) {
-        Map<String, Long> figures = new LinkedHashMap<>();
-        figures.put("cluster.open", raft == null ? 0L : 1);
-        figures.put("cluster.disk_failures", diskFailures);
+    /** Metrics by name; {@code applied}: the last entry that was applied. */
+    Map<String, Long> metrics(long now, long applied, int pendingProposals, long diskFailures) {
+        Map<String, Long> metrics = new LinkedHashMap<>();
+        metrics.put("cluster.open", raft == null ? 0L : 1);
+        metrics.put("cluster.disk_failures", diskFailures);
         if (raft != null) {
-            addRaftFigures(figures, now, applied);
-            figures.put("cluster.calls_waiting", (long) callsWaiting);
-            figures.put("cluster.dropped_frames", net.dropped());
-            addDutyFigures(figures, now);
+            addRaftMetrics(metrics, now, applied);
+            metrics.put("cluster.calls_waiting", (long) pendingProposals);
+            metrics.put("cluster.dropped_frames", net.dropped());
+            addLeaseMetrics(metrics, now);
         }
-        return figures;
+        return metrics;
     }
 
-    private void addRaftFigures(Map<String, Long> figures, long now, long applied) {
+    private void addRaftMetrics(Map<String, Long> metrics, long now, long applied) {
         boolean leads = raft.role() == Raft.Role.LEADER;
-        figures.put("cluster.leads", leads ? 1L : 0);
-        figures.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
-        figures.put("cluster.term", raft.term());
-        figures.put("cluster.commit", raft.commit());
-        figures.put("cluster.applied", applied);
-        figures.put("cluster.members", (long) raft.members().all().size());
+        metrics.put("cluster.leads", leads ? 1L : 0);
+        metrics.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
+        metrics.put("cluster.term", raft.term());
+        metrics.put("cluster.commit", raft.commit());
+        metrics.put("cluster.applied", applied);
+        metrics.put("cluster.members", (long) raft.members().all().size());
         if (leads) {
-            figures.put("cluster.members_heard", (long) raft.heard(now).size());
+            metrics.put("cluster.members_heard", (long) raft.heard(now).size());
         }
     }
 
-    private void addDutyFigures(Map<String, Long> figures, long now) {
+    private void addLeaseMetrics(Map<String, Long> metrics, long now) {
         ClusterState agreed = agreed();
-        figures.put(
+        metrics.put(
                 "duty.held",
                 config.duties().names().stream()
                         .filter(duty -> duties.token(duty, now) > 0)
                         .count());
-        figures.put("duty.acts", duties.acts());
-        figures.put("duty.part_thousandths", duties.part(now));
-        figures.put("duty.lent_thousandths", agreed.lent());
-        figures.put("duty.out", (long) agreed.out().size());
-        figures.put(
+        metrics.put("duty.acts", duties.acts());
+        metrics.put("duty.part_thousandths", duties.part(now));
+        metrics.put("duty.lent_thousandths", agreed.lent());
+        metrics.put("duty.out", (long) agreed.out().size());
+        metrics.put(
                 "duty.waiting",
                 agreed.tickets().values().stream()
                         .filter(ticket -> !ticket.let())
--- /dev/null
+++ b/src/main/java/pewtercourse/cluster/MemberEnvironment.java
@@ -0,0 +1,26 @@
+package pewtercourse.cluster;
+
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import java.security.SecureRandom;
+import java.util.Random;
+import pewtercourse.Timers;
+import pewtercourse.config.ClusterConfig;
+
+/**
+ * What the parts of one member share: its configuration, event loop, timers, clock and random numbers.
+ *
+ * @param random draws election timeouts, dial pauses and reopening delays; event loop only
+ */
+record MemberEnvironment(
+        Vertx vertx, Context loop, Timers timers, ClusterConfig config, MemberClock clock, Random random) {
+    static MemberEnvironment of(Vertx vertx, ClusterConfig config) {
+        return new MemberEnvironment(
+                vertx,
+                vertx.getOrCreateContext(),
+                Timers.of(vertx),
+                config,
+                new MemberClock(),
+                new Random(new SecureRandom().nextLong()));
+    }
+}
--- a/src/main/java/pewtercourse/cluster/Proposals.java
+++ b/src/main/java/pewtercourse/cluster/PendingProposals.java
@@ -11,48 +11,56 @@
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
 
-/** Commands of this member that wait to be agreed. They are offered again until they are, for a bounded time. */
-final class Proposals {
-    private static final int PENDING_MOST = 256;
-    // A caller of the operators' address is cut off after 2 s.
-    private static final long AGREE_MS = 1_300, OFFER_AGAIN_MS = 150;
-
-    /** The log of the cluster, as far as proposals need it. */
+/**
+ * Commands of this member that wait to be committed. Each is offered to the log again until it is applied here, for a
+ * bounded time.
+ *
+ * <p>Mutable state: the pending proposals by the number of their command, in the order in which they were made. Event loop
+ * only.
+ */
+final class PendingProposals {
+    private static final int MAX_PENDING = 256;
+    // Below the 2 s after which a caller of the operators' address is cut off.
+    private static final long COMMIT_TIMEOUT_MS = 1_300;
+    private static final long RETRY_INTERVAL_MS = 150;
+    private static final long NO_TIMER = -1;
+
+    /** The cluster's log, as far as proposals need it. */
     interface ReplicatedLog {
-        /** False while the member's folder can't be used. */
+        /** False while the member's data folder is not open. */
         boolean open();
 
         Command.Envelope sign(Command command);
 
-        /** To the log, or to whoever leads; may be lost. */
+        /** To the log, or to the leader; may be lost. */
         void offer(byte[] command, long id);
 
-        /** Why nothing is agreed for now. */
-        String whyNotAgreed();
+        /** For people: why nothing is committed for now. */
+        String whyNotCommitted();
     }
 
     private final Timers timers;
     private final ReplicatedLog log;
     private final Map<Long, Proposal> pending = new LinkedHashMap<>();
 
-    Proposals(Timers timers, ReplicatedLog log) {
+    PendingProposals(Timers timers, ReplicatedLog log) {
         this.timers = timers;
         this.log = log;
     }
 
-    int waiting() {
+    int count() {
         return pending.size();
     }
 
     /**
-     * Has a command agreed; it is made anew where another command on the same cache was agreed first. Fails, with the
-     * reason, when that is not known in time: it may still be agreed later, and asking again does no harm.
+     * Has a command committed; it is made anew where another command on the same cache was committed first. Fails, with the
+     * reason, when that is not known in time: it may still be committed later, and proposing it again does no harm.
      */
-    Future<ClusterState.Result> agree(Supplier<Command> command) {
+    Future<ClusterState.Result> propose(Supplier<Command> command) {
         if (!log.open()) {
-            return Future.failedFuture("the folder of this member can't be used: see the log");
+            return Future.failedFuture(ClusterMember.FOLDER_CLOSED);
         }
-        if (pending.size() >= PENDING_MOST) {
+        if (pending.size() >= MAX_PENDING) {
             return Future.failedFuture("too many calls wait");
         }
         Proposal proposal = new Proposal(command);
@@ -68,34 +76,36 @@
         }
     }
 
-    void failAll(String why) {
-        List.copyOf(pending.values()).forEach(proposal -> proposal.done.tryFail(why));
+    /** None of them will be offered again. */
+    void failAll(String reason) {
+        List.copyOf(pending.values()).forEach(proposal -> proposal.done.tryFail(reason));
     }
 
     private final class Proposal {
         private final Promise<ClusterState.Result> done = Promise.promise();
         private final Supplier<Command> command;
         private final long timeout;
-        private long id, offerAgain = -1;
+        private long id;
+        private long retryTimer = NO_TIMER;
         private byte[] encoded;
 
         Proposal(Supplier<Command> command) {
             this.command = command;
-            this.timeout = timers.set(AGREE_MS, () -> done.tryFail(log.whyNotAgreed()));
+            this.timeout = timers.set(COMMIT_TIMEOUT_MS, () -> done.tryFail(log.whyNotCommitted()));
             done.future().onComplete(result -> forget());
         }
 
         void propose() {
-            Command.Envelope signed = log.sign(command.get());
-            id = signed.id();
-            encoded = CommandCodec.encode(signed);
+            Command.Envelope envelope = log.sign(command.get());
+            id = envelope.id();
+            encoded = CommandCodec.encode(envelope);
             pending.put(id, this);
             offer();
         }
 
         private void offer() {
             if (log.open() && pending.containsKey(id)) {
-                offerAgain = timers.set(OFFER_AGAIN_MS, this::offer);
+                retryTimer = timers.set(RETRY_INTERVAL_MS, this::offer);
                 log.offer(encoded, id);
             }
         }
@@ -105,16 +115,16 @@
                 done.tryComplete(result);
                 return;
             }
-            // What was agreed first is known here now: proposed again, it comes after that.
+            // What was committed first is known here now: proposed again, this one comes after it.
             pending.remove(id);
-            timers.cancel(offerAgain);
+            timers.cancel(retryTimer);
             propose();
         }
 
         private void forget() {
             pending.remove(id);
             timers.cancel(timeout);
-            timers.cancel(offerAgain);
+            timers.cancel(retryTimer);
         }
     }
 }
--- a/src/main/java/pewtercourse/cluster/package-info.java
+++ b/src/main/java/pewtercourse/cluster/package-info.java
@@ -1,2 +1,6 @@
-/** A director as a member of a cluster: between sockets, disk and clock on one side, agreement and duties on the other. */
+/**
+ * A director as a member of a cluster: between sockets, storage and clock on the one side, and the pure cores for
+ * consensus, leases and failover on the other. {@link pewtercourse.cluster.ClusterMember} is the way in;
+ * {@link pewtercourse.cluster.ClusterHost} is what the director around it provides.
+ */
 package pewtercourse.cluster;
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.ConcurrentHistogram;
-import pewtercourse.cluster.Cluster;
 import pewtercourse.cluster.ClusterHost;
+import pewtercourse.cluster.ClusterMember;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
@@ -34,7 +34,7 @@
 
     private static final ClusterHost NOBODY = new ClusterHost() {
         @Override
-        public void agreed(Map<String, Long> out, Map<String, Long> back) {}
+        public void drainsChanged(Map<String, Long> drained, Map<String, Long> reinstated) {}
 
         @Override
         public String zoneOf(String target) {
@@ -47,10 +47,10 @@
         }
 
         @Override
-        public void part(double factor) {}
+        public void setQuotaFactor(double factor) {}
 
         @Override
-        public double coldWanted() {
+        public double wantedQuota() {
             return 0;
         }
     };
@@ -67,7 +67,7 @@
             }
             members.add(new JsonObject().put("name", "d" + i).put("address", HOST + ":" + ports.get(i)));
         }
-        List<Cluster> clusters = new ArrayList<>();
+        List<ClusterMember> clusters = new ArrayList<>();
         List<Context> loops = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Path file = Files.writeString(
@@ -85,7 +85,7 @@
             Context loop = vertx.getOrCreateContext(); // Another one each time, as this is no thread of the library's.
             loops.add(loop);
             loop.runOnContext(v -> {
-                Cluster c = new Cluster(vertx, config, NOBODY);
+                ClusterMember c = new ClusterMember(vertx, config, NOBODY);
                 clusters.add(c);
                 c.start().onComplete(r -> started.complete(null));
             });
@@ -112,7 +112,7 @@
                     times.getValueAtPercentile(99) / 1_000.0));
         }
         for (int i = 0; i < clusters.size(); i++) {
-            Cluster c = clusters.get(i);
+            ClusterMember c = clusters.get(i);
             loops.get(i).runOnContext(v -> c.close());
         }
         Thread.sleep(500);
@@ -120,14 +120,14 @@
         return t.toString();
     }
 
-    private static void call(Cluster c, int caller, long begin, long end, ConcurrentHistogram times, AtomicLong done) {
+    private static void call(ClusterMember c, int caller, long begin, long end, ConcurrentHistogram times, AtomicLong done) {
         long from = System.nanoTime();
         if (from >= end) {
             return;
         }
         boolean out = (done.get() & 1) == 0;
         String target = "c" + caller;
-        c.agree(() -> out
+        c.propose(() -> out
                         ? new Command.DrainCache(target, 1, c.state().lastWord(target))
                         : new Command.ReinstateCache(target, 1, c.state().lastWord(target)))
                 .onComplete(r -> {
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -97,7 +97,7 @@
         text.append("== ").append(title).append(": sites status\n");
         describe(text, report.sites(config.sites()));
         text.append("== ").append(title).append(": metrics\n");
-        report.figures(now, 1, 2, 3).keySet().forEach(name -> text.append(name).append('\n'));
+        report.metrics(now, 1, 2, 3).keySet().forEach(name -> text.append(name).append('\n'));
     }
 
     private static void describe(StringBuilder text, JsonObject json) {
