--- a/src/main/java/pewtercourse/cluster/LeaseDriver.java
+++ b/src/main/java/pewtercourse/cluster/LeaseDriver.java
@@ -58,8 +58,7 @@
     /** Begins with an empty state for a folder that was just opened; what the folder holds comes by {@link #restore}. */
     void open() {
         long firstCommandId = new SecureRandom().nextLong() >>> 16;
-        leaseManager =
-                new LeaseManager(config.duties(), config.name(), firstCommandId, host::zoneOf, host::zoneSize);
+        leaseManager = new LeaseManager(config.duties(), config.name(), firstCommandId, host::zoneOf, host::zoneSize);
         sites.configure(leaseManager);
         leaseManager.willing(eligible);
     }
--- a/src/main/java/pewtercourse/cluster/MemberLifecycle.java
+++ b/src/main/java/pewtercourse/cluster/MemberLifecycle.java
@@ -33,8 +33,7 @@
     private long diskFailures;
     private boolean closed;
 
-    MemberLifecycle(
-            MemberEnvironment environment, LeaseDriver leases, PendingProposals proposals, PendingReads reads) {
+    MemberLifecycle(MemberEnvironment environment, LeaseDriver leases, PendingProposals proposals, PendingReads reads) {
         this.environment = environment;
         this.config = environment.config();
         this.leases = leases;
@@ -129,10 +128,14 @@
         // From half of it to one and a half times: members that failed together don't all come back at once.
         long delayMs = reopenDelayMs / 2 + (long) (environment.random().nextDouble() * reopenDelayMs);
         reopenDelayMs = Math.min(REOPEN_MAX_MS, 2 * reopenDelayMs);
-        environment.timers().set(delayMs, () -> start().onFailure(e -> {
-            Log.warn("cluster.not_opened", "error", e);
-            reopen();
-        }));
+        environment
+                .timers()
+                .set(
+                        delayMs,
+                        () -> start().onFailure(e -> {
+                            Log.warn("cluster.not_opened", "error", e);
+                            reopen();
+                        }));
     }
 
     private void stop(String reason) {
--- a/src/main/java/pewtercourse/cluster/SiteDriver.java
+++ b/src/main/java/pewtercourse/cluster/SiteDriver.java
@@ -70,7 +70,8 @@
     /** Tells the director, and the log, what was agreed on sites since the last call. */
     void publish(ClusterState state) {
         FailoverState failover = state.failover();
-        if (sites == null || failover.version() == publishedFailover && state.absent().equals(publishedAbsent)) {
+        if (sites == null
+                || failover.version() == publishedFailover && state.absent().equals(publishedAbsent)) {
             return;
         }
         publishedFailover = failover.version();
--- a/src/main/java/pewtercourse/cluster/StorageWorker.java
+++ b/src/main/java/pewtercourse/cluster/StorageWorker.java
@@ -40,11 +40,7 @@
      * @param onFailure takes the first error
      */
     StorageWorker(
-            ExecutorService thread,
-            Context loop,
-            Store store,
-            LongConsumer onSaved,
-            Consumer<IOException> onFailure) {
+            ExecutorService thread, Context loop, Store store, LongConsumer onSaved, Consumer<IOException> onFailure) {
         this.thread = thread;
         this.loop = loop;
         this.store = store;
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -120,7 +120,8 @@
         return t.toString();
     }
 
-    private static void call(ClusterMember c, int caller, long begin, long end, ConcurrentHistogram times, AtomicLong done) {
+    private static void call(
+            ClusterMember c, int caller, long begin, long end, ConcurrentHistogram times, AtomicLong done) {
         long from = System.nanoTime();
         if (from >= end) {
             return;
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -10,7 +10,6 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -113,8 +112,8 @@
             typesByPath.computeIfAbsent(path, p -> new LinkedHashSet<>()).add(type(value));
         }
         if (value instanceof JsonObject object) {
-            object.forEach(
-                    field -> collect(typesByPath, path + (path.isEmpty() ? "" : ".") + field.getKey(), field.getValue()));
+            object.forEach(field ->
+                    collect(typesByPath, path + (path.isEmpty() ? "" : ".") + field.getKey(), field.getValue()));
         } else if (value instanceof JsonArray array) {
             array.forEach(element -> collect(typesByPath, path + "[]", element));
         }
@@ -144,17 +143,13 @@
     }
 
     private ClusterConfig config() throws Exception {
-        Path cluster = Files.writeString(
-                folder.resolve("cluster.json"),
-                """
+        Path cluster = Files.writeString(folder.resolve("cluster.json"), """
                 {"cluster": "c", "name": "d0", "listen": "127.0.0.1:7001", "data": "unused",
                  "members": [{"name": "d0", "address": "127.0.0.1:7001"}, {"name": "d1", "address": "127.0.0.1:7002"},
                              {"name": "d2", "address": "127.0.0.1:7003"}],
                  "duties": {"maintenance": {"most": 1}, "quota": {"reserve": 0.5}}}
                 """);
-        Path sites = Files.writeString(
-                folder.resolve("sites.json"),
-                """
+        Path sites = Files.writeString(folder.resolve("sites.json"), """
                 {"sites": [{"name": "s0", "hub": "h", "directors": ["d0"], "capacity": 12.5, "takers": [{"site": "s1"}]},
                            {"name": "s1", "hub": "h", "directors": ["d1"], "capacity": 12.5, "takers": [{"site": "s0"}]}]}
                 """);
@@ -197,7 +192,8 @@
         apply(
                 duties,
                 new Command.ChangeSiteStatus(
-                        new FailoverController.Declaration("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0), 3));
+                        new FailoverController.Declaration("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0),
+                        3));
         FailoverPlan.Shares shares = new FailoverPlan.Shares(List.of(new FailoverPlan.Part("s1", 2.5, 3.5)), 0.5);
         FailoverPlan plan = new FailoverPlan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
         apply(duties, new Command.PublishFailoverPlan(plan, 3));
--- /dev/null
+++ b/src/test/java/pewtercourse/cluster/MemberProcess.java
@@ -0,0 +1,181 @@
+package pewtercourse.cluster;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.json.JsonObject;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Queue;
+
+/** One director as a process of the program, a member of the cluster under test, and the calls that operators make of it. */
+final class MemberProcess {
+    private static final int CALL_TIMEOUT_MS = 4_000;
+    private static final String OK = "HTTP/1.1 200";
+    private static final String END_OF_HEADERS = "\r\n\r\n";
+
+    final int number;
+    final String name;
+    final int clusterPort;
+    final int adminPort;
+    final int clientPort;
+    final Path directorConfig;
+    Path clusterConfig;
+    Path dataFolder;
+    int maxFileKilobytes; // 0: any.
+    Process process;
+    private final Map<String, String> environment;
+    private final Queue<String> log;
+
+    /** {@code environment}: besides the usual; {@code log}: takes what the process writes, each line after the member's name. */
+    MemberProcess(int number, Path folder, Map<String, String> environment, Queue<String> log) throws IOException {
+        this.number = number;
+        this.name = "d" + number;
+        this.clusterPort = TestPorts.unused();
+        this.adminPort = TestPorts.unused();
+        this.clientPort = TestPorts.unused();
+        this.directorConfig = folder.resolve("config-" + name + ".json");
+        this.dataFolder = folder.resolve("data-" + name);
+        this.environment = environment;
+        this.log = log;
+    }
+
+    void start() throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(command()).redirectErrorStream(true);
+        builder.environment().put("GW_CONFIG", directorConfig.toString());
+        builder.environment().put("GW_CLUSTER", clusterConfig.toString());
+        builder.environment().put("GW_ADMIN_ADDR", adminAddress());
+        builder.environment().putAll(environment);
+        builder.environment().remove("TMPDIR"); // Two processes of one director share a file there.
+        process = builder.start();
+        Process started = process;
+        Thread reader = new Thread(() -> started.inputReader().lines().forEach(line -> log.add(name + " " + line)));
+        reader.setDaemon(true);
+        reader.start();
+    }
+
+    private List<String> command() {
+        List<String> command = new ArrayList<>();
+        if (maxFileKilobytes > 0) {
+            command.addAll(List.of("bash", "-c", "ulimit -f " + maxFileKilobytes + "; exec \"$@\"", "limited"));
+        }
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx96m",
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-XX:-UsePerfData",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "pewtercourse.Main",
+                "serve"));
+        return command;
+    }
+
+    void kill() throws Exception {
+        process.destroyForcibly().waitFor();
+    }
+
+    void signal(String signal) throws Exception {
+        String pid = String.valueOf(process.pid());
+        assertEquals(0, new ProcessBuilder("kill", "-" + signal, pid).start().waitFor());
+    }
+
+    boolean isRunning() {
+        return process != null && process.isAlive();
+    }
+
+    String adminAddress() {
+        return ClusterProcesses.HOST + ":" + adminPort;
+    }
+
+    String clientAddress() {
+        return ClusterProcesses.HOST + ":" + clientPort;
+    }
+
+    /** The whole response of the operators' address. {@code request}: method and path. */
+    String call(String request, String body) throws IOException {
+        try (Socket socket = new Socket(ClusterProcesses.HOST, adminPort)) {
+            socket.setSoTimeout(CALL_TIMEOUT_MS);
+            String head = request + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + END_OF_HEADERS;
+            socket.getOutputStream().write((head + body).getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    /** False also where it does not answer in time. */
+    boolean post(String path, String body) {
+        try {
+            return call("POST " + path, body).startsWith(OK);
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    /** Null where it does not answer in time. */
+    private JsonObject get(String path) {
+        try {
+            String response = call("GET " + path, "");
+            return response.startsWith(OK)
+                    ? new JsonObject(response.substring(response.indexOf(END_OF_HEADERS) + END_OF_HEADERS.length()))
+                    : null;
+        } catch (IOException | RuntimeException e) {
+            return null;
+        }
+    }
+
+    /** Null where it does not answer in time. */
+    JsonObject status() {
+        return get("/cluster/status");
+    }
+
+    /** Whether the director serves, whatever its cluster does. */
+    boolean isServing() throws IOException {
+        return call("GET /status", "").startsWith(OK);
+    }
+
+    boolean enterMaintenance(String cache) {
+        return post("/maintenance/enter", "{\"target\":\"" + cache + "\"}");
+    }
+
+    boolean exitMaintenance(String cache) {
+        return post("/maintenance/exit", "{\"target\":\"" + cache + "\"}");
+    }
+
+    /** What is committed on a site, as this member knows it, or null. */
+    JsonObject site(String site) {
+        JsonObject status = get("/sites/status");
+        return status == null
+                ? null
+                : status.getJsonArray("sites").stream()
+                        .map(JsonObject.class::cast)
+                        .filter(candidate -> candidate.getString("site").equals(site))
+                        .findFirst()
+                        .orElse(null);
+    }
+
+    boolean isDrained(String cache) {
+        JsonObject status = status();
+        return status != null
+                && status.getBoolean("open")
+                && status.getJsonObject("out").containsKey(cache);
+    }
+
+    /** How many caches this director routes around, by its metric; -1 where it does not answer. */
+    int outOfRotation() {
+        try {
+            return call("GET /status/metrics", "")
+                    .lines()
+                    .filter(line -> line.startsWith("out_of_rotation="))
+                    .mapToInt(line -> Integer.parseInt(line.split("=")[1]))
+                    .findFirst()
+                    .orElse(-1);
+        } catch (IOException e) {
+            return -1;
+        }
+    }
+}
--- a/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
+++ b/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static pewtercourse.GoldenText.assertRecorded;
-import static pewtercourse.cluster.ClusterProcesses.until;
+import static pewtercourse.cluster.ClusterProcesses.await;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -65,7 +65,7 @@
     Path folder;
 
     private final StringBuilder report = new StringBuilder();
-    private ClusterProcesses fleet;
+    private ClusterProcesses cluster;
     private Emulation emulation;
 
     @AfterEach
@@ -74,20 +74,20 @@
             emulation.endClients();
             emulation.close();
         }
-        fleet.close();
+        cluster.close();
     }
 
     /** A director without a cluster: one that was given no member's file. */
-    private ClusterProcesses.Member startAlone() throws Exception {
-        fleet = new ClusterProcesses("interfaces-alone", folder, 1, ClusterProcesses.settings(new JsonObject()));
-        ClusterProcesses.Member alone = fleet.members.get(0);
-        fleet.environment.put("GW_CLUSTER", "");
+    private MemberProcess startAlone() throws Exception {
+        cluster = new ClusterProcesses("interfaces-alone", folder, 1, ClusterProcesses.settings(new JsonObject()));
+        MemberProcess alone = cluster.members.get(0);
+        cluster.environment.put("GW_CLUSTER", "");
         alone.start();
-        until("it serves", () -> serves(alone));
+        await("it serves", () -> serves(alone));
         return alone;
     }
 
-    private static boolean serves(ClusterProcesses.Member member) {
+    private static boolean serves(MemberProcess member) {
         try {
             return member.call("GET /status", "").startsWith("HTTP/1.1 200");
         } catch (IOException e) {
@@ -97,7 +97,7 @@
 
     @Test
     void pathsAndMetricsOfADirectorAlone() throws Exception {
-        ClusterProcesses.Member alone = startAlone();
+        MemberProcess alone = startAlone();
         recordMetrics("alone", alone);
         recordMethods(alone);
         for (String body :
@@ -122,14 +122,14 @@
 
     @Test
     void pathsKeysAndMetricsOfAMember() throws Exception {
-        startFleet();
-        ClusterProcesses.Member leader = fleet.awaitLeader(fleet.members);
-        ClusterProcesses.Member follower = fleet.but(leader).get(0);
+        startCluster();
+        MemberProcess leader = cluster.awaitLeader(cluster.members);
+        MemberProcess follower = cluster.except(leader).get(0);
         recordMetrics("leader", leader);
         recordMetrics("follower", follower);
         recordMethods(leader);
         recordRefusedCalls(leader);
-        until("out", () -> leader.enter(CACHE));
+        await("out", () -> leader.enterMaintenance(CACHE));
         assertEquals(503, status(leader.call("POST /maintenance/enter", target(NEIGHBOUR))));
         recordShapes();
         recordAgreed(leader, "/maintenance/enter", target(CACHE));
@@ -145,8 +145,8 @@
         assertRecorded("operators-member.txt", report.toString());
     }
 
-    private void startFleet() throws Exception {
-        fleet = new ClusterProcesses(
+    private void startCluster() throws Exception {
+        cluster = new ClusterProcesses(
                 "interfaces",
                 folder,
                 3,
@@ -154,38 +154,38 @@
                         .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 60_000))
                         .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500))));
         List<Emulation.SiteSpec> specs = new ArrayList<>();
-        for (ClusterProcesses.Member member : fleet.members) {
-            List<String> directors = new ArrayList<>(List.of(ClusterProcesses.HOST + ":" + member.listen));
-            fleet.but(member).forEach(other -> directors.add(ClusterProcesses.HOST + ":" + other.listen));
+        for (MemberProcess member : cluster.members) {
+            List<String> directors = new ArrayList<>(List.of(member.clientAddress()));
+            cluster.except(member).forEach(other -> directors.add(other.clientAddress()));
             specs.add(new Emulation.SiteSpec("s" + member.number, 2, 6, 20, directors));
         }
         emulation = new Emulation(specs, 7);
-        fleet.configure(member ->
-                emulation.config(member.name, "s" + member.number, ClusterProcesses.HOST + ":" + member.listen));
+        cluster.configureDirectors(
+                member -> emulation.config(member.name, "s" + member.number, member.clientAddress()));
         Path sites = folder.resolve("sites.json");
         Files.writeString(sites, sites().encode());
-        fleet.environment.put("GW_SITES", sites.toString());
-        CompletableFuture<?>[] founded = fleet.members.stream()
-                .map(member -> CompletableFuture.runAsync(() -> found(member)))
+        cluster.environment.put("GW_SITES", sites.toString());
+        CompletableFuture<?>[] initialized = cluster.members.stream()
+                .map(member -> CompletableFuture.runAsync(() -> initFolder(member)))
                 .toArray(CompletableFuture<?>[]::new);
-        CompletableFuture.allOf(founded).join();
-        fleet.start();
+        CompletableFuture.allOf(initialized).join();
+        cluster.start();
         for (String held : List.of("maintenance", "quota", "sites")) {
-            fleet.awaitHolder(held, fleet.members);
+            cluster.awaitLeaseHolder(held, cluster.members);
         }
-        until("they serve", () -> fleet.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
+        await("they serve", () -> cluster.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
         emulation.startClients();
-        until(
+        await(
                 "a plan for what clients ask for",
-                () -> fleet.members.stream().allMatch(member -> {
+                () -> cluster.members.stream().allMatch(member -> {
                     JsonObject site = member.site("s0");
                     return site != null && !site.getJsonArray("takers").isEmpty();
                 }));
     }
 
-    private void found(ClusterProcesses.Member member) {
+    private void initFolder(MemberProcess member) {
         try {
-            fleet.found(member);
+            cluster.initFolder(member);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -193,9 +193,9 @@
 
     private JsonObject sites() {
         JsonArray all = new JsonArray();
-        for (ClusterProcesses.Member member : fleet.members) {
+        for (MemberProcess member : cluster.members) {
             JsonArray takers = new JsonArray();
-            fleet.but(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
+            cluster.except(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
             all.add(new JsonObject()
                     .put("name", "s" + member.number)
                     .put("directors", new JsonArray().add(member.name))
@@ -205,7 +205,7 @@
         return new JsonObject().put("sites", all);
     }
 
-    private void recordRefusedCalls(ClusterProcesses.Member member) throws IOException {
+    private void recordRefusedCalls(MemberProcess member) throws IOException {
         for (String path : PATHS.stream()
                 .filter(path -> path.matches("/(cluster|sites)/.+"))
                 .toList()) {
@@ -232,8 +232,8 @@
     }
 
     /** A call that a majority has to agree to: called again while that takes longer than a call waits. */
-    private void recordAgreed(ClusterProcesses.Member member, String path, String body) throws Exception {
-        until(path + " is agreed", () -> {
+    private void recordAgreed(MemberProcess member, String path, String body) throws Exception {
+        await(path + " is agreed", () -> {
             try {
                 return status(member.call("POST " + path, body)) != 503;
             } catch (IOException e) {
@@ -247,11 +247,11 @@
     private void recordShapes() throws Exception {
         List<JsonObject> statuses = new ArrayList<>();
         List<JsonObject> sites = new ArrayList<>();
-        until("statuses with a leader, holders and a plan", () -> {
+        await("statuses with a leader, holders and a plan", () -> {
             statuses.clear();
             sites.clear();
             try {
-                for (ClusterProcesses.Member member : fleet.members) {
+                for (MemberProcess member : cluster.members) {
                     statuses.add(json(member.call("GET /cluster/status", "")));
                     sites.add(json(member.call("GET /sites/status", "")));
                 }
@@ -271,7 +271,7 @@
         return new JsonObject(answer.substring(answer.indexOf("\r\n\r\n") + 4));
     }
 
-    private void recordMetrics(String whose, ClusterProcesses.Member member) throws IOException {
+    private void recordMetrics(String whose, MemberProcess member) throws IOException {
         String answer = member.call("GET /status/metrics", "");
         report.append("metrics of ").append(whose).append(": ");
         report.append(answer.substring(answer.indexOf("\r\n\r\n") + 4)
@@ -282,7 +282,7 @@
     }
 
     /** Each path with each method, but for calls that would change something. */
-    private void recordMethods(ClusterProcesses.Member member) throws IOException {
+    private void recordMethods(MemberProcess member) throws IOException {
         for (String path : PATHS) {
             for (String method : List.of("GET", "POST", "PUT", "DELETE", "HEAD")) {
                 if (!method.equals("POST") || !CHANGING.contains(path)) {
@@ -292,7 +292,7 @@
         }
     }
 
-    private void record(ClusterProcesses.Member member, String method, String path, String body) throws IOException {
+    private void record(MemberProcess member, String method, String path, String body) throws IOException {
         String answer = member.call(method + " " + path, body);
         int status = status(answer);
         int head = answer.indexOf("\r\n\r\n");
@@ -327,8 +327,8 @@
         return new JsonObject().put("name", name).encode();
     }
 
-    private static String send(ClusterProcesses.Member member, String text) throws IOException {
-        try (Socket socket = new Socket(ClusterProcesses.HOST, member.admin)) {
+    private static String send(MemberProcess member, String text) throws IOException {
+        try (Socket socket = new Socket(ClusterProcesses.HOST, member.adminPort)) {
             socket.setSoTimeout(30_000);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pewtercourse.cluster.ClusterProcesses.until;
+import static pewtercourse.cluster.ClusterProcesses.await;
 
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Directors as processes, under faults drawn by a seed, while operators take caches out and back at any of them. More
+ * Directors as processes, under faults drawn by a seed, while operators drain and reinstate caches at any of them. More
  * seeds than here: {@code mvn -Dtest=RandomFaultTest -Dfault.first=100 -Dfault.seeds=50 test}.
  */
 class RandomFaultTest {
@@ -29,10 +29,39 @@
             .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
             .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
 
+    /** What is done to one or two members. */
+    private enum Fault {
+        KILL,
+        STOP,
+        CUT_OFF,
+        CUT_OFF_SENDING,
+        CUT_OFF_RECEIVING,
+        SLOW_LINKS,
+        STOP_ONE_KILL_ANOTHER,
+        KILL_ALL;
+
+        boolean leavesMajority() {
+            return this != STOP_ONE_KILL_ANOTHER && this != KILL_ALL;
+        }
+    }
+
+    /** Each is drawn as often as it stands here; the order belongs to what a seed means. */
+    private static final List<Fault> DRAWN = List.of(
+            Fault.KILL,
+            Fault.KILL,
+            Fault.STOP,
+            Fault.STOP,
+            Fault.CUT_OFF,
+            Fault.CUT_OFF_SENDING,
+            Fault.CUT_OFF_RECEIVING,
+            Fault.SLOW_LINKS,
+            Fault.STOP_ONE_KILL_ANOTHER,
+            Fault.KILL_ALL);
+
     @TempDir
     Path folder;
 
-    private ClusterProcesses fleet;
+    private ClusterProcesses cluster;
     private Random random;
     private final List<String> script = new ArrayList<>();
 
@@ -43,104 +72,113 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void throughAnyFaultsWhatWasAnsweredHoldsAndAllComesBack(long seed) throws Exception {
+    void whatWasAcceptedHoldsThroughAnyFaultsAndAllRecover(long seed) throws Exception {
         random = new Random(seed);
-        fleet = new ClusterProcesses("random-" + seed, folder, 3, SETTINGS);
+        cluster = new ClusterProcesses("random-" + seed, folder, 3, SETTINGS);
         try {
-            fleet.found();
-            fleet.start();
-            fleet.awaitLeader(fleet.members);
-            RandomOperators words = new RandomOperators(fleet, seed, CACHES);
+            cluster.initFolders();
+            cluster.start();
+            cluster.awaitLeader(cluster.members);
+            RandomOperators operators = new RandomOperators(cluster, seed, CACHES);
             for (int i = 0; i < FAULTS; i++) {
-                fault();
+                injectFaultAndRecover();
             }
-            assertEquals(List.of(), words.end(), "seed " + seed + ": " + script);
-            assertTrue(words.compared() > 0, "seed " + seed + ": no answer was ever compared");
-            wellAgain();
-            Map<String, Boolean> sure = words.sure();
-            until("all go by what was answered: " + sure + " after " + script, () -> {
-                JsonObject s = fleet.confirmed(fleet.members);
-                return s != null
-                        && sure.entrySet().stream()
-                                .allMatch(e -> s.getJsonObject("out").containsKey(e.getKey()) == e.getValue());
-            });
+            assertEquals(List.of(), operators.end(), "seed " + seed + ": " + script);
+            assertTrue(operators.comparisons() > 0, "seed " + seed + ": no answer was ever compared");
+            awaitRecovery();
+            awaitDrains(operators.expectedDrains());
         } catch (AssertionError e) {
             throw new AssertionError("seed " + seed + ", " + script + ": " + e.getMessage(), e);
         } finally {
-            fleet.close();
+            cluster.close();
         }
-        ClusterFaultTest.checkActs(fleet.log);
+        LeaseActionLog.check(cluster.log);
+    }
+
+    private void awaitDrains(Map<String, Boolean> expected) throws InterruptedException {
+        await("all go by what was accepted: " + expected + " after " + script, () -> {
+            JsonObject status = cluster.confirmedStatus(cluster.members);
+            return status != null
+                    && expected.entrySet().stream()
+                            .allMatch(cache ->
+                                    status.getJsonObject("out").containsKey(cache.getKey()) == cache.getValue());
+        });
     }
 
     // One or two members are hurt, and are well again before the next fault.
-    private void fault() throws Exception {
-        List<ClusterProcesses.Member> order = new ArrayList<>(fleet.members);
+    private void injectFaultAndRecover() throws Exception {
+        List<MemberProcess> order = new ArrayList<>(cluster.members);
         Collections.shuffle(order, random);
-        ClusterProcesses.Member m = order.get(0);
-        int kind = random.nextInt(10);
-        boolean majority = kind != 8 && kind != 9;
-        script.add(kind + " " + order.get(0).name + order.get(1).name);
-        switch (kind) {
-            case 0, 1 -> m.kill();
-            case 2, 3 -> m.signal("STOP");
-            case 4 -> fleet.cutOff(m, false, false);
-            case 5 -> fleet.cutOff(m, random.nextBoolean(), false);
-            case 6 -> {
-                fleet.cutOff(m, false, true);
+        Fault fault = DRAWN.get(random.nextInt(DRAWN.size()));
+        script.add(fault + " " + order.get(0).name + order.get(1).name);
+        inject(fault, order);
+        if (fault.leavesMajority()) {
+            List<MemberProcess> majority = fault == Fault.SLOW_LINKS ? cluster.members : cluster.except(order.get(0));
+            cluster.awaitLeader(majority);
+            cluster.awaitLeaseHolder("maintenance", majority);
+        } else if (fault == Fault.STOP_ONE_KILL_ANOTHER) {
+            assertServesWithoutMajority(order.get(2));
+        }
+        for (MemberProcess member : cluster.members) {
+            if (member.process.isAlive()) {
+                member.signal("CONT");
+            } else {
+                member.start();
             }
-            case 7 ->
-                order.subList(1, 3).forEach(o -> {
-                    fleet.link(m, o).delay(1 + random.nextInt(30));
-                    fleet.link(o, m).slow(300 + random.nextInt(2_000));
-                    fleet.link(m, o).reset();
-                });
-            case 8 -> {
-                m.signal("STOP");
+        }
+        cluster.healLinks();
+        awaitRecovery();
+    }
+
+    private void inject(Fault fault, List<MemberProcess> order) throws Exception {
+        MemberProcess member = order.get(0);
+        switch (fault) {
+            case KILL -> member.kill();
+            case STOP -> member.signal("STOP");
+            case CUT_OFF -> cluster.partition(member, false, false);
+            case CUT_OFF_SENDING -> cluster.partition(member, random.nextBoolean(), false);
+            case CUT_OFF_RECEIVING -> cluster.partition(member, false, true);
+            case SLOW_LINKS -> order.subList(1, 3).forEach(other -> slowLinks(member, other));
+            case STOP_ONE_KILL_ANOTHER -> {
+                member.signal("STOP");
                 order.get(1).kill();
             }
-            default -> {
-                for (ClusterProcesses.Member x : order) {
-                    x.kill();
+            case KILL_ALL -> {
+                for (MemberProcess each : order) {
+                    each.kill();
                 }
             }
         }
-        List<ClusterProcesses.Member> rest = kind == 7 ? fleet.members : fleet.but(m);
-        if (majority) {
-            fleet.awaitLeader(rest);
-            fleet.awaitHolder("maintenance", rest);
-        } else if (kind == 8) {
-            ClusterProcesses.Member alone = order.get(2);
-            until("the one that is left has no majority", () -> {
-                JsonObject s = alone.status();
-                return s != null && s.getValue("leader") == null;
-            });
-            assertTrue(alone.call("GET /status", "").startsWith("HTTP/1.1 200"), "and serves on");
-        }
-        for (ClusterProcesses.Member x : fleet.members) {
-            if (x.process.isAlive()) {
-                x.signal("CONT");
-            } else {
-                x.start();
-            }
-        }
-        fleet.mend();
-        wellAgain();
     }
 
-    private void wellAgain() throws InterruptedException {
-        fleet.awaitLeader(fleet.members);
-        fleet.awaitHolder("maintenance", fleet.members);
-        fleet.awaitHolder("quota", fleet.members);
-        until("all know what is agreed", () -> {
+    private void slowLinks(MemberProcess member, MemberProcess other) {
+        cluster.link(member, other).delay(1 + random.nextInt(30));
+        cluster.link(other, member).slow(300 + random.nextInt(2_000));
+        cluster.link(member, other).reset();
+    }
+
+    private static void assertServesWithoutMajority(MemberProcess survivor) throws Exception {
+        await("the one that is left has no majority", () -> {
+            JsonObject status = survivor.status();
+            return status != null && status.getValue("leader") == null;
+        });
+        assertTrue(survivor.isServing(), "and serves on");
+    }
+
+    private void awaitRecovery() throws InterruptedException {
+        cluster.awaitLeader(cluster.members);
+        cluster.awaitLeaseHolder("maintenance", cluster.members);
+        cluster.awaitLeaseHolder("quota", cluster.members);
+        await("all know what is committed", () -> {
             Set<String> leaders = new TreeSet<>();
-            for (ClusterProcesses.Member m : fleet.members) {
-                JsonObject s = m.status();
-                if (s == null
-                        || s.getString("leader") == null
-                        || s.getJsonObject("out").size() > 1) {
+            for (MemberProcess member : cluster.members) {
+                JsonObject status = member.status();
+                if (status == null
+                        || status.getString("leader") == null
+                        || status.getJsonObject("out").size() > 1) {
                     return false;
                 }
-                leaders.add(s.getString("leader"));
+                leaders.add(status.getString("leader"));
             }
             return leaders.size() == 1;
         });
--- a/src/test/java/pewtercourse/cluster/RandomOperators.java
+++ b/src/test/java/pewtercourse/cluster/RandomOperators.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -12,107 +13,105 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Operators that take caches out and back while parts fail, one after the other for each cache. What was answered with a
- * yes must be what a confirmed leader then says, until something else is asked for; after a no, or none, either may be.
+ * Operators that drain caches and reinstate them while parts fail, one call after the other for each cache. What was
+ * accepted must be what a confirmed leader then says, until something else is asked for; after a rejection, or no answer,
+ * either may be.
  */
 final class RandomOperators implements AutoCloseable {
-    /** What an operator knows of one cache: out, in, or (null) either. */
-    private static final class Known {
-        private Boolean out;
+    /** What an operator knows of one cache. Written by its thread, read by others once that has ended. */
+    private static final class KnownState {
+        private Optional<Boolean> drained = Optional.empty();
 
         void asked() {
-            out = null;
+            drained = Optional.empty();
         }
 
-        void answered(boolean yes, boolean wanted) {
-            out = yes ? wanted : null;
+        void answered(boolean accepted, boolean wantedDrained) {
+            drained = accepted ? Optional.of(wantedDrained) : Optional.empty();
         }
     }
 
-    private final ClusterProcesses fleet;
-    private final List<Thread> clients = new ArrayList<>();
-    private final Map<String, Known> known = new TreeMap<>();
-    private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
-    private volatile boolean over;
-    private volatile int said, compared;
+    private final ClusterProcesses cluster;
+    private final List<Thread> operators = new ArrayList<>();
+    private final Map<String, KnownState> knownByCache = new TreeMap<>();
+    private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
+    private volatile boolean ended;
+    private volatile int comparisons;
 
     /** One operator for each of the caches. */
-    RandomOperators(ClusterProcesses fleet, long seed, String... caches) {
-        this.fleet = fleet;
+    RandomOperators(ClusterProcesses cluster, long seed, String... caches) {
+        this.cluster = cluster;
         for (String cache : caches) {
-            known.put(cache, new Known());
+            knownByCache.put(cache, new KnownState());
         }
         for (String cache : caches) {
-            Thread t = new Thread(() -> speak(new Random(seed * 31 + cache.hashCode()), cache), "words " + cache);
-            t.setDaemon(true);
-            clients.add(t);
-            t.start();
+            Random random = new Random(seed * 31 + cache.hashCode());
+            Thread operator = new Thread(() -> operate(random, cache), "operator " + cache);
+            operator.setDaemon(true);
+            operators.add(operator);
+            operator.start();
         }
     }
 
-    private void speak(Random random, String cache) {
-        Known k = known.get(cache);
-        while (!over) {
-            List<ClusterProcesses.Member> up = fleet.members.stream()
-                    .filter(m -> m.process != null && m.process.isAlive())
-                    .toList();
-            if (up.isEmpty()) {
+    private void operate(Random random, String cache) {
+        KnownState known = knownByCache.get(cache);
+        while (!ended) {
+            List<MemberProcess> running =
+                    cluster.members.stream().filter(MemberProcess::isRunning).toList();
+            if (running.isEmpty()) {
                 continue;
             }
-            ClusterProcesses.Member m = up.get(random.nextInt(up.size()));
-            boolean out = random.nextBoolean();
-            k.asked();
-            boolean yes = out ? m.enter(cache) : m.exit(cache);
-            k.answered(yes, out);
-            said++;
-            compare(cache, k, m);
+            MemberProcess member = running.get(random.nextInt(running.size()));
+            boolean drain = random.nextBoolean();
+            known.asked();
+            boolean accepted = drain ? member.enterMaintenance(cache) : member.exitMaintenance(cache);
+            known.answered(accepted, drain);
+            compare(cache, known, member);
         }
     }
 
-    private void compare(String cache, Known k, ClusterProcesses.Member by) {
-        JsonObject s = k.out == null ? null : fleet.confirmed(fleet.members);
-        if (s != null) {
-            compared++;
-            Set<String> out = new TreeSet<>(s.getJsonObject("out").fieldNames());
-            if (out.size() > 1) {
-                wrong.add("more are out than the maintenance budget allows: " + s);
-            }
-            if (out.contains(cache) != k.out) {
-                wrong.add(cache + " is " + (k.out ? "in, and " : "out, and ") + by.name
-                        + " had said yes to the contrary: " + s);
-            }
+    private void compare(String cache, KnownState known, MemberProcess acceptedBy) {
+        JsonObject status = known.drained.isEmpty() ? null : cluster.confirmedStatus(cluster.members);
+        if (status == null) {
+            return;
+        }
+        comparisons++;
+        boolean expected = known.drained.get();
+        Set<String> drained = new TreeSet<>(status.getJsonObject("out").fieldNames());
+        if (drained.size() > 1) {
+            violations.add("more are out than the maintenance budget allows: " + status);
+        }
+        if (drained.contains(cache) != expected) {
+            violations.add(cache + " is " + (expected ? "in, and " : "out, and ") + acceptedBy.name
+                    + " had accepted the contrary: " + status);
         }
     }
 
-    int compared() {
-        return compared;
+    int comparisons() {
+        return comparisons;
     }
 
-    /** Ends the calls and tells what was wrong, empty if nothing was. */
+    /** Ends the calls and returns what was wrong, empty if nothing was. */
     List<String> end() throws InterruptedException {
-        over = true;
-        for (Thread t : clients) {
-            t.join(TimeUnit.SECONDS.toMillis(30));
+        ended = true;
+        for (Thread operator : operators) {
+            operator.join(TimeUnit.SECONDS.toMillis(30));
         }
-        return List.copyOf(wrong);
+        return List.copyOf(violations);
     }
 
-    /** What must be seen everywhere once all is well again: by cache, out or in; without those that may be either. */
-    Map<String, Boolean> sure() {
-        Map<String, Boolean> sure = new TreeMap<>();
-        known.forEach((cache, k) -> {
-            if (k.out != null) {
-                sure.put(cache, k.out);
-            }
-        });
-        return sure;
+    /** What must be seen everywhere once all faults are over: by cache, whether it is drained; without those that may be either. */
+    Map<String, Boolean> expectedDrains() {
+        Map<String, Boolean> expected = new TreeMap<>();
+        knownByCache.forEach((cache, known) -> known.drained.ifPresent(drained -> expected.put(cache, drained)));
+        return expected;
     }
 
     @Override
     public void close() throws InterruptedException {
-        List<String> all = end();
-        if (!all.isEmpty()) {
-            throw new AssertionError(String.join("\n", all));
+        List<String> found = end();
+        if (!found.isEmpty()) {
+            throw new AssertionError(String.join("\n", found));
         }
     }
 }
--- a/src/test/java/pewtercourse/cluster/Relay.java
+++ b/src/test/java/pewtercourse/cluster/Relay.java
@@ -11,24 +11,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One link between two processes: what comes to its port goes on to another. It can be cut (nothing is carried and nobody
- * is told, in one direction or both), delayed, reset, or pass bytes slowly.
+ * One link between two processes: what comes to its port is forwarded to another. It can be cut (nothing is carried and
+ * nobody is told, in one direction or both), delayed, reset, or slowed down.
  */
 final class Relay {
-    static final String HOST = "127.0.0.1";
+    private static final int UNLIMITED = Integer.MAX_VALUE;
 
     private final Vertx vertx;
-    private final int to;
+    private final int targetPort;
     private final NetServer server;
-    private final Set<NetSocket> open = ConcurrentHashMap.newKeySet();
-    private volatile boolean cutThere, cutBack;
+    private final Set<NetSocket> sockets = ConcurrentHashMap.newKeySet();
+    private volatile boolean forwardCut;
+    private volatile boolean backwardCut;
     private volatile long delayMs;
-    private volatile int pieces = Integer.MAX_VALUE;
+    private volatile int bytesPerMs = UNLIMITED;
 
-    Relay(Vertx vertx, int to) throws Exception {
+    Relay(Vertx vertx, int targetPort) throws Exception {
         this.vertx = vertx;
-        this.to = to;
-        server = vertx.createNetServer(new NetServerOptions().setHost(HOST).setPort(0));
+        this.targetPort = targetPort;
+        server = vertx.createNetServer(
+                new NetServerOptions().setHost(ClusterProcesses.HOST).setPort(0));
         server.connectHandler(this::accept);
         server.listen().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
     }
@@ -38,77 +40,84 @@
     }
 
     private void accept(NetSocket from) {
-        open.add(from);
+        sockets.add(from);
         from.pause();
         vertx.createNetClient()
-                .connect(SocketAddress.inetSocketAddress(to, HOST))
-                .onComplete(c -> {
-                    if (c.failed()) {
-                        open.remove(from);
+                .connect(SocketAddress.inetSocketAddress(targetPort, ClusterProcesses.HOST))
+                .onComplete(connected -> {
+                    if (connected.failed()) {
+                        sockets.remove(from);
                         from.close();
                         return;
                     }
-                    NetSocket on = c.result();
-                    open.add(on);
-                    pipe(from, on, false);
-                    pipe(on, from, true);
+                    NetSocket to = connected.result();
+                    sockets.add(to);
+                    pipe(from, to, false);
+                    pipe(to, from, true);
                     from.resume();
                 });
     }
 
-    private void pipe(NetSocket from, NetSocket on, boolean back) {
+    private boolean isCut(boolean backward) {
+        return backward ? backwardCut : forwardCut;
+    }
+
+    private void pipe(NetSocket from, NetSocket to, boolean backward) {
         from.exceptionHandler(e -> {});
         from.closeHandler(v -> {
-            open.remove(from);
-            if (!(back ? cutBack : cutThere)) {
-                on.close();
+            sockets.remove(from);
+            if (!isCut(backward)) {
+                to.close();
             }
         });
-        from.handler(b -> {
-            if (back ? cutBack : cutThere) {
-                return; // Lost, and nobody is told.
-            }
-            for (int at = 0, n = 0; at < b.length(); at += pieces, n++) {
-                Buffer piece = b.getBuffer(at, (int) Math.min(b.length(), (long) at + pieces));
-                long wait = delayMs + n; // A piece a millisecond.
-                if (wait == 0) {
-                    on.write(piece);
-                } else {
-                    vertx.setTimer(wait, t -> on.write(piece));
-                }
-                if (pieces == Integer.MAX_VALUE) {
-                    break;
-                }
+        from.handler(buffer -> {
+            if (!isCut(backward)) { // Else it is lost, and nobody is told.
+                forward(buffer, to);
             }
         });
     }
 
-    /** Bytes are lost on the way there, or back, or both; what has been lost breaks the stream once it is mended. */
-    void cut(boolean there, boolean back) {
-        cutThere = there;
-        cutBack = back;
-        if (!there && !back) {
+    private void forward(Buffer buffer, NetSocket to) {
+        int pieceLength = bytesPerMs;
+        long waitMs = delayMs;
+        for (int from = 0; from < buffer.length(); from = (int) Math.min(buffer.length(), (long) from + pieceLength)) {
+            Buffer piece = buffer.getBuffer(from, (int) Math.min(buffer.length(), (long) from + pieceLength));
+            if (waitMs == 0) {
+                to.write(piece);
+            } else {
+                vertx.setTimer(waitMs, timer -> to.write(piece));
+            }
+            waitMs++; // A piece a millisecond.
+        }
+    }
+
+    /** Bytes are lost forward, or backward, or both ways; what has been lost breaks the stream once the link is whole again. */
+    void cut(boolean forward, boolean backward) {
+        forwardCut = forward;
+        backwardCut = backward;
+        if (!forward && !backward) {
             reset();
         }
     }
 
-    void delay(long ms) {
-        delayMs = ms;
+    void delay(long milliseconds) {
+        delayMs = milliseconds;
     }
 
     /** So many bytes at a time, one such piece a millisecond. */
-    void slow(int bytes) {
-        pieces = bytes;
+    void slow(int pieceBytes) {
+        bytesPerMs = pieceBytes;
     }
 
     void reset() {
-        open.forEach(NetSocket::close);
-        open.clear();
+        sockets.forEach(NetSocket::close);
+        sockets.clear();
     }
 
-    void mend() {
+    /** Carries everything at once again. */
+    void heal() {
         delayMs = 0;
-        pieces = Integer.MAX_VALUE;
+        bytesPerMs = UNLIMITED;
         cut(false, false);
     }
 }
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -3,10 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pewtercourse.cluster.ClusterProcesses.until;
+import static pewtercourse.cluster.ClusterProcesses.await;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -23,7 +24,7 @@
 /**
  * Three sites with a director each, as processes of the program, a relay on each link between them, emulated caches and
  * clients, and sites lost. After each script: one answer to each request, no order twice, no attempt after a drain's
- * cut-off, no cold cache pushed over, and no order of a holder of the sites duty with an older token than the last.
+ * cut-off, no cold cache pushed over, and no order of a holder of the sites lease with an older token than the last.
  */
 class SiteFaultTest {
     private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject());
@@ -32,61 +33,62 @@
     @TempDir
     Path folder;
 
-    private ClusterProcesses fleet;
+    private ClusterProcesses cluster;
     private Emulation emulation;
-    private Path sites;
-    private ClusterProcesses.Member stood;
+    private Path sitesPath;
+    private MemberProcess stoppedHolder;
 
     @BeforeEach
-    void start(TestInfo test) throws Exception {
-        fleet = new ClusterProcesses(
+    void startSites(TestInfo test) throws Exception {
+        cluster = new ClusterProcesses(
                 "site-" + test.getTestMethod().orElseThrow().getName(), folder, 3, SETTINGS);
         List<Emulation.SiteSpec> specs = new ArrayList<>();
-        for (ClusterProcesses.Member m : fleet.members) {
-            List<String> order = new ArrayList<>(List.of(ClusterProcesses.HOST + ":" + m.listen));
-            fleet.but(m).forEach(o -> order.add(ClusterProcesses.HOST + ":" + o.listen));
-            specs.add(new Emulation.SiteSpec("s" + m.number, 2, 6, 20, order));
+        for (MemberProcess member : cluster.members) {
+            List<String> addresses = new ArrayList<>(List.of(member.clientAddress()));
+            cluster.except(member).forEach(other -> addresses.add(other.clientAddress()));
+            specs.add(new Emulation.SiteSpec("s" + member.number, 2, 6, 20, addresses));
         }
         emulation = new Emulation(specs, 7);
-        fleet.configure(m -> emulation.config(m.name, "s" + m.number, ClusterProcesses.HOST + ":" + m.listen));
-        sites = folder.resolve("sites.json");
-        Files.writeString(sites, file(true).encode());
-        fleet.environment.put("GW_SITES", sites.toString());
-        fleet.found();
-        fleet.start();
-        fleet.awaitLeader(fleet.members);
-        fleet.awaitHolder("sites", fleet.members);
-        until("they serve", () -> fleet.members.stream().allMatch(SiteFaultTest::serves));
+        cluster.configureDirectors(
+                member -> emulation.config(member.name, "s" + member.number, member.clientAddress()));
+        sitesPath = folder.resolve("sites.json");
+        Files.writeString(sitesPath, sitesFile(true).encode());
+        cluster.environment.put("GW_SITES", sitesPath.toString());
+        cluster.initFolders();
+        cluster.start();
+        cluster.awaitLeader(cluster.members);
+        cluster.awaitLeaseHolder("sites", cluster.members);
+        await("they serve", () -> cluster.members.stream().allMatch(SiteFaultTest::isServing));
         emulation.startClients();
-        until(
+        await(
                 "a plan for what clients ask for",
-                () -> fleet.members.stream().allMatch(m -> {
-                    JsonObject s = m.site(LOST);
-                    return s != null
-                            && s.getDouble("load") > 0
-                            && !s.getJsonArray("takers").isEmpty();
+                () -> cluster.members.stream().allMatch(member -> {
+                    JsonObject status = member.site(LOST);
+                    return status != null
+                            && status.getDouble("load") > 0
+                            && !status.getJsonArray("takers").isEmpty();
                 }));
     }
 
-    private static boolean serves(ClusterProcesses.Member m) {
+    private static boolean isServing(MemberProcess member) {
         try {
-            return m.call("GET /status", "").startsWith("HTTP/1.1 200");
-        } catch (java.io.IOException e) {
+            return member.isServing();
+        } catch (IOException e) {
             return false;
         }
     }
 
-    private JsonObject file(boolean crossing) {
+    private JsonObject sitesFile(boolean withTakers) {
         JsonArray all = new JsonArray();
-        for (ClusterProcesses.Member m : fleet.members) {
+        for (MemberProcess member : cluster.members) {
             JsonArray takers = new JsonArray();
-            if (crossing) {
-                fleet.but(m).forEach(o -> takers.add(new JsonObject().put("site", "s" + o.number)));
+            if (withTakers) {
+                cluster.except(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
             }
             all.add(new JsonObject()
-                    .put("name", "s" + m.number)
+                    .put("name", "s" + member.number)
                     .put("hub", "hub")
-                    .put("directors", new JsonArray().add(m.name))
+                    .put("directors", new JsonArray().add(member.name))
                     .put("capacity", 12)
                     .put("spare_share", 0.8)
                     .put("reserved_share", 0.4)
@@ -101,42 +103,53 @@
                 .put("sites", all);
     }
 
+    private void reloadSites(JsonObject file) throws Exception {
+        Files.writeString(sitesPath, file.encode());
+        for (MemberProcess member : cluster.members) {
+            member.signal("HUP");
+        }
+    }
+
     @AfterEach
-    void end() throws Exception {
+    void closeSitesAndCheckLog() throws Exception {
         try {
             emulation.endClients();
-            until("all have their answers", () -> emulation.open() == 0);
+            await("all have their answers", () -> emulation.open() == 0);
             // What a director that stands still has taken it can't answer.
             assertEquals(
                     List.of(),
                     emulation.findings(Findings::broken).stream()
-                            .filter(b -> stood == null
-                                    || !b.contains(
-                                            " by " + ClusterProcesses.HOST + ":" + stood.listen + " got no answer"))
+                            .filter(broken -> stoppedHolder == null
+                                    || !broken.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
                             .toList());
-            for (ClusterProcesses.Member m : fleet.members) {
-                assertEquals(0, emulation.falls("s" + m.number), "cold caches that fell at s" + m.number);
+            for (MemberProcess member : cluster.members) {
+                assertEquals(0, emulation.falls("s" + member.number), "cold caches that fell at s" + member.number);
             }
             assertTrue(emulation.findings(Findings::runs) > 0, "no order ran");
         } finally {
             emulation.close();
-            fleet.close();
+            cluster.close();
         }
-        ClusterFaultTest.checkActs(fleet.log);
+        LeaseActionLog.check(cluster.log);
     }
 
-    private void everywhere(String what, List<ClusterProcesses.Member> among, Predicate<JsonObject> holds)
+    private void awaitEverywhere(String what, List<MemberProcess> members, Predicate<JsonObject> condition)
             throws InterruptedException {
-        until(
-                what + " at " + among.stream().map(m -> m.name).toList(),
-                () -> among.stream().allMatch(m -> {
-                    JsonObject s = m.site(LOST);
-                    return s != null && holds.test(s);
+        await(
+                what + " at " + ClusterProcesses.names(members),
+                () -> members.stream().allMatch(member -> {
+                    JsonObject status = member.site(LOST);
+                    return status != null && condition.test(status);
                 }));
     }
 
-    private void phase(String phase, List<ClusterProcesses.Member> among) throws InterruptedException {
-        everywhere(phase, among, s -> s.getString("phase").equals(phase));
+    private void awaitPhase(String phase, List<MemberProcess> members) throws InterruptedException {
+        awaitEverywhere(phase, members, status -> status.getString("phase").equals(phase));
+    }
+
+    private static boolean isInPhase(MemberProcess member, String site, String phase) {
+        JsonObject status = member.site(site);
+        return status != null && status.getString("phase").equals(phase);
     }
 
     private int answeredInTime(String site) {
@@ -144,219 +157,197 @@
     }
 
     // Some more of a site's requests are answered in time.
-    private void served(String site) throws InterruptedException {
+    private void awaitServed(String site) throws InterruptedException {
         int before = answeredInTime(site);
-        until(site + "'s clients are served", () -> answeredInTime(site) > before + 15);
+        await(site + "'s clients are served", () -> answeredInTime(site) > before + 15);
     }
 
     @Test
-    void aSiteWithoutItsCachesIsServedByOthersAndComesBackByItself() throws Exception {
-        served(LOST);
+    void aSiteThatLostItsCachesIsServedByOthersAndRecoversByItself() throws Exception {
+        awaitServed(LOST);
         int own = emulation.findings(f -> f.attempts(LOST));
         assertTrue(own > 0);
         emulation.lose(LOST);
-        phase("lost", fleet.members);
-        everywhere(
-                "its directors live", fleet.members, s -> s.getString("health").equals("caches"));
+        awaitPhase("lost", cluster.members);
+        awaitEverywhere(
+                "its directors live",
+                cluster.members,
+                status -> status.getString("health").equals("caches"));
         emulation.list(LOST, "Gone");
-        served(LOST);
+        awaitServed(LOST);
         emulation.revive(LOST);
-        phase("whole", fleet.members);
+        awaitPhase("whole", cluster.members);
         int before = emulation.findings(f -> f.attempts(LOST));
-        served(LOST);
+        awaitServed(LOST);
         assertTrue(emulation.findings(f -> f.attempts(LOST)) > before, "by its own caches again");
-        assertTrue(fleet.logged("phase=RETURNING") && fleet.logged("step=1"), "step by step");
+        assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "step by step");
     }
 
     @Test
-    void aSiteLostWithItsDirectorThatKeptTheSites() throws Exception {
-        ClusterProcesses.Member d0 = fleet.members.get(0);
-        until("the holder of the sites duty stands in it", () -> {
-            ClusterProcesses.Member h = fleet.holder("sites", fleet.members);
-            if (h != null && h != d0) {
+    void aSiteLostWithTheHolderOfTheSitesLeaseIsServedByOthers() throws Exception {
+        MemberProcess firstMember = cluster.members.get(0);
+        await("the holder of the sites lease stands in it", () -> {
+            MemberProcess candidate = cluster.leaseHolder("sites", cluster.members);
+            if (candidate != null && candidate != firstMember) {
                 try {
-                    fleet.run(
-                            "cluster",
-                            "hand-on",
-                            "sites",
-                            "--to",
-                            "d0",
-                            "--admin",
-                            ClusterProcesses.HOST + ":" + h.admin);
+                    cluster.runCommand(
+                            "cluster", "hand-on", "sites", "--to", "d0", "--admin", candidate.adminAddress());
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
             }
-            return fleet.holder("sites", List.of(d0)) != null;
+            return cluster.leaseHolder("sites", List.of(firstMember)) != null;
         });
-        d0.kill();
+        firstMember.kill();
         emulation.lose(LOST);
-        List<ClusterProcesses.Member> rest = fleet.but(d0);
+        List<MemberProcess> rest = cluster.except(firstMember);
         emulation.list(LOST, "Gone");
-        phase("lost", rest);
-        everywhere("with its directors", rest, s -> s.getString("health").equals("all"));
-        served(LOST); // Its clients go to other directors.
-        d0.start();
+        awaitPhase("lost", rest);
+        awaitEverywhere(
+                "with its directors", rest, status -> status.getString("health").equals("all"));
+        awaitServed(LOST); // Its clients go to other directors.
+        firstMember.start();
         emulation.revive(LOST);
-        phase("whole", fleet.members);
-        served(LOST);
+        awaitPhase("whole", cluster.members);
+        awaitServed(LOST);
     }
 
     @Test
-    void aHolderStoppedDuringTheReturnIsFollowedByOneThatGoesOnFromTheAgreedStep() throws Exception {
+    void aHolderStoppedDuringRecoveryIsFollowedByOneThatGoesOnFromTheCommittedStep() throws Exception {
         emulation.lose(LOST);
-        phase("lost", fleet.members);
+        awaitPhase("lost", cluster.members);
         emulation.list(LOST, "Gone");
         emulation.revive(LOST);
-        phase("returning", fleet.members);
-        ClusterProcesses.Member failoverController = fleet.awaitHolder("sites", fleet.members);
-        stood = failoverController;
-        failoverController.signal("STOP");
-        List<ClusterProcesses.Member> rest = fleet.but(failoverController);
-        fleet.awaitHolder("sites", rest);
-        phase("whole", rest);
-        failoverController.signal("CONT");
-        phase("whole", fleet.members);
-        long lost = fleet.log.stream()
-                .filter(l -> l.contains("site.status site=s0 phase=LOST"))
+        awaitPhase("returning", cluster.members);
+        MemberProcess holder = cluster.awaitLeaseHolder("sites", cluster.members);
+        stoppedHolder = holder;
+        holder.signal("STOP");
+        List<MemberProcess> rest = cluster.except(holder);
+        cluster.awaitLeaseHolder("sites", rest);
+        awaitPhase("whole", rest);
+        holder.signal("CONT");
+        awaitPhase("whole", cluster.members);
+        long lost = cluster.log.stream()
+                .filter(line -> line.contains("site.status site=s0 phase=LOST"))
                 .count();
         assertTrue(lost <= 3, "told once by each: " + lost);
     }
 
     @Test
-    void aDirectorThatIsCutOffDeclaresNothingAndServesOn() throws Exception {
-        ClusterProcesses.Member d0 = fleet.members.get(0);
-        fleet.cutOff(d0, false, false);
-        List<ClusterProcesses.Member> rest = fleet.but(d0);
-        fleet.awaitHolder("sites", rest);
-        everywhere(
+    void aDirectorThatIsCutOffDeclaresNoLossAndServesOn() throws Exception {
+        MemberProcess firstMember = cluster.members.get(0);
+        cluster.partition(firstMember, false, false);
+        List<MemberProcess> rest = cluster.except(firstMember);
+        cluster.awaitLeaseHolder("sites", rest);
+        awaitEverywhere(
                 "its director is silent, its caches are not known to fail",
                 rest,
-                s -> s.getString("phase").equals("impaired")
-                        && s.getString("health").equals("directors"));
-        served(LOST);
-        assertNotEquals("lost", d0.site("s1").getString("phase"));
+                status -> status.getString("phase").equals("impaired")
+                        && status.getString("health").equals("directors"));
+        awaitServed(LOST);
+        assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         // What is lost while it is cut off it hears of later.
         emulation.lose("s1");
-        until(
-                "declared",
-                () -> rest.stream()
-                        .allMatch(m -> m.site("s1") != null
-                                && m.site("s1").getString("phase").equals("lost")));
-        assertNotEquals("lost", d0.site("s1").getString("phase"));
-        fleet.mend();
-        until(
-                "heard",
-                () -> d0.site("s1") != null && d0.site("s1").getString("phase").equals("lost"));
+        await("declared", () -> rest.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
+        assertNotEquals("lost", firstMember.site("s1").getString("phase"));
+        cluster.healLinks();
+        await("heard", () -> isInPhase(firstMember, "s1", "lost"));
         emulation.revive("s1");
-        until(
+        await(
                 "whole",
-                () -> fleet.members.stream()
-                        .allMatch(m -> m.site("s1") != null
-                                && m.site("s1").getString("phase").equals("whole")
-                                && m.site(LOST).getString("phase").equals("whole")));
+                () -> cluster.members.stream()
+                        .allMatch(member -> isInPhase(member, "s1", "whole") && isInPhase(member, LOST, "whole")));
     }
 
     @Test
-    void aReturnThatFailsHalfWayAndAgainWaitsLonger() throws Exception {
+    void aRecoveryThatRelapsesWaitsLongerEachTime() throws Exception {
         emulation.lose(LOST);
-        phase("lost", fleet.members);
+        awaitPhase("lost", cluster.members);
         for (int flaps = 1; flaps <= 2; flaps++) {
             emulation.revive(LOST);
-            phase("returning", fleet.members);
+            awaitPhase("returning", cluster.members);
             emulation.lose(LOST);
             int least = flaps;
-            everywhere(
+            awaitEverywhere(
                     "lost again",
-                    fleet.members,
-                    s -> s.getString("phase").equals("lost") && s.getInteger("flaps") >= least);
-            served(LOST);
+                    cluster.members,
+                    status -> status.getString("phase").equals("lost") && status.getInteger("flaps") >= least);
+            awaitServed(LOST);
         }
         emulation.revive(LOST);
-        phase("whole", fleet.members);
+        awaitPhase("whole", cluster.members);
     }
 
     @Test
-    void anEmptyListAtOneAndSlowAnswersAreNoLossAndATakerLostTooIsReplaced() throws Exception {
+    void oneEmptyListOrSlowAnswersAreNoLossAndALostTakerIsReplaced() throws Exception {
         emulation.list(LOST, "Gone", "s1"); // Only its director hears so.
         emulation.slow("s2", 12);
-        until(
+        await(
                 "seen as slow or well, not as lost",
-                () -> fleet.members.get(1).site("s2").getString("health").equals("slow"));
+                () -> cluster.members.get(1).site("s2").getString("health").equals("slow"));
         emulation.slow("s2", 1);
-        assertTrue(fleet.log.stream().noneMatch(l -> l.contains("phase=LOST")));
+        assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
         emulation.list(LOST, "Ready", "s1");
         emulation.lose(LOST);
-        phase("lost", fleet.members);
-        served(LOST);
+        awaitPhase("lost", cluster.members);
+        awaitServed(LOST);
         emulation.lose("s1");
-        until(
-                "both are lost",
-                () -> fleet.members.stream()
-                        .allMatch(m -> m.site("s1").getString("phase").equals("lost")));
-        everywhere(
+        await("both are lost", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
+        awaitEverywhere(
                 "planned anew",
-                fleet.members,
-                s -> s.getJsonArray("takers").size() == 1
-                        && s.getJsonArray("takers")
+                cluster.members,
+                status -> status.getJsonArray("takers").size() == 1
+                        && status.getJsonArray("takers")
                                 .getJsonObject(0)
                                 .getString("site")
                                 .equals("s2"));
-        served(LOST);
-        served("s2");
+        awaitServed(LOST);
+        awaitServed("s2");
         emulation.revive(LOST);
         emulation.revive("s1");
-        phase("whole", fleet.members);
-        until(
-                "whole",
-                () -> fleet.members.stream()
-                        .allMatch(m -> m.site("s1").getString("phase").equals("whole")));
+        awaitPhase("whole", cluster.members);
+        await("whole", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "whole")));
     }
 
     @Test
-    void aFileReplacedDuringALossCountsWholeOrNotAtAllAndOperatorsDrillHoldAndRelease() throws Exception {
-        ClusterProcesses.Member any = fleet.members.get(1);
-        String admin = ClusterProcesses.HOST + ":" + any.admin;
-        assertEquals(0, fleet.run("sites", "status", "--admin", admin));
-        assertEquals(0, fleet.run("sites", "plan", LOST, "--admin", admin));
-        assertEquals(0, fleet.run("sites", "drill", LOST, "--admin", admin));
-        phase("lost", fleet.members);
-        served(LOST);
-        assertEquals(1, fleet.run("sites", "status", "--admin", admin), "not whole");
+    void aSitesFileReplacedDuringALossCountsCompletelyOrNotAtAllAndOperatorsDrillHoldAndRelease() throws Exception {
+        MemberProcess any = cluster.members.get(1);
+        String admin = any.adminAddress();
+        assertEquals(0, cluster.runCommand("sites", "status", "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "plan", LOST, "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "drill", LOST, "--admin", admin));
+        awaitPhase("lost", cluster.members);
+        awaitServed(LOST);
+        assertEquals(1, cluster.runCommand("sites", "status", "--admin", admin), "not whole");
         // A file that can't be used changes nothing.
-        Files.writeString(sites, file(true).put("steps", new JsonArray().add(2)).encode());
-        for (ClusterProcesses.Member m : fleet.members) {
-            m.signal("HUP");
-        }
-        until(
+        reloadSites(sitesFile(true).put("steps", new JsonArray().add(2)));
+        await(
                 "refused",
-                () -> fleet.log.stream()
-                                .filter(l -> l.contains("config.kept") && l.contains("steps"))
+                () -> cluster.log.stream()
+                                .filter(line -> line.contains("config.kept") && line.contains("steps"))
                                 .count()
                         == 3);
-        everywhere(
-                "the plan stands", fleet.members, s -> !s.getJsonArray("takers").isEmpty());
-        // One that forbids crossing counts at once, wherever the loss stands.
-        Files.writeString(sites, file(false).encode());
-        for (ClusterProcesses.Member m : fleet.members) {
-            m.signal("HUP");
-        }
-        everywhere(
+        awaitEverywhere(
+                "the plan stands",
+                cluster.members,
+                status -> !status.getJsonArray("takers").isEmpty());
+        // One that forbids it counts at once, wherever the loss stands.
+        reloadSites(sitesFile(false));
+        awaitEverywhere(
                 "nobody takes any more",
-                fleet.members,
-                s -> s.getJsonArray("takers").isEmpty());
-        assertEquals(1, fleet.run("sites", "plan", LOST, "--admin", admin), "a loss that can't be borne");
-        assertEquals(0, fleet.run("sites", "hold", LOST, "--admin", admin));
-        Files.writeString(sites, file(true).encode());
-        for (ClusterProcesses.Member m : fleet.members) {
-            m.signal("HUP");
-        }
-        everywhere(
-                "and take again", fleet.members, s -> !s.getJsonArray("takers").isEmpty() && s.getBoolean("held"));
-        assertEquals(2, fleet.run("sites", "plan", "nowhere", "--admin", admin));
-        assertEquals(1, fleet.run("sites", "drill", "nowhere", "--admin", admin));
-        assertEquals(0, fleet.run("sites", "release", LOST, "--admin", admin));
-        phase("whole", fleet.members);
-        served(LOST);
+                cluster.members,
+                status -> status.getJsonArray("takers").isEmpty());
+        assertEquals(1, cluster.runCommand("sites", "plan", LOST, "--admin", admin), "a loss that can't be borne");
+        assertEquals(0, cluster.runCommand("sites", "hold", LOST, "--admin", admin));
+        reloadSites(sitesFile(true));
+        awaitEverywhere(
+                "and take again",
+                cluster.members,
+                status -> !status.getJsonArray("takers").isEmpty() && status.getBoolean("held"));
+        assertEquals(2, cluster.runCommand("sites", "plan", "nowhere", "--admin", admin));
+        assertEquals(1, cluster.runCommand("sites", "drill", "nowhere", "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "release", LOST, "--admin", admin));
+        awaitPhase("whole", cluster.members);
+        awaitServed(LOST);
     }
 }
