--- a/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
+++ b/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
@@ -7,6 +7,7 @@
 import pewtercourse.Log;
 import pewtercourse.failover.SiteStatus;
 import pewtercourse.lease.ClusterState;
+import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
 
 /**
@@ -24,7 +25,7 @@
     void write(Raft raft, ClusterState state) {
         writeLeader(raft);
         raft.regressed().forEach(this::writeRegressed);
-        state.duties().forEach(this::writeHolder);
+        state.leases().forEach(this::writeHolder);
     }
 
     private void writeLeader(Raft raft) {
@@ -41,7 +42,7 @@
         }
     }
 
-    private void writeHolder(String lease, ClusterState.LeaseRecord record) {
+    private void writeHolder(String lease, LeaseRecord record) {
         Long before = tokenByLease.put(lease, record.token());
         if (!Long.valueOf(record.token()).equals(before)) {
             String holder = record.holder().isEmpty() ? "none" : record.holder();
--- a/src/main/java/pewtercourse/cluster/ClusterMember.java
+++ b/src/main/java/pewtercourse/cluster/ClusterMember.java
@@ -10,6 +10,9 @@
 import pewtercourse.failover.Sites;
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
+import pewtercourse.lease.CommandOutcome;
+import pewtercourse.lease.LeaseRecord;
+import pewtercourse.lease.RejectionReason;
 import pewtercourse.raft.store.StoreException;
 
 /**
@@ -113,25 +116,25 @@
      * Has a command committed; it is made anew where another command on the same cache was committed first. Fails, with the
      * reason, when that is not known within 1.3 s: it may still be committed later, and proposing it again does no harm.
      */
-    public Future<ClusterState.Result> propose(Supplier<Command> command) {
+    public Future<CommandOutcome> propose(Supplier<Command> command) {
         return proposals.propose(command);
     }
 
     /** Whether the maintenance budget grants that the cache is drained within what a caller waits. Never fails. */
     public Future<Boolean> awaitMaintenanceGrant(String target) {
         Future<Boolean> granted = grantWaiters.await(target);
-        grantWaiters.granted(state().out().keySet());
+        grantWaiters.granted(state().drainedCaches().keySet());
         return granted;
     }
 
     /** By an operator: a lease's holder is to release it to {@code to} or, if that is empty, to whoever is best. */
-    public Future<ClusterState.Result> transferLease(String lease, String to) {
-        ClusterState.LeaseRecord record = state().duty(lease);
+    public Future<CommandOutcome> transferLease(String lease, String to) {
+        LeaseRecord record = state().lease(lease);
         if (record.holder().isEmpty()) {
-            return Future.succeededFuture(new ClusterState.Result("nobody holds '" + lease + "'"));
+            return Future.succeededFuture(CommandOutcome.rejected(RejectionReason.LEASE_NOT_HELD, lease));
         }
         if (!to.isEmpty() && !isMember(to)) {
-            return Future.succeededFuture(new ClusterState.Result("'" + to + "' is no member"));
+            return Future.succeededFuture(CommandOutcome.rejected(RejectionReason.NOT_A_MEMBER, to));
         }
         return propose(() -> new Command.RequestTransfer(lease, record.token(), to));
     }
@@ -182,7 +185,7 @@
 
     /** Whether a request beyond the maintenance budget is queued; else it is rejected. Only with a maintenance budget. */
     public boolean queuesMaintenanceRequests() {
-        return config.duties().maintenanceBudget().waits();
+        return config.duties().maintenanceBudget().queues();
     }
 
     /** Whether sites are configured and this is one of them. */
--- a/src/main/java/pewtercourse/cluster/LeaseDriver.java
+++ b/src/main/java/pewtercourse/cluster/LeaseDriver.java
@@ -11,6 +11,7 @@
 import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.CommandOutcome;
 import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Entry;
 import pewtercourse.raft.Raft;
@@ -60,7 +61,7 @@
         long firstCommandId = new SecureRandom().nextLong() >>> 16;
         leaseManager = new LeaseManager(config.duties(), config.name(), firstCommandId, host::zoneOf, host::zoneSize);
         sites.configure(leaseManager);
-        leaseManager.willing(eligible);
+        leaseManager.setEligible(eligible);
     }
 
     /** Empty until the folder was first opened. */
@@ -81,14 +82,14 @@
     void setEligible(boolean eligible) {
         this.eligible = eligible;
         openDriver.get().ifPresent(driver -> {
-            leaseManager.willing(eligible);
+            leaseManager.setEligible(eligible);
             driver.drive();
         });
     }
 
     /** Whether this member holds no lease. */
     boolean released() {
-        return leaseManager.free();
+        return leaseManager.holdsNoLease();
     }
 
     /** The sites' configuration has changed. */
@@ -101,7 +102,7 @@
 
     /** Back to the quota that this member has without any grant. */
     void resetQuota() {
-        host.setQuotaFactor(config.duties().kept() / THOUSANDTHS);
+        host.setQuotaFactor(config.duties().reservedThousandths() / THOUSANDTHS);
     }
 
     private long now() {
@@ -113,13 +114,13 @@
     void restore(Snapshot snapshot) throws InvalidProtocolBufferException {
         publishedDrains = NONE_PUBLISHED;
         sites.republish();
-        leaseManager.restored(now(), ClusterState.decode(snapshot.state()));
+        leaseManager.restore(now(), ClusterState.decode(snapshot.state()));
     }
 
     void apply(Entry entry) throws InvalidProtocolBufferException {
         Command.Envelope envelope = CommandCodec.decode(entry.command());
-        ClusterState.Result result = leaseManager.applied(now(), entry.index(), envelope);
-        if (envelope.by().equals(config.name())) {
+        CommandOutcome result = leaseManager.apply(now(), entry.index(), envelope);
+        if (envelope.proposer().equals(config.name())) {
             subscribers.proposals().applied(envelope.id(), result);
         }
     }
@@ -128,10 +129,10 @@
     void publish(Raft raft, boolean changed) {
         ClusterState state = leaseManager.state();
         sites.publish(state);
-        if (changed && state.words() != publishedDrains) {
-            publishedDrains = state.words();
-            host.drainsChanged(state.out(), state.back());
-            subscribers.grantWaiters().granted(state.out().keySet());
+        if (changed && state.drainRevision() != publishedDrains) {
+            publishedDrains = state.drainRevision();
+            host.drainsChanged(state.drainedCaches(), state.reinstatedCaches());
+            subscribers.grantWaiters().granted(state.drainedCaches().keySet());
         }
         subscribers.logger().write(raft, state);
     }
@@ -151,18 +152,19 @@
         }
         sites.reportObservations(now, leaseManager, driver);
         sites.makePlan(leaseManager, this::planned);
-        Command.Envelope quotaRequest = leaseManager.borrow(now, Math.round(THOUSANDTHS * host.wantedQuota()));
-        if (quotaRequest != null) {
-            driver.offer(CommandCodec.encode(quotaRequest), quotaRequest.id());
+        Optional<Command.Envelope> quotaRequest =
+                leaseManager.requestQuota(now, Math.round(THOUSANDTHS * host.wantedQuota()));
+        if (quotaRequest.isPresent()) {
+            driver.offer(CommandCodec.encode(quotaRequest.get()), quotaRequest.get().id());
             offered = true;
         }
-        host.setQuotaFactor(leaseManager.part(now) / THOUSANDTHS);
+        host.setQuotaFactor(leaseManager.quotaThousandths(now) / THOUSANDTHS);
         return offered;
     }
 
     private static LeaseManager.View view(Raft raft, long now) {
-        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
-        return new LeaseManager.View(raft.members().all().keySet(), heard, System.currentTimeMillis());
+        Set<String> active = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
+        return new LeaseManager.View(raft.members().all().keySet(), active, System.currentTimeMillis());
     }
 
     // These are logged, with their token, so that it can be checked afterwards who acted as the holder of a lease.
@@ -176,7 +178,7 @@
 
     private void planned(FailoverPlan plan) {
         openDriver.get().ifPresent(driver -> {
-            leaseManager.planned(now(), plan);
+            leaseManager.planComputed(now(), plan);
             driver.drive();
         });
     }
--- a/src/main/java/pewtercourse/cluster/MemberLifecycle.java
+++ b/src/main/java/pewtercourse/cluster/MemberLifecycle.java
@@ -8,7 +8,7 @@
 import pewtercourse.Log;
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.raft.Saved;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 import pewtercourse.raft.store.StoreException;
 
 /**
@@ -60,11 +60,11 @@
     }
 
     private void openStore(ExecutorService thread, Promise<Void> started) {
-        Store store = null;
+        LogStore store = null;
         try {
-            store = Store.open(config.data(), config.cluster(), config.name(), SEGMENT_BYTES);
+            store = LogStore.open(config.data(), config.cluster(), config.name(), SEGMENT_BYTES);
             Saved saved = store.recover();
-            Store opened = store;
+            LogStore opened = store;
             environment.loop().runOnContext(v -> opened(thread, opened, saved).onComplete(started));
         } catch (IOException | RuntimeException e) {
             closeAfter(e, store);
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void closeAfter(Exception failure, Store store) {
+    private static void closeAfter(Exception failure, LogStore store) {
         if (store == null) {
             return;
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    private Future<Void> opened(ExecutorService thread, Store store, Saved saved) {
+    private Future<Void> opened(ExecutorService thread, LogStore store, Saved saved) {
         if (closed) {
             thread.execute(() -> closeQuietly(store));
             return Future.failedFuture("ended meanwhile");
@@ -96,7 +96,7 @@
         return driver.start();
     }
 
-    private static void closeQuietly(Store store) {
+    private static void closeQuietly(LogStore store) {
         try {
             store.close();
         } catch (IOException e) {
--- a/src/main/java/pewtercourse/cluster/PendingProposals.java
+++ b/src/main/java/pewtercourse/cluster/PendingProposals.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import pewtercourse.Timers;
-import pewtercourse.lease.ClusterState;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.CommandCodec;
+import pewtercourse.lease.CommandOutcome;
 
 /**
  * Commands of this member that wait to be committed. Each is offered to the log again until it is applied here, for a
@@ -56,7 +56,7 @@
      * Has a command committed; it is made anew where another command on the same cache was committed first. Fails, with the
      * reason, when that is not known in time: it may still be committed later, and proposing it again does no harm.
      */
-    Future<ClusterState.Result> propose(Supplier<Command> command) {
+    Future<CommandOutcome> propose(Supplier<Command> command) {
         if (!log.open()) {
             return Future.failedFuture(ClusterMember.FOLDER_CLOSED);
         }
@@ -69,7 +69,7 @@
     }
 
     /** The command with this number was applied. */
-    void applied(long id, ClusterState.Result result) {
+    void applied(long id, CommandOutcome result) {
         Proposal proposal = pending.get(id);
         if (proposal != null) {
             proposal.applied(result);
@@ -82,7 +82,7 @@
     }
 
     private final class Proposal {
-        private final Promise<ClusterState.Result> done = Promise.promise();
+        private final Promise<CommandOutcome> done = Promise.promise();
         private final Supplier<Command> command;
         private final long timeout;
         private long id;
@@ -110,8 +110,8 @@
             }
         }
 
-        void applied(ClusterState.Result result) {
-            if (!result.late()) {
+        void applied(CommandOutcome result) {
+            if (!result.isSuperseded()) {
                 done.tryComplete(result);
                 return;
             }
--- a/src/main/java/pewtercourse/cluster/RaftDriver.java
+++ b/src/main/java/pewtercourse/cluster/RaftDriver.java
@@ -230,7 +230,7 @@
 
     private void setTimer() {
         environment.timers().cancel(timer);
-        long next = Math.min(raft.wakeAt(), now() + config.duties().again() / 4);
+        long next = Math.min(raft.wakeAt(), now() + config.duties().retryMicros() / 4);
         timer = environment.timers().set(Timers.millis(next - now()), this::timeout);
     }
 
--- a/src/main/java/pewtercourse/cluster/SiteDriver.java
+++ b/src/main/java/pewtercourse/cluster/SiteDriver.java
@@ -58,7 +58,7 @@
     /** Gives the present sites to a member's lease manager. */
     void configure(LeaseManager leaseManager) {
         if (sites != null) {
-            leaseManager.sites(clock.now(), sites);
+            leaseManager.configureSites(clock.now(), sites);
         }
     }
 
@@ -71,11 +71,11 @@
     void publish(ClusterState state) {
         FailoverState failover = state.failover();
         if (sites == null
-                || failover.version() == publishedFailover && state.absent().equals(publishedAbsent)) {
+                || failover.version() == publishedFailover && state.absentMembers().equals(publishedAbsent)) {
             return;
         }
         publishedFailover = failover.version();
-        publishedAbsent = Set.copyOf(state.absent());
+        publishedAbsent = Set.copyOf(state.absentMembers());
         failover.statuses().forEach(changeLogger::writeSite);
         host.failoverChanged(failover, publishedAbsent);
     }
@@ -88,14 +88,14 @@
         nextReportAt = now + REPORT_INTERVAL_MICROS;
         Map<String, SiteObservation> observations = host.siteObservations();
         if (!observations.isEmpty()) {
-            Command.Envelope report = leaseManager.sighted(observations);
+            Command.Envelope report = leaseManager.reportObservations(observations);
             driver.offer(CommandCodec.encode(report), report.id());
         }
     }
 
     /** Has a plan made where one is due. Off the event loop: it takes some milliseconds for many sites. */
     void makePlan(LeaseManager leaseManager, Consumer<FailoverPlan> whenMade) {
-        FailoverController.Question question = sites == null ? null : leaseManager.question(clock.now());
+        FailoverController.Question question = sites == null ? null : leaseManager.planInput(clock.now()).orElse(null);
         if (question == null) {
             return;
         }
--- a/src/main/java/pewtercourse/cluster/StorageWorker.java
+++ b/src/main/java/pewtercourse/cluster/StorageWorker.java
@@ -11,10 +11,10 @@
 import java.util.function.LongConsumer;
 import pewtercourse.raft.Save;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.store.LogStore;
 
 /**
- * Writes to the {@link Store} on a thread of its own, one batch at a time: what is to be saved while a write is under way
+ * Writes to the {@link LogStore} on a thread of its own, one batch at a time: what is to be saved while a write is under way
  * goes into the next one together, with one sync. After an error nothing more is written; whoever is told closes it.
  *
  * <p>Mutable state: the waiting saves and snapshot, and whether a write is under way or has failed. It belongs to the event
@@ -23,7 +23,7 @@
 final class StorageWorker {
     private final ExecutorService thread;
     private final Context loop;
-    private final Store store;
+    private final LogStore store;
     private final LongConsumer onSaved;
     private final Consumer<IOException> onFailure;
     private final List<Save> waiting = new ArrayList<>();
@@ -40,7 +40,7 @@
      * @param onFailure takes the first error
      */
     StorageWorker(
-            ExecutorService thread, Context loop, Store store, LongConsumer onSaved, Consumer<IOException> onFailure) {
+            ExecutorService thread, Context loop, LogStore store, LongConsumer onSaved, Consumer<IOException> onFailure) {
         this.thread = thread;
         this.loop = loop;
         this.store = store;
@@ -93,7 +93,7 @@
     }
 
     private void writeSnapshot(Snapshot written) {
-        execute(() -> store.snapshot(written), () -> snapshotWritten(written));
+        execute(() -> store.saveSnapshot(written), () -> snapshotWritten(written));
     }
 
     private void writeBatch(List<Save> batch) {
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -175,7 +175,7 @@
 
     private LeaseManager duties() {
         LeaseManager duties = new LeaseManager(config.duties(), SELF, 1, target -> "z", zone -> 4);
-        duties.sites(now, config.sites());
+        duties.configureSites(now, config.sites());
         return duties;
     }
 
@@ -202,7 +202,7 @@
     /** Returns the entry's number. */
     private long apply(LeaseManager duties, Command command) {
         index++;
-        assertTrue(duties.applied(now, index, duties.sign(command)).done(), "not applied: " + command);
+        assertTrue(duties.apply(now, index, duties.sign(command)).isApplied(), "not applied: " + command);
         return index;
     }
 }
