--- a/src/main/java/pewtercourse/cluster/ClusterMember.java
+++ b/src/main/java/pewtercourse/cluster/ClusterMember.java
@@ -34,6 +34,7 @@
     private final LeaderCommands leaderCommands;
     private final MemberLifecycle lifecycle;
 
+    /** To be made on the event loop that it is to belong to. Nothing is opened before {@link #start}. */
     public ClusterMember(Vertx vertx, ClusterConfig config, ClusterHost host) {
         this.config = config;
         this.environment = MemberEnvironment.of(vertx, config);
--- a/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
@@ -140,12 +140,20 @@
             terminate(firstNew);
             firstNew.start();
         }
+        awaitReplaced(finalMembers);
+        assertBearsLossOfLeader(finalMembers);
+    }
+
+    private void awaitReplaced(List<MemberProcess> finalMembers) throws Exception {
         cluster.awaitLeader(finalMembers);
         await(
                 "they know of themselves alone",
                 () -> finalMembers.stream().allMatch(member -> listsJust(member, finalMembers)));
         await("what was committed is kept", () -> finalMembers.stream().allMatch(member -> member.isDrained(CACHE)));
         cluster.awaitLeaseHolder("maintenance", finalMembers);
+    }
+
+    private void assertBearsLossOfLeader(List<MemberProcess> finalMembers) throws Exception {
         MemberProcess leader = cluster.awaitLeader(finalMembers);
         leader.kill();
         await(
