--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -24,12 +24,12 @@
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
  *
- * @param raft   null while the member's folder is not open
- * @param duties null until the folder was first opened, as {@code net}
+ * @param raft null while the member's folder is not open
+ * @param leaseManager null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberTransport net) {
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager leaseManager, MemberTransport net) {
     private ClusterState agreed() {
-        return duties == null ? new ClusterState() : duties.state();
+        return leaseManager == null ? new ClusterState() : leaseManager.state();
     }
 
     /**
@@ -37,7 +37,7 @@
      */
     JsonObject sites(Sites sites) {
         FailoverState failover = agreed().failover();
-        Map<String, Double> loads = duties == null ? Map.of() : duties.siteLoads();
+        Map<String, Double> loads = leaseManager == null ? Map.of() : leaseManager.siteLoads();
         JsonArray all = new JsonArray();
         sites.byName().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
@@ -79,45 +79,45 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Figures by name; {@code applied}: the last entry that was applied. */
-    Map<String, Long> figures(long now, long applied, int callsWaiting, long diskFailures) {
-        Map<String, Long> figures = new LinkedHashMap<>();
-        figures.put("cluster.open", raft == null ? 0L : 1);
-        figures.put("cluster.disk_failures", diskFailures);
+    /** Metrics by name; {@code applied}: the last entry that was applied. */
+    Map<String, Long> metrics(long now, long applied, int pendingProposals, long diskFailures) {
+        Map<String, Long> metrics = new LinkedHashMap<>();
+        metrics.put("cluster.open", raft == null ? 0L : 1);
+        metrics.put("cluster.disk_failures", diskFailures);
         if (raft != null) {
-            addRaftFigures(figures, now, applied);
-            figures.put("cluster.calls_waiting", (long) callsWaiting);
-            figures.put("cluster.dropped_frames", net.droppedFrames());
-            addDutyFigures(figures, now);
+            addRaftMetrics(metrics, now, applied);
+            metrics.put("cluster.calls_waiting", (long) pendingProposals);
+            metrics.put("cluster.dropped_frames", net.droppedFrames());
+            addLeaseMetrics(metrics, now);
         }
-        return figures;
+        return metrics;
     }
 
-    private void addRaftFigures(Map<String, Long> figures, long now, long applied) {
+    private void addRaftMetrics(Map<String, Long> metrics, long now, long applied) {
         boolean leads = raft.role() == Raft.Role.LEADER;
-        figures.put("cluster.leads", leads ? 1L : 0);
-        figures.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
-        figures.put("cluster.term", raft.term());
-        figures.put("cluster.commit", raft.commit());
-        figures.put("cluster.applied", applied);
-        figures.put("cluster.members", (long) raft.members().all().size());
+        metrics.put("cluster.leads", leads ? 1L : 0);
+        metrics.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
+        metrics.put("cluster.term", raft.term());
+        metrics.put("cluster.commit", raft.commit());
+        metrics.put("cluster.applied", applied);
+        metrics.put("cluster.members", (long) raft.members().all().size());
         if (leads) {
-            figures.put("cluster.members_heard", (long) raft.heard(now).size());
+            metrics.put("cluster.members_heard", (long) raft.heard(now).size());
         }
     }
 
-    private void addDutyFigures(Map<String, Long> figures, long now) {
+    private void addLeaseMetrics(Map<String, Long> metrics, long now) {
         ClusterState agreed = agreed();
-        figures.put(
+        metrics.put(
                 "duty.held",
                 config.duties().leaseNames().stream()
-                        .filter(duty -> duties.validToken(duty, now) > 0)
+                        .filter(duty -> leaseManager.validToken(duty, now) > 0)
                         .count());
-        figures.put("duty.acts", duties.orderCount());
-        figures.put("duty.part_thousandths", duties.quotaThousandths(now));
-        figures.put("duty.lent_thousandths", agreed.grantedQuotaThousandths());
-        figures.put("duty.out", (long) agreed.drainedCaches().size());
-        figures.put(
+        metrics.put("duty.acts", leaseManager.orderCount());
+        metrics.put("duty.part_thousandths", leaseManager.quotaThousandths(now));
+        metrics.put("duty.lent_thousandths", agreed.grantedQuotaThousandths());
+        metrics.put("duty.out", (long) agreed.drainedCaches().size());
+        metrics.put(
                 "duty.waiting",
                 agreed.maintenanceRequests().values().stream()
                         .filter(ticket -> !ticket.granted())
@@ -144,7 +144,7 @@
                 .put("duties", leases(now))
                 .put("out", new JsonObject(new TreeMap<>(agreed.drainedCaches())))
                 .put("tickets", tickets())
-                .put("part", duties.quotaThousandths(now))
+                .put("part", leaseManager.quotaThousandths(now))
                 .put("lent", agreed.grantedQuotaThousandths())
                 .put("dropped_frames", net.droppedFrames());
     }
@@ -176,7 +176,7 @@
                     .put("duty", name)
                     .put("holder", duty.holder())
                     .put("token", duty.token())
-                    .put("left_ms", own ? duties.remainingMicros(name, now) / 1_000 : null));
+                    .put("left_ms", own ? leaseManager.remainingMicros(name, now) / 1_000 : null));
         }
         return leases;
     }
--- a/src/main/java/pewtercourse/failover/FailoverPlan.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlan.java
@@ -47,8 +47,7 @@
         }
 
         boolean uses(String target) {
-            return allocations.stream()
-                    .anyMatch(allocation -> allocation.site().equals(target));
+            return allocations.stream().anyMatch(allocation -> allocation.site().equals(target));
         }
     }
 
--- a/src/main/java/pewtercourse/failover/SiteObserver.java
+++ b/src/main/java/pewtercourse/failover/SiteObserver.java
@@ -96,9 +96,7 @@
     private static EndpointCount count(
             long now, Map<String, UsualCount> usualByZone, String zone, Map<String, Integer> readyByZone) {
         int ready = readyByZone.getOrDefault(zone, 0);
-        int usual = usualByZone
-                .computeIfAbsent(zone, name -> new UsualCount())
-                .update(now, ready);
+        int usual = usualByZone.computeIfAbsent(zone, name -> new UsualCount()).update(now, ready);
         return new EndpointCount(usual, ready);
     }
 
--- a/src/main/java/pewtercourse/failover/TransportProblem.java
+++ b/src/main/java/pewtercourse/failover/TransportProblem.java
@@ -157,8 +157,7 @@
         return distributions.getOrDefault(lostSites.get(source), FailoverPlan.Distribution.EMPTY);
     }
 
-    private double presentLoad(
-            int source, FailoverPlan.Distribution distribution, FailoverPlan.Allocation allocation) {
+    private double presentLoad(int source, FailoverPlan.Distribution distribution, FailoverPlan.Allocation allocation) {
         double planned = distribution.total();
         return planned <= NEGLIGIBLE_LOAD ? 0 : demand[source] * allocation.load() / planned;
     }
--- a/src/test/java/pewtercourse/failover/SiteObserverTest.java
+++ b/src/test/java/pewtercourse/failover/SiteObserverTest.java
@@ -55,8 +55,8 @@
     void theUsualCountIsTheGreatestOneLately() {
         observe(START, "s0");
 
-        SiteObservation later =
-                observer.observe(START + SECOND, SITES, Map.of("s0", 1), Map.of()).get("s0");
+        SiteObservation later = observer.observe(START + SECOND, SITES, Map.of("s0", 1), Map.of())
+                .get("s0");
 
         assertEquals(new EndpointCount(4, 1), later.caches());
         assertEquals(new EndpointCount(2, 0), later.parents());
