--- a/src/main/java/pewtercourse/ClusterCommands.java
+++ b/src/main/java/pewtercourse/ClusterCommands.java
@@ -197,7 +197,7 @@
         @Override
         public Integer call() throws IOException {
             ClusterConfig c = ClusterConfig.fromFile(file);
-            Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
+            Store.found(c.data(), c.cluster(), c.name(), Membership.bootstrap(c.members()));
             System.out.println("laid " + c.data() + " for " + c.name() + " of "
                     + c.members().keySet());
             return DONE;
--- a/src/main/java/pewtercourse/cluster/ChangeLog.java
+++ b/src/main/java/pewtercourse/cluster/ChangeLog.java
@@ -18,7 +18,7 @@
 
     void write(Raft raft, ClusterState state) {
         writeLeader(raft);
-        raft.regressed().forEach(this::writeRegressed);
+        raft.membersWithLostLog().forEach(this::writeRegressed);
         state.duties().forEach(this::writeHolder);
     }
 
--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -253,14 +253,14 @@
         }
         switch (f.getBodyCase()) {
             case CALL -> {
-                Raft.Proposed p = raft.propose(now(), f.getCall().getCommand().toByteArray());
-                if (p.refusal() != null) {
-                    Log.counted("cluster.call_refused", "from", from, "why", p.refusal());
+                Raft.ProposalResult p = raft.propose(now(), f.getCall().getCommand().toByteArray());
+                if (p.rejection() != null) {
+                    Log.counted("cluster.call_refused", "from", from, "why", p.rejection());
                 }
             }
             case BODY_NOT_SET, HELLO -> Log.counted("cluster.stranger", "from", from, "error", "an unknown frame");
             default -> {
-                Message m = Codec.decode(f);
+                Message m = Codec.decode(f).orElse(null);
                 if (m != null) {
                     // Time first: after a standstill it may no longer be what it was.
                     raft.tick(now());
@@ -319,14 +319,14 @@
         if (r.save() != null) {
             disk.save(r.save());
         }
-        r.send().forEach(a -> net.send(a.to(), Codec.encode(a.message())));
+        r.messages().forEach(a -> net.send(a.to(), Codec.encode(a.message())));
         boolean changed = false;
         try {
-            if (r.install() != null) {
+            if (r.snapshot() != null) {
                 toldWords = -1;
                 toldSites = -1;
-                duties.restored(now(), ClusterState.decode(r.install().state()));
-                applied = r.install().index();
+                duties.restored(now(), ClusterState.decode(r.snapshot().state()));
+                applied = r.snapshot().index();
                 changed = true;
             }
             for (Entry e : r.committed()) {
@@ -372,7 +372,7 @@
         }
         boolean any = false;
         long now = now();
-        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
+        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(now) : null;
         LeaseManager.View view =
                 new LeaseManager.View(raft.members().all().keySet(), heard, System.currentTimeMillis());
         for (Command.Envelope s : duties.tick(now, view)) {
@@ -548,13 +548,13 @@
         if (raft.role() != Raft.Role.LEADER) {
             return true;
         }
-        String heir = transferAt < 0 ? raft.heir(now()) : null;
+        String heir = transferAt < 0 ? raft.bestTransferCandidate(now()).orElse(null) : null;
         if (heir != null) {
             transferAt = now();
-            raft.transfer(transferAt, heir);
+            raft.transferLeadership(transferAt, heir);
             pump();
         }
-        return transferAt < 0 || now() - transferAt > config.raft().electionTo();
+        return transferAt < 0 || now() - transferAt > config.raft().maxElectionTimeoutMicros();
     }
 
     /** By an operator: the duty's holder is to hand it on, to {@code to} or, if that is empty, to whoever is best. */
@@ -572,8 +572,8 @@
     /** By an operator at the leader: leadership goes to {@code to}, or, if that is empty, to whoever lacks least. Null, or why not. */
     public String transfer(String to) {
         return led(() -> {
-            String heir = to.isEmpty() ? raft.heir(now()) : to;
-            return heir == null ? Raft.Refusal.UNFIT : raft.transfer(now(), heir);
+            String heir = to.isEmpty() ? raft.bestTransferCandidate(now()).orElse(null) : to;
+            return heir == null ? Raft.Rejection.INELIGIBLE_MEMBER : raft.transferLeadership(now(), heir);
         });
     }
 
@@ -581,30 +581,30 @@
     public String add(String name, String address) {
         Membership.Member before = raft == null ? null : raft.members().all().get(name);
         return led(() -> before != null
-                ? Raft.Refusal.UNFIT
-                : raft.addMember(now(), name, address, 0).refusal());
+                ? Raft.Rejection.INELIGIBLE_MEMBER
+                : raft.addMember(now(), name, address, 0).rejection());
     }
 
     public String remove(String name) {
-        return led(() -> raft.removeMember(now(), name).refusal());
+        return led(() -> raft.removeMember(now(), name).rejection());
     }
 
-    private String led(Supplier<Raft.Refusal> what) {
+    private String led(Supplier<Raft.Rejection> what) {
         if (raft == null) {
             return "the folder of this member can't be used: see the log";
         }
         raft.tick(now());
-        Raft.Refusal no = what.get();
+        Raft.Rejection no = what.get();
         pump();
         return no == null
                 ? null
                 : switch (no) {
                     case NOT_LEADER ->
                         "not the leader, which is " + (raft.leader() == null ? "not known" : raft.leader());
-                    case CHANGING -> "another change is under way, or the leader is new: try again";
-                    case HANDING_ON -> "leadership is being handed on: try again";
+                    case MEMBERSHIP_CHANGE_PENDING -> "another change is under way, or the leader is new: try again";
+                    case TRANSFERRING -> "leadership is being handed on: try again";
                     case BUSY -> "too much is under way: try again";
-                    case UNFIT ->
+                    case INELIGIBLE_MEMBER ->
                         "that is not possible: the member is unknown or there already, does not answer or has no vote";
                 };
     }
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -95,11 +95,11 @@
         figures.put("cluster.leads", leads ? 1L : 0);
         figures.put("cluster.leader_known", raft.leader() == null ? 0L : 1);
         figures.put("cluster.term", raft.term());
-        figures.put("cluster.commit", raft.commit());
+        figures.put("cluster.commit", raft.commitIndex());
         figures.put("cluster.applied", applied);
         figures.put("cluster.members", (long) raft.members().all().size());
         if (leads) {
-            figures.put("cluster.members_heard", (long) raft.heard(now).size());
+            figures.put("cluster.members_heard", (long) raft.recentlyActive(now).size());
         }
     }
 
@@ -132,11 +132,11 @@
                 .put("role", lowerCase(raft.role()))
                 .put("leader", raft.leader())
                 .put("term", raft.term())
-                .put("commit", raft.commit())
+                .put("commit", raft.commitIndex())
                 .put("applied", applied)
                 .put("snapshot", raft.snapshotIndex())
                 .put("confirmed", confirmed)
-                .put("removed", raft.stranger())
+                .put("removed", raft.isNonMember())
                 .put("members", members(now))
                 .put("duties", leases(now))
                 .put("out", new JsonObject(new TreeMap<>(agreed.out())))
@@ -150,14 +150,14 @@
     // it.
     private JsonArray members(long now) {
         Map<String, Long> lag = raft.lag();
-        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
-        Set<String> names = new TreeSet<>(raft.agreedMembers().all().keySet());
+        Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(now) : null;
+        Set<String> names = new TreeSet<>(raft.committedMembers().all().keySet());
         names.addAll(raft.members().all().keySet());
         JsonArray members = new JsonArray();
         for (String name : names) {
             members.add(new JsonObject()
                     .put("name", name)
-                    .put("voter", raft.agreedVoter(name))
+                    .put("voter", raft.isCommittedVoter(name))
                     .put("lag", lag.get(name))
                     .put("heard", heard == null ? null : heard.contains(name)));
         }
--- a/src/main/java/pewtercourse/cluster/Disk.java
+++ b/src/main/java/pewtercourse/cluster/Disk.java
@@ -103,7 +103,7 @@
             snapshot = null;
             then.accept(made);
         } else if (!broken) {
-            saved.accept(group.get(group.size() - 1).seq());
+            saved.accept(group.get(group.size() - 1).number());
         }
         write();
     }
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -46,8 +46,12 @@
 
     static final long MS = 1_000, SECOND = 1_000_000;
     static final int CACHES = 12;
-    private static final RaftSettings RAFT =
-            new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 256, 64, 1 << 20, 8);
+    private static final RaftSettings RAFT = new RaftSettings(
+            50 * MS,
+            150 * MS,
+            300 * MS,
+            new RaftSettings.Replication(4_096, 16, 4, 256),
+            new RaftSettings.Snapshots(64, 1 << 20, 8));
 
     private record Event(long at, long order, int node, int life, Runnable run) {}
 
@@ -161,22 +165,22 @@
                 if (r.save() != null) {
                     unsynced.add(r.save());
                     if (planted == Planted.SAID_BEFORE_SAVED) {
-                        raft.saved(clock(), r.save().seq());
+                        raft.saved(clock(), r.save().number());
                     }
                     sync();
                 }
-                r.send().forEach(m -> send(this, m.to(), m.message()));
+                r.messages().forEach(m -> send(this, m.to(), m.message()));
                 boolean changed = apply(r);
                 boolean asked = false;
                 if (!raft.members().all().isEmpty()) {
-                    Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.heard(clock()) : null;
+                    Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(clock()) : null;
                     for (Command.Envelope s : duties.tick(
                             clock(), new LeaseManager.View(raft.members().all().keySet(), heard, now / MS))) {
                         offer(s);
                         asked = true;
                     }
                 }
-                if (!changed && !asked && r.save() == null && r.send().isEmpty()) {
+                if (!changed && !asked && r.save() == null && r.messages().isEmpty()) {
                     break;
                 }
             }
@@ -184,11 +188,11 @@
         }
 
         private boolean apply(Ready r) {
-            boolean changed = r.install() != null;
+            boolean changed = r.snapshot() != null;
             try {
-                if (r.install() != null) {
-                    duties.restored(clock(), ClusterState.decode(r.install().state()));
-                    applied = r.install().index();
+                if (r.snapshot() != null) {
+                    duties.restored(clock(), ClusterState.decode(r.snapshot().state()));
+                    applied = r.snapshot().index();
                 }
                 for (Entry e : r.committed()) {
                     check(e.index() == applied + 1, "out of order: " + e.index() + " after " + applied);
@@ -290,7 +294,7 @@
                 group.forEach(disk::apply);
                 unsynced.removeAll(group);
                 syncing = false;
-                raft.saved(clock(), group.get(group.size() - 1).seq());
+                raft.saved(clock(), group.get(group.size() - 1).number());
                 if (!unsynced.isEmpty()) {
                     sync();
                 }
@@ -340,8 +344,8 @@
             nodes.add(new Node(i));
             names.put("d" + i, "");
         }
-        Snapshot founding = new Snapshot(0, 0, Membership.founding(names), new byte[0]);
-        nodes.forEach(n -> n.disk = new DiskModel(Membership.FOUNDING, founding));
+        Snapshot founding = new Snapshot(0, 0, Membership.bootstrap(names), new byte[0]);
+        nodes.forEach(n -> n.disk = new DiskModel(Membership.BOOTSTRAP_INCARNATION, founding));
         nodes.forEach(Node::start);
     }
 
@@ -360,7 +364,7 @@
     private void send(Node from, String to, Message m) {
         Node n = node(to);
         long of = from.disk.incarnation;
-        Message same = Codec.decode(Codec.encode(m)); // By way of its form on the wire.
+        Message same = Codec.decode(Codec.encode(m)).orElse(null); // By way of its form on the wire.
         carry(from, n, () -> {
             n.raft.tick(n.clock());
             n.raft.receive(n.clock(), from.name, of, same);
@@ -422,7 +426,7 @@
 
     /** A member comes back without its folder. */
     void swap(Node n) {
-        n.disk = new DiskModel(random.nextLong() | 2, Snapshot.NOTHING);
+        n.disk = new DiskModel(random.nextLong() | 2, Snapshot.EMPTY);
     }
 
     /** Plays on until a time, or until something is wrong. */
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -80,7 +80,7 @@
                             .put("members", members)
                             .encode());
             ClusterConfig config = ClusterConfig.fromFile(file);
-            Store.found(config.data(), config.cluster(), config.name(), Membership.founding(config.members()));
+            Store.found(config.data(), config.cluster(), config.name(), Membership.bootstrap(config.members()));
             var started = new java.util.concurrent.CompletableFuture<Void>();
             Context loop = vertx.getOrCreateContext(); // Another one each time, as this is no thread of the library's.
             loops.add(loop);
@@ -146,7 +146,7 @@
                 "| entries after the snapshot | MB | start, ms (median of five) |\n| --- | --- | --- |\n");
         for (int entries : new int[] {1_000, 10_000, 100_000}) {
             Path folder = Files.createTempDirectory("experiment").resolve("d");
-            Store.found(folder, "c", "m", Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
+            Store.found(folder, "c", "m", Membership.bootstrap(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
             try (Store s = Store.open(folder, "c", "m", 4 << 20)) {
                 s.recover();
                 for (int i = 0; i < entries; i += 100) {
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -111,7 +111,7 @@
                                             .put("quota", new JsonObject()))
                             .encode());
             ClusterConfig c = ClusterConfig.fromFile(file);
-            Store.found(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
+            Store.found(c.data(), c.cluster(), c.name(), Membership.bootstrap(c.members()));
             files.add(file);
         }
         return files;
--- a/src/main/java/pewtercourse/raft/Codec.java
+++ b/src/main/java/pewtercourse/raft/Codec.java
@@ -3,155 +3,203 @@
 import com.google.protobuf.ByteString;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import pewtercourse.raft.wire.Wire;
 
-/** Between the records of this package and their form on the wire and on disk. */
+/** Between the records of this package and their protobuf form, on the wire and on disk. */
 public final class Codec {
     private Codec() {}
 
-    public static Wire.Members encode(Membership m) {
-        Wire.Members.Builder b = Wire.Members.newBuilder();
-        m.all()
-                .forEach((name, x) -> b.addMember(Wire.Member.newBuilder()
+    // ---- Memberships and entries ----
+
+    /** The members in the order of their names. */
+    public static Wire.Members encode(Membership membership) {
+        Wire.Members.Builder members = Wire.Members.newBuilder();
+        membership
+                .all()
+                .forEach((name, member) -> members.addMember(Wire.Member.newBuilder()
                         .setName(name)
-                        .setAddress(x.address())
-                        .setIncarnation(x.incarnation())
-                        .setVoter(x.voter())));
-        return b.build();
+                        .setAddress(member.address())
+                        .setIncarnation(member.incarnation())
+                        .setVoter(member.voter())));
+        return members.build();
     }
 
-    public static Membership decode(Wire.Members m) {
+    /** The members by their names. */
+    public static Membership decode(Wire.Members members) {
         Map<String, Membership.Member> all = new TreeMap<>();
-        m.getMemberList()
-                .forEach(x ->
-                        all.put(x.getName(), new Membership.Member(x.getAddress(), x.getIncarnation(), x.getVoter())));
+        members.getMemberList()
+                .forEach(member -> all.put(
+                        member.getName(),
+                        new Membership.Member(member.getAddress(), member.getIncarnation(), member.getVoter())));
         return new Membership(all);
     }
 
-    public static Wire.Entry encode(Entry e) {
-        Wire.Entry.Builder b = Wire.Entry.newBuilder().setIndex(e.index()).setTerm(e.term());
-        switch (e.kind()) {
-            case COMMAND -> b.setCommand(ByteString.copyFrom(e.command()));
-            case MEMBERS -> b.setMembers(encode(e.members()));
+    /** An entry of any kind. */
+    public static Wire.Entry encode(Entry entry) {
+        Wire.Entry.Builder encoded =
+                Wire.Entry.newBuilder().setIndex(entry.index()).setTerm(entry.term());
+        switch (entry.kind()) {
+            case COMMAND -> encoded.setCommand(ByteString.copyFrom(entry.command()));
+            case MEMBERS -> encoded.setMembers(encode(entry.members()));
             case EMPTY -> {}
         }
-        return b.build();
+        return encoded.build();
     }
 
-    public static Entry decode(Wire.Entry e) {
-        return switch (e.getWhatCase()) {
+    /** An entry of any kind. */
+    public static Entry decode(Wire.Entry entry) {
+        return switch (entry.getWhatCase()) {
             case COMMAND ->
-                Entry.command(e.getIndex(), e.getTerm(), e.getCommand().toByteArray());
-            case MEMBERS -> Entry.members(e.getIndex(), e.getTerm(), decode(e.getMembers()));
-            case WHAT_NOT_SET -> Entry.empty(e.getIndex(), e.getTerm());
+                Entry.command(
+                        entry.getIndex(), entry.getTerm(), entry.getCommand().toByteArray());
+            case MEMBERS -> Entry.members(entry.getIndex(), entry.getTerm(), decode(entry.getMembers()));
+            case WHAT_NOT_SET -> Entry.empty(entry.getIndex(), entry.getTerm());
         };
     }
 
-    public static Wire.Frame encode(Message m) {
-        Wire.Frame.Builder f = Wire.Frame.newBuilder();
-        if (m instanceof Message.VoteRequest v) {
-            f.setVoteRequest(Wire.VoteRequest.newBuilder()
-                    .setTerm(v.term())
-                    .setLastIndex(v.lastIndex())
-                    .setLastTerm(v.lastTerm())
-                    .setPre(v.pre())
-                    .setTransfer(v.transfer()));
-        } else if (m instanceof Message.VoteReply v) {
-            f.setVoteReply(Wire.VoteReply.newBuilder()
-                    .setTerm(v.term())
-                    .setGranted(v.granted())
-                    .setPre(v.pre())
-                    .setStranger(v.stranger()));
-        } else if (m instanceof Message.Append a) {
-            Wire.Append.Builder b = Wire.Append.newBuilder()
-                    .setTerm(a.term())
-                    .setPrevIndex(a.prevIndex())
-                    .setPrevTerm(a.prevTerm())
-                    .setCommit(a.commit())
-                    .setSeq(a.seq());
-            a.entries().forEach(e -> b.addEntry(encode(e)));
-            f.setAppend(b);
-        } else if (m instanceof Message.AppendReply a) {
-            f.setAppendReply(Wire.AppendReply.newBuilder()
-                    .setTerm(a.term())
-                    .setOk(a.ok())
-                    .setIndex(a.index())
-                    .setSeq(a.seq()));
-        } else if (m instanceof Message.Install i) {
-            f.setInstall(Wire.Install.newBuilder()
-                    .setTerm(i.term())
-                    .setLastIndex(i.lastIndex())
-                    .setLastTerm(i.lastTerm())
-                    .setMembers(encode(i.members()))
-                    .setOffset(i.offset())
-                    .setPart(ByteString.copyFrom(i.part()))
-                    .setTotal(i.total())
-                    .setSeq(i.seq()));
-        } else if (m instanceof Message.InstallReply i) {
-            f.setInstallReply(Wire.InstallReply.newBuilder()
-                    .setTerm(i.term())
-                    .setLastIndex(i.lastIndex())
-                    .setNext(i.next())
-                    .setSeq(i.seq()));
-        } else if (m instanceof Message.TimeoutNow t) {
-            f.setTimeoutNow(Wire.TimeoutNow.newBuilder().setTerm(t.term()));
-        }
-        return f.build();
+    private static List<Entry> decode(List<Wire.Entry> entries) {
+        return entries.stream().map(Codec::decode).toList();
     }
 
-    /** Null for a frame that is no message between members of the agreement. */
-    public static Message decode(Wire.Frame f) {
-        return switch (f.getBodyCase()) {
-            case VOTE_REQUEST ->
-                new Message.VoteRequest(
-                        f.getVoteRequest().getTerm(),
-                        f.getVoteRequest().getLastIndex(),
-                        f.getVoteRequest().getLastTerm(),
-                        f.getVoteRequest().getPre(),
-                        f.getVoteRequest().getTransfer());
-            case VOTE_REPLY ->
-                new Message.VoteReply(
-                        f.getVoteReply().getTerm(),
-                        f.getVoteReply().getGranted(),
-                        f.getVoteReply().getPre(),
-                        f.getVoteReply().getStranger());
-            case APPEND ->
-                new Message.Append(
-                        f.getAppend().getTerm(),
-                        f.getAppend().getPrevIndex(),
-                        f.getAppend().getPrevTerm(),
-                        entries(f.getAppend().getEntryList()),
-                        f.getAppend().getCommit(),
-                        f.getAppend().getSeq());
-            case APPEND_REPLY ->
-                new Message.AppendReply(
-                        f.getAppendReply().getTerm(),
-                        f.getAppendReply().getOk(),
-                        f.getAppendReply().getIndex(),
-                        f.getAppendReply().getSeq());
-            case INSTALL ->
-                new Message.Install(
-                        f.getInstall().getTerm(),
-                        f.getInstall().getLastIndex(),
-                        f.getInstall().getLastTerm(),
-                        decode(f.getInstall().getMembers()),
-                        f.getInstall().getOffset(),
-                        f.getInstall().getPart().toByteArray(),
-                        f.getInstall().getTotal(),
-                        f.getInstall().getSeq());
-            case INSTALL_REPLY ->
-                new Message.InstallReply(
-                        f.getInstallReply().getTerm(),
-                        f.getInstallReply().getLastIndex(),
-                        f.getInstallReply().getNext(),
-                        f.getInstallReply().getSeq());
-            case TIMEOUT_NOW -> new Message.TimeoutNow(f.getTimeoutNow().getTerm());
-            default -> null;
-        };
+    // ---- Messages ----
+
+    /** The message as the body of a frame. */
+    public static Wire.Frame encode(Message message) {
+        Encoder encoder = new Encoder();
+        message.dispatch(encoder);
+        return encoder.frame.build();
+    }
+
+    /** Empty for a frame that is no message of Raft. */
+    public static Optional<Message> decode(Wire.Frame frame) {
+        return Optional.ofNullable(
+                switch (frame.getBodyCase()) {
+                    case VOTE_REQUEST -> decode(frame.getVoteRequest());
+                    case VOTE_REPLY -> decode(frame.getVoteReply());
+                    case APPEND -> decode(frame.getAppend());
+                    case APPEND_REPLY -> decode(frame.getAppendReply());
+                    case INSTALL -> decode(frame.getInstall());
+                    case INSTALL_REPLY -> decode(frame.getInstallReply());
+                    case TIMEOUT_NOW ->
+                        new Message.TimeoutNow(frame.getTimeoutNow().getTerm());
+                    default -> null;
+                });
+    }
+
+    private static Message decode(Wire.VoteRequest request) {
+        return new Message.VoteRequest(
+                request.getTerm(),
+                request.getLastIndex(),
+                request.getLastTerm(),
+                request.getPre(),
+                request.getTransfer());
+    }
+
+    private static Message decode(Wire.VoteReply reply) {
+        return new Message.VoteReply(reply.getTerm(), reply.getGranted(), reply.getPre(), reply.getStranger());
+    }
+
+    private static Message decode(Wire.Append request) {
+        return new Message.AppendRequest(
+                request.getTerm(),
+                request.getPrevIndex(),
+                request.getPrevTerm(),
+                decode(request.getEntryList()),
+                request.getCommit(),
+                request.getSeq());
+    }
+
+    private static Message decode(Wire.AppendReply reply) {
+        return new Message.AppendReply(reply.getTerm(), reply.getOk(), reply.getIndex(), reply.getSeq());
+    }
+
+    private static Message decode(Wire.Install chunk) {
+        return new Message.SnapshotChunk(
+                chunk.getTerm(),
+                chunk.getLastIndex(),
+                chunk.getLastTerm(),
+                decode(chunk.getMembers()),
+                chunk.getOffset(),
+                chunk.getPart().toByteArray(),
+                chunk.getTotal(),
+                chunk.getSeq());
     }
 
-    public static List<Entry> entries(List<Wire.Entry> list) {
-        return list.stream().map(Codec::decode).toList();
+    private static Message decode(Wire.InstallReply reply) {
+        return new Message.SnapshotReply(reply.getTerm(), reply.getLastIndex(), reply.getNext(), reply.getSeq());
+    }
+
+    /** Puts one message into a frame. */
+    private static final class Encoder implements Message.Handler {
+        private final Wire.Frame.Builder frame = Wire.Frame.newBuilder();
+
+        @Override
+        public void receive(Message.VoteRequest request) {
+            frame.setVoteRequest(Wire.VoteRequest.newBuilder()
+                    .setTerm(request.term())
+                    .setLastIndex(request.lastIndex())
+                    .setLastTerm(request.lastTerm())
+                    .setPre(request.preVote())
+                    .setTransfer(request.transfer()));
+        }
+
+        @Override
+        public void receive(Message.VoteReply reply) {
+            frame.setVoteReply(Wire.VoteReply.newBuilder()
+                    .setTerm(reply.term())
+                    .setGranted(reply.granted())
+                    .setPre(reply.preVote())
+                    .setStranger(reply.nonMember()));
+        }
+
+        @Override
+        public void receive(Message.AppendRequest request) {
+            Wire.Append.Builder encoded = Wire.Append.newBuilder()
+                    .setTerm(request.term())
+                    .setPrevIndex(request.prevIndex())
+                    .setPrevTerm(request.prevTerm())
+                    .setCommit(request.commit())
+                    .setSeq(request.sequence());
+            request.entries().forEach(entry -> encoded.addEntry(encode(entry)));
+            frame.setAppend(encoded);
+        }
+
+        @Override
+        public void receive(Message.AppendReply reply) {
+            frame.setAppendReply(Wire.AppendReply.newBuilder()
+                    .setTerm(reply.term())
+                    .setOk(reply.accepted())
+                    .setIndex(reply.index())
+                    .setSeq(reply.sequence()));
+        }
+
+        @Override
+        public void receive(Message.SnapshotChunk chunk) {
+            frame.setInstall(Wire.Install.newBuilder()
+                    .setTerm(chunk.term())
+                    .setLastIndex(chunk.lastIndex())
+                    .setLastTerm(chunk.lastTerm())
+                    .setMembers(encode(chunk.members()))
+                    .setOffset(chunk.offset())
+                    .setPart(ByteString.copyFrom(chunk.part()))
+                    .setTotal(chunk.total())
+                    .setSeq(chunk.sequence()));
+        }
+
+        @Override
+        public void receive(Message.SnapshotReply reply) {
+            frame.setInstallReply(Wire.InstallReply.newBuilder()
+                    .setTerm(reply.term())
+                    .setLastIndex(reply.lastIndex())
+                    .setNext(reply.nextOffset())
+                    .setSeq(reply.sequence()));
+        }
+
+        @Override
+        public void receive(Message.TimeoutNow request) {
+            frame.setTimeoutNow(Wire.TimeoutNow.newBuilder().setTerm(request.term()));
+        }
     }
 }
--- a/src/main/java/pewtercourse/raft/IncomingSnapshot.java
+++ b/src/main/java/pewtercourse/raft/IncomingSnapshot.java
@@ -4,33 +4,34 @@
 
 /** A snapshot that comes from the leader in parts. */
 final class IncomingSnapshot {
-    private ByteArrayOutputStream bytes; // Null: none comes.
-    private long index, term;
+    private ByteArrayOutputStream bytes; // Null: none is on its way.
+    private long lastIndex;
+    private long lastTerm;
 
     /**
-     * Takes a part, and returns how many bytes are there. A part of another snapshot begins it anew; one that is not the
-     * next, or of a snapshot of more than {@code most} bytes, is passed over.
+     * Takes a part, and returns how many bytes are there. A part of another snapshot starts that one; a part that is not
+     * the next, or of a snapshot of more than {@code maxBytes}, is ignored.
      */
-    int add(Message.Install part, long most) {
-        if (bytes == null || index != part.lastIndex() || term != part.lastTerm()) {
+    int add(Message.SnapshotChunk chunk, long maxBytes) {
+        if (bytes == null || lastIndex != chunk.lastIndex() || lastTerm != chunk.lastTerm()) {
             bytes = new ByteArrayOutputStream();
-            index = part.lastIndex();
-            term = part.lastTerm();
+            lastIndex = chunk.lastIndex();
+            lastTerm = chunk.lastTerm();
         }
-        if (part.offset() == bytes.size() && part.total() <= most) {
-            bytes.writeBytes(part.part());
+        if (chunk.offset() == bytes.size() && chunk.total() <= maxBytes) {
+            bytes.writeBytes(chunk.part());
         }
         return bytes.size();
     }
 
-    /** What has come. */
+    /** All bytes that have come; the next part starts anew. */
     byte[] take() {
         byte[] taken = bytes.toByteArray();
-        drop();
+        discard();
         return taken;
     }
 
-    void drop() {
+    void discard() {
         bytes = null;
     }
 }
--- a/src/main/java/pewtercourse/raft/Message.java
+++ b/src/main/java/pewtercourse/raft/Message.java
@@ -2,25 +2,130 @@
 
 import java.util.List;
 
-/** What members tell one another. {@code term} is the sender's, but that asked for in a pre-vote. */
+/** What members send to one another. {@code term} is the sender's, but in a pre-vote, which names the next one. */
 public sealed interface Message {
+    /** The sender's term, or that which a pre-vote asks for. */
     long term();
 
-    /** {@code pre}: only asks whether it could win. {@code transfer}: the leader wishes it, so a living one is no bar. */
-    record VoteRequest(long term, long lastIndex, long lastTerm, boolean pre, boolean transfer) implements Message {}
+    /** Calls the handler's method for this type of message. */
+    void dispatch(Handler handler);
 
-    /** {@code stranger}: the asker is no member by what the answering one knows as agreed. */
-    record VoteReply(long term, boolean granted, boolean pre, boolean stranger) implements Message {}
+    /** Whether the sender is in {@link #term}, so that a member in a lower one has to adopt it. */
+    default boolean provesTerm() {
+        return true;
+    }
 
-    /** {@code seq} counts the messages of a leader and comes back with the answer: it confirms reads. */
-    record Append(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long seq)
-            implements Message {}
+    /** Whether only the leader of {@link #term} sends it. */
+    default boolean isFromLeader() {
+        return false;
+    }
 
-    /** {@code index}: when {@code ok} the last entry known to be alike, else the last one that could be. */
-    record AppendReply(long term, boolean ok, long index, long seq) implements Message {}
+    /** One method for each type of message. */
+    interface Handler {
+        /** A candidate asks for a vote. */
+        void receive(VoteRequest request);
 
-    /** A part of a snapshot of {@code total} bytes that stands for the log up to {@code lastIndex}. */
-    record Install(
+        /** A voter's answer. */
+        void receive(VoteReply reply);
+
+        /** The leader's entries, or its heartbeat. */
+        void receive(AppendRequest request);
+
+        /** A follower's answer to entries or a heartbeat. */
+        void receive(AppendReply reply);
+
+        /** A part of the leader's snapshot. */
+        void receive(SnapshotChunk chunk);
+
+        /** A follower's answer to a part of the snapshot. */
+        void receive(SnapshotReply reply);
+
+        /** The leader transfers its leadership. */
+        void receive(TimeoutNow request);
+    }
+
+    /**
+     * A candidate asks for a vote.
+     *
+     * @param lastIndex the last entry of the candidate's log
+     * @param lastTerm that entry's term
+     * @param preVote only asks whether it could win
+     * @param transfer the leader wishes it, so a living leader is no reason to reject it
+     */
+    record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean transfer) implements Message {
+        /** Whether its term counts is for the voter to decide: a candidate must not unseat a living leader. */
+        @Override
+        public boolean provesTerm() {
+            return false;
+        }
+
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
+
+    /**
+     * The answer to a {@link VoteRequest}.
+     *
+     * @param nonMember the candidate is no member by what the voter knows to be committed
+     */
+    record VoteReply(long term, boolean granted, boolean preVote, boolean nonMember) implements Message {
+        /** A granted pre-vote has the term that was asked for, in which nobody is yet. */
+        @Override
+        public boolean provesTerm() {
+            return !(preVote && granted);
+        }
+
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
+
+    /**
+     * Entries from the leader; none in a heartbeat.
+     *
+     * @param prevIndex the entry before the first of these
+     * @param prevTerm that entry's term
+     * @param commit the leader's commit index
+     * @param sequence counts the leader's messages and comes back with the answer: it confirms reads
+     */
+    record AppendRequest(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long sequence)
+            implements Message {
+        @Override
+        public boolean isFromLeader() {
+            return true;
+        }
+
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
+
+    /**
+     * The answer to an {@link AppendRequest}.
+     *
+     * @param index where accepted, the last entry known to equal the leader's; else the last one that could
+     */
+    record AppendReply(long term, boolean accepted, long index, long sequence) implements Message {
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
+
+    /**
+     * A part of the leader's snapshot.
+     *
+     * @param lastIndex the last entry that the snapshot stands for
+     * @param lastTerm that entry's term
+     * @param members as of that entry
+     * @param offset of the part's first byte in the snapshot
+     * @param total bytes of the whole snapshot
+     */
+    record SnapshotChunk(
             long term,
             long lastIndex,
             long lastTerm,
@@ -28,12 +133,36 @@
             long offset,
             byte[] part,
             long total,
-            long seq)
-            implements Message {}
+            long sequence)
+            implements Message {
+        @Override
+        public boolean isFromLeader() {
+            return true;
+        }
+
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
 
-    /** {@code next}: the offset that is wanted next; the total when it is whole and saved. */
-    record InstallReply(long term, long lastIndex, long next, long seq) implements Message {}
+    /**
+     * The answer to a {@link SnapshotChunk}.
+     *
+     * @param nextOffset the first byte that is missing; the total once the whole snapshot is saved
+     */
+    record SnapshotReply(long term, long lastIndex, long nextOffset, long sequence) implements Message {
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
 
-    /** The leader hands its office on: stand for election at once. */
-    record TimeoutNow(long term) implements Message {}
+    /** The leader transfers its leadership: the receiver stands for election at once. */
+    record TimeoutNow(long term) implements Message {
+        @Override
+        public void dispatch(Handler handler) {
+            handler.receive(this);
+        }
+    }
 }
--- a/src/main/java/pewtercourse/raft/Ready.java
+++ b/src/main/java/pewtercourse/raft/Ready.java
@@ -3,14 +3,25 @@
 import java.util.List;
 
 /**
- * What is to be done now, in this order: {@code save} is begun (null: nothing), {@code send} goes out without waiting
- * for it, {@code install} replaces the state machine (null: nothing), {@code committed} is applied, {@code reads} are
- * confirmed.
+ * What is to be done now, in this order (etcd's term).
+ *
+ * @param save the write to start; null: none
+ * @param messages to send at once: none of them waits for the save
+ * @param snapshot replaces the state machine's state; null: none
+ * @param committed entries to apply
+ * @param reads answers to {@link Raft#read}
  */
-public record Ready(Save save, List<Addressed> send, Snapshot install, List<Entry> committed, List<Read> reads) {
+public record Ready(
+        Save save, List<OutgoingMessage> messages, Snapshot snapshot, List<Entry> committed, List<ReadResult> reads) {
     /** A message and the member that it is for. */
-    public record Addressed(String to, Message message) {}
+    public record OutgoingMessage(String to, Message message) {}
 
-    /** A read that a majority has confirmed: it may be answered from the state once {@code index} is applied. */
-    public record Read(long id, long index, boolean confirmed) {}
+    /**
+     * The answer to a read.
+     *
+     * @param id as the read was called with
+     * @param index the entry that has to be applied before the state answers the read
+     * @param confirmed false if this member led no longer, so that the read has no answer
+     */
+    public record ReadResult(long id, long index, boolean confirmed) {}
 }
--- a/src/main/java/pewtercourse/raft/store/Store.java
+++ b/src/main/java/pewtercourse/raft/store/Store.java
@@ -83,7 +83,7 @@
             throw new StoreException("'" + folder + "' belongs to a cluster already: nothing was changed");
         }
         try (Store s = open(folder, cluster, member, 1 << 20)) {
-            s.incarnation = Membership.FOUNDING;
+            s.incarnation = Membership.BOOTSTRAP_INCARNATION;
             s.writeSnapshot(new Snapshot(0, 0, members, new byte[0]));
             s.begin(1);
         }
@@ -122,7 +122,7 @@
         }
         if (incarnation == 0) {
             SecureRandom random = new SecureRandom();
-            while (incarnation == 0 || incarnation == Membership.FOUNDING) {
+            while (incarnation == 0 || incarnation == Membership.BOOTSTRAP_INCARNATION) {
                 incarnation = random.nextLong();
             }
         }
@@ -303,7 +303,7 @@
     private Snapshot newestSnapshot() throws IOException {
         List<Long> there = numbers(folder, SNAPSHOT);
         if (there.isEmpty()) {
-            return Snapshot.NOTHING;
+            return Snapshot.EMPTY;
         }
         // The newest was synced before it got its name: if it is damaged, going back to an older one would be a guess.
         Path file = folder.resolve(SNAPSHOT + there.get(there.size() - 1));
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -174,7 +174,7 @@
             boolean votes = sim.until(
                     20 * SECOND,
                     () -> sim.leader() != null
-                            && sim.node(sim.leader()).raft.members().voters() == 3);
+                            && sim.node(sim.leader()).raft.members().voterCount() == 3);
             assertNull(sim.trouble, "seed " + seed);
             assertTrue(votes, "seed " + seed + ": a member is missing, " + sim.leader());
         });
--- a/src/test/java/pewtercourse/raft/RaftTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTest.java
@@ -19,8 +19,12 @@
 /** Members whose messages arrive at once and whose saves are done at once, but where a test says otherwise. */
 class RaftTest {
     private static final long MS = 1_000;
-    private static final RaftSettings SET =
-            new RaftSettings(50 * MS, 150 * MS, 300 * MS, 4_096, 16, 4, 64, 8, 1 << 20, 4);
+    private static final RaftSettings SET = new RaftSettings(
+            50 * MS,
+            150 * MS,
+            300 * MS,
+            new RaftSettings.Replication(4_096, 16, 4, 64),
+            new RaftSettings.Snapshots(8, 1 << 20, 4));
 
     private record Letter(String from, String to, Message m) {}
 
@@ -30,7 +34,7 @@
     private final Map<String, Long> unsaved = new TreeMap<>();
     private final Deque<Letter> post = new ArrayDeque<>();
     private final Set<String> away = new HashSet<>(), slowDisks = new HashSet<>();
-    private final List<Ready.Read> reads = new ArrayList<>();
+    private final List<Ready.ReadResult> reads = new ArrayList<>();
     private long now;
 
     private void found(int size) {
@@ -38,8 +42,8 @@
         for (int i = 0; i < size; i++) {
             names.put("m" + i, "");
         }
-        Snapshot first = new Snapshot(0, 0, Membership.founding(names), new byte[0]);
-        names.keySet().forEach(n -> join(n, new Saved(Membership.FOUNDING, 0, null, 0, first, List.of())));
+        Snapshot first = new Snapshot(0, 0, Membership.bootstrap(names), new byte[0]);
+        names.keySet().forEach(n -> join(n, new Saved(Membership.BOOTSTRAP_INCARNATION, 0, null, 0, first, List.of())));
     }
 
     private void join(String name, Saved saved) {
@@ -67,21 +71,21 @@
 
     private boolean carryOut(String name, Raft raft) {
         Ready r = raft.take();
-        r.send().forEach(a -> post.add(new Letter(name, a.to(), a.message())));
-        if (r.install() != null && r.install().index() > 0) {
+        r.messages().forEach(a -> post.add(new Letter(name, a.to(), a.message())));
+        if (r.snapshot() != null && r.snapshot().index() > 0) {
             applied.get(name).clear();
-            applied.get(name).addAll(List.of(new String(r.install().state()).split(",")));
+            applied.get(name).addAll(List.of(new String(r.snapshot().state()).split(",")));
         }
         r.committed().stream()
                 .filter(e -> e.kind() == Entry.Kind.COMMAND)
                 .forEach(e -> applied.get(name).add(new String(e.command())));
         reads.addAll(r.reads());
         if (r.save() != null && slowDisks.contains(name)) {
-            unsaved.put(name, r.save().seq());
+            unsaved.put(name, r.save().number());
         } else if (r.save() != null) {
-            raft.saved(now, r.save().seq());
+            raft.saved(now, r.save().number());
         }
-        return r.save() != null || !r.send().isEmpty() || !r.committed().isEmpty();
+        return r.save() != null || !r.messages().isEmpty() || !r.committed().isEmpty();
     }
 
     private void pass(long ms) {
@@ -110,7 +114,7 @@
     }
 
     private void say(String command) {
-        assertNull(leader().propose(now, command.getBytes()).refusal());
+        assertNull(leader().propose(now, command.getBytes()).rejection());
         settle();
     }
 
@@ -132,7 +136,7 @@
         away.addAll(members.keySet());
         now += 400 * MS; // As if it had been stopped: it looks before it acts.
         assertEquals(
-                Raft.Refusal.NOT_LEADER, leader.propose(now, "x".getBytes()).refusal());
+                Raft.Rejection.NOT_LEADER, leader.propose(now, "x".getBytes()).rejection());
         leader.tick(now);
         assertEquals(Raft.Role.FOLLOWER, leader.role());
     }
@@ -157,7 +161,7 @@
         pass(1_000);
         Raft leader = leader();
         slowDisks.addAll(members.keySet());
-        assertNull(leader.propose(now, "a".getBytes()).refusal());
+        assertNull(leader.propose(now, "a".getBytes()).rejection());
         settle();
         assertTrue(applied.values().stream().allMatch(List::isEmpty), "on no disk yet");
         String follower = members.keySet().stream()
@@ -177,14 +181,14 @@
         found(5);
         pass(1_000);
         Raft before = leader();
-        String heir = before.heir(now);
-        assertNull(before.transfer(now, heir));
+        String heir = before.bestTransferCandidate(now).orElse(null);
+        assertNull(before.transferLeadership(now, heir));
         assertEquals(
-                Raft.Refusal.HANDING_ON, before.propose(now, "x".getBytes()).refusal());
+                Raft.Rejection.TRANSFERRING, before.propose(now, "x".getBytes()).rejection());
         settle();
         assertEquals(heir, name(leader()));
         say("a");
-        assertEquals(Raft.Refusal.UNFIT, leader().transfer(now, "nobody"));
+        assertEquals(Raft.Rejection.INELIGIBLE_MEMBER, leader().transferLeadership(now, "nobody"));
     }
 
     @Test
@@ -197,25 +201,25 @@
         String leader = name(leader());
         Snapshot s = members.get(leader)
                 .snapshotAt(
-                        members.get(leader).commit(),
+                        members.get(leader).commitIndex(),
                         String.join(",", applied.get(leader)).getBytes());
         members.get(leader).compacted(s); // So that the newcomer needs it, in parts of eight bytes.
-        join("new", new Saved(77, 0, null, 0, Snapshot.NOTHING, List.of()));
-        assertNull(leader().addMember(now, "new", "a:1", 0).refusal());
+        join("new", new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of()));
+        assertNull(leader().addMember(now, "new", "a:1", 0).rejection());
         assertEquals(
-                Raft.Refusal.CHANGING,
-                leader().addMember(now, "other", "a:2", 0).refusal());
+                Raft.Rejection.MEMBERSHIP_CHANGE_PENDING,
+                leader().addMember(now, "other", "a:2", 0).rejection());
         pass(3_000);
-        assertEquals(4, leader().members().voters(), "with the incarnation that it told");
-        assertTrue(leader().members().votes("new", 77));
+        assertEquals(4, leader().members().voterCount(), "with the incarnation that it told");
+        assertTrue(leader().members().isVoter("new", 77));
         assertEquals(applied.get(leader), applied.get("new"));
-        assertNull(leader().removeMember(now, leader).refusal());
+        assertNull(leader().removeMember(now, leader).rejection());
         pass(1_500);
-        assertEquals(3, leader().members().voters());
+        assertEquals(3, leader().members().voterCount());
         say("after");
         pass(1_000);
         assertTrue(applied.get("new").contains("after"));
-        assertTrue(members.get(leader).stranger(), "it learns that it was removed");
+        assertTrue(members.get(leader).isNonMember(), "it learns that it was removed");
     }
 
     // A member was killed in reliance on the status of a leader that then died too: nobody could be elected any more.
@@ -228,16 +232,16 @@
                 .filter(n -> members.get(n) != leader)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(leader.agreedVoter(lost));
-        join(lost, new Saved(77, 0, null, 0, Snapshot.NOTHING, List.of())); // Its folder is lost: it learns anew.
+        assertTrue(leader.isCommittedVoter(lost));
+        join(lost, new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of())); // Its folder is lost: it learns anew.
         tickUntilPromoted(leader, lost, 77);
-        assertFalse(leader.agreedVoter(lost), "its promotion is in the leader's log alone");
+        assertFalse(leader.isCommittedVoter(lost), "its promotion is in the leader's log alone");
         away.add(name(leader));
         pass(3_000);
         assertEquals(0, leadersPresent(), "it has no vote yet by what the other knows");
         away.clear();
         pass(1_000);
-        assertTrue(leader().agreedVoter(lost));
+        assertTrue(leader().isCommittedVoter(lost));
         away.add(name(leader()));
         pass(2_000);
         assertEquals(1, leadersPresent(), "now the others bear the loss of any one");
@@ -245,12 +249,12 @@
 
     /** Stops before anybody hears of the promotion. */
     private void tickUntilPromoted(Raft leader, String name, long incarnation) {
-        for (int ticks = 0; ticks < 1_000 && !leader.members().votes(name, incarnation); ticks++) {
+        for (int ticks = 0; ticks < 1_000 && !leader.members().isVoter(name, incarnation); ticks++) {
             settle();
             now += 5 * MS;
             members.forEach((n, r) -> r.tick(now));
         }
-        assertTrue(leader.members().votes(name, incarnation));
+        assertTrue(leader.members().isVoter(name, incarnation));
     }
 
     private long leadersPresent() {
@@ -274,9 +278,14 @@
         join(
                 follower,
                 new Saved(
-                        Membership.FOUNDING, 0, null, 0, new Snapshot(0, 0, leader.members(), new byte[0]), List.of()));
+                        Membership.BOOTSTRAP_INCARNATION,
+                        0,
+                        null,
+                        0,
+                        new Snapshot(0, 0, leader.members(), new byte[0]),
+                        List.of()));
         pass(300);
-        assertEquals(Set.of(follower), leader.regressed());
+        assertEquals(Set.of(follower), leader.membersWithLostLog());
     }
 
     @Test
@@ -286,7 +295,7 @@
         Raft leader = leader();
         members.keySet().stream().filter(n -> members.get(n) != leader).forEach(away::add);
         int taken = 0;
-        while (leader.propose(now, "x".getBytes()).refusal() == null && taken < 1_000) {
+        while (leader.propose(now, "x".getBytes()).rejection() == null && taken < 1_000) {
             taken++;
         }
         assertEquals(64, taken);
--- a/src/test/java/pewtercourse/raft/RaftTraceTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTraceTest.java
@@ -59,7 +59,7 @@
         for (Raft.Role role : Raft.Role.values()) {
             expected.add("role " + role.ordinal());
         }
-        for (Raft.Refusal refusal : Raft.Refusal.values()) {
+        for (Raft.Rejection refusal : Raft.Rejection.values()) {
             expected.add("refusal " + refusal.ordinal());
         }
         Set.of(
--- a/src/test/java/pewtercourse/raft/SimulatedDisk.java
+++ b/src/test/java/pewtercourse/raft/SimulatedDisk.java
@@ -48,7 +48,7 @@
         long last = -1;
         for (Save save : unsynced.subList(0, count)) {
             apply(save);
-            last = save.seq();
+            last = save.number();
         }
         unsynced.subList(0, count).clear();
         return last;
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -19,7 +19,12 @@
  */
 final class TracedGroup {
     private static final long MS = 1_000;
-    static final RaftSettings SETTINGS = new RaftSettings(50 * MS, 150 * MS, 300 * MS, 600, 8, 2, 16, 150, 1 << 20, 4);
+    static final RaftSettings SETTINGS = new RaftSettings(
+            50 * MS,
+            150 * MS,
+            300 * MS,
+            new RaftSettings.Replication(600, 8, 2, 16),
+            new RaftSettings.Snapshots(150, 1 << 20, 4));
     private static final int SNAPSHOT_EVERY = 25;
     private static final int SPARE_MEMBERS = 2;
 
@@ -55,10 +60,10 @@
         for (int i = 0; i < size; i++) {
             addresses.put("m" + i, "h:" + i);
         }
-        Snapshot first = new Snapshot(0, 0, Membership.founding(addresses), new byte[0]);
-        addresses.keySet().forEach(name -> create(name, new SimulatedDisk(Membership.FOUNDING, first)));
+        Snapshot first = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
+        addresses.keySet().forEach(name -> create(name, new SimulatedDisk(Membership.BOOTSTRAP_INCARNATION, first)));
         for (int i = size; i < size + SPARE_MEMBERS; i++) {
-            create("m" + i, new SimulatedDisk(newIncarnation(), Snapshot.NOTHING));
+            create("m" + i, new SimulatedDisk(newIncarnation(), Snapshot.EMPTY));
         }
     }
 
@@ -122,7 +127,7 @@
     }
 
     private void pump(TracedMember member) {
-        for (Ready.Addressed sent : member.pump(this)) {
+        for (Ready.OutgoingMessage sent : member.pump(this)) {
             byte[] frame = Codec.encode(sent.message()).toByteArray();
             send(member, sent.to(), frame);
             if (chance(copyRate)) {
--- a/src/test/java/pewtercourse/raft/TracedMember.java
+++ b/src/test/java/pewtercourse/raft/TracedMember.java
@@ -59,7 +59,7 @@
     }
 
     void loseFolder(long incarnation) {
-        disk = new SimulatedDisk(incarnation, Snapshot.NOTHING);
+        disk = new SimulatedDisk(incarnation, Snapshot.EMPTY);
         backup = null;
     }
 
@@ -90,7 +90,11 @@
 
     void receive(long now, String from, long incarnation, byte[] frame) {
         try {
-            raft.receive(clock(now), from, incarnation, Codec.decode(Wire.Frame.parseFrom(frame)));
+            raft.receive(
+                    clock(now),
+                    from,
+                    incarnation,
+                    Codec.decode(Wire.Frame.parseFrom(frame)).orElseThrow());
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
@@ -126,8 +130,8 @@
         proposed("remove", raft.removeMember(clock(now), other));
     }
 
-    private void proposed(String what, Raft.Proposed p) {
-        trace.line(what, name, p.index(), p.term(), refusal(p.refusal()));
+    private void proposed(String what, Raft.ProposalResult p) {
+        trace.line(what, name, p.index(), p.term(), refusal(p.rejection()));
     }
 
     void read(long now, long id) {
@@ -135,10 +139,10 @@
     }
 
     void transfer(long now, String to) {
-        trace.line("transfer", name, to, refusal(raft.transfer(clock(now), to)));
+        trace.line("transfer", name, to, refusal(raft.transferLeadership(clock(now), to)));
     }
 
-    private int refusal(Raft.Refusal refusal) {
+    private int refusal(Raft.Rejection refusal) {
         int number = refusal == null ? -1 : refusal.ordinal();
         trace.count("refusal " + number);
         return number;
@@ -151,7 +155,7 @@
     }
 
     String bestTransferTarget(long now) {
-        return raft.heir(clock(now));
+        return raft.bestTransferCandidate(clock(now)).orElse(null);
     }
 
     Membership members() {
@@ -166,7 +170,7 @@
     boolean groupIsWell() {
         return members().all().values().stream().allMatch(Membership.Member::voter)
                 && raft.lag().values().stream().allMatch(missing -> missing < 10)
-                && raft.regressed().isEmpty();
+                && raft.membersWithLostLog().isEmpty();
     }
 
     LeaseWire.State wireState() {
@@ -178,31 +182,31 @@
     }
 
     /** Carries out what is to be done, and hands out what is to be sent. */
-    List<Ready.Addressed> pump(TracedGroup group) {
+    List<Ready.OutgoingMessage> pump(TracedGroup group) {
         Ready ready = raft.take();
         if (ready.save() != null) {
             save(ready.save());
             group.schedulesSync(this);
         }
-        ready.send().forEach(this::sent);
-        if (ready.install() != null) {
-            restore(ready.install());
+        ready.messages().forEach(this::sent);
+        if (ready.snapshot() != null) {
+            restore(ready.snapshot());
         }
         restoredAtStart = false;
         for (Entry entry : ready.committed()) {
             apply(entry);
             group.agreed(entry.index(), Codec.encode(entry).toByteArray());
         }
-        for (Ready.Read read : ready.reads()) {
+        for (Ready.ReadResult read : ready.reads()) {
             trace.line("r", name, read.id(), read.index(), read.confirmed());
             trace.count("read " + read.confirmed());
         }
-        return ready.send();
+        return ready.messages();
     }
 
     private void save(Save save) {
         disk.write(save);
-        trace.line("v", name, save.seq(), save.term(), save.votedFor(), save.commit());
+        trace.line("v", name, save.number(), save.term(), save.votedFor(), save.commit());
         if (save.snapshot() != null) {
             snapshot("vs", save.snapshot());
         }
@@ -210,7 +214,7 @@
         trace.count("save");
     }
 
-    private void sent(Ready.Addressed sent) {
+    private void sent(Ready.OutgoingMessage sent) {
         Wire.Frame frame = Codec.encode(sent.message());
         trace.line("m", name, sent.to(), frame.toByteArray());
         trace.count("message " + frame.getBodyCase().getNumber());
@@ -268,23 +272,23 @@
                 raft.role().ordinal(),
                 raft.term(),
                 raft.leader(),
-                raft.commit(),
+                raft.commitIndex(),
                 raft.lastIndex(),
                 raft.snapshotIndex(),
                 raft.wakeAt(),
-                raft.stranger(),
+                raft.isNonMember(),
                 bestTransferTarget(now),
                 Codec.encode(raft.members()).toByteArray(),
-                Codec.encode(raft.agreedMembers()).toByteArray());
+                Codec.encode(raft.committedMembers()).toByteArray());
         raft.lag().forEach((other, missing) -> trace.line("sl", other, missing));
-        new TreeSet<>(raft.regressed()).forEach(other -> trace.line("sr", other));
-        new TreeSet<>(raft.heard(clock(now))).forEach(other -> trace.line("sh", other));
-        raft.members().all().keySet().forEach(other -> trace.line("sv", other, raft.agreedVoter(other)));
+        new TreeSet<>(raft.membersWithLostLog()).forEach(other -> trace.line("sr", other));
+        new TreeSet<>(raft.recentlyActive(clock(now))).forEach(other -> trace.line("sh", other));
+        raft.members().all().keySet().forEach(other -> trace.line("sv", other, raft.isCommittedVoter(other)));
         trace.count("role " + raft.role().ordinal());
-        if (raft.stranger()) {
+        if (raft.isNonMember()) {
             trace.count("non-member");
         }
-        if (!raft.regressed().isEmpty()) {
+        if (!raft.membersWithLostLog().isEmpty()) {
             trace.count("lost log");
         }
     }
--- a/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.protobuf.ByteString;
 import io.vertx.core.Vertx;
@@ -76,10 +76,10 @@
         messages.put("vote-reply", new Message.VoteReply(31, true, false, false));
         messages.put("vote-reply-of-pre-vote", new Message.VoteReply(32, false, true, false));
         messages.put("vote-reply-to-non-member", new Message.VoteReply(33, false, false, true));
-        messages.put("append", new Message.Append(41, 42, 43, entries, 44, 45));
+        messages.put("append", new Message.AppendRequest(41, 42, 43, entries, 44, 45));
         messages.put("append-reply", new Message.AppendReply(51, true, 52, 53));
-        messages.put("install", new Message.Install(61, 62, 63, members(), 64, bytes("part"), 65, 66));
-        messages.put("install-reply", new Message.InstallReply(71, 72, 73, 1L << 40));
+        messages.put("install", new Message.SnapshotChunk(61, 62, 63, members(), 64, bytes("part"), 65, 66));
+        messages.put("install-reply", new Message.SnapshotReply(71, 72, 73, 1L << 40));
         messages.put("timeout-now", new Message.TimeoutNow(81));
         return messages;
     }
@@ -132,14 +132,14 @@
     void eachMessageIsReadWithItsContent() throws Exception {
         Set<Class<?>> kinds = new HashSet<>();
         for (Map.Entry<String, Message> message : messages().entrySet()) {
-            Message decoded = Codec.decode(read(file(message.getKey())));
+            Message decoded = Codec.decode(read(file(message.getKey()))).orElseThrow();
             Fixtures.assertSameContent(message.getValue(), decoded);
             kinds.add(decoded.getClass());
         }
         assertEquals(Fixtures.leaves(Message.class), kinds);
         for (Map.Entry<String, Wire.Frame> call : calls().entrySet()) {
             assertEquals(call.getValue(), read(file(call.getKey())));
-            assertNull(Codec.decode(call.getValue()), "no message of the Raft protocol");
+            assertTrue(Codec.decode(call.getValue()).isEmpty(), "no message of the Raft protocol");
         }
     }
 
--- a/src/test/java/pewtercourse/raft/store/StoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoreModelTest.java
@@ -35,7 +35,7 @@
         long term, commit;
         String votedFor;
         Snapshot snapshot =
-                new Snapshot(0, 0, Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
+                new Snapshot(0, 0, Membership.bootstrap(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
         TreeMap<Long, Entry> entries = new TreeMap<>();
 
         long last() {
@@ -213,7 +213,7 @@
     void foldersOfOthersAreRefusedAndLeftAlone() throws IOException {
         laid();
         Files.writeString(folder.resolve("log-notes.txt"), "foreign");
-        assertThrows(StoreException.class, () -> Store.found(folder, CLUSTER, MEMBER, Membership.NONE));
+        assertThrows(StoreException.class, () -> Store.found(folder, CLUSTER, MEMBER, Membership.EMPTY));
         for (String[] other : new String[][] {{"another", MEMBER}, {CLUSTER, "another"}}) {
             try (Store s = Store.open(folder, other[0], other[1], 400)) {
                 assertThrows(StoreException.class, s::recover);
@@ -221,12 +221,12 @@
         }
         try (Store s = Store.open(folder, CLUSTER, MEMBER, 400)) {
             assertThrows(StoreException.class, () -> Store.open(folder, CLUSTER, MEMBER, 400), "in use");
-            assertEquals(Membership.FOUNDING, s.recover().incarnation());
+            assertEquals(Membership.BOOTSTRAP_INCARNATION, s.recover().incarnation());
         }
         assertEquals("foreign", Files.readString(folder.resolve("log-notes.txt")));
         Path empty = Files.createTempDirectory("store");
         try (Store s = Store.open(empty, CLUSTER, MEMBER, 400)) {
-            assertTrue(s.recover().incarnation() != Membership.FOUNDING, "a newcomer is no founder");
+            assertTrue(s.recover().incarnation() != Membership.BOOTSTRAP_INCARNATION, "a newcomer is no founder");
         }
     }
 }
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -47,7 +47,7 @@
     private static final int BYTES_CUT_OFF = 3;
     private static final long TERM = 7;
     private static final long SNAPSHOT_INDEX = 12;
-    private static final Membership FOUNDERS = Membership.founding(
+    private static final Membership FOUNDERS = Membership.bootstrap(
             Map.of("member-a", "127.0.0.1:7001", "member-b", "127.0.0.1:7002", "member-c", "127.0.0.1:7003"));
     private static final Membership CHANGED =
             FOUNDERS.with("member-d", new Membership.Member("127.0.0.1:7004", 0x1122334455667788L, false));
@@ -89,7 +89,7 @@
     }
 
     private static Saved content(List<Entry> entries, long commit) {
-        return new Saved(Membership.FOUNDING, TERM, "member-c", commit, taken(), entries);
+        return new Saved(Membership.BOOTSTRAP_INCARNATION, TERM, "member-c", commit, taken(), entries);
     }
 
     private static Saved wholeContent() {
@@ -238,7 +238,7 @@
     void folderOfAMemberThatJoinedIsReadWithItsContent() throws Exception {
         Path folder = Fixtures.copy(JOINED, temporary.resolve("copy"));
         long incarnation = incarnation(Fixtures.files(folder).get("log-1"));
-        assertTrue(incarnation != 0 && incarnation != Membership.FOUNDING);
+        assertTrue(incarnation != 0 && incarnation != Membership.BOOTSTRAP_INCARNATION);
         Saved expected = new Saved(incarnation, 4, null, 9, installed(), List.of(command(10, 4, "after the snapshot")));
         Fixtures.assertSameContent(expected, Store.inspect(folder));
         try (Store store = Store.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
@@ -252,7 +252,7 @@
         Path folder = temporary.resolve("new");
         writeJoined(folder);
         Map<String, byte[]> files = Fixtures.files(folder);
-        assertNotEquals(Membership.FOUNDING, incarnation(files.get("log-1")));
+        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, incarnation(files.get("log-1")));
         if (!Fixtures.path(JOINED).toFile().exists()) {
             Fixtures.assertFolder(JOINED, files);
         }
