--- a/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
+++ b/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
@@ -24,7 +24,7 @@
 
     void write(Raft raft, ClusterState state) {
         writeLeader(raft);
-        raft.regressed().forEach(this::writeRegressed);
+        raft.membersWithLostLog().forEach(this::writeRegressed);
         state.leases().forEach(this::writeHolder);
     }
 
--- a/src/main/java/pewtercourse/cluster/LeaderCommands.java
+++ b/src/main/java/pewtercourse/cluster/LeaderCommands.java
@@ -22,8 +22,8 @@
     /** Leadership goes to {@code to} or, if that is empty, to the member that lacks least of the log. */
     LeaderCommandOutcome transferLeadership(String to) {
         return carryOut(raft -> {
-            String heir = to.isEmpty() ? raft.heir(now()) : to;
-            return heir == null ? Raft.Refusal.UNFIT : raft.transfer(now(), heir);
+            String heir = to.isEmpty() ? raft.bestTransferCandidate(now()).orElse(null) : to;
+            return heir == null ? Raft.Rejection.INELIGIBLE_MEMBER : raft.transferLeadership(now(), heir);
         });
     }
 
@@ -34,37 +34,37 @@
                 .map(driver -> driver.raft().members().all().containsKey(name))
                 .orElse(false);
         return carryOut(raft -> present
-                ? Raft.Refusal.UNFIT
-                : raft.addMember(now(), name, address, 0).refusal());
+                ? Raft.Rejection.INELIGIBLE_MEMBER
+                : raft.addMember(now(), name, address, 0).rejection());
     }
 
     LeaderCommandOutcome removeMember(String name) {
-        return carryOut(raft -> raft.removeMember(now(), name).refusal());
+        return carryOut(raft -> raft.removeMember(now(), name).rejection());
     }
 
-    private LeaderCommandOutcome carryOut(Function<Raft, Raft.Refusal> command) {
+    private LeaderCommandOutcome carryOut(Function<Raft, Raft.Rejection> command) {
         return openDriver
                 .get()
                 .map(driver -> carryOut(driver, command))
                 .orElseGet(() -> new LeaderCommandOutcome(Status.FOLDER_CLOSED, ""));
     }
 
-    private LeaderCommandOutcome carryOut(RaftDriver driver, Function<Raft, Raft.Refusal> command) {
+    private LeaderCommandOutcome carryOut(RaftDriver driver, Function<Raft, Raft.Rejection> command) {
         Raft raft = driver.raft();
         raft.tick(now()); // Time first: after a pause of the process it may not lead any more.
-        Raft.Refusal refusal = command.apply(raft);
+        Raft.Rejection refusal = command.apply(raft);
         driver.drive();
         String leader = raft.leader() == null ? "" : raft.leader();
         return new LeaderCommandOutcome(refusal == null ? Status.ACCEPTED : status(refusal), leader);
     }
 
-    private static Status status(Raft.Refusal refusal) {
+    private static Status status(Raft.Rejection refusal) {
         return switch (refusal) {
             case NOT_LEADER -> Status.NOT_LEADER;
-            case CHANGING -> Status.CHANGE_IN_PROGRESS;
-            case HANDING_ON -> Status.TRANSFER_IN_PROGRESS;
+            case MEMBERSHIP_CHANGE_PENDING -> Status.CHANGE_IN_PROGRESS;
+            case TRANSFERRING -> Status.TRANSFER_IN_PROGRESS;
             case BUSY -> Status.BUSY;
-            case UNFIT -> Status.NOT_POSSIBLE;
+            case INELIGIBLE_MEMBER -> Status.NOT_POSSIBLE;
         };
     }
 
--- a/src/main/java/pewtercourse/cluster/LeadershipHandover.java
+++ b/src/main/java/pewtercourse/cluster/LeadershipHandover.java
@@ -31,15 +31,15 @@
         if (raft.role() != Raft.Role.LEADER) {
             return true;
         }
-        String heir = transferBegunAt < 0 ? raft.heir(now()) : null;
+        String heir = transferBegunAt < 0 ? raft.bestTransferCandidate(now()).orElse(null) : null;
         if (heir != null) {
             transferBegunAt = now();
-            raft.transfer(transferBegunAt, heir);
+            raft.transferLeadership(transferBegunAt, heir);
             driver.drive();
         }
         // One that takes longer than any election has failed.
         return transferBegunAt < 0
-                || now() - transferBegunAt > environment.config().raft().electionTo();
+                || now() - transferBegunAt > environment.config().raft().maxElectionTimeoutMicros();
     }
 
     private long now() {
--- a/src/main/java/pewtercourse/cluster/LeaseDriver.java
+++ b/src/main/java/pewtercourse/cluster/LeaseDriver.java
@@ -164,7 +164,7 @@
     }
 
     private static LeaseManager.View view(Raft raft, long now) {
-        Set<String> active = raft.role() == Raft.Role.LEADER ? raft.heard(now) : null;
+        Set<String> active = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(now) : null;
         return new LeaseManager.View(raft.members().all().keySet(), active, System.currentTimeMillis());
     }
 
--- a/src/main/java/pewtercourse/cluster/RaftDriver.java
+++ b/src/main/java/pewtercourse/cluster/RaftDriver.java
@@ -153,7 +153,7 @@
             case CALL -> proposeFor(from, frame.getCall().getCommand().toByteArray());
             case BODY_NOT_SET, HELLO -> Log.counted("cluster.stranger", "from", from, "error", "an unknown frame");
             default -> {
-                Message message = Codec.decode(frame);
+                Message message = Codec.decode(frame).orElse(null);
                 if (message != null) {
                     // Time first: after a pause of the process this member may not be what it was before.
                     raft.tick(now());
@@ -165,9 +165,9 @@
     }
 
     private void proposeFor(String from, byte[] command) {
-        Raft.Proposed proposed = raft.propose(now(), command);
-        if (proposed.refusal() != null) {
-            Log.counted("cluster.call_refused", "from", from, "why", proposed.refusal());
+        Raft.ProposalResult proposed = raft.propose(now(), command);
+        if (proposed.rejection() != null) {
+            Log.counted("cluster.call_refused", "from", from, "why", proposed.rejection());
         }
     }
 
@@ -239,7 +239,7 @@
         if (ready.save() != null) {
             storage.save(ready.save());
         }
-        ready.send().forEach(addressed -> net.send(addressed.to(), Codec.encode(addressed.message())));
+        ready.messages().forEach(addressed -> net.send(addressed.to(), Codec.encode(addressed.message())));
         boolean changed = apply(ready);
         ready.reads().forEach(read -> reads.complete(read.id(), read.confirmed()));
         leases.publish(raft, changed);
@@ -250,9 +250,9 @@
     private boolean apply(Ready ready) {
         boolean changed = false;
         try {
-            if (ready.install() != null) {
-                leases.restore(ready.install());
-                applied = ready.install().index();
+            if (ready.snapshot() != null) {
+                leases.restore(ready.snapshot());
+                applied = ready.snapshot().index();
                 changed = true;
             }
             for (Entry entry : ready.committed()) {
--- a/src/main/java/pewtercourse/cluster/StorageWorker.java
+++ b/src/main/java/pewtercourse/cluster/StorageWorker.java
@@ -130,7 +130,7 @@
     private void batchWritten(List<Save> batch) {
         writing = false;
         if (!stopped) {
-            onSaved.accept(batch.get(batch.size() - 1).seq());
+            onSaved.accept(batch.get(batch.size() - 1).number());
         }
         writeNext();
     }
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -111,7 +111,7 @@
                                             .put("quota", new JsonObject()))
                             .encode());
             ClusterConfig c = ClusterConfig.fromFile(file);
-            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.founding(c.members()));
+            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.bootstrap(c.members()));
             files.add(file);
         }
         return files;
--- a/src/main/java/pewtercourse/raft/store/LogStore.java
+++ b/src/main/java/pewtercourse/raft/store/LogStore.java
@@ -76,7 +76,7 @@
             throw StoreException.alreadyBootstrapped(folder);
         }
         try (LogStore store = open(folder, cluster, member, BOOTSTRAP_SEGMENT_BYTES)) {
-            store.incarnation = Membership.FOUNDING;
+            store.incarnation = Membership.BOOTSTRAP_INCARNATION;
             store.snapshots.write(cluster, new Snapshot(0, 0, members, new byte[0]));
             store.beginSegment(NO_RESET);
         }
@@ -121,7 +121,7 @@
     private static long drawIncarnation() {
         SecureRandom random = new SecureRandom();
         long drawn = NO_INCARNATION;
-        while (drawn == NO_INCARNATION || drawn == Membership.FOUNDING) {
+        while (drawn == NO_INCARNATION || drawn == Membership.BOOTSTRAP_INCARNATION) {
             drawn = random.nextLong();
         }
         return drawn;
--- a/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
@@ -68,7 +68,7 @@
     Snapshot readNewest(HeaderCheck check) throws IOException {
         List<Long> indexes = folder.snapshotIndexes();
         if (indexes.isEmpty()) {
-            return Snapshot.NOTHING;
+            return Snapshot.EMPTY;
         }
         Path file = folder.snapshot(indexes.get(indexes.size() - 1));
         byte[] content = RecordFormat.decode(ByteBuffer.wrap(Files.readAllBytes(file)), 0)
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -166,10 +166,10 @@
     }
 
     private void elect(Raft raft) {
-        now += 2 * config.raft().electionTo();
+        now += 2 * config.raft().maxElectionTimeoutMicros();
         raft.tick(now);
         Ready ready = raft.take();
-        raft.saved(now, ready.save().seq());
+        raft.saved(now, ready.save().number());
         assertEquals(SELF, raft.leader());
     }
 
--- a/src/test/java/pewtercourse/raft/store/LogStoreFolderTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreFolderTest.java
@@ -24,7 +24,7 @@
     private static final String CLUSTER = "cluster-1";
     private static final String MEMBER = "member-a";
     private static final long MAX_SEGMENT_BYTES = 400;
-    private static final Membership MEMBERS = Membership.founding(Map.of(MEMBER, "127.0.0.1:7001"));
+    private static final Membership MEMBERS = Membership.bootstrap(Map.of(MEMBER, "127.0.0.1:7001"));
 
     @TempDir
     Path temporary;
@@ -52,7 +52,7 @@
         assertRefused(
                 StoreException.Reason.ALREADY_BOOTSTRAPPED,
                 folder,
-                () -> LogStore.bootstrap(folder, CLUSTER, MEMBER, Membership.NONE));
+                () -> LogStore.bootstrap(folder, CLUSTER, MEMBER, Membership.EMPTY));
     }
 
     @Test
@@ -76,7 +76,7 @@
         Path folder = bootstrapped();
         try (LogStore store = open(folder)) {
             assertRefused(StoreException.Reason.IN_USE, folder, () -> open(folder));
-            assertEquals(Membership.FOUNDING, store.recover().incarnation());
+            assertEquals(Membership.BOOTSTRAP_INCARNATION, store.recover().incarnation());
         }
         open(folder).close();
     }
@@ -99,7 +99,7 @@
         try (LogStore store = open(folder)) {
             drawn = store.recover().incarnation();
         }
-        assertNotEquals(Membership.FOUNDING, drawn);
+        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, drawn);
         try (LogStore store = open(folder)) {
             assertEquals(drawn, store.recover().incarnation());
         }
--- a/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
@@ -44,7 +44,7 @@
         private final long commit = 0;
         private String votedFor;
         private Snapshot snapshot =
-                new Snapshot(0, 0, Membership.founding(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
+                new Snapshot(0, 0, Membership.bootstrap(Map.of("m", "a:1", "n", "a:2", "o", "a:3")), new byte[0]);
         private final TreeMap<Long, Entry> entries = new TreeMap<>();
 
         long lastIndex() {
