--- a/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
+++ b/src/main/java/pewtercourse/cluster/ClusterChangeLogger.java
@@ -71,6 +71,6 @@
                 "drill",
                 status.drill(),
                 "entry",
-                status.entry());
+                status.lastChangeIndex());
     }
 }
--- a/src/main/java/pewtercourse/cluster/ClusterMember.java
+++ b/src/main/java/pewtercourse/cluster/ClusterMember.java
@@ -191,7 +191,7 @@
 
     /** Whether sites are configured and this is one of them. */
     public boolean knowsSite(String name) {
-        return sites.sites() != null && sites.sites().sites().containsKey(name);
+        return sites.sites() != null && sites.sites().byName().containsKey(name);
     }
 
     /** For operators, see {@link ClusterReport#sites}. Null where no sites are configured. */
--- a/src/main/java/pewtercourse/cluster/SiteDriver.java
+++ b/src/main/java/pewtercourse/cluster/SiteDriver.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import pewtercourse.Log;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.FailoverPlanner;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.SiteObservation;
@@ -95,13 +95,14 @@
 
     /** Has a plan made where one is due. Off the event loop: it takes some milliseconds for many sites. */
     void makePlan(LeaseManager leaseManager, Consumer<FailoverPlan> whenMade) {
-        FailoverController.Question question = sites == null ? null : leaseManager.planInput(clock.now()).orElse(null);
-        if (question == null) {
-            return;
+        if (sites != null) {
+            leaseManager.planInput(clock.now()).ifPresent(request -> makePlan(request, whenMade));
         }
+    }
+
+    private void makePlan(FailoverPlanRequest request, Consumer<FailoverPlan> whenMade) {
         Sites planned = sites;
-        vertx.executeBlocking(() -> new FailoverPlanner()
-                        .plan(planned, question.loads(), question.lost(), question.unfit(), question.before()))
+        vertx.executeBlocking(() -> new FailoverPlanner().plan(planned, request))
                 .onComplete(plan -> {
                     if (plan.failed()) {
                         Log.warn("site.not_planned", "error", plan.cause());
--- a/src/main/java/pewtercourse/lease/Command.java
+++ b/src/main/java/pewtercourse/lease/Command.java
@@ -1,9 +1,9 @@
 package pewtercourse.lease;
 
 import java.util.Map;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteObservation;
+import pewtercourse.failover.SiteStatusChange;
 
 /**
  * A change of the replicated {@link ClusterState}, effective once the members have agreed on it. Orders of a lease
@@ -155,7 +155,7 @@
     }
 
     /** By the holder of the sites lease. */
-    record ChangeSiteStatus(FailoverController.Declaration change, long token) implements Command {
+    record ChangeSiteStatus(SiteStatusChange change, long token) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
             return visitor.changeSiteStatus(this);
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.config.ClusterConfig;
-import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.Command;
 import pewtercourse.lease.LeaseManager;
 import pewtercourse.raft.Membership;
@@ -192,9 +192,9 @@
         apply(
                 duties,
                 new Command.ChangeSiteStatus(
-                        new FailoverController.Declaration("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0),
+                        new SiteStatusChange("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0),
                         3));
-        FailoverPlan.Shares shares = new FailoverPlan.Shares(List.of(new FailoverPlan.Part("s1", 2.5, 3.5)), 0.5);
+        FailoverPlan.Distribution shares = new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("s1", 2.5, 3.5)), 0.5);
         FailoverPlan plan = new FailoverPlan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
         apply(duties, new Command.PublishFailoverPlan(plan, 3));
     }
