--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -19,7 +19,7 @@
 import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
@@ -27,7 +27,7 @@
  * @param raft null while the member's folder is not open
  * @param leaseManager null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, LeaseManager leaseManager, MemberNet net) {
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager leaseManager, MemberTransport net) {
     private ClusterState agreed() {
         return leaseManager == null ? new ClusterState() : leaseManager.state();
     }
@@ -87,7 +87,7 @@
         if (raft != null) {
             addRaftMetrics(metrics, now, applied);
             metrics.put("cluster.calls_waiting", (long) pendingProposals);
-            metrics.put("cluster.dropped_frames", net.dropped());
+            metrics.put("cluster.dropped_frames", net.droppedFrames());
             addLeaseMetrics(metrics, now);
         }
         return metrics;
@@ -146,7 +146,7 @@
                 .put("tickets", tickets())
                 .put("part", leaseManager.quotaThousandths(now))
                 .put("lent", agreed.grantedQuotaThousandths())
-                .put("dropped_frames", net.dropped());
+                .put("dropped_frames", net.droppedFrames());
     }
 
     // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by
--- a/src/main/java/pewtercourse/cluster/RaftDriver.java
+++ b/src/main/java/pewtercourse/cluster/RaftDriver.java
@@ -17,7 +17,7 @@
 import pewtercourse.raft.Ready;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 import pewtercourse.raft.wire.Wire;
 
 /**
@@ -40,7 +40,7 @@
     private final PendingReads reads;
     private final Consumer<RuntimeException> onUnexpectedError;
     private final Raft raft;
-    private final MemberNet net;
+    private final MemberTransport net;
     private long applied;
     private long timer = NO_TIMER;
     private boolean open = true;
@@ -63,7 +63,7 @@
         this.raft = new Raft(config.raft(), config.name(), saved, now(), environment.random());
         this.applied = saved.snapshot().index();
         logOpened(saved);
-        this.net = new MemberNet(
+        this.net = new MemberTransport(
                 environment.vertx(),
                 config.cluster(),
                 config.name(),
@@ -117,7 +117,7 @@
         return raft;
     }
 
-    MemberNet net() {
+    MemberTransport net() {
         return net;
     }
 
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -33,7 +33,7 @@
 import pewtercourse.raft.Ready;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 
 /**
  * The keys that operators and their scripts read: each JSON key of the cluster's and the sites' status in its order, with
@@ -50,7 +50,7 @@
 
     private Vertx vertx;
     private ClusterConfig config;
-    private MemberNet net;
+    private MemberTransport net;
     private long now = SECOND;
     private long index = 1;
 
@@ -58,7 +58,7 @@
     void openNet() throws Exception {
         vertx = Vertx.vertx();
         config = config();
-        net = new MemberNet(
+        net = new MemberTransport(
                 vertx, config.cluster(), SELF, 1, new Random(1), member -> null, (from, incarnation, frame) -> {});
     }
 
