--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -126,7 +126,8 @@
 
     @Override
     public Future<String> handOn(String duty, String to) {
-        return cluster.transferLease(duty, to).map(outcome -> outcome.rejectionText().orElse(null));
+        return cluster.transferLease(duty, to)
+                .map(outcome -> outcome.rejectionText().orElse(null));
     }
 
     @Override
--- a/src/main/java/pewtercourse/cluster/LeaseDriver.java
+++ b/src/main/java/pewtercourse/cluster/LeaseDriver.java
@@ -155,7 +155,8 @@
         Optional<Command.Envelope> quotaRequest =
                 leaseManager.requestQuota(now, Math.round(THOUSANDTHS * host.wantedQuota()));
         if (quotaRequest.isPresent()) {
-            driver.offer(CommandCodec.encode(quotaRequest.get()), quotaRequest.get().id());
+            driver.offer(
+                    CommandCodec.encode(quotaRequest.get()), quotaRequest.get().id());
             offered = true;
         }
         host.setQuotaFactor(leaseManager.quotaThousandths(now) / THOUSANDTHS);
--- a/src/main/java/pewtercourse/cluster/SiteDriver.java
+++ b/src/main/java/pewtercourse/cluster/SiteDriver.java
@@ -71,7 +71,8 @@
     void publish(ClusterState state) {
         FailoverState failover = state.failover();
         if (sites == null
-                || failover.version() == publishedFailover && state.absentMembers().equals(publishedAbsent)) {
+                || failover.version() == publishedFailover
+                        && state.absentMembers().equals(publishedAbsent)) {
             return;
         }
         publishedFailover = failover.version();
--- a/src/main/java/pewtercourse/cluster/StorageWorker.java
+++ b/src/main/java/pewtercourse/cluster/StorageWorker.java
@@ -40,7 +40,11 @@
      * @param onFailure takes the first error
      */
     StorageWorker(
-            ExecutorService thread, Context loop, LogStore store, LongConsumer onSaved, Consumer<IOException> onFailure) {
+            ExecutorService thread,
+            Context loop,
+            LogStore store,
+            LongConsumer onSaved,
+            Consumer<IOException> onFailure) {
         this.thread = thread;
         this.loop = loop;
         this.store = store;
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -192,9 +192,9 @@
         apply(
                 duties,
                 new Command.ChangeSiteStatus(
-                        new SiteStatusChange("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0),
-                        3));
-        FailoverPlan.Distribution shares = new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("s1", 2.5, 3.5)), 0.5);
+                        new SiteStatusChange("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0), 3));
+        FailoverPlan.Distribution shares =
+                new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("s1", 2.5, 3.5)), 0.5);
         FailoverPlan plan = new FailoverPlan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
         apply(duties, new Command.PublishFailoverPlan(plan, 3));
     }
