--- a/src/main/java/pewtercourse/cluster/SiteDriver.java
+++ b/src/main/java/pewtercourse/cluster/SiteDriver.java
@@ -96,11 +96,12 @@
 
     /** Has a plan made where one is due. Off the event loop: it takes some milliseconds for many sites. */
     void makePlan(LeaseManager leaseManager, Consumer<FailoverPlan> whenMade) {
-        FailoverPlanRequest request =
-                sites == null ? null : leaseManager.planInput(clock.now()).orElse(null);
-        if (request == null) {
-            return;
+        if (sites != null) {
+            leaseManager.planInput(clock.now()).ifPresent(request -> makePlan(request, whenMade));
         }
+    }
+
+    private void makePlan(FailoverPlanRequest request, Consumer<FailoverPlan> whenMade) {
         Sites planned = sites;
         vertx.executeBlocking(() -> new FailoverPlanner().plan(planned, request))
                 .onComplete(plan -> {
