--- a/src/test/java/pewtercourse/decision/DecisionStream.java
+++ b/src/test/java/pewtercourse/decision/DecisionStream.java
@@ -33,6 +33,7 @@
  */
 final class DecisionStream {
     private static final int STEPS = 4000;
+    private static final int FLOOD = 21_000;
     private static final long MS = 1000;
     private static final long START = 100_000 * MS;
     private static final byte REPORT = 1;
@@ -73,6 +74,7 @@
     private final MessageDigest digest;
     private final long meanGap;
     private final double lossRate;
+    private final boolean floods;
     private final List<MemberModel> members = new ArrayList<>();
     private final PriorityQueue<Scheduled> scheduled = new PriorityQueue<>();
     private final Map<AttemptKey, Scheduled> outcomes = new HashMap<>();
@@ -91,6 +93,7 @@
         this.occurrences = occurrences;
         this.drawn = new StreamSettings(random, occurrences);
         this.logic = new Logic(drawn.settings(), random.nextLong());
+        this.floods = seed % 8 == 7;
         this.meanGap = (2 + random.nextInt(25)) * MS;
         this.lossRate = random.nextInt(3) == 0 ? 0.1 : 0.01;
         try {
@@ -118,10 +121,24 @@
         schedule(now, list(random.nextBoolean() ? ListKind.REMEMBERED : ListKind.WHOLE));
         for (int step = 0; step < STEPS; step++) {
             step();
+            if (step == STEPS / 2 && floods) {
+                flood();
+            }
         }
         return HexFormat.of().formatHex(digest.digest());
     }
 
+    // More objects in one batch than a router remembers.
+    private void flood() {
+        List<Event> batch = new ArrayList<>();
+        for (int i = 0; i < FLOOD; i++) {
+            Request request = new Request(nextId++, 0, "flood" + i, 0, 0, 10, now + 500 * MS, false, false);
+            requests.put(request.id(), request);
+            batch.add(request);
+        }
+        handle(batch);
+    }
+
     private void step() {
         long next = scheduled.isEmpty() ? nextArrival : Math.min(nextArrival, scheduled.peek().at());
         long stall = random.nextInt(300) == 0 ? random.nextInt(400) * MS : 0;
@@ -138,6 +155,10 @@
             }
             nextArrival = now + 1 + (long) (-StrictMath.log(1 - random.nextDouble()) * meanGap);
         }
+        handle(batch);
+    }
+
+    private void handle(List<Event> batch) {
         eventCount += batch.size();
         List<Action> actions = logic.handle(now, batch);
         actionCount += actions.size();
@@ -297,7 +318,8 @@
         MemberModel model = members.get(random.nextInt(members.size()));
         Fault[] faults = Fault.values();
         model.fault = faults[random.nextInt(faults.length)];
-        model.faultEnds = now + (300 + random.nextInt(4000)) * MS;
+        boolean lasting = random.nextInt(10) == 0;
+        model.faultEnds = lasting ? Long.MAX_VALUE : now + (300 + random.nextInt(4000)) * MS;
     }
 
     // ---- Answers to the router's actions ----
--- a/src/test/java/pewtercourse/decision/StreamSettings.java
+++ b/src/test/java/pewtercourse/decision/StreamSettings.java
@@ -45,11 +45,11 @@
     /** Draws other settings: known classes keep their places, and one is new. */
     Settings redraw() {
         int known = classes.length;
-        classes = Arrays.copyOf(classes, known == 0 ? 5 : known + 1);
+        classes = Arrays.copyOf(classes, known == 0 ? (random.nextInt(4) == 0 ? 1 : 5) : known + 1);
         for (int i = known; i < classes.length; i++) {
             classes[i] = requestClass(i);
         }
-        int routers = router + 1 + (random.nextInt(4) == 0 ? 0 : random.nextInt(6));
+        int routers = router + 1 + (random.nextInt(4) == 0 ? 0 : random.nextInt(random.nextInt(6) == 0 ? 60 : 6));
         settings = new Settings(
                 router,
                 routers,
