--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -124,10 +124,10 @@
             }
             oneOf(c, path, "Effect", "pure", "token", "side_effect");
             oneOf(c, path, "Group", "all", "zone", "cell");
-            over0(path + "Deadline", site.router().classes()[i].deadline());
-            over0(path + "Aim", site.router().classes()[i].aim());
+            over0(path + "Deadline", site.router().classes().get(i).deadline());
+            over0(path + "Aim", site.router().classes().get(i).latencyObjective());
         }
-        over0("settings.Permissions.TryLimit", site.router().tryLimit());
+        over0("settings.Permissions.TryLimit", site.router().retry().maxAttempts());
     }
 
     private static void over0(String key, long value) {
--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -1,12 +1,29 @@
 package pewtercourse.config;
 
-import java.util.Arrays;
+import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
-import pewtercourse.decision.Router;
+import java.util.stream.IntStream;
+import pewtercourse.decision.Bandwidth;
+import pewtercourse.decision.CacheStatusDetail;
+import pewtercourse.decision.DeduplicationScope;
+import pewtercourse.decision.Endpoint;
+import pewtercourse.decision.EndpointLifecycle;
+import pewtercourse.decision.EndpointRole;
+import pewtercourse.decision.Idempotency;
+import pewtercourse.decision.RequestClass;
+import pewtercourse.decision.RetryLimits;
+import pewtercourse.decision.RouterFeatures;
+import pewtercourse.decision.RouterSettings;
+import pewtercourse.decision.RouterTopology;
+import pewtercourse.decision.SiblingFillPolicy;
+import pewtercourse.decision.SlowStart;
+import pewtercourse.decision.SlowStartSettings;
+import pewtercourse.decision.UpstreamFeatures;
 
 /**
  * The typed settings of one site, read from pairs of path and value. The simulator's first message holds them
@@ -14,7 +31,7 @@
  * Unknown keys are ignored. Times are microseconds, as in the decision module.
  */
 public record SiteSettings(
-        Router.Settings router,
+        RouterSettings router,
         Map<String, Integer> classes,
         Map<String, Integer> zones,
         String parentKind,
@@ -27,25 +44,19 @@
     public record Worth(double worth, long grace) {}
 
     /** The module's settings for requests of this director's clients that go to the caches of another zone. */
-    public Router.Settings guestsAt(String zone) {
-        Router.RequestClass[] others = router.classes().clone();
+    public RouterSettings guestsAt(String zone) {
+        List<RequestClass> others = new ArrayList<>(router.classes());
         classes.forEach((name, i) -> {
-            Router.RequestClass c = others[i];
-            // An ageing copy before a refusal.
-            long goodFor = c.goodFor() == 0 ? 0 : c.goodFor() + worths.get(name).grace();
-            others[i] = new Router.RequestClass(
-                    c.effect(),
-                    c.group(),
-                    c.memorySpan(),
-                    c.aim(),
-                    c.aimStretch(),
-                    c.deadline(),
-                    c.stream(),
-                    goodFor,
-                    c.inParts(),
-                    c.goesThrough());
+            RequestClass own = others.get(i);
+            if (own.freshnessLifetime() > 0) {
+                // A stale copy before a rejection.
+                others.set(
+                        i,
+                        own.withFreshnessLifetime(
+                                own.freshnessLifetime() + worths.get(name).grace()));
+            }
         });
-        return router.guest(zones.getOrDefault(zone, -1), others);
+        return router.forRemoteZone(zones.getOrDefault(zone, -1), others);
     }
 
     /** Reads the simulator's pairs, whose lists are joined by commas. */
@@ -65,15 +76,23 @@
      */
     public SiteSettings placed(SiteSettings before) {
         Map<String, Integer> at = new HashMap<>();
-        int next = before.router.classes().length;
+        int next = before.router.classes().size();
         for (String name : new TreeSet<>(classes.keySet())) {
             Integer place = before.classes.get(name);
             at.put(name, place != null ? place : next++);
         }
-        Router.RequestClass[] all = Arrays.copyOf(before.router.classes(), next);
-        classes.forEach((name, i) -> all[at.get(name)] = router.classes()[i]);
+        RequestClass[] all = before.router.classes().toArray(new RequestClass[next]);
+        classes.forEach((name, i) -> all[at.get(name)] = router.classes().get(i));
         return new SiteSettings(
-                router.with(all), at, zones, parentKind, originKind, connectTimeout, idleClose, answerSlack, worths);
+                router.withClasses(List.of(all)),
+                at,
+                zones,
+                parentKind,
+                originKind,
+                connectTimeout,
+                idleClose,
+                answerSlack,
+                worths);
     }
 
     /** Whether a line of the list means the same under these. */
@@ -93,12 +112,12 @@
     }
 
     /** A line of the list, with the names of zone and kind resolved. */
-    public Router.Member member(
-            long id, String zone, String kind, int cell, Router.State state, double weight, long since) {
-        Router.Role role = kind.equals(parentKind)
-                ? Router.Role.PARENT
-                : kind.equals(originKind) ? Router.Role.ORIGIN : Router.Role.CACHE;
-        return new Router.Member(id, zones.getOrDefault(zone, -1), role, cell, state, weight, since);
+    public Endpoint member(
+            long id, String zone, String kind, int cell, EndpointLifecycle state, double weight, long since) {
+        EndpointRole role = kind.equals(parentKind)
+                ? EndpointRole.PARENT
+                : kind.equals(originKind) ? EndpointRole.ORIGIN : EndpointRole.CACHE;
+        return new Endpoint(id, zones.getOrDefault(zone, -1), role, cell, state, weight, since);
     }
 
     private record Reader(Map<String, String> info, String listSeparator) {
@@ -106,38 +125,33 @@
             Map<String, Integer> zones = places(list("Zones"));
             Map<String, Integer> names = new HashMap<>();
             String[] kinds = list("Skus");
-            Router.RequestClass[] classes = new Router.RequestClass[(int) number("Classes.count", 0)];
+            RequestClass[] classes = new RequestClass[(int) number("Classes.count", 0)];
             for (int c = 0; c < classes.length; c++) {
                 names.put(info.getOrDefault("Classes." + c + ".Name", ""), c);
                 classes[c] = requestClass(c);
             }
             int zone = zones.getOrDefault(info.getOrDefault("Zone", ""), -1);
-            Router.Settings s = new Router.Settings(
-                    (int) number("Me", 0),
-                    (int) number("Instances", 1),
-                    zone,
-                    seats(),
-                    classes,
-                    number("Domain.ClientKbPerS", 0),
-                    zone < 0 ? 0 : item("Domain.PipeKbPerS", zone),
-                    flag("Domain.CanJoin"),
-                    flag("Domain.MayPassBy"),
-                    flag("Permissions.MayTell"),
-                    flag("Permissions.ParallelTries"),
-                    flag("Permissions.Cancel"),
-                    span("Permissions.MaxRetryAfter"),
-                    (int) number("Permissions.TryLimit", 1),
-                    !info.getOrDefault("Discovery", "push").equals("ask"),
-                    weightsTold(),
-                    siblings(),
-                    notes(),
-                    new Router.ColdRule(
-                            number("Rules.ColdFrom", 1), span("Rules.WarmUp"), number("Rules.FallMultiple", 1)),
-                    new Router.ColdRule(
-                            number("Domain.ParentColdFrom", 1),
-                            span("Domain.ParentWarmsIn"),
-                            number("Domain.ParentLimitFactor", 1)),
-                    span("Rules.TipAfter"),
+            RouterSettings s = new RouterSettings(
+                    new RouterTopology((int) number("Me", 0), (int) number("Instances", 1), zone, routersPerZone()),
+                    List.of(classes),
+                    new Bandwidth(number("Domain.ClientKbPerS", 0), zone < 0 ? 0 : item("Domain.PipeKbPerS", zone)),
+                    new RouterFeatures(
+                            flag("Domain.CanJoin"),
+                            flag("Domain.MayPassBy"),
+                            flag("Permissions.MayTell"),
+                            flag("Permissions.ParallelTries"),
+                            flag("Permissions.Cancel")),
+                    new RetryLimits(span("Permissions.MaxRetryAfter"), (int) number("Permissions.TryLimit", 1)),
+                    new UpstreamFeatures(
+                            !info.getOrDefault("Discovery", "push").equals("ask"), weightsTold(), siblings(), notes()),
+                    new SlowStartSettings(
+                            new SlowStart(
+                                    number("Rules.ColdFrom", 1), span("Rules.WarmUp"), number("Rules.FallMultiple", 1)),
+                            new SlowStart(
+                                    number("Domain.ParentColdFrom", 1),
+                                    span("Domain.ParentWarmsIn"),
+                                    number("Domain.ParentLimitFactor", 1)),
+                            span("Rules.TipAfter")),
                     span("Domain.PurgeTakes"));
             return new SiteSettings(
                     s,
@@ -158,19 +172,19 @@
             return worths;
         }
 
-        private Router.RequestClass requestClass(int c) {
+        private RequestClass requestClass(int c) {
             String p = "Classes." + c + ".";
-            Router.Effect effect = switch (info.getOrDefault(p + "Effect", "pure")) {
-                case "token" -> Router.Effect.TOKEN;
-                case "side_effect" -> Router.Effect.SIDE_EFFECT;
-                default -> Router.Effect.PURE;
+            Idempotency effect = switch (info.getOrDefault(p + "Effect", "pure")) {
+                case "token" -> Idempotency.IDEMPOTENCY_KEY;
+                case "side_effect" -> Idempotency.NON_IDEMPOTENT;
+                default -> Idempotency.SAFE;
             };
-            Router.Group group = switch (info.getOrDefault(p + "Group", "all")) {
-                case "zone" -> Router.Group.ZONE;
-                case "cell" -> Router.Group.CELL;
-                default -> Router.Group.ALL;
+            DeduplicationScope group = switch (info.getOrDefault(p + "Group", "all")) {
+                case "zone" -> DeduplicationScope.ZONE;
+                case "cell" -> DeduplicationScope.CELL;
+                default -> DeduplicationScope.ALL;
             };
-            return new Router.RequestClass(
+            return new RequestClass(
                     effect,
                     group,
                     span(p + "MemorySpan"),
@@ -183,12 +197,11 @@
                     truth("Domain.GoesThrough", c));
         }
 
-        private int[] seats() {
-            int[] counts = new int[list("Domain.SeatsByZone").length];
-            for (int z = 0; z < counts.length; z++) {
-                counts[z] = (int) item("Domain.SeatsByZone", z);
-            }
-            return counts;
+        private List<Integer> routersPerZone() {
+            int zones = list("Domain.SeatsByZone").length;
+            return IntStream.range(0, zones)
+                    .mapToObj(zone -> (int) item("Domain.SeatsByZone", zone))
+                    .toList();
         }
 
         private boolean weightsTold() {
@@ -196,19 +209,19 @@
             return weights.equals("nominal") || weights.equals("rough");
         }
 
-        private Router.Siblings siblings() {
+        private SiblingFillPolicy siblings() {
             return switch (info.getOrDefault("Domain.Siblings", "silent")) {
-                case "location" -> Router.Siblings.OWN_ZONE;
-                case "any" -> Router.Siblings.ANY;
-                default -> Router.Siblings.NONE;
+                case "location" -> SiblingFillPolicy.OWN_ZONE;
+                case "any" -> SiblingFillPolicy.ANY;
+                default -> SiblingFillPolicy.NONE;
             };
         }
 
-        private Router.Notes notes() {
+        private CacheStatusDetail notes() {
             return switch (info.getOrDefault("Domain.Says", "silent")) {
-                case "all" -> Router.Notes.ALL;
-                case "hit" -> Router.Notes.HITS;
-                default -> Router.Notes.NONE;
+                case "all" -> CacheStatusDetail.ALL;
+                case "hit" -> CacheStatusDetail.HITS;
+                default -> CacheStatusDetail.NONE;
             };
         }
 
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/ContentPurged.java
@@ -0,0 +1,13 @@
+package pewtercourse.decision;
+
+/**
+ * Content was purged {@code age} microseconds ago.
+ *
+ * @param object null for every object of the group
+ */
+public record ContentPurged(String object, int purgeGroup, long age) implements RouterEvent {
+    @Override
+    public void accept(RouterEventVisitor visitor) {
+        visitor.visit(this);
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/GossipReceived.java
@@ -0,0 +1,9 @@
+package pewtercourse.decision;
+
+/** A datagram from another router. */
+public record GossipReceived(int router, byte[] payload) implements RouterEvent {
+    @Override
+    public void accept(RouterEventVisitor visitor) {
+        visitor.visit(this);
+    }
+}
--- a/src/main/java/pewtercourse/decision/Logic.java
+++ b/src/main/java/pewtercourse/decision/Logic.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 
 /**
- * All decisions of one router. Its types, events and actions are in Router.java. The sections follow a
+ * All decisions of one router. Its types, events and actions are in the files beside this one. The sections follow a
  * request: arrival and count, choice of cache, choice of source, sending, outcome, further attempt or
  * final answer, then the tables behind them. docs/design.md says what is kept of the paper and when an
  * exception acts.
@@ -92,7 +92,7 @@
 
     // ---- Tables ----
     private final class Node {
-        Member is;
+        Endpoint is;
         final Gate gate = new Gate();
         long lastAnswer, wait, until, borneAt;
         double failing, borne, score, spentSum, pace = 1; // pace: time of its answers over the usual.
@@ -137,7 +137,7 @@
     }
 
     private static final class Open {
-        Request asks;
+        RequestArrived asks;
         RequestClass cls;
         long object, piece, ranAt, arrived;
         double work;
@@ -173,7 +173,7 @@
     private static final Comparator<Node> BY_SCORE = (a, b) ->
             a.score != b.score ? Double.compare(b.score, a.score) : Long.compare(a.is.id(), b.is.id());
 
-    private Settings set;
+    private RouterSettings set;
     private int seats; // Routers of the own zone.
     private final Random random;
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
@@ -199,90 +199,89 @@
     private double part = 1; // Of what a router may send to cold members, by itself or by agreement.
     private boolean started;
     private int mostCaches;
-    private List<Action> actions = new ArrayList<>();
+    private List<RouterAction> actions = new ArrayList<>();
 
-    public Logic(Settings settings, long seed) {
+    public Logic(RouterSettings settings, long seed) {
         random = new Random(seed);
         configure(settings);
         fills = new Gate();
     }
 
     // At the start and anew: what was learned stays. Requests under way keep the class that they came with.
-    private void configure(Settings settings) {
+    private void configure(RouterSettings settings) {
         set = settings;
-        boolean told = set.zone() >= 0 && set.zone() < set.seats().length && set.seats()[set.zone()] > 0;
-        seats = told ? set.seats()[set.zone()] : Math.max(1, set.routers());
-        classWork = Arrays.copyOf(classWork, settings.classes().length);
-        classSeen = Arrays.copyOf(classSeen, settings.classes().length);
+        seats = settings.topology().routersInZone();
+        classWork = Arrays.copyOf(classWork, settings.classes().size());
+        classSeen = Arrays.copyOf(classSeen, settings.classes().size());
     }
 
     @Override
-    public List<Action> handle(long time, List<Event> events) {
+    public List<RouterAction> handle(long time, List<RouterEvent> events) {
         now = time;
         batch++;
         actions = new ArrayList<>();
         if (!started) {
             started = true;
             nextReport = now + REPORT_PERIOD + random.nextInt((int) REPORT_PERIOD);
-            if (!set.pushedLists()) {
-                actions.add(new Watch());
+            if (!set.upstream().pushedEndpointUpdates()) {
+                actions.add(new WatchEndpoints());
             }
-            actions.add(new Timer(SWEEP, now + TICK));
+            actions.add(new StartTimer(SWEEP, now + TICK));
         }
-        for (Event e : events) {
-            if (e instanceof Request r) {
+        for (RouterEvent e : events) {
+            if (e instanceof RequestArrived r) {
                 arrive(r);
-            } else if (e instanceof Outcome o) {
+            } else if (e instanceof AttemptFinished o) {
                 outcome(o);
-            } else if (e instanceof TimerDue t && t.name().equals(SWEEP)) {
+            } else if (e instanceof TimerFired t && t.name().equals(SWEEP)) {
                 sweep();
-            } else if (e instanceof TimerDue) {
-                actions.add(new Watch());
-            } else if (e instanceof Listed l) {
+            } else if (e instanceof TimerFired) {
+                actions.add(new WatchEndpoints());
+            } else if (e instanceof EndpointsChanged l) {
                 listed(l);
-            } else if (e instanceof Reconfigured c) {
+            } else if (e instanceof SettingsChanged c) {
                 configure(c.settings());
-            } else if (e instanceof Parted p) {
+            } else if (e instanceof QuotaChanged p) {
                 part = p.factor();
-            } else if (e instanceof Purged p) {
+            } else if (e instanceof ContentPurged p) {
                 purged(p);
-            } else if (e instanceof PeerMessage m) {
+            } else if (e instanceof GossipReceived m) {
                 message(m);
-            } else if (e instanceof StreamBegun b && open.containsKey(b.id())) {
-                open.get(b.id()).streaming = true;
-            } else if (e instanceof ClientGone g && open.containsKey(g.id())) {
-                close(open.get(g.id()));
+            } else if (e instanceof StreamStarted b && open.containsKey(b.requestId())) {
+                open.get(b.requestId()).streaming = true;
+            } else if (e instanceof ClientDisconnected g && open.containsKey(g.requestId())) {
+                close(open.get(g.requestId()));
             }
         }
         return actions;
     }
 
     @Override
-    public Insight insight() {
-        return new Insight((int) nodes.values().stream().filter(n -> n.until > 0).count(),
-                now - lacked < set.tipAfter());
+    public RouterStatus status() {
+        return new RouterStatus((int) nodes.values().stream().filter(n -> n.until > 0).count(),
+                now - lacked < set.slowStart().overloadWindow());
     }
 
     // ---- A request arrives: it is counted, and planned ----
-    private void arrive(Request q) {
-        RequestClass cls = set.classes()[q.cls()];
+    private void arrive(RequestArrived q) {
+        RequestClass cls = set.classes().get(q.requestClass());
         long object = hash(q.object());
-        double work = classWork[q.cls()];
-        if (q.sizeKb() > 0 && set.clientKbPerS() > 0) {
-            work = q.sizeKb() / set.clientKbPerS() * 1e6;
+        double work = classWork[q.requestClass()];
+        if (q.sizeKb() > 0 && set.bandwidth().clientKbPerSecond() > 0) {
+            work = q.sizeKb() / set.bandwidth().clientKbPerSecond() * 1e6;
         } else if (work == 0) {
-            work = cls.aim() / 2.0;
+            work = cls.latencyObjective() / 2.0;
         }
-        long n = Math.min(++classSeen[q.cls()], 500);
-        classWork[q.cls()] += (work - classWork[q.cls()]) / n;
+        long n = Math.min(++classSeen[q.requestClass()], 500);
+        classWork[q.requestClass()] += (work - classWork[q.requestClass()]) / n;
         Open r = new Open();
         r.asks = q;
         r.cls = cls;
         r.object = object;
-        r.piece = mix(object + q.part());
+        r.piece = mix(object + q.segment());
         r.work = work;
         r.arrived = now;
-        if (open.putIfAbsent(q.id(), r) != null) {
+        if (open.putIfAbsent(q.requestId(), r) != null) {
             return;
         }
         retries = Math.min(RETRY_MAX, retries + RETRY_SHARE);
@@ -295,9 +294,9 @@
     // of one object is counted a little late). Marked repeats are not accesses.
     private void count(Open r) {
         Tally t = tally(counts, r.object);
-        t.parts = Math.max(t.parts, r.asks.part() + 1);
-        r.turn = r.cls.inParts() ? r.asks.part() : t.turn++ & COUNT_MAX - 1;
-        if (t.batch == batch || r.asks.repeat()) {
+        t.parts = Math.max(t.parts, r.asks.segment() + 1);
+        r.turn = r.cls.segmented() ? r.asks.segment() : t.turn++ & COUNT_MAX - 1;
+        if (t.batch == batch || r.asks.clientRetry()) {
             return;
         }
         t.batch = batch;
@@ -306,7 +305,7 @@
             t.unsent++;
         }
         age(all).own++;
-        if (set.mayTell() && set.routers() > 1) {
+        if (set.features().gossipEnabled() && set.topology().routers() > 1) {
             unreported.put(r.object, t);
             nextReport = t.unsent >= REPORT_THRESHOLD ? now : nextReport;
         }
@@ -328,7 +327,7 @@
     // many at each further seat; or the zone's part of what the owner of the count last told.
     private double accesses(Tally t) {
         double own = t.own + Math.max(0, t.own - 1) * (seats - 1.0);
-        return Math.max(own, (double) t.shared * seats / Math.max(1, set.routers()));
+        return Math.max(own, (double) t.shared * seats / Math.max(1, set.topology().routers()));
     }
 
     private int width(Tally t) {
@@ -338,7 +337,7 @@
     }
 
     private static boolean kept(Open r) {
-        return !r.cls.goesThrough() && !r.asks.write();
+        return !r.cls.uncacheable() && !r.asks.write();
     }
 
     private int rank(Open r) {
@@ -386,11 +385,11 @@
     }
 
     private double large(Open r) {
-        return r.work / classWork[r.asks.cls()];
+        return r.work / classWork[r.asks.requestClass()];
     }
 
     private double size(Node c) {
-        return set.weightsTold() && c.is.weight() > 0 ? c.is.weight() : 1;
+        return set.upstream().weightsAreCapacities() && c.is.weight() > 0 ? c.is.weight() : 1;
     }
 
     // Rendezvous hashing: every router gets the same order, and a change of the list moves only what it
@@ -404,7 +403,7 @@
 
     // ---- Choice of the source: a believed sibling, the hashed parent, the origin if no parent is up ----
     private Node pickSibling(Open r, Node target) {
-        if (set.siblings() == Siblings.NONE || r.parentOnly || !kept(r) || believes(r, target)) {
+        if (set.upstream().siblingFillPolicy() == SiblingFillPolicy.NONE || r.parentOnly || !kept(r) || believes(r, target)) {
             return null;
         }
         for (Node c : caches) {
@@ -430,7 +429,7 @@
 
     // What can't be made twice is no trial, and goes by a member that fails now and then only if all do.
     private static boolean sure(Open r, Node n) {
-        return r.cls.effect() == Effect.PURE || n.until == 0 && n.failing < FAIL_SEEN;
+        return r.cls.idempotency() == Idempotency.SAFE || n.until == 0 && n.failing < FAIL_SEEN;
     }
 
     // Whether a parent fails while others don't: what fails at all of them is the origin's fault.
@@ -443,7 +442,7 @@
         if (r.over || r.streaming) {
             return;
         }
-        if (now + (long) r.work > r.asks.expires() || r.tries.size() >= set.tryLimit()) {
+        if (now + (long) r.work > r.asks.expiresAt() || r.tries.size() >= set.retry().maxAttempts()) {
             giveUp(r);
             return;
         }
@@ -458,7 +457,7 @@
             return;
         }
         // No cache may be used: where that is allowed the request passes them by, until one is back.
-        Node above = set.mayPassBy() && caches.isEmpty() && fills.open(large(r)) ? pickParent(r) : null;
+        Node above = set.features().cacheBypassAllowed() && caches.isEmpty() && fills.open(large(r)) ? pickParent(r) : null;
         if (above != null && allowed(r, above)) {
             send(r, above, origin != null ? origin : above, false);
         } else {
@@ -481,7 +480,7 @@
             r.ranAt = now;
         }
         charge(target, r);
-        if (source != target && source.is.role() != Role.ORIGIN) {
+        if (source != target && source.is.role() != EndpointRole.ORIGIN) {
             charge(source, r);
         }
         target.gate.out++;
@@ -490,35 +489,35 @@
         target.trial |= target.until > 0;
         source.trial |= t.outside && source.until > 0;
         long age = oldest(r);
-        boolean cut = r.cls.effect() == Effect.PURE && !set.mayCancel() && due(t) + r.work < r.asks.expires();
+        boolean cut = r.cls.idempotency() == Idempotency.SAFE && !set.features().attemptCancellation() && due(t) + r.work < r.asks.expiresAt();
         long timeout = cut ? due(t) - now : 0;
-        actions.add(new Send(r.asks.id(), target.is.id(), timeout, source.is.id(), rank(r), age,
-                set.canJoin() && r.cls.effect() == Effect.PURE, sibling, r.cls.goodFor() > 0));
+        actions.add(new SendAttempt(r.asks.requestId(), target.is.id(), timeout, source.is.id(), rank(r), age,
+                set.features().requestCoalescing() && r.cls.idempotency() == Idempotency.SAFE, sibling, r.cls.freshnessLifetime() > 0));
     }
 
     private static double aim(Open r) {
-        return Math.min(r.cls.aim() + r.cls.aimStretch() * r.work, r.cls.deadline());
+        return Math.min(r.cls.latencyObjective() + r.cls.transferAllowance() * r.work, r.cls.deadline());
     }
 
     // Whether one more attempt at this member keeps the effect rules.
     private boolean allowed(Open r, Node to) {
-        if (r.cls.effect() == Effect.PURE) {
-            return set.parallelTries() || r.live == 0;
+        if (r.cls.idempotency() == Idempotency.SAFE) {
+            return set.features().parallelAttempts() || r.live == 0;
         }
         if (r.ran == null) {
             return true;
         }
-        if (r.cls.effect() == Effect.SIDE_EFFECT || r.live > 0 && !set.parallelTries()
-                || now >= r.ranAt + r.cls.memorySpan()) {
+        if (r.cls.idempotency() == Idempotency.NON_IDEMPOTENT || r.live > 0 && !set.features().parallelAttempts()
+                || now >= r.ranAt + r.cls.idempotencyWindow()) {
             return false;
         }
-        return r.cls.group() == Group.ALL && to.is.role() == Role.CACHE || to.is.zone() == r.ran.is.zone()
-                && (r.cls.group() == Group.ZONE || to.is.cell() == r.ran.is.cell());
+        return r.cls.deduplicationScope() == DeduplicationScope.ALL && to.is.role() == EndpointRole.CACHE || to.is.zone() == r.ran.is.zone()
+                && (r.cls.deduplicationScope() == DeduplicationScope.ZONE || to.is.cell() == r.ran.is.cell());
     }
 
     // ---- An outcome ----
-    private void outcome(Outcome o) {
-        Open r = open.get(o.id());
+    private void outcome(AttemptFinished o) {
+        Open r = open.get(o.requestId());
         if (r == null || o.attempt() < 0 || o.attempt() >= r.tries.size() || r.tries.get(o.attempt()).done) {
             return;
         }
@@ -527,21 +526,21 @@
         r.live--;
         if (!t.quiet) {
             release(t);
-        } else if (o.ending() != Ending.CANCELLED && t.node.lastAnswer >= t.at) {
-            lost += HEALTH_GAIN * ((o.ending() == Ending.OK ? 0 : 1) - lost);
+        } else if (o.outcome() != AttemptOutcome.CANCELLED && t.node.lastAnswer >= t.at) {
+            lost += HEALTH_GAIN * ((o.outcome() == AttemptOutcome.OK ? 0 : 1) - lost);
         }
-        boolean neverRan = o.ending() == Ending.FULL || o.ending() == Ending.CONNECT_FAILED
-                || o.ending() == Ending.MOOT || o.ending() == Ending.MISS;
+        boolean neverRan = o.outcome() == AttemptOutcome.OVERLOADED || o.outcome() == AttemptOutcome.CONNECT_FAILED
+                || o.outcome() == AttemptOutcome.SUPERSEDED || o.outcome() == AttemptOutcome.MISS;
         r.ran = neverRan && r.ranAt == t.at && r.live == 0 ? null : r.ran;
-        r.reached |= o.ending() != Ending.CONNECT_FAILED && o.ending() != Ending.MOOT;
+        r.reached |= o.outcome() != AttemptOutcome.CONNECT_FAILED && o.outcome() != AttemptOutcome.SUPERSEDED;
         learn(r, t, o);
-        if (o.last() || o.ending() == Ending.OK) {
+        if (o.requestDone() || o.outcome() == AttemptOutcome.OK) {
             close(r);
         } else if (!r.over) {
             again(r, t, o);
         }
         if (r.over && r.live == 0) {
-            open.remove(o.id());
+            open.remove(o.requestId());
         }
     }
 
@@ -559,15 +558,15 @@
     }
 
     // What an outcome says of who holds the object, and of the health of the cache and of the source.
-    private void learn(Open r, Try t, Outcome o) {
-        Ending end = o.ending();
+    private void learn(Open r, Try t, AttemptFinished o) {
+        AttemptOutcome end = o.outcome();
         t.node.trial = false;
         t.source.trial = false;
-        boolean silent = end == Ending.TIMEOUT || end == Ending.CANCELLED || end == Ending.MOOT;
-        t.node.lastAnswer = silent || end == Ending.CONNECT_FAILED ? t.node.lastAnswer : now;
-        boolean hit = o.note() == Note.HIT || o.note() == Note.STALE || o.note() == Note.NONE && !t.outside;
+        boolean silent = end == AttemptOutcome.TIMEOUT || end == AttemptOutcome.CANCELLED || end == AttemptOutcome.SUPERSEDED;
+        t.node.lastAnswer = silent || end == AttemptOutcome.CONNECT_FAILED ? t.node.lastAnswer : now;
+        boolean hit = o.cacheStatus() == CacheStatus.HIT || o.cacheStatus() == CacheStatus.STALE || o.cacheStatus() == CacheStatus.UNKNOWN && !t.outside;
         Gate gate = blamed(t, hit);
-        if (end == Ending.OK) {
+        if (end == AttemptOutcome.OK) {
             t.node.pace += HEALTH_GAIN * (o.latency() / t.usual - t.node.pace);
             judge(t.node, o.latency() > aim(r) && lags(t.node, caches));
             r.accused.forEach(n -> judge(n, n != t.node));
@@ -586,25 +585,25 @@
                     fillWait += GAIN * (Math.max(0, o.latency() - r.work) - fillWait);
                 }
             }
-            if (kept(r) && t.node.is.role() == Role.CACHE) {
+            if (kept(r) && t.node.is.role() == EndpointRole.CACHE) {
                 believe(r, t.node, hit);
             }
             return;
         }
-        boolean sourceFault = o.note().compareTo(Note.SOURCE_REFUSED) >= 0 && o.note() != Note.NO_FILL_PLACE;
-        boolean pureError = end == Ending.ERROR && r.cls.effect() == Effect.PURE;
-        boolean failed = end == Ending.ERROR || end == Ending.RESET || end == Ending.CONNECT_FAILED;
+        boolean sourceFault = o.cacheStatus().compareTo(CacheStatus.SOURCE_REJECTED) >= 0 && o.cacheStatus() != CacheStatus.FILL_LIMIT_REACHED;
+        boolean pureError = end == AttemptOutcome.ERROR && r.cls.idempotency() == Idempotency.SAFE;
+        boolean failed = end == AttemptOutcome.ERROR || end == AttemptOutcome.RESET || end == AttemptOutcome.CONNECT_FAILED;
         // Where notes tell of hits only, a cache that can't fill says no more than that it is full or that it
         // failed. Guards against a parent that is gone, before the list tells of it, closing all gates: fills
         // refused from one parent, one after the other, are its fault. Harm: crowded caches may cost a parent
         // a second. An error may be the parent's as well as the cache's: the parent's record counts it once
         // the request was served by another way, and at once where it can't be tried again. Guards against
         // one that has lost its way to the origin, which fails what it lacks and serves the rest.
-        boolean unfilled = set.notes() != Notes.ALL && t.outside && t.source.is.role() == Role.PARENT
-                && (end == Ending.FULL || end == Ending.ERROR);
+        boolean unfilled = set.upstream().cacheStatusDetail() != CacheStatusDetail.ALL && t.outside && t.source.is.role() == EndpointRole.PARENT
+                && (end == AttemptOutcome.OVERLOADED || end == AttemptOutcome.ERROR);
         if (unfilled) {
             r.failedSources.add(t.source);
-            if (end == Ending.FULL || !pureError && failsAlone(t.source)) {
+            if (end == AttemptOutcome.OVERLOADED || !pureError && failsAlone(t.source)) {
                 judge(t.source, true);
             } else if (pureError) {
                 r.doubted.add(t.source);
@@ -617,10 +616,10 @@
             r.accused.add(t.node);
         } else if (failed && !pureError && !sourceFault) {
             judge(t.node, true);
-        } else if (end == Ending.TIMEOUT && !t.quiet || end == Ending.FULL) {
+        } else if (end == AttemptOutcome.TIMEOUT && !t.quiet || end == AttemptOutcome.OVERLOADED) {
             gate.learn(false, true);
         }
-        if (end == Ending.TIMEOUT) {
+        if (end == AttemptOutcome.TIMEOUT) {
             suspect(t);
         } else if (!silent) {
             beliefs.remove(belief(r, t.node));
@@ -630,10 +629,10 @@
             r.parentOnly = true;
         } else if (sourceFault) {
             r.failedSources.add(t.source);
-            if (o.note() == Note.SOURCE_FAILED || o.note() == Note.SOURCE_REFUSED) {
+            if (o.cacheStatus() == CacheStatus.SOURCE_FAILED || o.cacheStatus() == CacheStatus.SOURCE_REJECTED) {
                 judge(t.source, true);
             }
-        } else if (!t.quiet && (end != Ending.MISS || t.source != t.node)) {
+        } else if (!t.quiet && (end != AttemptOutcome.MISS || t.source != t.node)) {
             r.failed.add(t.node);
         }
     }
@@ -642,12 +641,12 @@
     // object. What two caches answer with an error is not tried on: its repeats would use up the budget of
     // the others. What no cache could be reached for is given back while its client has half of its time
     // left: guards against a zone that is cut off holding back requests that nobody works on.
-    private void again(Open r, Try t, Outcome o) {
-        boolean only = o.ending() == Ending.MISS || t.sibling && o.ending() == Ending.FULL;
+    private void again(Open r, Try t, AttemptFinished o) {
+        boolean only = o.outcome() == AttemptOutcome.MISS || t.sibling && o.outcome() == AttemptOutcome.OVERLOADED;
         if (r.live > 0) {
             return;
         }
-        boolean heldBack = !r.reached && now + (now - t.at) > r.arrived + (r.asks.expires() - r.arrived) / 2;
+        boolean heldBack = !r.reached && now + (now - t.at) > r.arrived + (r.asks.expiresAt() - r.arrived) / 2;
         boolean unusable = r.accused.size() > 1;
         if (heldBack || unusable || !only && retries < 1 || t.source == t.node && !fills.open(large(r))) {
             giveUp(r);
@@ -664,22 +663,22 @@
         if (r.live > 0) {
             return;
         }
-        boolean harmless = r.cls.effect() == Effect.PURE || r.ran == null
-                || r.cls.effect() == Effect.TOKEN && r.cls.group() == Group.ALL;
-        actions.add(!harmless ? new Fail(r.asks.id()) : new Refuse(r.asks.id(),
-                Math.min(set.maxRetryAfter(), (long) (HOLD_OFF * r.cls.aim() * (1 + random.nextDouble())))));
+        boolean harmless = r.cls.idempotency() == Idempotency.SAFE || r.ran == null
+                || r.cls.idempotency() == Idempotency.IDEMPOTENCY_KEY && r.cls.deduplicationScope() == DeduplicationScope.ALL;
+        actions.add(!harmless ? new FailRequest(r.asks.requestId()) : new RejectRequest(r.asks.requestId(),
+                Math.min(set.retry().maxRetryAfter(), (long) (HOLD_OFF * r.cls.latencyObjective() * (1 + random.nextDouble())))));
         close(r);
     }
 
     private void close(Open r) {
         for (Try t : r.tries) {
-            if (!t.done && !r.over && !r.streaming && set.mayCancel()) {
-                actions.add(new Cancel(r.asks.id(), r.tries.indexOf(t)));
+            if (!t.done && !r.over && !r.streaming && set.features().attemptCancellation()) {
+                actions.add(new CancelAttempt(r.asks.requestId(), r.tries.indexOf(t)));
             }
         }
         r.over = true;
         if (r.live == 0) {
-            open.remove(r.asks.id());
+            open.remove(r.asks.requestId());
         }
     }
 
@@ -690,22 +689,22 @@
 
     private boolean believes(Open r, Node c) {
         Long seen = beliefs.get(belief(r, c));
-        long life = r.cls.goodFor() > 0 ? Math.min(HINT_AGE, r.cls.goodFor()) : HINT_AGE;
-        return seen != null && now - seen < life && seen > purgeTime(r) && seen >= c.is.since();
+        long life = r.cls.freshnessLifetime() > 0 ? Math.min(HINT_AGE, r.cls.freshnessLifetime()) : HINT_AGE;
+        return seen != null && now - seen < life && seen > purgeTime(r) && seen >= c.is.startedAt();
     }
 
     // A hit on a copy that ages tells its holder, not its age: half its fresh time, where that is not known.
     private void believe(Open r, Node c, boolean hit) {
-        if (hit && r.cls.goodFor() > 0) {
-            beliefs.putIfAbsent(belief(r, c), now - r.cls.goodFor() / 2);
+        if (hit && r.cls.freshnessLifetime() > 0) {
+            beliefs.putIfAbsent(belief(r, c), now - r.cls.freshnessLifetime() / 2);
         } else {
             beliefs.put(belief(r, c), now);
         }
     }
 
     // ---- Purges ----
-    private void purged(Purged p) {
-        purges.merge(p.object() != null ? hash(p.object()) : groupKey(p.group()), now - p.age(), Math::max);
+    private void purged(ContentPurged p) {
+        purges.merge(p.object() != null ? hash(p.object()) : groupKey(p.purgeGroup()), now - p.age(), Math::max);
     }
 
     private static long groupKey(int group) {
@@ -714,7 +713,7 @@
 
     private long purgeTime(Open r) {
         return Math.max(purges.getOrDefault(r.object, Long.MIN_VALUE),
-                purges.getOrDefault(groupKey(r.asks.group()), Long.MIN_VALUE));
+                purges.getOrDefault(groupKey(r.asks.purgeGroup()), Long.MIN_VALUE));
     }
 
     // Oldest copy that will do: none from before a purge, as long as one may be kept anywhere. At least 1,
@@ -725,40 +724,40 @@
             return 0;
         }
         long age = Math.max(1, now - purge);
-        return r.cls.goodFor() > 0 ? Math.min(age, r.cls.goodFor()) : age;
+        return r.cls.freshnessLifetime() > 0 ? Math.min(age, r.cls.freshnessLifetime()) : age;
     }
 
     // ---- Cold members ----
     private double warmth(Node n, long at) {
-        ColdRule rule = n.is.role() == Role.CACHE ? set.coldCache() : set.coldParent();
-        if (n.is.since() <= 0 || rule.warmsIn() <= 0) {
+        SlowStart rule = n.is.role() == EndpointRole.CACHE ? set.slowStart().cache() : set.slowStart().parent();
+        if (n.is.startedAt() <= 0 || rule.window() <= 0) {
             return 1;
         }
-        double share = (at - n.is.since()) / (double) rule.warmsIn();
-        return Math.max(rule.from(), Math.min(1, rule.from() + (1 - rule.from()) * share));
+        double share = (at - n.is.startedAt()) / (double) rule.window();
+        return Math.max(rule.initialShare(), Math.min(1, rule.initialShare() + (1 - rule.initialShare()) * share));
     }
 
     // Whether a member that has just started may get this request within its budget: multiple x present
     // capacity over any span of TipAfter, split over the routers that may send. Holds for any fresh member,
     // whatever made it start. Harm: a warm member whose start is told wrongly gets too little for a while.
     private boolean coldHasRoom(Node n, Open r) {
-        if (n.is.role() == Role.ORIGIN || warmth(n, now) >= 1 || set.tipAfter() <= 0) {
+        if (n.is.role() == EndpointRole.ORIGIN || warmth(n, now) >= 1 || set.slowStart().overloadWindow() <= 0) {
             return true;
         }
-        boolean parent = n.is.role() == Role.PARENT;
-        while (!n.spent.isEmpty() && n.spent.peekFirst()[0] <= now - set.tipAfter()) {
+        boolean parent = n.is.role() == EndpointRole.PARENT;
+        while (!n.spent.isEmpty() && n.spent.peekFirst()[0] <= now - set.slowStart().overloadWindow()) {
             n.spentSum -= n.spent.pollFirst()[1];
         }
-        int split = parent ? Math.max(1, set.routers()) : seats;
+        int split = parent ? Math.max(1, set.topology().routers()) : seats;
         double known = parent ? bore[1] : Math.max(bore[0], guess());
-        double capacity = set.weightsTold() ? n.is.weight() / split : known;
-        ColdRule rule = parent ? set.coldParent() : set.coldCache();
+        double capacity = set.upstream().weightsAreCapacities() ? n.is.weight() / split : known;
+        SlowStart rule = parent ? set.slowStart().parent() : set.slowStart().cache();
         // Warmth rises in a line at least: in the middle of the window it is the window's mean.
-        double bears = rule.multiple() * warmth(n, now - set.tipAfter() / 2) * capacity * part;
-        boolean turn = n.spent.isEmpty() && now / set.tipAfter() % split == set.me() % split;
-        boolean room = n.spentSum + classWork[r.asks.cls()] <= COLD_SHARE * bears * set.tipAfter();
+        double bears = rule.overcommit() * warmth(n, now - set.slowStart().overloadWindow() / 2) * capacity * part;
+        boolean turn = n.spent.isEmpty() && now / set.slowStart().overloadWindow() % split == set.topology().router() % split;
+        boolean room = n.spentSum + classWork[r.asks.requestClass()] <= COLD_SHARE * bears * set.slowStart().overloadWindow();
         lacked = room ? lacked : now;
-        return room || turn && !set.weightsTold();
+        return room || turn && !set.upstream().weightsAreCapacities();
     }
 
     // What a warm cache bears for this router, by the zone's link. Guards against a router that starts with
@@ -767,7 +766,7 @@
     private double guess() {
         double n = Math.max(CACHES_LEAST, mostCaches);
         double wider = Math.sqrt(Math.max(1, LINK_FOR / n));
-        double carries = set.clientKbPerS() > 0 ? set.linkKbPerS() / set.clientKbPerS() : 0;
+        double carries = set.bandwidth().clientKbPerSecond() > 0 ? set.bandwidth().fillLinkKbPerSecond() / set.bandwidth().clientKbPerSecond() : 0;
         return LINK_BEARS * carries / wider / n / seats;
     }
 
@@ -787,14 +786,14 @@
 
     // What a member has served, not what it was sent, tells what it bears.
     private void earn(Node n, Open r) {
-        n.borne = n.borne * Math.exp((n.borneAt - now) / BORNE_OVER) + classWork[r.asks.cls()];
+        n.borne = n.borne * Math.exp((n.borneAt - now) / BORNE_OVER) + classWork[r.asks.requestClass()];
         n.borneAt = now;
     }
 
     private void charge(Node n, Open r) {
         if (warmth(n, now) < 1) {
-            n.spent.addLast(new double[] {now, classWork[r.asks.cls()]});
-            n.spentSum += classWork[r.asks.cls()];
+            n.spent.addLast(new double[] {now, classWork[r.asks.requestClass()]});
+            n.spentSum += classWork[r.asks.requestClass()];
         }
     }
 
@@ -836,32 +835,32 @@
     }
 
     // ---- The list ----
-    private void listed(Listed l) {
-        if (l.kind() == ListKind.FAILED) {
-            if (!set.pushedLists()) {
-                actions.add(new Timer(WATCH, now + WAIT_FIRST));
+    private void listed(EndpointsChanged l) {
+        if (l.kind() == EndpointUpdateKind.FAILED) {
+            if (!set.upstream().pushedEndpointUpdates()) {
+                actions.add(new StartTimer(WATCH, now + WAIT_FIRST));
             }
             return;
         }
         Map<Long, Node> old = new LinkedHashMap<>(nodes);
-        if (l.kind() != ListKind.CHANGES) {
+        if (l.kind() != EndpointUpdateKind.DELTA) {
             nodes.clear();
         }
-        for (Member m : l.members()) {
+        for (Endpoint m : l.endpoints()) {
             Node n = old.get(m.id());
-            if (m.state() != State.READY) {
+            if (m.lifecycle() != EndpointLifecycle.READY) {
                 nodes.remove(m.id());
                 continue;
             }
-            if (n == null || n.is.since() != m.since()) {
+            if (n == null || n.is.startedAt() != m.startedAt()) {
                 n = new Node();
             }
             n.is = m;
             nodes.put(m.id(), n);
         }
-        caches = listed(n -> n.is.role() == Role.CACHE && n.is.zone() == set.zone());
-        parents = listed(n -> n.is.role() == Role.PARENT);
-        origin = listed(n -> n.is.role() == Role.ORIGIN).stream()
+        caches = listed(n -> n.is.role() == EndpointRole.CACHE && n.is.zone() == set.topology().zone());
+        parents = listed(n -> n.is.role() == EndpointRole.PARENT);
+        origin = listed(n -> n.is.role() == EndpointRole.ORIGIN).stream()
                 .min(Comparator.comparingLong(n -> n.is.id())).orElse(null);
         mostCaches = Math.max(mostCaches, caches.size());
     }
@@ -878,12 +877,12 @@
         bore[0] = Math.max(bore[0] * BORE_FADES, borneByWarm(caches, bore[0]));
         bore[1] = Math.max(bore[1] * BORE_FADES, borneByWarm(parents, bore[1]));
         lost *= BORE_FADES;
-        purges.values().removeIf(at -> now - at > set.purgeTakes() + 2 * TICK);
-        if (set.mayTell() && set.routers() > 1 && now >= nextReport) {
+        purges.values().removeIf(at -> now - at > set.purgePropagation() + 2 * TICK);
+        if (set.features().gossipEnabled() && set.topology().routers() > 1 && now >= nextReport) {
             report();
             nextReport = now + REPORT_PERIOD;
         }
-        actions.add(new Timer(SWEEP, now + TICK));
+        actions.add(new StartTimer(SWEEP, now + TICK));
     }
 
     // An attempt is overdue by the pace at which its member answers others of its size. Another is made
@@ -902,13 +901,13 @@
             t.quiet = true;
             release(t);
             r.failed.add(t.node);
-            if (r.cls.effect() == Effect.PURE && retries >= 1 && now + r.work < r.asks.expires()) {
-                if (set.parallelTries()) {
+            if (r.cls.idempotency() == Idempotency.SAFE && retries >= 1 && now + r.work < r.asks.expiresAt()) {
+                if (set.features().parallelAttempts()) {
                     retries--;
                     advance(r);
-                } else if (set.mayCancel() && (t.node.until > 0 || lost > LOST_SEEN
+                } else if (set.features().attemptCancellation() && (t.node.until > 0 || lost > LOST_SEEN
                         || now + t.usual < t.at + aim(r))) {
-                    actions.add(new Cancel(r.asks.id(), r.tries.indexOf(t)));
+                    actions.add(new CancelAttempt(r.asks.requestId(), r.tries.indexOf(t)));
                 }
             }
         }
@@ -926,7 +925,7 @@
         if (t.node.lastAnswer < t.at) {
             judge(t.node, true);
         } else if (t.outside && (t.source.lastAnswer < t.at || lags(t.source, parents))
-                && set.notes() != Notes.NONE) {
+                && set.upstream().cacheStatusDetail() != CacheStatusDetail.NONE) {
             judge(t.source, true);
         }
     }
@@ -934,7 +933,7 @@
     // ---- Shared counts ----
     private int owner(long object) {
         int best = 0;
-        for (int i = 1; i < set.routers(); i++) {
+        for (int i = 1; i < set.topology().routers(); i++) {
             best = mix(object ^ mix(i)) > mix(object ^ mix(best)) ? i : best;
         }
         return best;
@@ -942,11 +941,11 @@
 
     // Batches what was counted since the last report, by owner; what does not fit goes with a later one.
     private void report() {
-        ByteBuffer[] to = new ByteBuffer[set.routers()];
+        ByteBuffer[] to = new ByteBuffer[set.topology().routers()];
         for (Map.Entry<Long, Tally> e : unreported.entrySet()) {
             Tally t = e.getValue();
             int owner = owner(e.getKey());
-            if (owner == set.me()) {
+            if (owner == set.topology().router()) {
                 t.shared = own(e.getKey(), t.unsent);
             } else if (t.unsent > 1) {
                 to[owner] = entry(to[owner], REPORT, e.getKey(), t.unsent);
@@ -971,18 +970,18 @@
 
     private void tell(int router, ByteBuffer b) {
         if (b != null && b.position() > 1) {
-            actions.add(new Tell(router, Arrays.copyOf(b.array(), b.position())));
+            actions.add(new SendGossip(router, Arrays.copyOf(b.array(), b.position())));
         }
     }
 
     // A report is answered with the sums; sums are taken over. Anything else, cut or too long, is ignored.
-    private void message(PeerMessage m) {
-        int length = m.bytes().length;
+    private void message(GossipReceived m) {
+        int length = m.payload().length;
         if (length < 1 + ENTRY_BYTES || length > MESSAGE_MAX || (length - 1) % ENTRY_BYTES != 0
-                || !set.mayTell() || m.from() < 0 || m.from() >= set.routers() || m.from() == set.me()) {
+                || !set.features().gossipEnabled() || m.router() < 0 || m.router() >= set.topology().routers() || m.router() == set.topology().router()) {
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(m.bytes());
+        ByteBuffer in = ByteBuffer.wrap(m.payload());
         byte kind = in.get();
         ByteBuffer sums = null;
         while (in.hasRemaining() && (kind == REPORT || kind == SUMS)) {
@@ -994,7 +993,7 @@
                 tally(counts, object).shared = n;
             }
         }
-        tell(m.from(), sums);
+        tell(m.router(), sums);
     }
 
     // ---- Hashing ----
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/SendGossip.java
@@ -0,0 +1,9 @@
+package pewtercourse.decision;
+
+/** A datagram to another router. */
+public record SendGossip(int router, byte[] payload) implements RouterAction {
+    @Override
+    public void accept(RouterActionVisitor visitor) {
+        visitor.visit(this);
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/SiblingFillPolicy.java
@@ -0,0 +1,8 @@
+package pewtercourse.decision;
+
+/** From which other caches a cache may be filled. */
+public enum SiblingFillPolicy {
+    NONE,
+    OWN_ZONE,
+    ANY
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/StreamStarted.java
@@ -0,0 +1,9 @@
+package pewtercourse.decision;
+
+/** The first bytes of an answer are on their way to the client. */
+public record StreamStarted(long requestId, int attempt) implements RouterEvent {
+    @Override
+    public void accept(RouterEventVisitor visitor) {
+        visitor.visit(this);
+    }
+}
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -20,8 +20,26 @@
 import pewtercourse.cache.Transport;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.config.SiteSettings;
+import pewtercourse.decision.AttemptFinished;
+import pewtercourse.decision.CancelAttempt;
+import pewtercourse.decision.ContentPurged;
+import pewtercourse.decision.EndpointsChanged;
+import pewtercourse.decision.FailRequest;
+import pewtercourse.decision.GossipReceived;
+import pewtercourse.decision.Idempotency;
 import pewtercourse.decision.Logic;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.QuotaChanged;
+import pewtercourse.decision.RejectRequest;
+import pewtercourse.decision.RequestArrived;
+import pewtercourse.decision.RequestClass;
+import pewtercourse.decision.RouterAction;
+import pewtercourse.decision.RouterEvent;
+import pewtercourse.decision.RouterSettings;
+import pewtercourse.decision.SendAttempt;
+import pewtercourse.decision.SendGossip;
+import pewtercourse.decision.SettingsChanged;
+import pewtercourse.decision.StartTimer;
+import pewtercourse.decision.TimerFired;
 import pewtercourse.discovery.FeedClient;
 import pewtercourse.discovery.FeedEvent;
 import pewtercourse.discovery.HttpFeedTransport;
@@ -101,7 +119,7 @@
         this.home = queue(site.router(), false);
         this.peers = new PeerSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
             peerHeard.run();
-            home.tell(new Router.PeerMessage(from, bytes));
+            home.tell(new GossipReceived(from, bytes));
         });
     }
 
@@ -145,8 +163,8 @@
         SiteSettings next = to.site().placed(site);
         boolean listAnew = !next.namesAlike(site);
         site = next;
-        home.tell(new Router.Reconfigured(next.router()));
-        abroad.forEach((zone, d) -> d.tell(new Router.Reconfigured(next.guestsAt(zone))));
+        home.tell(new SettingsChanged(next.router()));
+        abroad.forEach((zone, d) -> d.tell(new SettingsChanged(next.guestsAt(zone))));
         pool.idleMost((long) (IDLE_SHARE * next.idleClose()));
         registry.use(next);
         if (listAnew) {
@@ -165,7 +183,7 @@
                 "classes",
                 String.join(",", new TreeSet<>(next.classes().keySet())),
                 "attempts",
-                next.router().tryLimit());
+                next.router().retry().maxAttempts());
     }
 
     /** Takes a member out by hand; false if none of this name is known. */
@@ -180,12 +198,12 @@
 
     /** This director's part of what cold caches bear, as a factor on an equal part. */
     public void part(double factor) {
-        home.tell(new Router.Parted(factor));
+        home.tell(new QuotaChanged(factor));
     }
 
     /** How much more of that it could use, as a share of an equal part. */
     public double coldWanted() {
-        return home.router().insight().coldShort() ? 1 : 0;
+        return home.router().status().slowStartLimited() ? 1 : 0;
     }
 
     public boolean knows(String name) {
@@ -204,8 +222,8 @@
 
     /** What operators told another process of this director. */
     public void follow(OperatorState state) {
-        Router.Listed change = registry.follow(state.out(), state.back(), clock.getAsLong() / 1000);
-        if (!change.members().isEmpty()) {
+        EndpointsChanged change = registry.follow(state.out(), state.back(), clock.getAsLong() / 1000);
+        if (!change.endpoints().isEmpty()) {
             tell(change);
         }
     }
@@ -219,7 +237,7 @@
                 Map.copyOf(registry.byHand().back()));
     }
 
-    private boolean byHand(String name, Router.Listed change) {
+    private boolean byHand(String name, EndpointsChanged change) {
         if (change != null) {
             tell(change);
         }
@@ -231,7 +249,7 @@
         return new Figures.Gauges(
                 pool.written(),
                 registry.size(),
-                registry.listedOut() + home.router().insight().avoided(),
+                registry.listedOut() + home.router().status().ejectedEndpoints(),
                 accepted,
                 invalid);
     }
@@ -254,7 +272,7 @@
             noteListed();
         } else if (e instanceof FeedEvent.Purge p) {
             requests.values().forEach(x -> x.purged(p));
-            tell(new Router.Purged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
+            tell(new ContentPurged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
         }
     }
 
@@ -304,7 +322,7 @@
     }
 
     // To all modules: the list and purges count for each.
-    private void tell(Router.Event e) {
+    private void tell(RouterEvent e) {
         home.tell(e);
         abroad.values().forEach(d -> d.tell(e));
     }
@@ -314,7 +332,8 @@
     /** Other sites may take this director's clients, by what is agreed, from now on. */
     public void sites(Sites to) {
         sites = to;
-        overflowRouter = new OverflowRouter(to, config.zone(), site.router().maxRetryAfter(), config.seed());
+        overflowRouter =
+                new OverflowRouter(to, config.zone(), site.router().retry().maxRetryAfter(), config.seed());
         siteObservations = siteObservations == null ? new SiteObservations(config.zone()) : siteObservations;
         noteListed();
     }
@@ -350,22 +369,22 @@
             return null;
         }
         long now = clock.getAsLong();
-        Router.RequestClass c = site.router().classes()[cls];
-        double work = r.sizeKb() > 0 && site.router().clientKbPerS() > 0
-                ? r.sizeKb() / site.router().clientKbPerS() * 1e6
-                : c.aim() / 2.0;
+        RequestClass c = site.router().classes().get(cls);
+        double work = r.sizeKb() > 0 && site.router().bandwidth().clientKbPerSecond() > 0
+                ? r.sizeKb() / site.router().bandwidth().clientKbPerSecond() * 1e6
+                : c.latencyObjective() / 2.0;
         siteObservations.asked(now, work);
         if (!overflowRouter.away()) {
             return null;
         }
-        boolean must = c.effect() == Router.Effect.SIDE_EFFECT || c.goesThrough();
+        boolean must = c.idempotency() == Idempotency.NON_IDEMPOTENT || c.uncacheable();
         return overflowRouter.choose(
                 now,
                 new OverflowRouter.Ask(
                         OverflowRouter.hash(r.object()),
                         site.worths().get(r.className()).worth(),
                         work,
-                        c.aim(),
+                        c.latencyObjective(),
                         expires,
                         (long) work,
                         must,
@@ -379,13 +398,13 @@
         }
         return abroad.computeIfAbsent(zone, z -> {
             RouterQueue queue = queue(site.guestsAt(z), true);
-            queue.tell(new Router.Parted(0)); // What its cold caches bear is for its own clients.
+            queue.tell(new QuotaChanged(0)); // What its cold caches bear is for its own clients.
             queue.tell(registry.whole());
             return queue;
         });
     }
 
-    private RouterQueue queue(Router.Settings settings, boolean guest) {
+    private RouterQueue queue(RouterSettings settings, boolean guest) {
         return new RouterQueue(
                 new Logic(settings, config.seed()),
                 guest,
@@ -414,36 +433,36 @@
         List.copyOf(requests.values()).forEach(x -> x.answerIfDue(now));
     }
 
-    private void handle(RouterQueue queue, List<Router.Event> batch) {
+    private void handle(RouterQueue queue, List<RouterEvent> batch) {
         try {
-            for (Router.Action a : queue.router().handle(clock.getAsLong(), batch)) {
+            for (RouterAction a : queue.router().handle(clock.getAsLong(), batch)) {
                 act(queue, a);
             }
         } catch (RuntimeException e) {
             Log.error("decision.unexpected", e);
-            for (Router.Event event : batch) {
-                if (event instanceof Router.Request r && requests.containsKey(r.id())) {
-                    requests.get(r.id()).abandon();
-                } else if (event instanceof Router.Outcome o && requests.containsKey(o.id())) {
-                    requests.get(o.id()).abandon();
+            for (RouterEvent event : batch) {
+                if (event instanceof RequestArrived r && requests.containsKey(r.requestId())) {
+                    requests.get(r.requestId()).abandon();
+                } else if (event instanceof AttemptFinished o && requests.containsKey(o.requestId())) {
+                    requests.get(o.requestId()).abandon();
                 }
             }
         }
     }
 
-    private void act(RouterQueue queue, Router.Action action) {
-        if (action instanceof Router.Timer t) {
-            timers.set(Timers.millis(t.at() - clock.getAsLong()), () -> queue.tell(new Router.TimerDue(t.name())));
-        } else if (action instanceof Router.Tell t) {
-            peers.send(t.router(), t.bytes());
-        } else if (action instanceof Router.Send s) {
-            with(s.id(), x -> x.send(s));
-        } else if (action instanceof Router.Cancel c) {
-            with(c.id(), x -> x.cancel(c.attempt()));
-        } else if (action instanceof Router.Refuse r) {
-            with(r.id(), x -> x.refuse(r.holdOff()));
-        } else if (action instanceof Router.Fail f) {
-            with(f.id(), ProxiedRequest::fail);
+    private void act(RouterQueue queue, RouterAction action) {
+        if (action instanceof StartTimer t) {
+            timers.set(Timers.millis(t.dueAt() - clock.getAsLong()), () -> queue.tell(new TimerFired(t.name())));
+        } else if (action instanceof SendGossip t) {
+            peers.send(t.router(), t.payload());
+        } else if (action instanceof SendAttempt s) {
+            with(s.requestId(), x -> x.send(s));
+        } else if (action instanceof CancelAttempt c) {
+            with(c.requestId(), x -> x.cancel(c.attempt()));
+        } else if (action instanceof RejectRequest r) {
+            with(r.requestId(), x -> x.refuse(r.retryAfter()));
+        } else if (action instanceof FailRequest f) {
+            with(f.requestId(), ProxiedRequest::fail);
         }
     }
 
--- a/src/main/java/pewtercourse/director/Endings.java
+++ b/src/main/java/pewtercourse/director/Endings.java
@@ -1,42 +1,42 @@
 package pewtercourse.director;
 
 import pewtercourse.cache.End;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Note;
+import pewtercourse.decision.AttemptOutcome;
+import pewtercourse.decision.CacheStatus;
 
 /** The one place where what happened on a socket becomes an outcome of the decision module. */
 final class Endings {
     private Endings() {}
 
     /** What proves that nothing ran is FULL, MISS, CONNECT_FAILED or MOOT; all else may have run. */
-    static Ending of(End end) {
+    static AttemptOutcome of(End end) {
         return switch (end) {
-            case SERVED, NOT_MODIFIED -> Ending.OK;
-            case MISS -> Ending.MISS;
-            case FULL -> Ending.FULL;
-            case ERROR -> Ending.ERROR;
-            case REFUSED, CONNECT_TIMEOUT -> Ending.CONNECT_FAILED;
-            case EXPIRED, NO_DESCRIPTOR, OVERTAKEN, CANCELLED_UNSENT -> Ending.MOOT;
-            case RESET, MALFORMED -> Ending.RESET;
-            case TIMEOUT -> Ending.TIMEOUT;
-            case CANCELLED -> Ending.CANCELLED;
+            case SERVED, NOT_MODIFIED -> AttemptOutcome.OK;
+            case MISS -> AttemptOutcome.MISS;
+            case FULL -> AttemptOutcome.OVERLOADED;
+            case ERROR -> AttemptOutcome.ERROR;
+            case REFUSED, CONNECT_TIMEOUT -> AttemptOutcome.CONNECT_FAILED;
+            case EXPIRED, NO_DESCRIPTOR, OVERTAKEN, CANCELLED_UNSENT -> AttemptOutcome.SUPERSEDED;
+            case RESET, MALFORMED -> AttemptOutcome.RESET;
+            case TIMEOUT -> AttemptOutcome.TIMEOUT;
+            case CANCELLED -> AttemptOutcome.CANCELLED;
         };
     }
 
     /** By name, as the simulator numbers them: the order of the words on the socket says nothing. */
-    static Note note(String word) {
+    static CacheStatus note(String word) {
         return switch (word == null ? "" : word) {
-            case "mem" -> Note.HIT;
-            case "parent" -> Note.FILLED;
-            case "origin" -> Note.FILLED_FROM_ORIGIN;
-            case "shared" -> Note.JOINED;
-            case "old" -> Note.STALE;
-            case "denied" -> Note.SOURCE_REFUSED;
-            case "unreached" -> Note.SOURCE_FAILED;
-            case "absent" -> Note.SOURCE_LACKS;
-            case "crowded" -> Note.NO_FILL_PLACE;
-            case "behind" -> Note.ORIGIN_FAILED;
-            default -> Note.NONE;
+            case "mem" -> CacheStatus.HIT;
+            case "parent" -> CacheStatus.FILLED;
+            case "origin" -> CacheStatus.FILLED_FROM_ORIGIN;
+            case "shared" -> CacheStatus.COALESCED;
+            case "old" -> CacheStatus.STALE;
+            case "denied" -> CacheStatus.SOURCE_REJECTED;
+            case "unreached" -> CacheStatus.SOURCE_FAILED;
+            case "absent" -> CacheStatus.SOURCE_MISS;
+            case "crowded" -> CacheStatus.FILL_LIMIT_REACHED;
+            case "behind" -> CacheStatus.ORIGIN_FAILED;
+            default -> CacheStatus.UNKNOWN;
         };
     }
 }
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -7,7 +7,11 @@
 import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheRequest;
 import pewtercourse.cache.End;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.AttemptFinished;
+import pewtercourse.decision.ClientDisconnected;
+import pewtercourse.decision.RequestArrived;
+import pewtercourse.decision.RequestClass;
+import pewtercourse.decision.SendAttempt;
 import pewtercourse.discovery.FeedEvent;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.front.Answer;
@@ -34,9 +38,9 @@
     private final long expires, backstop;
     private final Consumer<Answer> answer;
     private RouterQueue queue; // The module that has it.
-    private Router.Request arrival;
+    private RequestArrived arrival;
     private Attempt attempt;
-    private Router.Send sent;
+    private SendAttempt sent;
     private long sentAt;
     private int attempts;
     private boolean over, purged;
@@ -73,7 +77,7 @@
         if (choice != null) {
             queue = director.queue(choice.site());
         }
-        arrival = new Router.Request(
+        arrival = new RequestArrived(
                 id,
                 cls,
                 request.object(),
@@ -82,26 +86,26 @@
                 request.sizeKb(),
                 expires,
                 false,
-                director.site.router().classes()[cls].goesThrough());
+                director.site.router().classes().get(cls).uncacheable());
         queue.tell(arrival);
     }
 
     // ---- The module sends it to a cache ----
-    void send(Router.Send s) {
+    void send(SendAttempt s) {
         long now = director.clock.getAsLong();
         sent = s;
         sentAt = now;
         attempts++;
-        FeedEvent.Host to = director.registry.get(s.member());
-        FeedEvent.Host source = s.source() == s.member() ? null : director.registry.get(s.source());
+        FeedEvent.Host to = director.registry.get(s.endpointId());
+        FeedEvent.Host source = s.fillSourceId() == s.endpointId() ? null : director.registry.get(s.fillSourceId());
         long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
-        boolean unlisted = to == null || source == null && s.source() != s.member();
+        boolean unlisted = to == null || source == null && s.fillSourceId() != s.endpointId();
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
         if (over
                 || attempt != null
                 || unlisted
                 || until <= now
-                || attempts > director.site.router().tryLimit()) {
+                || attempts > director.site.router().retry().maxAttempts()) {
             queue.tell(outcome(attempts - 1, s, End.OVERTAKEN, null));
             return;
         }
@@ -115,16 +119,16 @@
                 source == null ? null : source.name(),
                 keep(s),
                 (s.maxAge() + 999) / 1000,
-                s.join(),
-                s.sourceHoldsOnly(),
-                s.renew(),
+                s.coalesce(),
+                s.onlyIfCached(),
+                s.refreshInBackground(),
                 request.known());
         int number = attempts - 1;
         attempt = new Attempt(
                 director.pool,
                 director.timers,
                 director.clock,
-                s.member(),
+                s.endpointId(),
                 to.address(),
                 out,
                 director.site.connectTimeout(),
@@ -135,16 +139,16 @@
     }
 
     // A guest's copies are the first to go: they are of no use once its site is back.
-    private int keep(Router.Send s) {
-        return queue.guest() ? Math.min(1, s.keep()) : s.keep();
+    private int keep(SendAttempt s) {
+        return queue.guest() ? Math.min(1, s.retentionRank()) : s.retentionRank();
     }
 
     // The feed may have spoken while a connection came up.
-    private boolean stillRight(Router.Send s) {
+    private boolean stillRight(SendAttempt s) {
         return !over
                 && !purged
-                && director.registry.ready(s.member())
-                && (s.source() == s.member() || director.registry.ready(s.source()));
+                && director.registry.ready(s.endpointId())
+                && (s.fillSourceId() == s.endpointId() || director.registry.ready(s.fillSourceId()));
     }
 
     /** A purge of this object came: an attempt that still waits for its connection is decided anew. */
@@ -159,7 +163,7 @@
     }
 
     // ---- The attempt ends: the first that serves is the client's answer; the module hears of each ----
-    private void ended(int number, Router.Send s, CacheAnswer a) {
+    private void ended(int number, SendAttempt s, CacheAnswer a) {
         attempt = null;
         if (a.end() == End.SERVED) {
             finish(Answer.served(a.body(), a.tag()));
@@ -174,9 +178,9 @@
                     "number",
                     number,
                     "cache",
-                    Long.toHexString(s.member()),
+                    Long.toHexString(s.endpointId()),
                     "source",
-                    Long.toHexString(s.source()),
+                    Long.toHexString(s.fillSourceId()),
                     "end",
                     a.end(),
                     "outcome",
@@ -195,21 +199,28 @@
         leave();
     }
 
-    private void seen(Router.Send s, End end) {
-        FeedEvent.Host at = director.registry.get(s.member());
+    private void seen(SendAttempt s, End end) {
+        FeedEvent.Host at = director.registry.get(s.endpointId());
         if (at != null) {
             long now = director.clock.getAsLong();
-            Router.RequestClass c = director.site.router().classes()[cls];
-            double work = director.site.router().clientKbPerS() > 0
-                    ? request.sizeKb() / director.site.router().clientKbPerS() * 1e6
+            RequestClass c = director.site.router().classes().get(cls);
+            double work = director.site.router().bandwidth().clientKbPerSecond() > 0
+                    ? request.sizeKb() / director.site.router().bandwidth().clientKbPerSecond() * 1e6
                     : 0;
-            director.sightsOrNull().ended(now, at.zone(), end, now - sentAt > c.aim() + c.aimStretch() * work);
+            director.sightsOrNull()
+                    .ended(now, at.zone(), end, now - sentAt > c.latencyObjective() + c.transferAllowance() * work);
         }
     }
 
-    private Router.Outcome outcome(int number, Router.Send s, End end, String note) {
-        return new Router.Outcome(
-                id, number, s.member(), Endings.of(end), director.clock.getAsLong() - sentAt, over, Endings.note(note));
+    private AttemptFinished outcome(int number, SendAttempt s, End end, String note) {
+        return new AttemptFinished(
+                id,
+                number,
+                s.endpointId(),
+                Endings.of(end),
+                director.clock.getAsLong() - sentAt,
+                over,
+                Endings.note(note));
     }
 
     // ---- The module gives up ----
@@ -237,7 +248,7 @@
                 director.forget(this);
                 return;
             }
-            queue.tell(new Router.ClientGone(id));
+            queue.tell(new ClientDisconnected(id));
             cancel(attempts - 1);
             leave();
         }
@@ -268,7 +279,7 @@
 
     void abandon() {
         finish(Answer.failed());
-        queue.tell(new Router.ClientGone(id));
+        queue.tell(new ClientDisconnected(id));
         cancel(attempts - 1);
         leave();
     }
--- a/src/main/java/pewtercourse/director/RouterQueue.java
+++ b/src/main/java/pewtercourse/director/RouterQueue.java
@@ -5,6 +5,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import pewtercourse.decision.Router;
+import pewtercourse.decision.RouterEvent;
 
 /**
  * A router and the events that it is to be told next, in order of arrival: one batch for each turn of the event loop. The
@@ -19,7 +20,7 @@
     private final LongSupplier clock;
     private final Consumer<RouterQueue> scheduler;
     private final Consumer<ProxiedRequest> forget;
-    private List<Router.Event> events = new ArrayList<>();
+    private List<RouterEvent> events = new ArrayList<>();
     private List<ProxiedRequest> leaving = new ArrayList<>();
     private boolean scheduled;
     private long scheduledAt;
@@ -47,7 +48,7 @@
     }
 
     /** Queues an event; the batch goes to the router when what the loop has at hand is read. */
-    void tell(Router.Event event) {
+    void tell(RouterEvent event) {
         events.add(event);
         if (!scheduled) {
             schedule();
@@ -55,7 +56,7 @@
     }
 
     /** Takes back an event that has not been handed over yet; false if it is too late. */
-    boolean withdraw(Router.Event event) {
+    boolean withdraw(RouterEvent event) {
         for (int i = events.size() - 1; i >= 0; i--) {
             if (events.get(i) == event) {
                 events.remove(i);
@@ -80,9 +81,9 @@
     }
 
     /** Hands over its next events, as many as one turn may handle; what is left has its own turn. */
-    void nextBatch(Consumer<List<Router.Event>> handler) {
+    void nextBatch(Consumer<List<RouterEvent>> handler) {
         scheduled = false;
-        List<Router.Event> batch = events;
+        List<RouterEvent> batch = events;
         events = new ArrayList<>();
         if (batch.size() > BATCH_MOST) {
             events.addAll(batch.subList(BATCH_MOST, batch.size()));
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.SiteSettings;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.Endpoint;
+import pewtercourse.decision.EndpointLifecycle;
+import pewtercourse.decision.EndpointUpdateKind;
+import pewtercourse.decision.EndpointsChanged;
 import pewtercourse.discovery.FeedEvent;
 
 /**
@@ -30,25 +33,26 @@
     }
 
     /** The whole list in the module's terms. */
-    Router.Listed whole() {
-        return new Router.Listed(
-                Router.ListKind.WHOLE, hosts.values().stream().map(this::member).toList());
+    EndpointsChanged whole() {
+        return new EndpointsChanged(
+                EndpointUpdateKind.SNAPSHOT,
+                hosts.values().stream().map(this::member).toList());
     }
 
     /** Applies a change and returns it in the module's terms. */
-    Router.Listed apply(FeedEvent.Members change) {
+    EndpointsChanged apply(FeedEvent.Members change) {
         if (change.whole()) {
             List<Long> missing = new ArrayList<>(hosts.keySet());
             change.hosts().forEach(h -> missing.remove(h.id()));
             missing.forEach(this::forget);
         }
-        List<Router.Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (FeedEvent.Host h : change.hosts()) {
             FeedEvent.Host before = hosts.get(h.id());
             if (before != null && before.startedMs() != h.startedMs()) {
                 pool.drop(h.id(), true); // Connections to the process that ran there before.
             }
-            if (h.state() == Router.State.GONE || h.address() == null) {
+            if (h.state() == EndpointLifecycle.GONE || h.address() == null) {
                 forget(h.id());
             } else {
                 hosts.put(h.id(), h);
@@ -56,12 +60,13 @@
             }
             members.add(member(h));
         }
-        return new Router.Listed(change.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES, members);
+        return new EndpointsChanged(change.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
     }
 
     // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
-    private Router.Member member(FeedEvent.Host h) {
-        Router.State state = out.isOut(h.name()) && h.state() == Router.State.READY ? Router.State.DRAINING : h.state();
+    private Endpoint member(FeedEvent.Host h) {
+        EndpointLifecycle state =
+                out.isOut(h.name()) && h.state() == EndpointLifecycle.READY ? EndpointLifecycle.DRAINING : h.state();
         return site.member(
                 h.id(), h.zone(), h.kind(), h.cell(), state, h.weight(), out.started(h.name(), h.startedMs()) * 1000);
     }
@@ -115,23 +120,23 @@
     }
 
     /** Takes a member out; returns what the module is to be told, null if nothing changes. */
-    Router.Listed takeOut(String name, long nowMs) {
+    EndpointsChanged takeOut(String name, long nowMs) {
         return out.enter(name, nowMs) ? told(named(name)) : null;
     }
 
     /** It may serve again: what is told is empty while it isn't listed. */
-    Router.Listed putBack(String name, long nowMs) {
+    EndpointsChanged putBack(String name, long nowMs) {
         FeedEvent.Host h = named(name);
         return out.exit(name, h == null ? 0 : h.startedMs(), nowMs) ? told(h) : null;
     }
 
     /** Takes over what another process was told; returns what the module is to be told. */
-    Router.Listed follow(Map<String, Long> nowOut, Map<String, Long> back, long nowMs) {
-        List<Router.Member> members = new ArrayList<>();
+    EndpointsChanged follow(Map<String, Long> nowOut, Map<String, Long> back, long nowMs) {
+        List<Endpoint> members = new ArrayList<>();
         for (String name : out.follow(nowOut, back, nowMs)) {
-            members.addAll(told(named(name)).members());
+            members.addAll(told(named(name)).endpoints());
         }
-        return new Router.Listed(Router.ListKind.CHANGES, members);
+        return new EndpointsChanged(EndpointUpdateKind.DELTA, members);
     }
 
     OperatorDrains byHand() {
@@ -139,11 +144,11 @@
     }
 
     // Connections to the process that ran before it was taken out, or came back, are of no use.
-    private Router.Listed told(FeedEvent.Host h) {
+    private EndpointsChanged told(FeedEvent.Host h) {
         if (h != null) {
             pool.drop(h.id(), false);
         }
-        return new Router.Listed(Router.ListKind.CHANGES, h == null ? List.of() : List.of(member(h)));
+        return new EndpointsChanged(EndpointUpdateKind.DELTA, h == null ? List.of() : List.of(member(h)));
     }
 
     /** Null once it is gone. */
@@ -162,6 +167,6 @@
 
     boolean ready(long id) {
         FeedEvent.Host h = hosts.get(id);
-        return h != null && h.state() == Router.State.READY && !out.isOut(h.name());
+        return h != null && h.state() == EndpointLifecycle.READY && !out.isOut(h.name());
     }
 }
--- a/src/main/java/pewtercourse/discovery/FeedEvent.java
+++ b/src/main/java/pewtercourse/discovery/FeedEvent.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import pewtercourse.config.DirectorConfig;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.EndpointLifecycle;
 
 /** An event of the control feed: a change of the list of caches, or a purge. */
 public sealed interface FeedEvent {
@@ -21,7 +21,7 @@
             String zone,
             String kind,
             int cell,
-            Router.State state,
+            EndpointLifecycle state,
             double weight,
             long startedMs) {}
 
@@ -55,10 +55,10 @@
 
     private static Host host(JsonObject h) {
         String name = h.getString("host");
-        Router.State state = switch (h.getString("health")) {
-            case "Ready" -> Router.State.READY;
-            case "Terminating" -> Router.State.DRAINING;
-            case "Gone" -> Router.State.GONE;
+        EndpointLifecycle state = switch (h.getString("health")) {
+            case "Ready" -> EndpointLifecycle.READY;
+            case "Terminating" -> EndpointLifecycle.DRAINING;
+            case "Gone" -> EndpointLifecycle.GONE;
             default -> throw new IllegalArgumentException("health '" + h.getString("health") + "' is no state");
         };
         String dial = h.getString("dial");
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -1,6 +1,7 @@
 package pewtercourse.experiment;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -15,8 +16,39 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
 import pewtercourse.cache.End;
+import pewtercourse.decision.AttemptFinished;
+import pewtercourse.decision.AttemptOutcome;
+import pewtercourse.decision.Bandwidth;
+import pewtercourse.decision.CacheStatus;
+import pewtercourse.decision.CacheStatusDetail;
+import pewtercourse.decision.CancelAttempt;
+import pewtercourse.decision.DeduplicationScope;
+import pewtercourse.decision.Endpoint;
+import pewtercourse.decision.EndpointLifecycle;
+import pewtercourse.decision.EndpointRole;
+import pewtercourse.decision.EndpointUpdateKind;
+import pewtercourse.decision.EndpointsChanged;
+import pewtercourse.decision.FailRequest;
+import pewtercourse.decision.Idempotency;
 import pewtercourse.decision.Logic;
+import pewtercourse.decision.QuotaChanged;
+import pewtercourse.decision.RejectRequest;
+import pewtercourse.decision.RequestArrived;
+import pewtercourse.decision.RequestClass;
+import pewtercourse.decision.RetryLimits;
 import pewtercourse.decision.Router;
+import pewtercourse.decision.RouterAction;
+import pewtercourse.decision.RouterEvent;
+import pewtercourse.decision.RouterFeatures;
+import pewtercourse.decision.RouterSettings;
+import pewtercourse.decision.RouterTopology;
+import pewtercourse.decision.SendAttempt;
+import pewtercourse.decision.SiblingFillPolicy;
+import pewtercourse.decision.SlowStart;
+import pewtercourse.decision.SlowStartSettings;
+import pewtercourse.decision.StartTimer;
+import pewtercourse.decision.TimerFired;
+import pewtercourse.decision.UpstreamFeatures;
 import pewtercourse.emulator.CacheModel;
 import pewtercourse.emulator.UpstreamModel;
 import pewtercourse.failover.FailoverController;
@@ -84,13 +116,12 @@
             new CacheModel.Settings(BEARS, 2.5, 700, 0.23, 16 * SECOND, 2, 1_500 * MS);
     private static final UpstreamModel.Settings UPSTREAM = new UpstreamModel.Settings(8, 0.75, 45 * MS, 60 * MS, 4);
     private static final long AGREED_IN = 6 * MS, TICK = 20 * MS, TAKEN_OVER_IN = 1_300 * MS;
-    private static final Router.RequestClass[] CLASSES = {
-        new Router.RequestClass(
-                Router.Effect.PURE, Router.Group.ALL, 0, 600 * MS, 2, 5 * SECOND, false, 0, false, false),
-        new Router.RequestClass(
-                Router.Effect.PURE, Router.Group.ALL, 0, 400 * MS, 2, 3 * SECOND, false, 8 * SECOND, false, false),
-        new Router.RequestClass(
-                Router.Effect.SIDE_EFFECT, Router.Group.ALL, 0, 600 * MS, 0, 3 * SECOND, false, 0, false, true)
+    private static final RequestClass[] CLASSES = {
+        new RequestClass(Idempotency.SAFE, DeduplicationScope.ALL, 0, 600 * MS, 2, 5 * SECOND, false, 0, false, false),
+        new RequestClass(
+                Idempotency.SAFE, DeduplicationScope.ALL, 0, 400 * MS, 2, 3 * SECOND, false, 8 * SECOND, false, false),
+        new RequestClass(
+                Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 0, 3 * SECOND, false, 0, false, true)
     };
     private static final double[] WORTH = {2, 1, 3},
             SHARE = {0.54, 0.97, 1.0},
@@ -118,7 +149,7 @@
         }
 
         long aim() {
-            return CLASSES[cls].aim() + (long) (CLASSES[cls].aimStretch() * work);
+            return CLASSES[cls].latencyObjective() + (long) (CLASSES[cls].transferAllowance() * work);
         }
 
         boolean inTime() {
@@ -147,31 +178,31 @@
             this.router = router;
         }
 
-        void tell(Router.Event e) {
+        void tell(RouterEvent e) {
             if (of.up) {
                 router.handle(now, List.of(e)).forEach(this::act);
             }
         }
 
-        private void act(Router.Action a) {
-            if (a instanceof Router.Timer t) {
+        private void act(RouterAction a) {
+            if (a instanceof StartTimer t) {
                 int life = of.life;
-                at(t.at(), () -> {
+                at(t.dueAt(), () -> {
                     if (of.life == life) {
-                        tell(new Router.TimerDue(t.name()));
+                        tell(new TimerFired(t.name()));
                     }
                 });
-            } else if (a instanceof Router.Send s) {
+            } else if (a instanceof SendAttempt s) {
                 of.send(this, s);
-            } else if (a instanceof Router.Cancel c) {
+            } else if (a instanceof CancelAttempt c) {
                 of.cancel(this, c);
-            } else if (a instanceof Router.Refuse r) {
-                of.end(r.id(), false);
+            } else if (a instanceof RejectRequest r) {
+                of.end(r.requestId(), false);
                 if (this == of.home) {
                     of.siteObservations.refused(now);
                 }
-            } else if (a instanceof Router.Fail f) {
-                of.end(f.id(), false);
+            } else if (a instanceof FailRequest f) {
+                of.end(f.requestId(), false);
             }
         }
     }
@@ -225,14 +256,14 @@
             at(now + SECOND, () -> report(mine));
         }
 
-        private Router.Listed listed() {
-            List<Router.Member> list = new ArrayList<>();
-            listedReady.forEach(c -> list.add(
-                    new Router.Member(c.id, c.site, Router.Role.CACHE, 0, Router.State.READY, 1, c.model.startedAt())));
-            list.add(new Router.Member(900, SITES, Router.Role.PARENT, 0, Router.State.READY, 1, 0));
-            list.add(new Router.Member(901, SITES, Router.Role.PARENT, 0, Router.State.READY, 1, 0));
-            list.add(new Router.Member(999, SITES, Router.Role.ORIGIN, 0, Router.State.READY, 1, 0));
-            return new Router.Listed(Router.ListKind.WHOLE, list);
+        private EndpointsChanged listed() {
+            List<Endpoint> list = new ArrayList<>();
+            listedReady.forEach(c -> list.add(new Endpoint(
+                    c.id, c.site, EndpointRole.CACHE, 0, EndpointLifecycle.READY, 1, c.model.startedAt())));
+            list.add(new Endpoint(900, SITES, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
+            list.add(new Endpoint(901, SITES, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
+            list.add(new Endpoint(999, SITES, EndpointRole.ORIGIN, 0, EndpointLifecycle.READY, 1, 0));
+            return new EndpointsChanged(EndpointUpdateKind.SNAPSHOT, list);
         }
 
         void relist() {
@@ -252,11 +283,18 @@
                 }
             });
             siteObservations.asked(now, q.work);
-            boolean must = CLASSES[q.cls].effect() == Router.Effect.SIDE_EFFECT;
+            boolean must = CLASSES[q.cls].idempotency() == Idempotency.NON_IDEMPOTENT;
             OverflowRouter.Choice c = overflowRouter.choose(
                     now,
                     new OverflowRouter.Ask(
-                            q.object, WORTH[q.cls], q.work, CLASSES[q.cls].aim(), q.expires, q.work, must, false));
+                            q.object,
+                            WORTH[q.cls],
+                            q.work,
+                            CLASSES[q.cls].latencyObjective(),
+                            q.expires,
+                            q.work,
+                            must,
+                            false));
             if (c.site() == null) {
                 shed++;
                 end(q.id, false);
@@ -269,12 +307,13 @@
             Desk desk = to == site
                     ? home
                     : abroad.computeIfAbsent(to, t -> {
-                        Desk d = new Desk(this, new Logic(settings(site).guest(t, CLASSES), random.nextLong()));
-                        d.tell(new Router.Parted(0));
+                        Desk d = new Desk(
+                                this, new Logic(settings(site).forRemoteZone(t, List.of(CLASSES)), random.nextLong()));
+                        d.tell(new QuotaChanged(0));
                         d.tell(listed());
                         return d;
                     });
-            desk.tell(new Router.Request(
+            desk.tell(new RequestArrived(
                     q.id,
                     q.cls,
                     Long.toHexString(q.object),
@@ -283,24 +322,29 @@
                     q.work / (double) MS * PACE,
                     q.expires - 100 * MS,
                     false,
-                    CLASSES[q.cls].goesThrough()));
+                    CLASSES[q.cls].uncacheable()));
         }
 
-        void send(Desk desk, Router.Send s) {
-            Asked q = open.get(s.id());
+        void send(Desk desk, SendAttempt s) {
+            Asked q = open.get(s.requestId());
             if (q == null) {
                 return;
             }
             int number = q.attempts++;
             long began = now, mark = ++marks;
-            out.put(s.id(), new long[] {number, mark, s.member()});
-            Cache c = byId.get(s.member());
+            out.put(s.requestId(), new long[] {number, mark, s.endpointId()});
+            Cache c = byId.get(s.endpointId());
             boolean unreached = cutFrom.contains(site * 100 + c.site);
-            boolean fills = s.source() != s.member();
+            boolean fills = s.fillSourceId() != s.endpointId();
             CacheModel.Answer a = unreached
                     ? new CacheModel.Answer(CacheModel.Verdict.DOWN, 0, 0)
                     : c.model.ask(
-                            now, q.object, q.work, fills, desk == home ? s.keep() : Math.min(1, s.keep()), s.maxAge());
+                            now,
+                            q.object,
+                            q.work,
+                            fills,
+                            desk == home ? s.retentionRank() : Math.min(1, s.retentionRank()),
+                            s.maxAge());
             boolean silent = unreached || c.model.up() == false && vanished.contains(c.site);
             int cacheLife = c.life;
             long slow = slowSite == c.site ? 3 : 1;
@@ -315,16 +359,16 @@
                             began,
                             now + (silent ? 400 * MS : MS),
                             silent ? End.CONNECT_TIMEOUT : End.REFUSED,
-                            Router.Note.NONE);
-                case FULL -> ended(desk, s, number, mark, began, now + MS, End.FULL, Router.Note.NONE);
-                case MISS -> ended(desk, s, number, mark, began, now + MS, End.MISS, Router.Note.NONE);
+                            CacheStatus.UNKNOWN);
+                case FULL -> ended(desk, s, number, mark, began, now + MS, End.FULL, CacheStatus.UNKNOWN);
+                case MISS -> ended(desk, s, number, mark, began, now + MS, End.MISS, CacheStatus.UNKNOWN);
                 default -> {
-                    if (CLASSES[q.cls].goesThrough()) {
+                    if (CLASSES[q.cls].uncacheable()) {
                         q.effects++;
                     }
                     boolean fill = a.verdict() == CacheModel.Verdict.FILL;
                     UpstreamModel.Fill up =
-                            fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].goesThrough()) : null;
+                            fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].uncacheable()) : null;
                     long filling = fill ? up.takes() + q.work / 3 : 0;
                     long at = now + slow * (a.takes() + filling) + (c.site == site ? 0 : 8 * MS);
                     at(Math.min(at, until), () -> {
@@ -336,7 +380,7 @@
                         }
                     });
                     if (at > until) {
-                        ended(desk, s, number, mark, began, until, End.TIMEOUT, Router.Note.NONE);
+                        ended(desk, s, number, mark, began, until, End.TIMEOUT, CacheStatus.UNKNOWN);
                     } else {
                         at(at, () -> {
                             boolean died = c.life != cacheLife;
@@ -347,7 +391,7 @@
                                     mark,
                                     began,
                                     died ? End.RESET : End.SERVED,
-                                    died ? Router.Note.NONE : fill ? Router.Note.FILLED : Router.Note.HIT);
+                                    died ? CacheStatus.UNKNOWN : fill ? CacheStatus.FILLED : CacheStatus.HIT);
                         });
                     }
                 }
@@ -355,56 +399,56 @@
         }
 
         private void ended(
-                Desk desk, Router.Send s, int number, long mark, long began, long at, End end, Router.Note note) {
+                Desk desk, SendAttempt s, int number, long mark, long began, long at, End end, CacheStatus note) {
             at(at, () -> close(desk, s, number, mark, began, end, note));
         }
 
-        private void close(Desk desk, Router.Send s, int number, long mark, long began, End end, Router.Note note) {
-            long[] is = out.get(s.id());
+        private void close(Desk desk, SendAttempt s, int number, long mark, long began, End end, CacheStatus note) {
+            long[] is = out.get(s.requestId());
             if (is == null || is[1] != mark) {
                 return;
             }
-            out.remove(s.id());
-            Asked q = open.get(s.id());
+            out.remove(s.requestId());
+            Asked q = open.get(s.requestId());
             boolean over = q == null;
-            Cache c = byId.get(s.member());
+            Cache c = byId.get(s.endpointId());
             if (q != null) {
                 siteObservations.ended(now, siteName(c.site), end, now - began > q.aim());
                 if (end == End.SERVED) {
-                    end(s.id(), true);
+                    end(s.requestId(), true);
                     over = true;
                 }
             }
-            Router.Ending ending = switch (end) {
-                case SERVED -> Router.Ending.OK;
-                case MISS -> Router.Ending.MISS;
-                case FULL -> Router.Ending.FULL;
-                case REFUSED, CONNECT_TIMEOUT -> Router.Ending.CONNECT_FAILED;
-                case RESET -> Router.Ending.RESET;
-                case CANCELLED -> Router.Ending.CANCELLED;
-                default -> Router.Ending.TIMEOUT;
+            AttemptOutcome ending = switch (end) {
+                case SERVED -> AttemptOutcome.OK;
+                case MISS -> AttemptOutcome.MISS;
+                case FULL -> AttemptOutcome.OVERLOADED;
+                case REFUSED, CONNECT_TIMEOUT -> AttemptOutcome.CONNECT_FAILED;
+                case RESET -> AttemptOutcome.RESET;
+                case CANCELLED -> AttemptOutcome.CANCELLED;
+                default -> AttemptOutcome.TIMEOUT;
             };
-            desk.tell(new Router.Outcome(s.id(), number, s.member(), ending, now - began, over, note));
+            desk.tell(new AttemptFinished(s.requestId(), number, s.endpointId(), ending, now - began, over, note));
         }
 
-        void cancel(Desk desk, Router.Cancel c) {
-            long[] is = out.get(c.id());
+        void cancel(Desk desk, CancelAttempt c) {
+            long[] is = out.get(c.requestId());
             if (is != null && is[0] == c.attempt()) {
                 // The module hears of it as of any end, in the next instant.
-                Asked q = open.get(c.id());
+                Asked q = open.get(c.requestId());
                 long mark = is[1];
                 at(now, () -> {
-                    long[] still = out.get(c.id());
+                    long[] still = out.get(c.requestId());
                     if (still != null && still[1] == mark) {
-                        out.remove(c.id());
-                        desk.tell(new Router.Outcome(
-                                c.id(),
+                        out.remove(c.requestId());
+                        desk.tell(new AttemptFinished(
+                                c.requestId(),
                                 (int) still[0],
                                 still[2],
-                                Router.Ending.CANCELLED,
+                                AttemptOutcome.CANCELLED,
                                 0,
                                 q == null,
-                                Router.Note.NONE));
+                                CacheStatus.UNKNOWN));
                     }
                 });
             }
@@ -509,31 +553,19 @@
         return "s" + i;
     }
 
-    private static Router.Settings settings(int site) {
+    private static RouterSettings settings(int site) {
         int[] seats = new int[SITES + 1];
         java.util.Arrays.fill(seats, 0, SITES, 1);
-        return new Router.Settings(
-                site,
-                SITES,
-                site,
-                seats,
-                CLASSES,
-                PACE * 1_000,
-                0,
-                true,
-                false,
-                false,
-                false,
-                true,
-                500 * MS,
-                6,
-                true,
-                false,
-                Router.Siblings.OWN_ZONE,
-                Router.Notes.HITS,
-                new Router.ColdRule(0.23, 16 * SECOND, 2),
-                new Router.ColdRule(0.065, 21 * SECOND, 2),
-                1_500 * MS,
+        return new RouterSettings(
+                new RouterTopology(
+                        site, SITES, site, Arrays.stream(seats).boxed().toList()),
+                List.of(CLASSES),
+                new Bandwidth(PACE * 1_000, 0),
+                new RouterFeatures(true, false, false, false, true),
+                new RetryLimits(500 * MS, 6),
+                new UpstreamFeatures(true, false, SiblingFillPolicy.OWN_ZONE, CacheStatusDetail.HITS),
+                new SlowStartSettings(
+                        new SlowStart(0.23, 16 * SECOND, 2), new SlowStart(0.065, 21 * SECOND, 2), 1_500 * MS),
                 6 * SECOND);
     }
 
--- a/src/main/java/pewtercourse/simulator/BenchLink.java
+++ b/src/main/java/pewtercourse/simulator/BenchLink.java
@@ -13,8 +13,30 @@
 import java.util.Map;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.SiteSettings;
+import pewtercourse.decision.AttemptFinished;
+import pewtercourse.decision.AttemptOutcome;
+import pewtercourse.decision.CacheStatus;
+import pewtercourse.decision.CancelAttempt;
+import pewtercourse.decision.ClientDisconnected;
+import pewtercourse.decision.ContentPurged;
+import pewtercourse.decision.Endpoint;
+import pewtercourse.decision.EndpointLifecycle;
+import pewtercourse.decision.EndpointUpdateKind;
+import pewtercourse.decision.EndpointsChanged;
+import pewtercourse.decision.FailRequest;
+import pewtercourse.decision.GossipReceived;
 import pewtercourse.decision.Logic;
+import pewtercourse.decision.RejectRequest;
+import pewtercourse.decision.RequestArrived;
 import pewtercourse.decision.Router;
+import pewtercourse.decision.RouterAction;
+import pewtercourse.decision.RouterEvent;
+import pewtercourse.decision.SendAttempt;
+import pewtercourse.decision.SendGossip;
+import pewtercourse.decision.StartTimer;
+import pewtercourse.decision.StreamStarted;
+import pewtercourse.decision.TimerFired;
+import pewtercourse.decision.WatchEndpoints;
 
 /** The wire of the bench: reads batches of events, hands them to the routers, writes their actions. */
 public final class BenchLink {
@@ -33,10 +55,11 @@
     private static final class Seat {
         Router router;
         SiteSettings site;
-        List<Router.Event> events = new ArrayList<>();
+        List<RouterEvent> events = new ArrayList<>();
     }
 
-    private record Row(long id, String zone, String kind, int cell, Router.State state, double weight, long since) {}
+    private record Row(
+            long id, String zone, String kind, int cell, EndpointLifecycle state, double weight, long since) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -108,7 +131,7 @@
             if (seat.router == null) {
                 continue;
             }
-            for (Router.Action a : seat.router.handle(now, seat.events)) {
+            for (RouterAction a : seat.router.handle(now, seat.events)) {
                 write(reply, e.getKey(), a);
             }
             seat.events = new ArrayList<>();
@@ -125,15 +148,15 @@
             case "DIRECTORY" -> list();
             case "PEERS_KNOWN" -> {
                 Seat seat = seat();
-                Router.ListKind kind = switch (text(4, "Mode")) {
-                    case "diff" -> Router.ListKind.CHANGES;
-                    case "snapshot" -> Router.ListKind.WHOLE;
-                    case "disk" -> Router.ListKind.REMEMBERED;
-                    case "error" -> Router.ListKind.FAILED;
+                EndpointUpdateKind kind = switch (text(4, "Mode")) {
+                    case "diff" -> EndpointUpdateKind.DELTA;
+                    case "snapshot" -> EndpointUpdateKind.SNAPSHOT;
+                    case "disk" -> EndpointUpdateKind.CACHED;
+                    case "error" -> EndpointUpdateKind.FAILED;
                     default -> throw malformed("field Mode: '" + shown(fields[4]) + "' is no kind of list");
                 };
-                List<Router.Member> members = new ArrayList<>();
-                if (kind != Router.ListKind.FAILED) {
+                List<Endpoint> members = new ArrayList<>();
+                if (kind != EndpointUpdateKind.FAILED) {
                     List<Row> rows = lists.get((int) whole(2, "SetId"));
                     if (rows == null) {
                         throw malformed("field SetId: no such list");
@@ -142,7 +165,7 @@
                         members.add(member(seat, r));
                     }
                 }
-                seat.events.add(new Router.Listed(kind, members));
+                seat.events.add(new EndpointsChanged(kind, members));
             }
             case "NEW_REQUEST" -> {
                 Seat seat = seat();
@@ -151,7 +174,7 @@
                     throw malformed("field Profile: '" + shown(fields[3]) + "' is not in the settings");
                 }
                 int bits = (int) optional(10, "StateBits");
-                seat.events.add(new Router.Request(
+                seat.events.add(new RequestArrived(
                         request(2),
                         cls,
                         text(5, "Object"),
@@ -162,25 +185,25 @@
                         (bits & 2) != 0,
                         (bits & 4) != 0));
             }
-            case "REMINDER" -> seat().events.add(new Router.TimerDue(text(2, "Handle")));
-            case "HEAD_RECEIVED" -> seat().events.add(new Router.StreamBegun(request(2), (int) whole(3, "Trial")));
+            case "REMINDER" -> seat().events.add(new TimerFired(text(2, "Handle")));
+            case "HEAD_RECEIVED" -> seat().events.add(new StreamStarted(request(2), (int) whole(3, "Trial")));
             case "RESULT" -> {
-                Router.Ending ending = ending(text(5, "Reason"));
+                AttemptOutcome ending = ending(text(5, "Reason"));
                 int note = (int) optional(8, "Remark");
-                Router.Note[] notes = Router.Note.values();
+                CacheStatus[] notes = CacheStatus.values();
                 seat().events
-                        .add(new Router.Outcome(
+                        .add(new AttemptFinished(
                                 request(2),
                                 (int) whole(3, "Trial"),
                                 whole(4, "Node"),
                                 ending,
                                 time(6, "Latency"),
                                 bool(7, "Last"),
-                                note > 0 && note < notes.length ? notes[note] : Router.Note.NONE));
+                                note > 0 && note < notes.length ? notes[note] : CacheStatus.UNKNOWN));
             }
             case "INVALIDATED" ->
                 seat().events
-                        .add(new Router.Purged(
+                        .add(new ContentPurged(
                                 absent(2) ? null : fields[2],
                                 (int) optional(3, "BatchId"),
                                 micros(optional(4, "Age"))));
@@ -190,8 +213,8 @@
                 seats.remove(i);
                 touched.remove(i);
             }
-            case "MESSAGE" -> seat().events.add(new Router.PeerMessage((int) whole(2, "OriginPeer"), bytes(3)));
-            case "LEFT" -> seat().events.add(new Router.ClientGone(request(2)));
+            case "MESSAGE" -> seat().events.add(new GossipReceived((int) whole(2, "OriginPeer"), bytes(3)));
+            case "LEFT" -> seat().events.add(new ClientDisconnected(request(2)));
             case "HEALTH_RESULT" -> seat();
             default -> throw malformed("'" + shown(verb) + "' is no message of the wire");
         }
@@ -205,10 +228,10 @@
             if (!nextLine() || !fields[0].equals("ROW")) {
                 throw malformed("field NodesList: " + n + " ROW lines announced, " + i + " found");
             }
-            Router.State state = switch (text(5, "Lifecycle")) {
-                case "Ready" -> Router.State.READY;
-                case "Terminating" -> Router.State.DRAINING;
-                case "Gone" -> Router.State.GONE;
+            EndpointLifecycle state = switch (text(5, "Lifecycle")) {
+                case "Ready" -> EndpointLifecycle.READY;
+                case "Terminating" -> EndpointLifecycle.DRAINING;
+                case "Gone" -> EndpointLifecycle.GONE;
                 default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is no state");
             };
             rows.add(new Row(
@@ -223,7 +246,7 @@
         lists.put(id, rows);
     }
 
-    private static Router.Member member(Seat seat, Row r) {
+    private static Endpoint member(Seat seat, Row r) {
         return seat.site.member(r.id, r.zone, r.kind, r.cell, r.state, r.weight, r.since);
     }
 
@@ -340,17 +363,17 @@
         return b;
     }
 
-    private Router.Ending ending(String reason) {
+    private AttemptOutcome ending(String reason) {
         return switch (reason) {
-            case "ok" -> Router.Ending.OK;
-            case "error" -> Router.Ending.ERROR;
-            case "full" -> Router.Ending.FULL;
-            case "timeout" -> Router.Ending.TIMEOUT;
-            case "connect_failed" -> Router.Ending.CONNECT_FAILED;
-            case "reset" -> Router.Ending.RESET;
-            case "cancelled" -> Router.Ending.CANCELLED;
-            case "moot" -> Router.Ending.MOOT;
-            case "miss" -> Router.Ending.MISS;
+            case "ok" -> AttemptOutcome.OK;
+            case "error" -> AttemptOutcome.ERROR;
+            case "full" -> AttemptOutcome.OVERLOADED;
+            case "timeout" -> AttemptOutcome.TIMEOUT;
+            case "connect_failed" -> AttemptOutcome.CONNECT_FAILED;
+            case "reset" -> AttemptOutcome.RESET;
+            case "cancelled" -> AttemptOutcome.CANCELLED;
+            case "moot" -> AttemptOutcome.SUPERSEDED;
+            case "miss" -> AttemptOutcome.MISS;
             default -> throw malformed("field Reason: '" + shown(reason) + "' is no outcome");
         };
     }
@@ -363,40 +386,44 @@
         return v.length() <= 40 ? v : v.substring(0, 40) + "...";
     }
 
-    static void write(StringBuilder to, int instance, Router.Action action) {
-        if (action instanceof Router.Send s) {
+    static void write(StringBuilder to, int instance, RouterAction action) {
+        if (action instanceof SendAttempt s) {
             head(to, "OBTAIN", instance);
-            hex(to, s.id());
-            to.append('\t').append(s.member()).append('\t');
+            hex(to, s.requestId());
+            to.append('\t').append(s.endpointId()).append('\t');
             millis(to, s.timeout());
-            to.append('\t').append(s.source()).append('\t').append(s.keep()).append('\t');
+            to.append('\t')
+                    .append(s.fillSourceId())
+                    .append('\t')
+                    .append(s.retentionRank())
+                    .append('\t');
             millis(to, s.maxAge());
-            int mode = (s.join() ? 1 : 0) + (s.sourceHoldsOnly() ? 2 : 0) + (s.renew() ? 8 : 0);
+            int mode = (s.coalesce() ? 1 : 0) + (s.onlyIfCached() ? 2 : 0) + (s.refreshInBackground() ? 8 : 0);
             to.append('\t').append(mode);
-        } else if (action instanceof Router.Cancel c) {
+        } else if (action instanceof CancelAttempt c) {
             head(to, "REVOKE", instance);
-            hex(to, c.id());
+            hex(to, c.requestId());
             to.append('\t').append(c.attempt());
-        } else if (action instanceof Router.Refuse r) {
+        } else if (action instanceof RejectRequest r) {
             head(to, "SAY_NO", instance);
-            hex(to, r.id());
+            hex(to, r.requestId());
             to.append('\t');
-            millis(to, r.holdOff());
-        } else if (action instanceof Router.Fail f) {
+            millis(to, r.retryAfter());
+        } else if (action instanceof FailRequest f) {
             head(to, "FAIL", instance);
-            hex(to, f.id());
-        } else if (action instanceof Router.Timer t) {
+            hex(to, f.requestId());
+        } else if (action instanceof StartTimer t) {
             head(to, "DEFER", instance).append(t.name()).append('\t');
-            millis(to, t.at());
-        } else if (action instanceof Router.Tell t) {
-            if (t.bytes().length > MAX_MESSAGE_BYTES) {
-                throw new IllegalArgumentException("message of " + t.bytes().length + " bytes");
+            millis(to, t.dueAt());
+        } else if (action instanceof SendGossip t) {
+            if (t.payload().length > MAX_MESSAGE_BYTES) {
+                throw new IllegalArgumentException("message of " + t.payload().length + " bytes");
             }
             head(to, "NOTIFY", instance).append(t.router()).append('\t');
-            for (byte b : t.bytes()) {
+            for (byte b : t.payload()) {
                 to.append(Character.forDigit(b >> 4 & 15, 16)).append(Character.forDigit(b & 15, 16));
             }
-        } else if (action instanceof Router.Watch) {
+        } else if (action instanceof WatchEndpoints) {
             head(to, "OBSERVE", instance).append('1');
         }
         to.append('\n');
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import pewtercourse.ExampleConfig;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.EndpointLifecycle;
 
 class DirectorConfigTest {
     private static JsonObject example() throws Exception {
@@ -28,9 +28,9 @@
         assertEquals(
                 Map.of("menu-media", 0, "menu-page", 1, "place-order", 2),
                 c.site().classes());
-        assertEquals(8_000_000, c.site().router().classes()[1].goodFor());
-        assertTrue(c.site().router().classes()[2].goesThrough());
-        assertEquals(1, c.site().router().zone());
+        assertEquals(8_000_000, c.site().router().classes().get(1).freshnessLifetime());
+        assertTrue(c.site().router().classes().get(2).uncacheable());
+        assertEquals(1, c.site().router().topology().zone());
         assertEquals("parent", c.site().parentKind());
     }
 
@@ -53,10 +53,11 @@
         settings.put("Zones", new JsonArray().add("a").add("nord, süd")).put("Zone", "nord, süd");
         SiteSettings site = DirectorConfig.read(Map.of(), json).site();
         assertEquals(0, site.classes().get("menú, del día"));
-        assertEquals(1, site.router().zone());
+        assertEquals(1, site.router().topology().zone());
         assertEquals(
                 1,
-                site.member(7, "nord, süd", "std", 0, Router.State.READY, 0, 0).zone());
+                site.member(7, "nord, süd", "std", 0, EndpointLifecycle.READY, 0, 0)
+                        .zone());
         settings.getJsonArray("Classes").getJsonObject(0).put("Name", "menu\u001fpage");
         Exception e = assertThrows(ConfigException.class, () -> DirectorConfig.read(Map.of(), json));
         assertTrue(e.getMessage().startsWith("settings.Classes.0.Name:"), e.getMessage());
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import pewtercourse.ExampleConfig;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.RequestClass;
 
 /** Files at SIGHUP, good and broken in any order, against the last good one. */
 class ReloadModelTest {
@@ -102,22 +102,27 @@
                     assertEquals(was.classes().get(name), place, "moved: " + name);
                 } else {
                     // Also where it was there earlier: nothing that was learned of it then may count now.
-                    assertTrue(place >= was.router().classes().length, "an old place for a new class: " + name);
+                    assertTrue(place >= was.router().classes().size(), "an old place for a new class: " + name);
                 }
                 assertEquals(
                         running.site()
                                 .router()
-                                .classes()[running.site().classes().get(name)],
-                        site.router().classes()[site.classes().get(name)]);
+                                .classes()
+                                .get(running.site().classes().get(name)),
+                        site.router().classes().get(site.classes().get(name)));
             }
-            Router.RequestClass[] all = site.router().classes();
+            List<RequestClass> all = site.router().classes();
             for (Map.Entry<String, Integer> gone : was.classes().entrySet()) {
                 if (!site.classes().containsKey(gone.getKey())) {
                     assertEquals(
-                            was.router().classes()[gone.getValue()], all[gone.getValue()], "under way, and changed");
+                            was.router().classes().get(gone.getValue()),
+                            all.get(gone.getValue()),
+                            "under way, and changed");
                 }
             }
-            assertEquals(running.site().router().tryLimit(), site.router().tryLimit());
+            assertEquals(
+                    running.site().router().retry().maxAttempts(),
+                    site.router().retry().maxAttempts());
         }
         Files.delete(file);
     }
--- a/src/test/java/pewtercourse/decision/DecisionStream.java
+++ b/src/test/java/pewtercourse/decision/DecisionStream.java
@@ -14,18 +14,6 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import pewtercourse.decision.Router.Action;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Event;
-import pewtercourse.decision.Router.ListKind;
-import pewtercourse.decision.Router.Member;
-import pewtercourse.decision.Router.Note;
-import pewtercourse.decision.Router.Notes;
-import pewtercourse.decision.Router.Request;
-import pewtercourse.decision.Router.RequestClass;
-import pewtercourse.decision.Router.Role;
-import pewtercourse.decision.Router.Send;
-import pewtercourse.decision.Router.State;
 
 /**
  * One random stream of events through a router, from one seed. It plays the clients, caches, list, timers and peers: each
@@ -51,7 +39,7 @@
         LATE_TIMEOUTS
     }
 
-    private record Scheduled(long at, long order, Event event) implements Comparable<Scheduled> {
+    private record Scheduled(long at, long order, RouterEvent event) implements Comparable<Scheduled> {
         @Override
         public int compareTo(Scheduled other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -61,7 +49,7 @@
     private record AttemptKey(long request, int attempt) {}
 
     private static final class MemberModel {
-        Member listed;
+        Endpoint listed;
         Fault fault = Fault.NONE;
         long faultEnds;
         final Set<String> copies = new HashSet<>();
@@ -78,8 +66,8 @@
     private final List<MemberModel> members = new ArrayList<>();
     private final PriorityQueue<Scheduled> scheduled = new PriorityQueue<>();
     private final Map<AttemptKey, Scheduled> outcomes = new HashMap<>();
-    private final Map<Long, List<Send>> attempts = new HashMap<>();
-    private final Map<Long, Request> requests = new HashMap<>();
+    private final Map<Long, List<SendAttempt>> attempts = new HashMap<>();
+    private final Map<Long, RequestArrived> requests = new HashMap<>();
     private final List<Long> gossipedObjects = new ArrayList<>();
     private long now = START;
     private long nextArrival = START;
@@ -101,7 +89,7 @@
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        for (Member member : drawn.members(START)) {
+        for (Endpoint member : drawn.members(START)) {
             MemberModel model = new MemberModel();
             model.listed = member;
             members.add(model);
@@ -118,7 +106,7 @@
 
     /** Plays the stream; returns the hash of all actions, in hexadecimal digits. */
     String play() {
-        schedule(now, list(random.nextBoolean() ? ListKind.REMEMBERED : ListKind.WHOLE));
+        schedule(now, list(random.nextBoolean() ? EndpointUpdateKind.CACHED : EndpointUpdateKind.SNAPSHOT));
         for (int step = 0; step < STEPS; step++) {
             step();
             if (step == STEPS / 2 && floods) {
@@ -130,10 +118,11 @@
 
     // More objects in one batch than a router remembers.
     private void flood() {
-        List<Event> batch = new ArrayList<>();
+        List<RouterEvent> batch = new ArrayList<>();
         for (int i = 0; i < FLOOD; i++) {
-            Request request = new Request(nextId++, 0, "flood" + i, 0, 0, 10, now + 500 * MS, false, false);
-            requests.put(request.id(), request);
+            RequestArrived request =
+                    new RequestArrived(nextId++, 0, "flood" + i, 0, 0, 10, now + 500 * MS, false, false);
+            requests.put(request.requestId(), request);
             batch.add(request);
         }
         handle(batch);
@@ -146,7 +135,7 @@
         long stall = random.nextInt(300) == 0 ? random.nextInt(400) * MS : 0;
         long quiet = random.nextInt(2000) == 0 ? random.nextInt(12_000) * MS : 0;
         now = Math.max(now, next + stall + quiet);
-        List<Event> batch = new ArrayList<>();
+        List<RouterEvent> batch = new ArrayList<>();
         while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
             batch.add(scheduled.poll().event());
         }
@@ -160,11 +149,11 @@
         handle(batch);
     }
 
-    private void handle(List<Event> batch) {
+    private void handle(List<RouterEvent> batch) {
         eventCount += batch.size();
-        List<Action> actions = logic.handle(now, batch);
+        List<RouterAction> actions = logic.handle(now, batch);
         actionCount += actions.size();
-        for (Action action : actions) {
+        for (RouterAction action : actions) {
             record(action);
             answer(action);
         }
@@ -173,7 +162,7 @@
 
     // ---- Events ----
 
-    private void arrival(List<Event> batch) {
+    private void arrival(List<RouterEvent> batch) {
         int kind = random.nextInt(1000);
         if (kind < 840) {
             batch.add(request());
@@ -187,10 +176,10 @@
             changeMember(batch);
         } else if (kind < 944) {
             occurred("reconfigured");
-            batch.add(new Router.Reconfigured(drawn.redraw()));
+            batch.add(new SettingsChanged(drawn.redraw()));
         } else if (kind < 954) {
             occurred("quota changed");
-            batch.add(new Router.Parted(random.nextDouble() * 3));
+            batch.add(new QuotaChanged(random.nextDouble() * 3));
         } else if (kind < 964) {
             batch.add(strayEvent());
         } else {
@@ -198,49 +187,50 @@
         }
     }
 
-    private Event request() {
-        RequestClass[] classes = drawn.settings().classes();
-        int cls = random.nextInt(classes.length);
+    private RouterEvent request() {
+        List<RequestClass> classes = drawn.settings().classes();
+        int cls = random.nextInt(classes.size());
         boolean sameId = random.nextInt(200) == 0 && nextId > 1;
         long id = sameId ? nextId - 1 : nextId++;
         String object = "object" + (int) (Math.pow(random.nextInt(1000) / 1000.0, 3) * 150);
-        int part = classes[cls].inParts() ? random.nextInt(4) : 0;
+        int part = classes.get(cls).segmented() ? random.nextInt(4) : 0;
         double size = random.nextInt(4) == 0 ? 0 : 1 + random.nextInt(500) * (random.nextInt(10) == 0 ? 20 : 1);
-        long expires = now + classes[cls].deadline();
+        long expires = now + classes.get(cls).deadline();
         boolean repeat = random.nextInt(10) == 0;
         boolean write = random.nextInt(20) == 0;
-        Request request = new Request(id, cls, object, part, random.nextInt(5), size, expires, repeat, write);
+        RequestArrived request =
+                new RequestArrived(id, cls, object, part, random.nextInt(5), size, expires, repeat, write);
         requests.putIfAbsent(id, request);
-        occurred("effect " + classes[cls].effect().ordinal());
-        occurred("group " + classes[cls].group().ordinal());
-        occurred("stream " + classes[cls].stream());
-        occurred("fresh for ever " + (classes[cls].goodFor() == 0));
-        occurred("segmented " + classes[cls].inParts());
-        occurred("uncacheable " + classes[cls].goesThrough());
+        occurred("effect " + classes.get(cls).idempotency().ordinal());
+        occurred("group " + classes.get(cls).deduplicationScope().ordinal());
+        occurred("stream " + classes.get(cls).streaming());
+        occurred("fresh for ever " + (classes.get(cls).freshnessLifetime() == 0));
+        occurred("segmented " + classes.get(cls).segmented());
+        occurred("uncacheable " + classes.get(cls).uncacheable());
         return request;
     }
 
-    private Event peerMessage() {
-        int from = random.nextInt(drawn.settings().routers() + 2) - 1;
+    private RouterEvent peerMessage() {
+        int from = random.nextInt(drawn.settings().topology().routers() + 2) - 1;
         int entries = 1 + random.nextInt(25);
         byte[] whole = message(random.nextBoolean() ? REPORT : SUMS, entries);
         int kind = random.nextInt(6);
         if (kind == 0) {
             occurred("gossip cut");
-            return new Router.PeerMessage(from, Arrays.copyOf(whole, random.nextInt(whole.length)));
+            return new GossipReceived(from, Arrays.copyOf(whole, random.nextInt(whole.length)));
         }
         if (kind == 1) {
             occurred("gossip too long");
-            return new Router.PeerMessage(from, message(REPORT, 26 + random.nextInt(10)));
+            return new GossipReceived(from, message(REPORT, 26 + random.nextInt(10)));
         }
         if (kind == 2) {
             occurred("gossip random");
             byte[] bytes = new byte[1 + 10 * random.nextInt(25)];
             random.nextBytes(bytes);
-            return new Router.PeerMessage(from, bytes);
+            return new GossipReceived(from, bytes);
         }
         occurred("gossip whole");
-        return new Router.PeerMessage(from, whole);
+        return new GossipReceived(from, whole);
     }
 
     private byte[] message(byte kind, int entries) {
@@ -253,67 +243,70 @@
         return message.array();
     }
 
-    private void clientGone(List<Event> batch) {
+    private void clientGone(List<RouterEvent> batch) {
         long id = Math.max(1, nextId - 1 - random.nextInt(20));
         occurred("client gone");
-        batch.add(new Router.ClientGone(id));
+        batch.add(new ClientDisconnected(id));
     }
 
-    private Event purge() {
+    private RouterEvent purge() {
         boolean ofGroup = random.nextInt(4) == 0;
         occurred(ofGroup ? "purge of group" : "purge of object");
         String object = ofGroup ? null : "object" + random.nextInt(30);
-        return new Router.Purged(object, random.nextInt(5), random.nextInt(500) * MS);
+        return new ContentPurged(object, random.nextInt(5), random.nextInt(500) * MS);
     }
 
-    private Event strayEvent() {
+    private RouterEvent strayEvent() {
         return switch (random.nextInt(4)) {
-            case 0 -> new Router.Outcome(nextId + 7, 0, 1, Ending.OK, 10 * MS, true, Note.NONE);
-            case 1 -> new Router.Outcome(Math.max(1, nextId - 3), 9, 1, Ending.ERROR, 10 * MS, false, Note.NONE);
-            case 2 -> new Router.StreamBegun(nextId + 7, 0);
-            default -> new Router.TimerDue("other");
+            case 0 -> new AttemptFinished(nextId + 7, 0, 1, AttemptOutcome.OK, 10 * MS, true, CacheStatus.UNKNOWN);
+            case 1 ->
+                new AttemptFinished(
+                        Math.max(1, nextId - 3), 9, 1, AttemptOutcome.ERROR, 10 * MS, false, CacheStatus.UNKNOWN);
+            case 2 -> new StreamStarted(nextId + 7, 0);
+            default -> new TimerFired("other");
         };
     }
 
     // A member drains, goes, comes back cold, or comes back as it was.
-    private void changeMember(List<Event> batch) {
+    private void changeMember(List<RouterEvent> batch) {
         MemberModel model = members.get(random.nextInt(members.size()));
-        Member was = model.listed;
-        State state;
-        long since = was.since();
-        if (was.state() == State.READY) {
-            state = random.nextInt(3) == 0 ? State.DRAINING : State.GONE;
+        Endpoint was = model.listed;
+        EndpointLifecycle state;
+        long since = was.startedAt();
+        if (was.lifecycle() == EndpointLifecycle.READY) {
+            state = random.nextInt(3) == 0 ? EndpointLifecycle.DRAINING : EndpointLifecycle.GONE;
         } else {
-            state = State.READY;
+            state = EndpointLifecycle.READY;
             since = random.nextInt(4) == 0 ? since : now - random.nextInt(200) * MS;
-            if (since != was.since()) {
+            if (since != was.startedAt()) {
                 model.copies.clear();
             }
         }
-        model.listed = new Member(was.id(), was.zone(), was.role(), was.cell(), state, was.weight(), since);
+        model.listed = new Endpoint(was.id(), was.zone(), was.role(), was.cell(), state, was.weight(), since);
         if (random.nextInt(10) == 0) {
-            batch.add(list(ListKind.WHOLE));
+            batch.add(list(EndpointUpdateKind.SNAPSHOT));
         } else {
-            occurred("list " + ListKind.CHANGES.ordinal());
-            batch.add(new Router.Listed(ListKind.CHANGES, List.of(model.listed)));
+            occurred("list " + EndpointUpdateKind.DELTA.ordinal());
+            batch.add(new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(model.listed)));
         }
         if (random.nextInt(20) == 0) {
-            batch.add(list(ListKind.FAILED));
+            batch.add(list(EndpointUpdateKind.FAILED));
         }
     }
 
-    private Event list(ListKind kind) {
+    private RouterEvent list(EndpointUpdateKind kind) {
         occurred("list " + kind.ordinal());
-        List<Member> listed = new ArrayList<>();
+        List<Endpoint> listed = new ArrayList<>();
         for (MemberModel model : members) {
-            boolean told = kind != ListKind.FAILED && (model.listed.state() != State.GONE || random.nextBoolean());
+            boolean told = kind != EndpointUpdateKind.FAILED
+                    && (model.listed.lifecycle() != EndpointLifecycle.GONE || random.nextBoolean());
             if (told) {
                 listed.add(model.listed);
                 occurred("role " + model.listed.role().ordinal());
-                occurred("state " + model.listed.state().ordinal());
+                occurred("state " + model.listed.lifecycle().ordinal());
             }
         }
-        return new Router.Listed(kind, listed);
+        return new EndpointsChanged(kind, listed);
     }
 
     private void startFault() {
@@ -326,25 +319,27 @@
 
     // ---- Answers to the router's actions ----
 
-    private void answer(Action action) {
-        if (action instanceof Send send) {
+    private void answer(RouterAction action) {
+        if (action instanceof SendAttempt send) {
             answerSend(send);
-        } else if (action instanceof Router.Cancel cancel) {
-            answerCancel(cancel.id(), cancel.attempt());
-        } else if (action instanceof Router.Timer timer) {
-            schedule(timer.at() + random.nextInt(2000), new Router.TimerDue(timer.name()));
-        } else if (action instanceof Router.Tell gossip) {
-            answerGossip(gossip.router(), gossip.bytes());
-        } else if (action instanceof Router.Watch) {
-            schedule(now + random.nextInt(300) * MS, list(random.nextInt(3) == 0 ? ListKind.FAILED : ListKind.WHOLE));
+        } else if (action instanceof CancelAttempt cancel) {
+            answerCancel(cancel.requestId(), cancel.attempt());
+        } else if (action instanceof StartTimer timer) {
+            schedule(timer.dueAt() + random.nextInt(2000), new TimerFired(timer.name()));
+        } else if (action instanceof SendGossip gossip) {
+            answerGossip(gossip.router(), gossip.payload());
+        } else if (action instanceof WatchEndpoints) {
+            schedule(
+                    now + random.nextInt(300) * MS,
+                    list(random.nextInt(3) == 0 ? EndpointUpdateKind.FAILED : EndpointUpdateKind.SNAPSHOT));
         }
     }
 
-    private void answerSend(Send send) {
-        List<Send> sent = attempts.computeIfAbsent(send.id(), id -> new ArrayList<>());
+    private void answerSend(SendAttempt send) {
+        List<SendAttempt> sent = attempts.computeIfAbsent(send.requestId(), id -> new ArrayList<>());
         int attempt = sent.size();
         sent.add(send);
-        MemberModel model = model(send.member());
+        MemberModel model = model(send.endpointId());
         if (model.faultEnds < now) {
             model.fault = Fault.NONE;
         }
@@ -352,25 +347,27 @@
             occurred("lost answer");
             return;
         }
-        Request request = requests.get(send.id());
-        boolean holds = model.copies.contains(request.object() + "/" + request.part());
-        Ending ending = ending(send, model, holds);
+        RequestArrived request = requests.get(send.requestId());
+        boolean holds = model.copies.contains(request.object() + "/" + request.segment());
+        AttemptOutcome ending = ending(send, model, holds);
         long latency = latency(model, ending, holds);
         if (send.timeout() > 0 && latency > send.timeout()) {
-            ending = Ending.TIMEOUT;
+            ending = AttemptOutcome.TIMEOUT;
             latency = send.timeout();
         }
-        Note note = note(send, ending, holds);
-        if (ending == Ending.OK && send.keep() > 0) {
-            model.copies.add(request.object() + "/" + request.part());
+        CacheStatus note = note(send, ending, holds);
+        if (ending == AttemptOutcome.OK && send.retentionRank() > 0) {
+            model.copies.add(request.object() + "/" + request.segment());
         }
-        boolean last = ending == Ending.OK || random.nextInt(50) == 0;
-        if (ending == Ending.OK && drawn.settings().classes()[request.cls()].stream()) {
+        boolean last = ending == AttemptOutcome.OK || random.nextInt(50) == 0;
+        if (ending == AttemptOutcome.OK
+                && drawn.settings().classes().get(request.requestClass()).streaming()) {
             occurred("stream begun");
-            schedule(now + latency / 2, new Router.StreamBegun(send.id(), attempt));
+            schedule(now + latency / 2, new StreamStarted(send.requestId(), attempt));
         }
-        Event outcome = new Router.Outcome(send.id(), attempt, send.member(), ending, latency, last, note);
-        outcomes.put(new AttemptKey(send.id(), attempt), schedule(now + latency, outcome));
+        RouterEvent outcome =
+                new AttemptFinished(send.requestId(), attempt, send.endpointId(), ending, latency, last, note);
+        outcomes.put(new AttemptKey(send.requestId(), attempt), schedule(now + latency, outcome));
         occurred("outcome " + ending.ordinal());
         occurred("note " + note.ordinal());
         if (random.nextInt(200) == 0) {
@@ -378,61 +375,69 @@
         }
     }
 
-    private Ending ending(Send send, MemberModel model, boolean holds) {
-        if (!holds && send.sourceHoldsOnly() && random.nextInt(4) == 0) {
-            return Ending.MISS;
+    private AttemptOutcome ending(SendAttempt send, MemberModel model, boolean holds) {
+        if (!holds && send.onlyIfCached() && random.nextInt(4) == 0) {
+            return AttemptOutcome.MISS;
         }
-        if (!holds && send.source() == send.member() && random.nextInt(2) == 0) {
-            return random.nextBoolean() ? Ending.MISS : Ending.FULL;
+        if (!holds && send.fillSourceId() == send.endpointId() && random.nextInt(2) == 0) {
+            return random.nextBoolean() ? AttemptOutcome.MISS : AttemptOutcome.OVERLOADED;
         }
         int luck = random.nextInt(100);
         if (luck >= 85) {
-            return luck < 92 ? Ending.OK : Ending.values()[random.nextInt(Ending.values().length)];
+            return luck < 92
+                    ? AttemptOutcome.OK
+                    : AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
         }
         return switch (model.fault) {
-            case NONE, SILENT, SLOW -> Ending.OK;
-            case ERRORS -> Ending.ERROR;
-            case REFUSES -> Ending.FULL;
-            case RESETS -> Ending.RESET;
-            case UNREACHABLE -> Ending.CONNECT_FAILED;
-            case LATE_TIMEOUTS -> luck < 60 ? Ending.TIMEOUT : Ending.OK;
+            case NONE, SILENT, SLOW -> AttemptOutcome.OK;
+            case ERRORS -> AttemptOutcome.ERROR;
+            case REFUSES -> AttemptOutcome.OVERLOADED;
+            case RESETS -> AttemptOutcome.RESET;
+            case UNREACHABLE -> AttemptOutcome.CONNECT_FAILED;
+            case LATE_TIMEOUTS -> luck < 60 ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK;
         };
     }
 
-    private long latency(MemberModel model, Ending ending, boolean holds) {
-        if (ending == Ending.TIMEOUT) {
+    private long latency(MemberModel model, AttemptOutcome ending, boolean holds) {
+        if (ending == AttemptOutcome.TIMEOUT) {
             return (500 + random.nextInt(2500)) * MS;
         }
-        if (ending == Ending.OK) {
+        if (ending == AttemptOutcome.OK) {
             int factor = model.fault == Fault.SLOW ? 10 : random.nextInt(30) == 0 ? 8 : 1;
             return factor * (holds ? 2 + random.nextInt(60) : 20 + random.nextInt(200)) * MS + random.nextInt(1000);
         }
         return (1 + random.nextInt(50)) * MS;
     }
 
-    private Note note(Send send, Ending ending, boolean holds) {
-        Notes told = drawn.settings().notes();
-        if (told == Notes.NONE) {
-            return Note.NONE;
+    private CacheStatus note(SendAttempt send, AttemptOutcome ending, boolean holds) {
+        CacheStatusDetail told = drawn.settings().upstream().cacheStatusDetail();
+        if (told == CacheStatusDetail.NONE) {
+            return CacheStatus.UNKNOWN;
         }
-        if (told == Notes.HITS) {
-            return ending == Ending.OK && holds ? Note.HIT : Note.NONE;
+        if (told == CacheStatusDetail.HITS) {
+            return ending == AttemptOutcome.OK && holds ? CacheStatus.HIT : CacheStatus.UNKNOWN;
         }
         int draw = random.nextInt(10);
         return switch (ending) {
-            case OK -> holds ? (draw == 0 ? Note.STALE : Note.HIT) : filledNote(send, draw);
-            case ERROR -> draw < 3 ? Note.SOURCE_FAILED : draw < 6 ? Note.ORIGIN_FAILED : Note.NONE;
-            case FULL -> draw < 3 ? Note.NO_FILL_PLACE : draw < 6 ? Note.SOURCE_REFUSED : Note.NONE;
-            case MISS -> draw < 8 ? Note.SOURCE_LACKS : Note.NONE;
-            default -> Note.NONE;
+            case OK -> holds ? (draw == 0 ? CacheStatus.STALE : CacheStatus.HIT) : filledNote(send, draw);
+            case ERROR ->
+                draw < 3 ? CacheStatus.SOURCE_FAILED : draw < 6 ? CacheStatus.ORIGIN_FAILED : CacheStatus.UNKNOWN;
+            case OVERLOADED ->
+                draw < 3
+                        ? CacheStatus.FILL_LIMIT_REACHED
+                        : draw < 6 ? CacheStatus.SOURCE_REJECTED : CacheStatus.UNKNOWN;
+            case MISS -> draw < 8 ? CacheStatus.SOURCE_MISS : CacheStatus.UNKNOWN;
+            default -> CacheStatus.UNKNOWN;
         };
     }
 
-    private Note filledNote(Send send, int draw) {
+    private CacheStatus filledNote(SendAttempt send, int draw) {
         if (draw == 0) {
-            return Note.JOINED;
+            return CacheStatus.COALESCED;
         }
-        return model(send.source()).listed.role() == Role.ORIGIN ? Note.FILLED_FROM_ORIGIN : Note.FILLED;
+        return model(send.fillSourceId()).listed.role() == EndpointRole.ORIGIN
+                ? CacheStatus.FILLED_FROM_ORIGIN
+                : CacheStatus.FILLED;
     }
 
     private void answerCancel(long request, int attempt) {
@@ -442,11 +447,11 @@
                 return;
             }
         }
-        long member = attempts.get(request).get(attempt).member();
-        Ending ending = random.nextInt(6) == 0 ? Ending.MOOT : Ending.CANCELLED;
+        long member = attempts.get(request).get(attempt).endpointId();
+        AttemptOutcome ending = random.nextInt(6) == 0 ? AttemptOutcome.SUPERSEDED : AttemptOutcome.CANCELLED;
         occurred("outcome " + ending.ordinal());
         boolean last = random.nextInt(20) == 0;
-        schedule(now + MS, new Router.Outcome(request, attempt, member, ending, 5 * MS, last, Note.NONE));
+        schedule(now + MS, new AttemptFinished(request, attempt, member, ending, 5 * MS, last, CacheStatus.UNKNOWN));
     }
 
     private void answerGossip(int router, byte[] bytes) {
@@ -462,7 +467,7 @@
             reply.putLong(object).putShort((short) count);
         }
         if (kind == REPORT && random.nextInt(5) > 0) {
-            schedule(now + random.nextInt(20) * MS, new Router.PeerMessage(router, reply.array()));
+            schedule(now + random.nextInt(20) * MS, new GossipReceived(router, reply.array()));
         }
     }
 
@@ -470,7 +475,7 @@
         return members.stream().filter(m -> m.listed.id() == id).findFirst().orElseThrow();
     }
 
-    private Scheduled schedule(long at, Event event) {
+    private Scheduled schedule(long at, RouterEvent event) {
         Scheduled entry = new Scheduled(at, order++, event);
         scheduled.add(entry);
         return entry;
@@ -478,71 +483,71 @@
 
     // ---- Record of the decisions ----
 
-    private void record(Action action) {
-        if (action instanceof Send s) {
+    private void record(RouterAction action) {
+        if (action instanceof SendAttempt s) {
             noteSend(s);
             write(
                     "send",
-                    s.id(),
-                    s.member(),
+                    s.requestId(),
+                    s.endpointId(),
                     s.timeout(),
-                    s.source(),
-                    s.keep(),
+                    s.fillSourceId(),
+                    s.retentionRank(),
                     s.maxAge(),
-                    s.join(),
-                    s.sourceHoldsOnly(),
-                    s.renew());
-        } else if (action instanceof Router.Cancel c) {
-            write("cancel", c.id(), c.attempt());
-        } else if (action instanceof Router.Refuse r) {
-            write("reject", r.id(), r.holdOff());
-        } else if (action instanceof Router.Fail f) {
-            write("fail", f.id());
-        } else if (action instanceof Router.Timer t) {
-            write("timer", t.name(), t.at());
-        } else if (action instanceof Router.Tell t) {
-            write("gossip", t.router(), HexFormat.of().formatHex(t.bytes()));
-        } else if (action instanceof Router.Watch) {
+                    s.coalesce(),
+                    s.onlyIfCached(),
+                    s.refreshInBackground());
+        } else if (action instanceof CancelAttempt c) {
+            write("cancel", c.requestId(), c.attempt());
+        } else if (action instanceof RejectRequest r) {
+            write("reject", r.requestId(), r.retryAfter());
+        } else if (action instanceof FailRequest f) {
+            write("fail", f.requestId());
+        } else if (action instanceof StartTimer t) {
+            write("timer", t.name(), t.dueAt());
+        } else if (action instanceof SendGossip t) {
+            write("gossip", t.router(), HexFormat.of().formatHex(t.payload()));
+        } else if (action instanceof WatchEndpoints) {
             write("watch");
         } else {
             throw new AssertionError("an action of an unknown kind: " + action);
         }
     }
 
-    private void noteSend(Send send) {
-        occurred("rank " + send.keep());
+    private void noteSend(SendAttempt send) {
+        occurred("rank " + send.retentionRank());
         if (send.timeout() > 0) {
             occurred("with timeout");
         }
         if (send.maxAge() > 0) {
             occurred("with age bound");
         }
-        if (attempts.containsKey(send.id())) {
+        if (attempts.containsKey(send.requestId())) {
             occurred("second attempt");
         }
-        if (model(send.member()).listed.role() == Role.PARENT) {
+        if (model(send.endpointId()).listed.role() == EndpointRole.PARENT) {
             occurred("attempt at parent");
         }
-        if (send.sourceHoldsOnly()) {
+        if (send.onlyIfCached()) {
             occurred("fill from sibling");
-        } else if (send.source() == send.member()) {
+        } else if (send.fillSourceId() == send.endpointId()) {
             occurred("no fill");
         } else {
-            boolean parent = model(send.source()).listed.role() == Role.PARENT;
+            boolean parent = model(send.fillSourceId()).listed.role() == EndpointRole.PARENT;
             occurred(parent ? "fill from parent" : "fill from origin");
         }
     }
 
     private void recordInsight() {
-        Router.Insight insight = logic.insight();
-        if (insight.avoided() > 0) {
+        RouterStatus insight = logic.status();
+        if (insight.ejectedEndpoints() > 0) {
             occurred("ejected");
         }
-        if (insight.coldShort()) {
+        if (insight.slowStartLimited()) {
             occurred("short of warm-up budget");
         }
-        digest.update((byte) insight.avoided());
-        digest.update((byte) (insight.coldShort() ? 1 : 0));
+        digest.update((byte) insight.ejectedEndpoints());
+        digest.update((byte) (insight.slowStartLimited() ? 1 : 0));
     }
 
     private void write(String tag, Object... values) {
