--- /dev/null
+++ b/src/main/java/pewtercourse/decision/AttemptFeedback.java
@@ -0,0 +1,177 @@
+package pewtercourse.decision;
+
+/**
+ * Learns from the ends of attempts: which cache holds the object, and how well cache and source of the fill do. Each
+ * failure is blamed on the right party: an error that tells of its source says nothing of the cache, and one that another
+ * cache gives too may be the request's own fault, so that unusable requests eject no healthy cache.
+ */
+final class AttemptFeedback {
+    /** Share of its objective beyond its transfer from which an answer is slow. */
+    private static final double SLOW_SHARE = 0.1;
+    /** Share of its objective within which an answer is well within it. */
+    private static final double WELL_WITHIN_SHARE = 0.7;
+
+    private final RoutingContext context;
+    private final OutlierDetector outliers;
+    private final FillTracker fills;
+    private final ContentHints hints;
+    private final TransferTimes transferTimes;
+
+    AttemptFeedback(
+            RoutingContext context,
+            OutlierDetector outliers,
+            FillTracker fills,
+            ContentHints hints,
+            TransferTimes transferTimes) {
+        this.context = context;
+        this.outliers = outliers;
+        this.fills = fills;
+        this.hints = hints;
+        this.transferTimes = transferTimes;
+    }
+
+    void onAttemptEnded(RequestState request, AttemptState attempt, AttemptFinished end) {
+        attempt.endpoint.health.onAttemptEnded();
+        attempt.source.health.onAttemptEnded();
+        if (!end.outcome().isSilent() && end.outcome() != AttemptOutcome.CONNECT_FAILED) {
+            attempt.endpoint.onAnswer(context.now());
+        }
+        boolean hit = isHit(attempt, end.cacheStatus());
+        ConcurrencyLimiter limiter = responsibleLimiter(attempt, hit);
+        if (end.outcome() == AttemptOutcome.OK) {
+            onAnswer(request, attempt, end.latency(), hit, limiter);
+        } else {
+            onFailure(request, attempt, end, limiter);
+        }
+    }
+
+    private static boolean isHit(AttemptState attempt, CacheStatus status) {
+        return switch (status) {
+            case HIT, STALE -> true;
+            case UNKNOWN -> !attempt.fillsFromOutside;
+            default -> false;
+        };
+    }
+
+    // The limiter that a late answer shrinks. An ill or lagging source is no reason to fill less from others: a limiter
+    // that
+    // nobody uses takes the sample then.
+    private ConcurrencyLimiter responsibleLimiter(AttemptState attempt, boolean hit) {
+        if (hit || !attempt.fillsFromOutside || outliers.isLaggingCache(attempt.endpoint)) {
+            return attempt.endpoint.limiter;
+        }
+        boolean sourceIll = attempt.source.health.isEjected() || outliers.isLaggingSource(attempt.source);
+        return sourceIll ? new ConcurrencyLimiter(context.routersInZone()) : fills.limiter;
+    }
+
+    private void onAnswer(
+            RequestState request, AttemptState attempt, long latency, boolean hit, ConcurrencyLimiter limiter) {
+        double objective = request.latencyObjective();
+        boolean late = latency > objective;
+        EndpointState cache = attempt.endpoint;
+        cache.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        outliers.record(cache, late && outliers.isLaggingCache(cache));
+        request.accusedCaches.forEach(accused -> outliers.record(accused, accused != cache));
+        request.accusedSources.forEach(
+                accused -> outliers.record(accused, accused != attempt.source && outliers.failsAlone(accused)));
+        limiter.recordSpeed(latency - request.transferTime > SLOW_SHARE * objective);
+        limiter.adapt(context.now(), context.routersInZone(), latency < WELL_WITHIN_SHARE * objective, late);
+        cache.served.add(context.now(), transferTimes.mean(request));
+        if (attempt.fillsFromOutside) {
+            fills.recordNeed(!hit);
+            if (!hit) {
+                onFill(request, attempt, latency, late);
+            }
+        }
+        if (request.isCacheable() && cache.is(EndpointRole.CACHE)) {
+            hints.recordHeld(request, cache, hit);
+        }
+    }
+
+    private void onFill(RequestState request, AttemptState attempt, long latency, boolean late) {
+        EndpointState source = attempt.source;
+        source.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        outliers.record(source, late && outliers.isLaggingSource(source));
+        source.served.add(context.now(), transferTimes.mean(request));
+        source.onAnswer(context.now());
+        if (!outliers.isLaggingSource(source)) {
+            fills.recordWait(latency - request.transferTime);
+        }
+    }
+
+    private void onFailure(
+            RequestState request, AttemptState attempt, AttemptFinished end, ConcurrencyLimiter limiter) {
+        accuseSourceOfUnfilled(request, attempt, end.outcome());
+        blameCache(request, attempt, end, limiter);
+        if (end.outcome() == AttemptOutcome.TIMEOUT) {
+            outliers.onOverdue(attempt);
+        } else if (!end.outcome().isSilent()) {
+            hints.forget(request, attempt.endpoint);
+        }
+        if (attempt.fromSibling) {
+            hints.forget(request, attempt.source);
+            request.parentOnly = true;
+        } else if (end.cacheStatus().isSourceFault()) {
+            blameSource(request, attempt, end.cacheStatus());
+        } else if (!attempt.overdue && (end.outcome() != AttemptOutcome.MISS || !attempt.hasNoFill())) {
+            request.failedEndpoints.add(attempt.endpoint);
+        }
+    }
+
+    // Where caches tell of hits only, one that can't fill says no more than that it is overloaded or that it failed. A
+    // parent that is gone, before the list tells of it, must not shrink all limits: fills that are rejected from one
+    // parent,
+    // one after the other, are its fault. Crowded caches may so cost a parent a second. An error may be the parent's as
+    // well
+    // as the cache's: the parent's record counts it once the request was served by another way, and at once where it
+    // can't
+    // be repeated. That finds a parent that has lost its way to the origin, which fails what it lacks and serves the
+    // rest.
+    private void accuseSourceOfUnfilled(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+        boolean unfilled = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
+                && attempt.fillsFromOutside
+                && attempt.source.is(EndpointRole.PARENT)
+                && (outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.ERROR);
+        if (!unfilled) {
+            return;
+        }
+        request.failedSources.add(attempt.source);
+        boolean safeError = isSafeError(request, outcome);
+        if (outcome == AttemptOutcome.OVERLOADED || !safeError && outliers.failsAlone(attempt.source)) {
+            outliers.record(attempt.source, true);
+        } else if (safeError) {
+            request.accusedSources.add(attempt.source);
+        }
+    }
+
+    private void blameCache(
+            RequestState request, AttemptState attempt, AttemptFinished end, ConcurrencyLimiter limiter) {
+        AttemptOutcome outcome = end.outcome();
+        boolean sourceFault = end.cacheStatus().isSourceFault();
+        boolean safeError = isSafeError(request, outcome);
+        if (safeError && !sourceFault && !request.accusedCaches.contains(attempt.endpoint)) {
+            request.accusedCaches.add(attempt.endpoint);
+        } else if (isFailure(outcome) && !safeError && !sourceFault) {
+            outliers.record(attempt.endpoint, true);
+        } else if (outcome == AttemptOutcome.TIMEOUT && !attempt.overdue || outcome == AttemptOutcome.OVERLOADED) {
+            limiter.adapt(context.now(), context.routersInZone(), false, true);
+        }
+    }
+
+    private void blameSource(RequestState request, AttemptState attempt, CacheStatus status) {
+        request.failedSources.add(attempt.source);
+        if (status == CacheStatus.SOURCE_FAILED || status == CacheStatus.SOURCE_REJECTED) {
+            outliers.record(attempt.source, true);
+        }
+    }
+
+    private static boolean isFailure(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.ERROR
+                || outcome == AttemptOutcome.RESET
+                || outcome == AttemptOutcome.CONNECT_FAILED;
+    }
+
+    private static boolean isSafeError(RequestState request, AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.ERROR && request.isSafe();
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/AttemptSender.java
@@ -0,0 +1,84 @@
+package pewtercourse.decision;
+
+/** Sends attempts, and reserves and releases what they take from limits and budgets. */
+final class AttemptSender {
+    private final RoutingContext context;
+    private final ActionBuffer actions;
+    private final FillTracker fills;
+    private final AttemptTimeouts timeouts;
+    private final SlowStartBudget slowStart;
+    private final AccessCounts counts;
+    private final ContentHints hints;
+    private final PurgeLog purges;
+
+    AttemptSender(
+            RoutingContext context,
+            ActionBuffer actions,
+            FillTracker fills,
+            AttemptTimeouts timeouts,
+            SlowStartBudget slowStart,
+            AccessCounts counts,
+            ContentHints hints,
+            PurgeLog purges) {
+        this.context = context;
+        this.actions = actions;
+        this.fills = fills;
+        this.timeouts = timeouts;
+        this.slowStart = slowStart;
+        this.counts = counts;
+        this.hints = hints;
+        this.purges = purges;
+    }
+
+    /** Sends the request to the target, which fills a miss from the source, or not at all if that is the target itself. */
+    void send(RequestState request, EndpointState target, EndpointState source, boolean fromSibling) {
+        AttemptState attempt = reserve(request, target, source, fromSibling);
+        boolean safe = request.isSafe();
+        RouterFeatures features = context.settings().features();
+        long dueAt = timeouts.dueAt(attempt);
+        // Without a way to cancel it, the attempt's end is told to the caller beforehand, if there is time for another.
+        boolean timeLimited =
+                safe && !features.attemptCancellation() && dueAt + request.transferTime < request.arrival.expiresAt();
+        actions.add(new SendAttempt(
+                request.id(),
+                target.id(),
+                timeLimited ? dueAt - context.now() : 0,
+                source.id(),
+                counts.retentionRank(request),
+                purges.maxCopyAge(request),
+                features.requestCoalescing() && safe,
+                fromSibling,
+                request.requestClass.freshnessLifetime() > 0));
+    }
+
+    private AttemptState reserve(
+            RequestState request, EndpointState target, EndpointState source, boolean fromSibling) {
+        boolean fillsFromOutside = source != target && !fromSibling && !hints.isLikelyHeld(request, target);
+        AttemptState attempt = new AttemptState(
+                target,
+                source,
+                fromSibling,
+                fillsFromOutside,
+                context.now(),
+                timeouts.usualTime(request, fillsFromOutside),
+                fillsFromOutside ? fills.probability() : 0);
+        request.onAttemptSent(attempt);
+        slowStart.onAttemptSent(target, request);
+        if (source != target && !source.is(EndpointRole.ORIGIN)) {
+            slowStart.onAttemptSent(source, request);
+        }
+        target.limiter.acquire(1);
+        fills.limiter.acquire(attempt.fillProbability);
+        target.health.onAttemptSent();
+        if (fillsFromOutside) {
+            source.health.onAttemptSent();
+        }
+        return attempt;
+    }
+
+    /** Gives back what the attempt holds of the limits. */
+    void release(AttemptState attempt) {
+        attempt.endpoint.limiter.release(1);
+        fills.limiter.release(attempt.fillProbability);
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/CountGossip.java
@@ -0,0 +1,137 @@
+package pewtercourse.decision;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.Map;
+import java.util.Random;
+
+/**
+ * Shares access counts among the routers. Each object's count is owned by one router, chosen by rendezvous hashing. Routers
+ * report their accesses to the owner, which answers with the sums. A message is a kind (1 byte) and entries of a hash
+ * (8 bytes) and a count (2 bytes, unsigned), big-endian.
+ */
+final class CountGossip {
+    private static final byte REPORT = 1;
+    private static final byte SUMS = 2;
+    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int ENTRY_BYTES = 10;
+    /** Microseconds between two reports. */
+    private static final long REPORT_INTERVAL = 2_000_000;
+    /** Unreported accesses of one object that are reported at once. */
+    private static final int URGENT_ACCESSES = 8;
+
+    private final RoutingContext context;
+    private final AccessCounts counts;
+    private final LruTable<AccessCount> owned = new LruTable<>();
+    private final LruTable<AccessCount> unreported = new LruTable<>();
+    private long nextReportAt;
+
+    CountGossip(RoutingContext context, AccessCounts counts) {
+        this.context = context;
+        this.counts = counts;
+    }
+
+    /** Spreads the first reports of routers that start together. */
+    void start(Random random) {
+        nextReportAt = context.now() + REPORT_INTERVAL + random.nextInt((int) REPORT_INTERVAL);
+    }
+
+    void onAccess(long object, AccessCount count) {
+        if (isEnabled()) {
+            unreported.put(object, count);
+            nextReportAt = count.unreported >= URGENT_ACCESSES ? context.now() : nextReportAt;
+        }
+    }
+
+    void reportIfDue(ActionBuffer actions) {
+        if (isEnabled() && context.now() >= nextReportAt) {
+            report(actions);
+            nextReportAt = context.now() + REPORT_INTERVAL;
+        }
+    }
+
+    /** Answers a report with the sums, and takes over sums. Anything else, cut or too long, is ignored. */
+    void onMessage(GossipReceived message, ActionBuffer actions) {
+        if (!isAcceptable(message)) {
+            return;
+        }
+        ByteBuffer in = ByteBuffer.wrap(message.payload());
+        byte kind = in.get();
+        ByteBuffer sums = null;
+        while (in.hasRemaining() && (kind == REPORT || kind == SUMS)) {
+            long object = in.getLong();
+            int accesses = Math.min(AccessCount.MAX, in.getShort() & 0xffff);
+            if (kind == REPORT) {
+                sums = append(sums, SUMS, object, addToOwned(object, accesses));
+            } else {
+                counts.setTotal(object, accesses);
+            }
+        }
+        send(message.router(), sums, actions);
+    }
+
+    private boolean isEnabled() {
+        return context.settings().features().gossipEnabled()
+                && context.settings().topology().routers() > 1;
+    }
+
+    private boolean isAcceptable(GossipReceived message) {
+        int length = message.payload().length;
+        RouterTopology topology = context.settings().topology();
+        boolean wellFormed =
+                length >= 1 + ENTRY_BYTES && length <= MAX_MESSAGE_BYTES && (length - 1) % ENTRY_BYTES == 0;
+        boolean knownSender =
+                message.router() >= 0 && message.router() < topology.routers() && message.router() != topology.router();
+        return wellFormed && knownSender && context.settings().features().gossipEnabled();
+    }
+
+    // Batches by owner what was counted since the last report; what does not fit goes with a later one.
+    private void report(ActionBuffer actions) {
+        ByteBuffer[] messages = new ByteBuffer[context.settings().topology().routers()];
+        for (Map.Entry<Long, AccessCount> entry : unreported.entrySet()) {
+            long object = entry.getKey();
+            AccessCount count = entry.getValue();
+            int owner = owner(object);
+            if (owner == context.settings().topology().router()) {
+                count.total = addToOwned(object, count.unreported);
+            } else if (count.unreported > 1) {
+                messages[owner] = append(messages[owner], REPORT, object, count.unreported);
+            }
+            count.unreported = 0;
+        }
+        unreported.clear();
+        for (int router = 0; router < messages.length; router++) {
+            send(router, messages[router], actions);
+        }
+    }
+
+    private int owner(long object) {
+        int best = 0;
+        for (int router = 1; router < context.settings().topology().routers(); router++) {
+            best = score(object, router) > score(object, best) ? router : best;
+        }
+        return best;
+    }
+
+    private static long score(long object, int router) {
+        return Hashing.mix(object ^ Hashing.mix(router));
+    }
+
+    private int addToOwned(long object, int accesses) {
+        return AccessCounts.of(owned, object, context.now()).add(accesses);
+    }
+
+    private static ByteBuffer append(ByteBuffer message, byte kind, long object, int accesses) {
+        ByteBuffer target =
+                message == null ? ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(kind) : message;
+        return target.remaining() < ENTRY_BYTES
+                ? target
+                : target.putLong(object).putShort((short) accesses);
+    }
+
+    private static void send(int router, ByteBuffer message, ActionBuffer actions) {
+        if (message != null && message.position() > 1) {
+            actions.add(new SendGossip(router, Arrays.copyOf(message.array(), message.position())));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/EndpointTable.java
@@ -0,0 +1,82 @@
+package pewtercourse.decision;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+import java.util.stream.Collectors;
+
+/** The endpoints that are ready, by role. What was learned of one stays until it is started anew. */
+final class EndpointTable {
+    private final RoutingContext context;
+    private final Map<Long, EndpointState> endpoints = new LinkedHashMap<>();
+    private List<EndpointState> caches = new ArrayList<>();
+    private List<EndpointState> parents = new ArrayList<>();
+    private EndpointState origin;
+    private int mostCaches;
+
+    EndpointTable(RoutingContext context) {
+        this.context = context;
+    }
+
+    /** Takes over a list that could be read, or changes of it. */
+    void update(EndpointsChanged change) {
+        Map<Long, EndpointState> known = new LinkedHashMap<>(endpoints);
+        if (change.kind() != EndpointUpdateKind.DELTA) {
+            endpoints.clear();
+        }
+        for (Endpoint endpoint : change.endpoints()) {
+            if (endpoint.lifecycle() == EndpointLifecycle.READY) {
+                endpoints.put(endpoint.id(), stateOf(endpoint, known.get(endpoint.id())));
+            } else {
+                endpoints.remove(endpoint.id());
+            }
+        }
+        int ownZone = context.settings().topology().zone();
+        caches = select(e -> e.is(EndpointRole.CACHE) && e.endpoint().zone() == ownZone);
+        parents = select(e -> e.is(EndpointRole.PARENT));
+        origin = select(e -> e.is(EndpointRole.ORIGIN)).stream()
+                .min(Comparator.comparingLong(EndpointState::id))
+                .orElse(null);
+        mostCaches = Math.max(mostCaches, caches.size());
+    }
+
+    private EndpointState stateOf(Endpoint endpoint, EndpointState known) {
+        if (known == null || known.endpoint().startedAt() != endpoint.startedAt()) {
+            return new EndpointState(endpoint, context.routersInZone());
+        }
+        known.setEndpoint(endpoint);
+        return known;
+    }
+
+    private List<EndpointState> select(Predicate<EndpointState> which) {
+        return endpoints.values().stream().filter(which).collect(Collectors.toCollection(ArrayList::new));
+    }
+
+    /** The own zone's caches, in the order in which {@link PlacementOrder} last left them. */
+    List<EndpointState> caches() {
+        return caches;
+    }
+
+    /** The parents, in the order in which {@link PlacementOrder} last left them. */
+    List<EndpointState> parents() {
+        return parents;
+    }
+
+    /** Null if none is listed. */
+    EndpointState origin() {
+        return origin;
+    }
+
+    /** The most caches that were listed at once so far. */
+    int mostCaches() {
+        return mostCaches;
+    }
+
+    int countEjected() {
+        return (int)
+                endpoints.values().stream().filter(e -> e.health.isEjected()).count();
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/FillTracker.java
@@ -0,0 +1,40 @@
+package pewtercourse.decision;
+
+/** The fills from parents and origin: how many are in flight, how long they take, and how likely an attempt needs one. */
+final class FillTracker {
+    /** Weight of the newest sample. */
+    private static final double GAIN = 0.1;
+    /** Microseconds. */
+    private static final double INITIAL_WAIT = 50_000;
+
+    private static final double INITIAL_PROBABILITY = 0.5;
+
+    final ConcurrencyLimiter limiter;
+    private double wait = INITIAL_WAIT;
+    private double probability = INITIAL_PROBABILITY;
+
+    FillTracker(int routersInZone) {
+        limiter = new ConcurrencyLimiter(routersInZone);
+    }
+
+    /** Microseconds that a fill adds to an answer. */
+    double expectedWait() {
+        return wait;
+    }
+
+    /**
+     * How likely an attempt that is not thought to hit does fill. The fewer hints a router has, the more of these hit all
+     * the same.
+     */
+    double probability() {
+        return probability;
+    }
+
+    void recordWait(double sample) {
+        wait += GAIN * (Math.max(0, sample) - wait);
+    }
+
+    void recordNeed(boolean filled) {
+        probability += GAIN * ((filled ? 1 : 0) - probability);
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -0,0 +1,251 @@
+package pewtercourse.decision;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Random;
+
+/** The life of a request: its first attempt, retries, final answer. */
+final class RequestDispatcher {
+    /**
+     * Advice to a rejected client, as a share of its objective: so soon that it may yet be served within it. Spread up to
+     * twice that, so that clients don't come back at once.
+     */
+    private static final double RETRY_AFTER_SHARE = 0.25;
+
+    private final RoutingContext context;
+    private final ActionBuffer actions;
+    private final Random random;
+    private final RoutingParts parts;
+    private final RetryBudget retries = new RetryBudget();
+    private final Map<Long, RequestState> requests = new LinkedHashMap<>();
+
+    RequestDispatcher(RoutingContext context, ActionBuffer actions, Random random, RoutingParts parts) {
+        this.context = context;
+        this.actions = actions;
+        this.random = random;
+        this.parts = parts;
+    }
+
+    /** Takes in a request that has just come; false if one of its id is under way. */
+    boolean register(RequestState request) {
+        if (requests.putIfAbsent(request.id(), request) != null) {
+            return false;
+        }
+        retries.onRequest();
+        return true;
+    }
+
+    /** Makes the next attempt at the request, or answers it finally. */
+    void advance(RequestState request) {
+        if (request.finished || request.streaming) {
+            return;
+        }
+        if (context.now() + (long) request.transferTime > request.arrival.expiresAt()
+                || request.attempts.size() >= context.settings().retry().maxAttempts()) {
+            giveUp(request);
+            return;
+        }
+        EndpointState cache = parts.cacheSelector().select(request);
+        if (cache != null) {
+            sendTo(cache, request);
+        } else {
+            bypassCaches(request);
+        }
+    }
+
+    private void sendTo(EndpointState cache, RequestState request) {
+        EndpointState sibling = parts.sourceSelector().selectSibling(request, cache);
+        if (sibling != null) {
+            parts.sender().send(request, cache, sibling, true);
+            return;
+        }
+        // What runs at the origin is rare and small and can't be served otherwise: it passes the limits, which guard
+        // against
+        // the many. It so adds its few to a crowded link.
+        boolean mayFill =
+                !request.isCacheable() || fillsAdmit(request) || parts.hints().isLikelyHeld(request, cache);
+        EndpointState parent = mayFill ? parts.sourceSelector().selectParent(request) : null;
+        parts.sender().send(request, cache, parent == null ? cache : parent, false);
+    }
+
+    // No cache may be used: where that is allowed a request passes them by, until one is listed again.
+    private void bypassCaches(RequestState request) {
+        boolean allowed = context.settings().features().cacheBypassAllowed()
+                && parts.endpoints().caches().isEmpty()
+                && fillsAdmit(request);
+        EndpointState parent = allowed ? parts.sourceSelector().selectParent(request) : null;
+        if (parent != null && parts.idempotency().allow(request, parent)) {
+            EndpointState origin = parts.endpoints().origin();
+            parts.sender().send(request, parent, origin != null ? origin : parent, false);
+        } else {
+            giveUp(request);
+        }
+    }
+
+    private boolean fillsAdmit(RequestState request) {
+        return parts.fills().limiter.admits(parts.transferTimes().relativeSize(request));
+    }
+
+    /** The end of an attempt: unknown ones are ignored. */
+    void onAttemptFinished(AttemptFinished end) {
+        RequestState request = requests.get(end.requestId());
+        if (request == null || end.attempt() < 0 || end.attempt() >= request.attempts.size()) {
+            return;
+        }
+        AttemptState attempt = request.attempts.get(end.attempt());
+        if (attempt.ended) {
+            return;
+        }
+        settle(request, attempt, end);
+        if (end.requestDone() || end.outcome() == AttemptOutcome.OK) {
+            close(request);
+        } else if (!request.finished) {
+            retryOrGiveUp(request, attempt, end.outcome());
+        }
+        if (request.finished && request.liveAttempts == 0) {
+            requests.remove(end.requestId());
+        }
+    }
+
+    private void settle(RequestState request, AttemptState attempt, AttemptFinished end) {
+        AttemptOutcome outcome = end.outcome();
+        if (!attempt.overdue) {
+            parts.sender().release(attempt);
+        } else if (outcome != AttemptOutcome.CANCELLED && attempt.endpoint.answeredSince(attempt.sentAt)) {
+            parts.timeouts().onOverdueAttemptEnded(outcome == AttemptOutcome.OK);
+        }
+        request.onAttemptEnded(attempt, outcome);
+        parts.feedback().onAttemptEnded(request, attempt, end);
+    }
+
+    // A retry costs a part of the budget, unless the last attempt only learned who lacks the object. What two caches
+    // answer
+    // with an error is not tried on: its retries would use up the budget of the others. What no cache could be reached
+    // for
+    // is given back while its client has half of its time left: a zone that is cut off must not hold requests that
+    // nobody
+    // works on.
+    private void retryOrGiveUp(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+        if (request.liveAttempts > 0) {
+            return;
+        }
+        boolean free = outcome == AttemptOutcome.MISS || attempt.fromSibling && outcome == AttemptOutcome.OVERLOADED;
+        boolean unusable = request.accusedCaches.size() > 1;
+        boolean noFill = attempt.hasNoFill() && !fillsAdmit(request);
+        if (isHeldBack(request, attempt) || unusable || !free && !retries.hasRetry() || noFill) {
+            giveUp(request);
+            return;
+        }
+        if (!free) {
+            retries.spend();
+        }
+        advance(request);
+    }
+
+    private boolean isHeldBack(RequestState request, AttemptState attempt) {
+        long now = context.now();
+        long halfTime = request.arrivedAt + (request.arrival.expiresAt() - request.arrivedAt) / 2;
+        return !request.reachedCache && now + (now - attempt.sentAt) > halfTime;
+    }
+
+    // The final answer when no attempt is left, at once. The client hears when to come again, also where it is not
+    // known
+    // that clients heed it: those that do come back spread out and within their objective, the others lose nothing.
+    private void giveUp(RequestState request) {
+        if (request.liveAttempts > 0) {
+            return;
+        }
+        actions.add(
+                request.isHarmlessToReject()
+                        ? new RejectRequest(request.id(), retryAfter(request))
+                        : new FailRequest(request.id()));
+        close(request);
+    }
+
+    private long retryAfter(RequestState request) {
+        long objective = request.requestClass.latencyObjective();
+        long advice = (long) (RETRY_AFTER_SHARE * objective * (1 + random.nextDouble()));
+        return Math.min(context.settings().retry().maxRetryAfter(), advice);
+    }
+
+    void onStreamStarted(long requestId) {
+        RequestState request = requests.get(requestId);
+        if (request != null) {
+            request.streaming = true;
+        }
+    }
+
+    void onClientDisconnected(long requestId) {
+        RequestState request = requests.get(requestId);
+        if (request != null) {
+            close(request);
+        }
+    }
+
+    private void close(RequestState request) {
+        boolean cancel = !request.finished
+                && !request.streaming
+                && context.settings().features().attemptCancellation();
+        for (int number = 0; number < request.attempts.size(); number++) {
+            if (cancel && !request.attempts.get(number).ended) {
+                actions.add(new CancelAttempt(request.id(), number));
+            }
+        }
+        request.finished = true;
+        if (request.liveAttempts == 0) {
+            requests.remove(request.id());
+        }
+    }
+
+    /** Looks for overdue attempts of all requests. */
+    void checkOverdue() {
+        for (RequestState request : new ArrayList<>(requests.values())) {
+            checkOverdue(request);
+        }
+    }
+
+    // Another attempt is made beside an overdue one, or in its place where that can yet be in time or the cache is ill:
+    // a
+    // large transfer begun twice ends late. Holds against lost answers, hangs, stalls and cut links. A lost answer
+    // gives back
+    // its capacity and blames no one; an endpoint is blamed only if it answered nothing since. A long stall of all
+    // costs one
+    // retry for each request, within the budget.
+    private void checkOverdue(RequestState request) {
+        int attempts = request.attempts.size();
+        for (int number = 0; number < attempts && !request.streaming && !request.finished; number++) {
+            AttemptState attempt = request.attempts.get(number);
+            if (attempt.ended
+                    || attempt.overdue
+                    || context.now() < parts.timeouts().dueAt(attempt)) {
+                continue;
+            }
+            parts.outliers().onOverdue(attempt);
+            attempt.overdue = true;
+            parts.sender().release(attempt);
+            request.failedEndpoints.add(attempt.endpoint);
+            hedge(request, attempt, number);
+        }
+    }
+
+    private void hedge(RequestState request, AttemptState overdue, int number) {
+        boolean inTime = context.now() + request.transferTime < request.arrival.expiresAt();
+        if (!request.isSafe() || !retries.hasRetry() || !inTime) {
+            return;
+        }
+        RouterFeatures features = context.settings().features();
+        if (features.parallelAttempts()) {
+            retries.spend();
+            advance(request);
+        } else if (features.attemptCancellation() && isWorthReplacing(request, overdue)) {
+            actions.add(new CancelAttempt(request.id(), number));
+        }
+    }
+
+    private boolean isWorthReplacing(RequestState request, AttemptState overdue) {
+        return overdue.endpoint.health.isEjected()
+                || parts.timeouts().isLossy()
+                || context.now() + overdue.usualTime < overdue.sentAt + request.latencyObjective();
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/RoutingEngine.java
@@ -0,0 +1,143 @@
+package pewtercourse.decision;
+
+import java.util.List;
+import java.util.Random;
+
+/**
+ * The router of one director: handles its events and keeps its house. The work is done by the classes that it puts together,
+ * see {@link RoutingParts}; docs/design.md says why they decide as they do. Not thread-safe.
+ */
+public final class RoutingEngine implements Router {
+    private static final String SWEEP_TIMER = "sweep";
+    private static final String WATCH_TIMER = "watch";
+    /** Microseconds until the endpoint list is asked for again after a failed call. */
+    private static final long WATCH_RETRY_DELAY = 1_000_000;
+
+    private final RoutingContext context;
+    private final ActionBuffer actions = new ActionBuffer();
+    private final Random random;
+    private final RoutingParts parts;
+    private final RequestDispatcher dispatcher;
+    private final RouterEventVisitor handler = new EventHandler();
+    private boolean started;
+
+    /** The same settings, seed and events always give the same actions. */
+    public RoutingEngine(RouterSettings settings, long seed) {
+        random = new Random(seed);
+        context = new RoutingContext(settings);
+        parts = RoutingParts.create(context, actions);
+        dispatcher = new RequestDispatcher(context, actions, random, parts);
+        parts.transferTimes().resize(settings.classes().size());
+    }
+
+    @Override
+    public List<RouterAction> handle(long now, List<RouterEvent> events) {
+        context.beginBatch(now);
+        actions.begin();
+        if (!started) {
+            start();
+        }
+        for (RouterEvent event : events) {
+            event.accept(handler);
+        }
+        return actions.actions();
+    }
+
+    @Override
+    public RouterStatus status() {
+        return new RouterStatus(
+                parts.endpoints().countEjected(), parts.slowStart().wasExhausted());
+    }
+
+    private void start() {
+        started = true;
+        parts.gossip().start(random);
+        if (!context.settings().upstream().pushedEndpointUpdates()) {
+            actions.add(new WatchEndpoints());
+        }
+        startSweepTimer();
+    }
+
+    private void startSweepTimer() {
+        actions.add(new StartTimer(SWEEP_TIMER, context.now() + Housekeeping.INTERVAL));
+    }
+
+    private void sweep() {
+        dispatcher.checkOverdue();
+        parts.capacity().update();
+        parts.timeouts().fade();
+        parts.purges().expire();
+        parts.gossip().reportIfDue(actions);
+        startSweepTimer();
+    }
+
+    private final class EventHandler implements RouterEventVisitor {
+        @Override
+        public void visit(SettingsChanged event) {
+            // What was learned stays.
+            context.configure(event.settings());
+            parts.transferTimes().resize(event.settings().classes().size());
+        }
+
+        @Override
+        public void visit(EndpointsChanged event) {
+            if (event.kind() != EndpointUpdateKind.FAILED) {
+                parts.endpoints().update(event);
+            } else if (!context.settings().upstream().pushedEndpointUpdates()) {
+                actions.add(new StartTimer(WATCH_TIMER, context.now() + WATCH_RETRY_DELAY));
+            }
+        }
+
+        @Override
+        public void visit(RequestArrived event) {
+            RouterSettings settings = context.settings();
+            RequestClass requestClass = settings.classes().get(event.requestClass());
+            double clientRate = settings.bandwidth().clientKbPerSecond();
+            double transferTime = parts.transferTimes().record(event, requestClass, clientRate);
+            RequestState request = new RequestState(event, requestClass, transferTime, context.now());
+            if (dispatcher.register(request)) {
+                parts.counts().record(request).ifPresent(count -> parts.gossip().onAccess(request.objectHash, count));
+                dispatcher.advance(request);
+            }
+        }
+
+        @Override
+        public void visit(AttemptFinished event) {
+            dispatcher.onAttemptFinished(event);
+        }
+
+        @Override
+        public void visit(QuotaChanged event) {
+            parts.slowStart().setQuotaFactor(event.factor());
+        }
+
+        @Override
+        public void visit(StreamStarted event) {
+            dispatcher.onStreamStarted(event.requestId());
+        }
+
+        @Override
+        public void visit(TimerFired event) {
+            if (event.name().equals(SWEEP_TIMER)) {
+                sweep();
+            } else {
+                actions.add(new WatchEndpoints());
+            }
+        }
+
+        @Override
+        public void visit(ContentPurged event) {
+            parts.purges().record(event);
+        }
+
+        @Override
+        public void visit(GossipReceived event) {
+            parts.gossip().onMessage(event, actions);
+        }
+
+        @Override
+        public void visit(ClientDisconnected event) {
+            dispatcher.onClientDisconnected(event.requestId());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/pewtercourse/decision/WorkWindow.java
@@ -0,0 +1,31 @@
+package pewtercourse.decision;
+
+import java.util.ArrayDeque;
+
+/** Work that an endpoint in slow start was sent within a sliding window. */
+final class WorkWindow {
+    private record Sent(long at, double transferTime) {}
+
+    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+    private double sum;
+
+    void add(long now, double transferTime) {
+        sent.addLast(new Sent(now, transferTime));
+        sum += transferTime;
+    }
+
+    /** Drops what was sent at {@code time} or before. */
+    void dropUntil(long time) {
+        while (!sent.isEmpty() && sent.peekFirst().at() <= time) {
+            sum -= sent.pollFirst().transferTime();
+        }
+    }
+
+    boolean isEmpty() {
+        return sent.isEmpty();
+    }
+
+    double sum() {
+        return sum;
+    }
+}
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -27,7 +27,6 @@
 import pewtercourse.decision.FailRequest;
 import pewtercourse.decision.GossipReceived;
 import pewtercourse.decision.Idempotency;
-import pewtercourse.decision.Logic;
 import pewtercourse.decision.QuotaChanged;
 import pewtercourse.decision.RejectRequest;
 import pewtercourse.decision.RequestArrived;
@@ -35,6 +34,7 @@
 import pewtercourse.decision.RouterAction;
 import pewtercourse.decision.RouterEvent;
 import pewtercourse.decision.RouterSettings;
+import pewtercourse.decision.RoutingEngine;
 import pewtercourse.decision.SendAttempt;
 import pewtercourse.decision.SendGossip;
 import pewtercourse.decision.SettingsChanged;
@@ -406,7 +406,7 @@
 
     private RouterQueue queue(RouterSettings settings, boolean guest) {
         return new RouterQueue(
-                new Logic(settings, config.seed()),
+                new RoutingEngine(settings, config.seed()),
                 guest,
                 clock,
                 queue -> context.runOnContext(v -> decide(queue)),
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -30,7 +30,6 @@
 import pewtercourse.decision.EndpointsChanged;
 import pewtercourse.decision.FailRequest;
 import pewtercourse.decision.Idempotency;
-import pewtercourse.decision.Logic;
 import pewtercourse.decision.QuotaChanged;
 import pewtercourse.decision.RejectRequest;
 import pewtercourse.decision.RequestArrived;
@@ -42,6 +41,7 @@
 import pewtercourse.decision.RouterFeatures;
 import pewtercourse.decision.RouterSettings;
 import pewtercourse.decision.RouterTopology;
+import pewtercourse.decision.RoutingEngine;
 import pewtercourse.decision.SendAttempt;
 import pewtercourse.decision.SiblingFillPolicy;
 import pewtercourse.decision.SlowStart;
@@ -235,7 +235,7 @@
             overflowRouter = new OverflowRouter(sites, siteName(site), 500 * MS, random.nextLong());
             siteObservations = new SiteObservations(siteName(site));
             failoverController = new FailoverController(sites);
-            home = new Desk(this, new Logic(settings(site), random.nextLong()));
+            home = new Desk(this, new RoutingEngine(settings(site), random.nextLong()));
             home.tell(listed());
             int mine = life;
             at(now + random.nextInt((int) SECOND), () -> report(mine));
@@ -308,7 +308,9 @@
                     ? home
                     : abroad.computeIfAbsent(to, t -> {
                         Desk d = new Desk(
-                                this, new Logic(settings(site).forRemoteZone(t, List.of(CLASSES)), random.nextLong()));
+                                this,
+                                new RoutingEngine(
+                                        settings(site).forRemoteZone(t, List.of(CLASSES)), random.nextLong()));
                         d.tell(new QuotaChanged(0));
                         d.tell(listed());
                         return d;
--- a/src/main/java/pewtercourse/simulator/BenchLink.java
+++ b/src/main/java/pewtercourse/simulator/BenchLink.java
@@ -25,12 +25,12 @@
 import pewtercourse.decision.EndpointsChanged;
 import pewtercourse.decision.FailRequest;
 import pewtercourse.decision.GossipReceived;
-import pewtercourse.decision.Logic;
 import pewtercourse.decision.RejectRequest;
 import pewtercourse.decision.RequestArrived;
 import pewtercourse.decision.Router;
 import pewtercourse.decision.RouterAction;
 import pewtercourse.decision.RouterEvent;
+import pewtercourse.decision.RoutingEngine;
 import pewtercourse.decision.SendAttempt;
 import pewtercourse.decision.SendGossip;
 import pewtercourse.decision.StartTimer;
@@ -267,7 +267,7 @@
         } catch (ConfigException e) {
             throw malformed("field " + e.getMessage());
         }
-        seat.router = new Logic(seat.site.router(), seed);
+        seat.router = new RoutingEngine(seat.site.router(), seed);
         seats.put(i, seat);
         touched.remove(i);
         touched.put(i, seat);
--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -65,9 +65,7 @@
             }
         }
         Path standIn = Files.createDirectories(folder.resolve("bin")).resolve("java");
-        Files.writeString(
-                standIn,
-                """
+        Files.writeString(standIn, """
                 #!/bin/bash
                 arguments=()
                 for argument; do
@@ -78,8 +76,7 @@
                   esac
                 done
                 exec %s -XX:TieredStopAtLevel=1 "${arguments[@]}"
-                """
-                        .formatted(JAR, JAVA));
+                """.formatted(JAR, JAVA));
         assertTrue(standIn.toFile().setExecutable(true));
     }
 
@@ -95,7 +92,8 @@
     private Process start(Path output, Map<String, String> environment, String... command) throws IOException {
         List<String> words = new ArrayList<>(List.of(command));
         // A program is looked up on the PATH of this process, not on that of the new one.
-        words.replaceAll(word -> word.equals("java") ? folder.resolve("bin/java").toString() : word);
+        words.replaceAll(
+                word -> word.equals("java") ? folder.resolve("bin/java").toString() : word);
         ProcessBuilder builder = new ProcessBuilder(words)
                 .directory(folder.toFile())
                 .redirectErrorStream(true)
@@ -152,8 +150,7 @@
                 .forEach(entry -> {
                     JsonObject site = (JsonObject) entry;
                     expected.put(
-                            site.getString("name"),
-                            (double) site.getInteger("caches") * site.getInteger("capacity"));
+                            site.getString("name"), (double) site.getInteger("caches") * site.getInteger("capacity"));
                 });
 
         String output = run(0, "bash", "examples/sites.sh");
@@ -199,8 +196,8 @@
             Thread.sleep(POLL_MS);
         }
         assertEquals(HTTP_OK, code);
-        JsonObject status = new JsonObject(run(
-                0, "java", "-jar", JAR, "cluster", "status", "--admin", host + ":9101", "--output", "json"));
+        JsonObject status = new JsonObject(
+                run(0, "java", "-jar", JAR, "cluster", "status", "--admin", host + ":9101", "--output", "json"));
         assertTrue(status.getJsonObject("out").containsKey("s-00000001"), status::encode);
     }
 
--- a/src/test/java/pewtercourse/decision/Bench.java
+++ b/src/test/java/pewtercourse/decision/Bench.java
@@ -25,7 +25,7 @@
     int routers = 2;
     int[] seats;
     int me;
-    Logic logic;
+    RoutingEngine logic;
     long now = START;
     long nextId = 1;
 
@@ -48,7 +48,7 @@
                 new SlowStartSettings(
                         new SlowStart(0.2, 18_000 * MS, 3), new SlowStart(0.06, 20_000 * MS, 2), 1500 * MS),
                 6000 * MS);
-        logic = new Logic(s, 7);
+        logic = new RoutingEngine(s, 7);
         feed(new EndpointsChanged(EndpointUpdateKind.CACHED, List.of(members)));
         return this;
     }
--- a/src/test/java/pewtercourse/decision/DecisionStream.java
+++ b/src/test/java/pewtercourse/decision/DecisionStream.java
@@ -58,7 +58,7 @@
     private final Random random;
     private final Map<String, Integer> occurrences;
     private final StreamSettings drawn;
-    private final Logic logic;
+    private final RoutingEngine logic;
     private final MessageDigest digest;
     private final long meanGap;
     private final double lossRate;
@@ -80,7 +80,7 @@
         this.random = new Random(seed);
         this.occurrences = occurrences;
         this.drawn = new StreamSettings(random, occurrences);
-        this.logic = new Logic(drawn.settings(), random.nextLong());
+        this.logic = new RoutingEngine(drawn.settings(), random.nextLong());
         this.floods = seed % 8 == 7;
         this.meanGap = (2 + random.nextInt(25)) * MS;
         this.lossRate = random.nextInt(3) == 0 ? 0.1 : 0.01;
--- a/src/test/java/pewtercourse/decision/ModuleFilesTest.java
+++ b/src/test/java/pewtercourse/decision/ModuleFilesTest.java
@@ -19,14 +19,10 @@
     private static final Path MODULE = Path.of("src/main/java/pewtercourse/decision");
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
     private static final int MAX_LINES = 300;
-    private static final Path NOT_YET_SPLIT = MODULE.resolve("Logic.java");
 
     @Test
     void everyFileIsShort() throws IOException {
         for (Path file : files()) {
-            if (file.equals(NOT_YET_SPLIT)) {
-                continue;
-            }
             int lines = Files.readAllLines(file).size();
             assertTrue(lines <= MAX_LINES, file + " has " + lines + " lines");
         }
--- a/src/test/java/pewtercourse/decision/LogicTest.java
+++ b/src/test/java/pewtercourse/decision/RoutingEngineTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class LogicTest {
+class RoutingEngineTest {
     // ---- The mechanism ----
     @Test
     void homeIsTheSameAtEveryRouterWhateverTheListsOrder() {
--- a/src/test/java/pewtercourse/decision/ZoneSimulation.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulation.java
@@ -97,7 +97,7 @@
     private record Timed(long at, Runnable then) {}
 
     private final Random random;
-    private final Logic[] routers;
+    private final RoutingEngine[] routers;
     private final double[] shares;
     private final double load;
     private final Restart restart;
@@ -113,7 +113,7 @@
         this.random = new Random(seed);
         this.load = load;
         this.restart = restart;
-        this.routers = new Logic[size];
+        this.routers = new RoutingEngine[size];
         this.shares = new double[size];
         List<Integer> numbers = new ArrayList<>();
         for (int i = 0; i < size * ZONES; i++) {
@@ -121,7 +121,7 @@
         }
         Collections.shuffle(numbers, random); // A zone's routers are any of all.
         for (int i = 0; i < size; i++) {
-            routers[i] = new Logic(settings(numbers.get(i), size), seed * 1_000 + i);
+            routers[i] = new RoutingEngine(settings(numbers.get(i), size), seed * 1_000 + i);
             shares[i] = 0.3 + 3 * random.nextDouble() * random.nextDouble(); // Some see several times the mean.
         }
         for (int c = 0; c < CACHES; c++) {
