--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -57,7 +57,8 @@
         try {
             config = DirectorConfig.fromEnvironment(System.getenv());
             cluster = ClusterConfig.fromEnvironment(System.getenv());
-            socket = InheritedSocket.from(System.getenv(), config.acceptedMost());
+            socket = InheritedSocket.fromEnvironment(System.getenv(), config.acceptedMost())
+                    .orElse(null);
         } catch (ConfigException e) {
             Log.warn("config.unusable", "key", e.getMessage());
             System.exit(2);
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -3,6 +3,7 @@
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
+import java.util.Optional;
 import java.util.function.Consumer;
 import pewtercourse.admin.AdminServer;
 import pewtercourse.admin.ClusterCalls;
@@ -97,21 +98,21 @@
 
     /** Takes over what operators told a process before this one; true if that one still runs. */
     private boolean takeOver() {
-        OperatorState before = state == null ? null : state.changed();
+        OperatorState before = readChangedState().orElse(null);
         if (before == null) {
             return false;
         }
         boolean runs = inherited != null
-                && before.pid() != ProcessHandle.current().pid()
-                && ProcessHandle.of(before.pid()).map(ProcessHandle::isAlive).orElse(false);
+                && before.processId() != ProcessHandle.current().pid()
+                && ProcessHandle.of(before.processId()).map(ProcessHandle::isAlive).orElse(false);
         Log.info(
                 "state.taken_over",
                 "from",
-                before.pid(),
+                before.processId(),
                 "runs",
                 runs,
                 "out",
-                before.out().keySet(),
+                before.drained().keySet(),
                 "standby",
                 before.standby());
         heed(before);
@@ -132,10 +133,11 @@
 
     // Another process of this director may have been told something: bans and drains count for both.
     private void follow() {
-        OperatorState told = state == null ? null : state.changed();
-        if (told != null) {
-            heed(told);
-        }
+        readChangedState().ifPresent(this::heed);
+    }
+
+    private Optional<OperatorState> readChangedState() {
+        return state == null ? Optional.empty() : state.readIfChanged();
     }
 
     private void heed(OperatorState told) {
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -22,9 +22,11 @@
 import pewtercourse.config.SiteSettings;
 import pewtercourse.decision.Logic;
 import pewtercourse.decision.Router;
-import pewtercourse.discovery.FeedClient;
-import pewtercourse.discovery.FeedEvent;
-import pewtercourse.discovery.HttpFeedTransport;
+import pewtercourse.discovery.EndpointWatch;
+import pewtercourse.discovery.HttpWatchTransport;
+import pewtercourse.discovery.MalformedEventException;
+import pewtercourse.discovery.WatchEvent;
+import pewtercourse.discovery.WatchEventDecoder;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.failover.Site;
@@ -34,7 +36,7 @@
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 import pewtercourse.front.RequestHandler;
-import pewtercourse.gossip.PeerSocket;
+import pewtercourse.gossip.GossipSocket;
 import pewtercourse.handover.OperatorState;
 
 /**
@@ -63,7 +65,7 @@
     private final RouterQueue home;
     private final Map<String, RouterQueue> abroad =
             new HashMap<>(); // By zone: for requests that its caches take as guests.
-    private final PeerSocket peers;
+    private final GossipSocket peers;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
     private final Set<Long> answered = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -73,7 +75,7 @@
             return size() > ANSWERED_MOST;
         }
     });
-    private FeedClient feed;
+    private EndpointWatch endpointWatch;
     private Sites sites; // Null where no site takes another's clients.
     private OverflowRouter overflowRouter;
     private SiteObservations siteObservations;
@@ -99,7 +101,7 @@
                 transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
         this.registry = new ServiceRegistry(site, pool);
         this.home = queue(site.router(), false);
-        this.peers = new PeerSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
+        this.peers = new GossipSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
             peerHeard.run();
             home.tell(new Router.PeerMessage(from, bytes));
         });
@@ -114,23 +116,34 @@
     public void start() {
         for (int i = 0; i < config.known().size(); i++) {
             try {
-                feed(FeedEvent.decode(config.known().getJsonObject(i)));
+                handle(WatchEventDecoder.decode(config.known().getJsonObject(i)));
+            } catch (MalformedEventException e) {
+                logMalformedInitialEvent(i, e.getCause());
             } catch (RuntimeException e) {
-                Log.warn("feed.malformed", "event", "known.events[" + i + "]", "error", e);
+                logMalformedInitialEvent(i, e);
             }
         }
         if (config.feed() != null) {
-            follow(config.feed());
+            watchEndpoints(config.feed());
         }
         if (config.peerListen() != null) {
             peers.listen(config.peerListen()).onFailure(e -> Log.warn("peer.not_listening", "error", e));
         }
     }
 
-    private void follow(InetSocketAddress at) {
-        feed = new FeedClient(
-                new HttpFeedTransport(vertx), timers, at, config.knownNumber(), new Random(config.seed()), this::feed);
-        feed.start();
+    private static void logMalformedInitialEvent(int place, Throwable error) {
+        Log.warn("discovery.malformed", "event", "known.events[" + place + "]", "error", error);
+    }
+
+    private void watchEndpoints(InetSocketAddress feed) {
+        endpointWatch = new EndpointWatch(
+                new HttpWatchTransport(vertx),
+                timers,
+                feed,
+                config.knownNumber(),
+                new Random(config.seed()),
+                this::handle);
+        endpointWatch.start();
     }
 
     /**
@@ -153,10 +166,10 @@
             tell(registry.whole());
         }
         config = to;
-        if (to.feed() != null && feed != null) {
-            feed.move(to.feed());
+        if (to.feed() != null && endpointWatch != null) {
+            endpointWatch.move(to.feed());
         } else if (to.feed() != null) {
-            follow(to.feed());
+            watchEndpoints(to.feed());
         }
         Log.info(
                 "config.reloaded",
@@ -204,7 +217,7 @@
 
     /** What operators told another process of this director. */
     public void follow(OperatorState state) {
-        Router.Listed change = registry.follow(state.out(), state.back(), clock.getAsLong() / 1000);
+        Router.Listed change = registry.follow(state.drained(), state.reinstated(), clock.getAsLong() / 1000);
         if (!change.members().isEmpty()) {
             tell(change);
         }
@@ -248,13 +261,13 @@
         return requests.size();
     }
 
-    private void feed(FeedEvent e) {
-        if (e instanceof FeedEvent.Members m) {
+    private void handle(WatchEvent e) {
+        if (e instanceof WatchEvent.EndpointUpdate m) {
             tell(registry.apply(m));
             noteListed();
-        } else if (e instanceof FeedEvent.Purge p) {
+        } else if (e instanceof WatchEvent.Purge p) {
             requests.values().forEach(x -> x.purged(p));
-            tell(new Router.Purged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.atMs() * 1000)));
+            tell(new Router.Purged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.purgedMs() * 1000)));
         }
     }
 
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -8,7 +8,8 @@
 import pewtercourse.cache.CacheRequest;
 import pewtercourse.cache.End;
 import pewtercourse.decision.Router;
-import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.Endpoint;
+import pewtercourse.discovery.WatchEvent;
 import pewtercourse.failover.OverflowRouter;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
@@ -92,8 +93,8 @@
         sent = s;
         sentAt = now;
         attempts++;
-        FeedEvent.Host to = director.registry.get(s.member());
-        FeedEvent.Host source = s.source() == s.member() ? null : director.registry.get(s.source());
+        Endpoint to = director.registry.get(s.member());
+        Endpoint source = s.source() == s.member() ? null : director.registry.get(s.source());
         long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
         boolean unlisted = to == null || source == null && s.source() != s.member();
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
@@ -148,7 +149,7 @@
     }
 
     /** A purge of this object came: an attempt that still waits for its connection is decided anew. */
-    void purged(FeedEvent.Purge p) {
+    void purged(WatchEvent.Purge p) {
         purged |= p.object() != null ? p.object().equals(request.object()) : p.group() == request.group();
     }
 
@@ -196,7 +197,7 @@
     }
 
     private void seen(Router.Send s, End end) {
-        FeedEvent.Host at = director.registry.get(s.member());
+        Endpoint at = director.registry.get(s.member());
         if (at != null) {
             long now = director.clock.getAsLong();
             Router.RequestClass c = director.site.router().classes()[cls];
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -7,14 +7,15 @@
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.SiteSettings;
 import pewtercourse.decision.Router;
-import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.Endpoint;
+import pewtercourse.discovery.WatchEvent;
 
 /**
  * The caches, parents and the origin as the feed last told, and who of them is out by hand. The only place where the
  * two are joined.
  */
 final class ServiceRegistry {
-    private final Map<Long, FeedEvent.Host> hosts = new HashMap<>();
+    private final Map<Long, Endpoint> hosts = new HashMap<>();
     private SiteSettings site;
     private final CachePool pool;
     private final OperatorDrains out = new OperatorDrains();
@@ -36,15 +37,15 @@
     }
 
     /** Applies a change and returns it in the module's terms. */
-    Router.Listed apply(FeedEvent.Members change) {
-        if (change.whole()) {
+    Router.Listed apply(WatchEvent.EndpointUpdate change) {
+        if (change.complete()) {
             List<Long> missing = new ArrayList<>(hosts.keySet());
-            change.hosts().forEach(h -> missing.remove(h.id()));
+            change.endpoints().forEach(h -> missing.remove(h.id()));
             missing.forEach(this::forget);
         }
         List<Router.Member> members = new ArrayList<>();
-        for (FeedEvent.Host h : change.hosts()) {
-            FeedEvent.Host before = hosts.get(h.id());
+        for (Endpoint h : change.endpoints()) {
+            Endpoint before = hosts.get(h.id());
             if (before != null && before.startedMs() != h.startedMs()) {
                 pool.drop(h.id(), true); // Connections to the process that ran there before.
             }
@@ -56,25 +57,25 @@
             }
             members.add(member(h));
         }
-        return new Router.Listed(change.whole() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES, members);
+        return new Router.Listed(change.complete() ? Router.ListKind.WHOLE : Router.ListKind.CHANGES, members);
     }
 
     // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
-    private Router.Member member(FeedEvent.Host h) {
+    private Router.Member member(Endpoint h) {
         Router.State state = out.isOut(h.name()) && h.state() == Router.State.READY ? Router.State.DRAINING : h.state();
         return site.member(
                 h.id(), h.zone(), h.kind(), h.cell(), state, h.weight(), out.started(h.name(), h.startedMs()) * 1000);
     }
 
     private void forget(long id) {
-        FeedEvent.Host h = hosts.remove(id);
+        Endpoint h = hosts.remove(id);
         if (h != null) {
             out.forget(h.name());
         }
         pool.drop(id, true);
     }
 
-    private FeedEvent.Host named(String name) {
+    private Endpoint named(String name) {
         return hosts.values().stream()
                 .filter(h -> h.name().equals(name))
                 .findFirst()
@@ -86,7 +87,7 @@
     }
 
     String zoneOf(String name) {
-        FeedEvent.Host h = named(name);
+        Endpoint h = named(name);
         return h == null || h.zone() == null ? "" : h.zone();
     }
 
@@ -121,7 +122,7 @@
 
     /** It may serve again: what is told is empty while it isn't listed. */
     Router.Listed putBack(String name, long nowMs) {
-        FeedEvent.Host h = named(name);
+        Endpoint h = named(name);
         return out.exit(name, h == null ? 0 : h.startedMs(), nowMs) ? told(h) : null;
     }
 
@@ -139,7 +140,7 @@
     }
 
     // Connections to the process that ran before it was taken out, or came back, are of no use.
-    private Router.Listed told(FeedEvent.Host h) {
+    private Router.Listed told(Endpoint h) {
         if (h != null) {
             pool.drop(h.id(), false);
         }
@@ -147,7 +148,7 @@
     }
 
     /** Null once it is gone. */
-    FeedEvent.Host get(long id) {
+    Endpoint get(long id) {
         return hosts.get(id);
     }
 
@@ -161,7 +162,7 @@
     }
 
     boolean ready(long id) {
-        FeedEvent.Host h = hosts.get(id);
+        Endpoint h = hosts.get(id);
         return h != null && h.state() == Router.State.READY && !out.isOut(h.name());
     }
 }
--- a/src/main/java/pewtercourse/handover/StateFile.java
+++ b/src/main/java/pewtercourse/handover/StateFile.java
@@ -7,54 +7,61 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Arrays;
+import java.util.Optional;
 import pewtercourse.Log;
 
 /**
- * {@link OperatorState} in a small file that all processes of a director can see. It is written whole beside its place
- * and moved there, so that nobody reads a part. Some hundred bytes in memory: read and written on the event loop.
+ * The {@link OperatorState} in a file that all processes of a director can read. The file is replaced by an atomic move, so
+ * that nobody reads a part of it. For the event loop only; it reads and writes some hundred bytes, in a folder in memory.
  */
 public final class StateFile {
-    private static final String NAME = "pewtercourse-operators.json";
-    private static final int BYTES_MOST = 1 << 20;
+    private static final String FILE_NAME = "pewtercourse-operators.json";
+    private static final int MAX_BYTES = 1 << 20;
 
     private final Path file;
-    private byte[] seen = {};
+    // As last read or written here: a file that still holds this has not changed.
+    private byte[] lastContent = {};
 
+    /** A file in {@code folder}, which need not exist. */
     public StateFile(Path folder) {
-        file = folder.resolve(NAME);
+        file = folder.resolve(FILE_NAME);
     }
 
-    /** The state if it has changed since it was last read or written here and can be used, else null. */
-    public OperatorState changed() {
-        byte[] bytes;
+    /** The state, if the file has changed since it was last read or written here and can be used. */
+    public Optional<OperatorState> readIfChanged() {
+        byte[] content;
         try {
-            bytes = Files.size(file) <= BYTES_MOST ? Files.readAllBytes(file) : new byte[0];
+            content = Files.size(file) <= MAX_BYTES ? Files.readAllBytes(file) : new byte[0];
         } catch (NoSuchFileException e) {
-            return null;
+            return Optional.empty();
         } catch (IOException e) {
             Log.counted("state.unreadable", "file", file, "error", e);
-            return null;
+            return Optional.empty();
         }
-        if (Arrays.equals(bytes, seen)) {
-            return null;
+        if (Arrays.equals(content, lastContent)) {
+            return Optional.empty();
         }
-        seen = bytes;
+        lastContent = content;
+        return decode(content);
+    }
+
+    private Optional<OperatorState> decode(byte[] content) {
         try {
-            return OperatorState.decode(new String(bytes, StandardCharsets.UTF_8));
+            return Optional.of(OperatorState.decode(new String(content, StandardCharsets.UTF_8)));
         } catch (RuntimeException e) {
             Log.warn("state.ignored", "file", file, "error", e.getMessage());
-            return null;
+            return Optional.empty();
         }
     }
 
-    /** False if it could not be written: then no other process learns of it. */
+    /** Replaces the file. False if it can't be written, so that no other process learns of the state; that is logged. */
     public boolean write(OperatorState state) {
-        byte[] bytes = state.encode().getBytes(StandardCharsets.UTF_8);
-        Path part = file.resolveSibling(NAME + "." + state.pid());
+        byte[] content = state.encode().getBytes(StandardCharsets.UTF_8);
+        Path temporary = file.resolveSibling(FILE_NAME + "." + state.processId());
         try {
-            Files.write(part, bytes);
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            seen = bytes;
+            Files.write(temporary, content);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            lastContent = content;
             return true;
         } catch (IOException e) {
             Log.warn("state.not_written", "file", file, "error", e);
--- a/src/test/java/pewtercourse/DiscoveryTest.java
+++ b/src/test/java/pewtercourse/DiscoveryTest.java
@@ -131,7 +131,7 @@
             Watch silent = moved.next();
             Watch next = moved.next(); // The first one stays open, and nothing is written on it.
             next.event(2, change(2, "Terminating"));
-            director.heard("feed.lost");
+            director.heard("discovery.disconnected");
             silent.close();
             watch.close();
             watch = next;
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -111,7 +111,7 @@
                 config.put("feed", HOST + ":2").put("peer_listen", HOST + ":3").encode());
         signal("HUP");
         assertTrue(heard("config.needs_restart").contains("keys=peer_listen"));
-        assertTrue(heard("feed.moved").contains(HOST + ":2"));
+        assertTrue(heard("discovery.moved").contains(HOST + ":2"));
         heard("config.reloaded");
         assertTrue(process.isAlive());
     }
@@ -249,7 +249,7 @@
             assertTrue(ignoring.line("config.kept").contains("key=feed:"));
             Files.writeString(at, next.copy().put("feed", HOST + ":2").encode());
             assertTrue(post(adminPort, "/reload").contains("200"));
-            assertTrue(ignoring.line("feed.moved").contains(HOST + ":2"));
+            assertTrue(ignoring.line("discovery.moved").contains(HOST + ":2"));
             ignoring.heard("config.reloaded");
         }
     }
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -24,7 +24,8 @@
 import pewtercourse.cache.CachePool;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.decision.Router;
-import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.Endpoint;
+import pewtercourse.discovery.WatchEvent;
 
 /** Calls by hand among events of the feed, in any order, against who may be used. */
 class ServiceRegistryModelTest {
@@ -53,8 +54,8 @@
         registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
-    private static FeedEvent.Host host(int i, Router.State state, long started) {
-        return new FeedEvent.Host(
+    private static Endpoint host(int i, Router.State state, long started) {
+        return new Endpoint(
                 i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, state, 1, started);
     }
 
@@ -75,7 +76,7 @@
 
     @Property(tries = 500, seed = "7")
     void whoIsOutIsNeverUsedAndWhoIsBackIsCold(@ForAll("steps") List<Step> steps) {
-        Map<Integer, FeedEvent.Host> listed = new HashMap<>();
+        Map<Integer, Endpoint> listed = new HashMap<>();
         Set<Integer> out = new HashSet<>();
         Map<Integer, Long> back = new HashMap<>();
         long number = 0;
@@ -85,18 +86,18 @@
             switch (s.kind) {
                 case 0, 1, 2 -> {
                     Router.State state = Router.State.values()[s.kind];
-                    FeedEvent.Host h = host(i, state, s.host % 2 == 0 ? now : 0); // Some tell no new start.
+                    Endpoint h = host(i, state, s.host % 2 == 0 ? now : 0); // Some tell no new start.
                     if (state == Router.State.GONE) {
                         listed.remove(i);
                         back.remove(i);
                     } else {
                         listed.put(i, h);
                     }
-                    hear(registry.apply(new FeedEvent.Members(++number, false, List.of(h))));
+                    hear(registry.apply(new WatchEvent.EndpointUpdate(++number, false, List.of(h))));
                 }
                 case 3 -> {
                     back.keySet().retainAll(listed.keySet());
-                    hear(registry.apply(new FeedEvent.Members(++number, true, new ArrayList<>(listed.values()))));
+                    hear(registry.apply(new WatchEvent.EndpointUpdate(++number, true, new ArrayList<>(listed.values()))));
                 }
                 case 4 -> {
                     assertEquals(listed.containsKey(i) || out.contains(i), registry.knows("s-" + i));
@@ -117,7 +118,7 @@
                 }
             }
             for (int k = 0; k < 4; k++) {
-                FeedEvent.Host h = listed.get(k);
+                Endpoint h = listed.get(k);
                 boolean usable = h != null && h.state() == Router.State.READY && !out.contains(k);
                 assertEquals(usable, used(k), "told to the module: " + k);
                 assertEquals(usable, registry.ready(k), "for what waits for a connection: " + k);
@@ -140,13 +141,13 @@
 
     @Example
     void twoCallsOutAndOneBackAndAStartThatTheFeedTells() {
-        hear(registry.apply(new FeedEvent.Members(1, true, List.of(host(1, Router.State.READY, 0)))));
+        hear(registry.apply(new WatchEvent.EndpointUpdate(1, true, List.of(host(1, Router.State.READY, 0)))));
         hear(registry.takeOut("s-1", now));
         hear(registry.takeOut("s-1", now + 5));
         assertFalse(used(1));
-        hear(registry.apply(new FeedEvent.Members(2, false, List.of(host(1, Router.State.GONE, 0)))));
+        hear(registry.apply(new WatchEvent.EndpointUpdate(2, false, List.of(host(1, Router.State.GONE, 0)))));
         assertTrue(registry.knows("s-1"), "out, though it is not listed now");
-        hear(registry.apply(new FeedEvent.Members(3, false, List.of(host(1, Router.State.READY, now + 2_000)))));
+        hear(registry.apply(new WatchEvent.EndpointUpdate(3, false, List.of(host(1, Router.State.READY, now + 2_000)))));
         assertFalse(used(1), "listed anew, and still out");
         hear(registry.putBack("s-1", now + 9_000));
         assertTrue(used(1));
--- /dev/null
+++ b/src/test/java/pewtercourse/discovery/WatchedFeed.java
@@ -0,0 +1,190 @@
+package pewtercourse.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.vertx.core.buffer.Buffer;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import java.util.stream.LongStream;
+import pewtercourse.Timers;
+
+/** A watch with the feed, the connections and the timers around it, all driven by a test. */
+final class WatchedFeed {
+    private static final int MAX_CONNECTIONS = 2;
+
+    /** What the feed sends on a connection. */
+    enum Sending {
+        COMPLETE,
+        DUPLICATE,
+        PARTIAL,
+        MALFORMED,
+        GAP,
+        COMMENT,
+        DISCONNECT
+    }
+
+    /** A connection of the watch to the feed, as the feed sees it. */
+    static final class FeedConnection {
+        final InetSocketAddress address;
+        final WatchTransport.Listener listener;
+        long lastSent;
+        boolean connected;
+        boolean closed;
+
+        FeedConnection(InetSocketAddress address, long lastEvent, WatchTransport.Listener listener) {
+            this.address = address;
+            this.lastSent = lastEvent;
+            this.listener = listener;
+        }
+    }
+
+    /** Timers that fire when the test says so. */
+    private final class ManualTimers implements Timers {
+        private long lastTimer;
+
+        @Override
+        public long set(long delayMs, Runnable then) {
+            timers.put(++lastTimer, then);
+            delays.add(delayMs);
+            return lastTimer;
+        }
+
+        @Override
+        public void cancel(long timer) {
+            timers.remove(timer);
+        }
+    }
+
+    final List<FeedConnection> connections = new ArrayList<>();
+    /** The numbers of the events that the watch has handled. */
+    final List<Long> handled = new ArrayList<>();
+
+    private final Map<Long, Runnable> timers = new TreeMap<>();
+    private final List<Long> delays = new ArrayList<>();
+    private final EndpointWatch watch;
+    private int port = 1;
+
+    WatchedFeed() {
+        this(7);
+    }
+
+    WatchedFeed(long seed) {
+        watch = new EndpointWatch(
+                this::open,
+                new ManualTimers(),
+                address(port),
+                0,
+                new Random(seed),
+                event -> handled.add(event.number()));
+        watch.start();
+    }
+
+    private static InetSocketAddress address(int port) {
+        return new InetSocketAddress("127.0.0.1", port);
+    }
+
+    private WatchTransport.Connection open(
+            InetSocketAddress address, long lastEvent, WatchTransport.Listener listener) {
+        FeedConnection connection = new FeedConnection(address, lastEvent, listener);
+        connections.add(connection);
+        return () -> connection.closed = true;
+    }
+
+    FeedConnection lastConnection() {
+        return connections.get(connections.size() - 1);
+    }
+
+    int openConnections() {
+        return (int) connections.stream().filter(connection -> !connection.closed).count();
+    }
+
+    void move() {
+        port++;
+        watch.move(address(port));
+    }
+
+    /** Sends on an open connection, {@code index} modulo their number; does nothing if none is open. */
+    void send(int index, Sending sending) {
+        List<FeedConnection> open =
+                connections.stream().filter(connection -> !connection.closed).toList();
+        if (open.isEmpty()) {
+            return;
+        }
+        FeedConnection connection = open.get(index % open.size());
+        if (!connection.connected) {
+            connection.connected = true;
+            connection.listener.connected();
+        }
+        send(connection, sending);
+    }
+
+    private static void send(FeedConnection connection, Sending sending) {
+        long next = connection.lastSent + 1;
+        switch (sending) {
+            case COMPLETE -> {
+                receive(connection, event(next, next));
+                connection.lastSent = next;
+            }
+            case DUPLICATE -> {
+                long sentBefore = Math.max(1, connection.lastSent);
+                receive(connection, event(sentBefore, sentBefore));
+            }
+            case PARTIAL -> {
+                String complete = event(next, next);
+                receive(connection, complete.substring(0, complete.length() - 1));
+                disconnect(connection);
+            }
+            case MALFORMED -> receive(connection, "data: {\"n\":" + next + ",\"purge\":\n\n");
+            case GAP -> receive(connection, event(next, next + 1));
+            case COMMENT -> receive(connection, ": here\n\n");
+            case DISCONNECT -> disconnect(connection);
+        }
+    }
+
+    private static String event(long id, long number) {
+        return "id: " + id + "\ndata: {\"n\":" + number + "}\n\n";
+    }
+
+    private static void receive(FeedConnection connection, String text) {
+        connection.listener.received(Buffer.buffer(text));
+    }
+
+    private static void disconnect(FeedConnection connection) {
+        connection.listener.disconnected("closed");
+        connection.closed = true;
+    }
+
+    /** Disconnects the only connection; returns the delay, in milliseconds, until the watch reconnects. */
+    long delayAfterDisconnect() {
+        delays.clear();
+        send(0, Sending.DISCONNECT);
+        return delays.get(delays.size() - 1);
+    }
+
+    /** Fires a timer that is set, {@code index} modulo their number, in the order of setting. */
+    void fireTimer(int index) {
+        if (!timers.isEmpty()) {
+            Long timer = new ArrayList<>(timers.keySet()).get(index % timers.size());
+            timers.remove(timer).run();
+        }
+    }
+
+    void fireLastTimer() {
+        fireTimer(timers.size() - 1);
+    }
+
+    void checkInvariants() {
+        assertEquals(
+                LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "not once and in order");
+        assertTrue(openConnections() <= MAX_CONNECTIONS, "more connections than the old one and the new");
+        assertTrue(timers.size() <= MAX_CONNECTIONS, "a timer that nothing needs");
+        assertFalse(timers.isEmpty(), "neither silence nor a delay before reconnecting ends");
+        assertEquals(port, lastConnection().address.getPort(), "the last connection went elsewhere");
+    }
+}
--- a/src/test/java/pewtercourse/handover/StateFileCompatibilityTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileCompatibilityTest.java
@@ -5,6 +5,7 @@
 
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.Fixtures;
@@ -24,7 +25,7 @@
 
     @Test
     void isReadWithItsContent() throws Exception {
-        assertEquals(STATE, new StateFile(Fixtures.copy(FOLDER, folder)).changed());
+        assertEquals(Optional.of(STATE), new StateFile(Fixtures.copy(FOLDER, folder)).readIfChanged());
     }
 
     @Test
--- a/src/test/java/pewtercourse/handover/StateFileTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileTest.java
@@ -1,35 +1,38 @@
 package pewtercourse.handover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 class StateFileTest {
-    @TempDir
-    Path folder;
-
     private static final OperatorState STATE =
             new OperatorState(7, true, Map.of("s-1", 5L, "s-2", 6L), Map.of("s-3", 9L));
 
+    @TempDir
+    Path folder;
+
     @Test
     void whatOneProcessWritesAnotherReadsOnce() {
-        StateFile one = new StateFile(folder), other = new StateFile(folder);
-        assertNull(other.changed(), "there is none");
-        assertTrue(one.write(STATE));
-        assertNull(one.changed(), "its own words are no news");
-        assertEquals(STATE, other.changed());
-        assertNull(other.changed());
+        StateFile first = new StateFile(folder);
+        StateFile second = new StateFile(folder);
+        assertEquals(Optional.empty(), second.readIfChanged(), "there is no file");
+
+        assertTrue(first.write(STATE));
+        assertEquals(Optional.empty(), first.readIfChanged(), "its own content is no change");
+        assertEquals(Optional.of(STATE), second.readIfChanged());
+        assertEquals(Optional.empty(), second.readIfChanged());
+
         OperatorState later = new OperatorState(8, false, Map.of(), Map.of());
-        assertTrue(other.write(later));
-        assertEquals(later, one.changed());
+        assertTrue(second.write(later));
+        assertEquals(Optional.of(later), first.readIfChanged());
     }
 
     @ParameterizedTest
@@ -45,11 +48,13 @@
                 "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":\"now\"},\"back\":{}}",
                 "{\"version\":1,\"pid\":1,\"standby\":false,\"out\":{\"s-1\":5},\"ba"
             })
-    void whatCanNotBeUsedIsIgnoredAndWrittenOver(String text) throws Exception {
-        Files.writeString(folder.resolve("pewtercourse-operators.json"), text);
+    void unusableContentIsIgnoredAndReplaced(String content) throws Exception {
+        Files.writeString(folder.resolve("pewtercourse-operators.json"), content);
         StateFile file = new StateFile(folder);
-        assertNull(file.changed());
+
+        assertEquals(Optional.empty(), file.readIfChanged());
+
         assertTrue(file.write(STATE));
-        assertEquals(STATE, new StateFile(folder).changed());
+        assertEquals(Optional.of(STATE), new StateFile(folder).readIfChanged());
     }
 }
