--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -12,7 +12,8 @@
 import pewtercourse.decision.RequestArrived;
 import pewtercourse.decision.RequestClass;
 import pewtercourse.decision.SendAttempt;
-import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.WatchEvent;
+import pewtercourse.discovery.WatchedEndpoint;
 import pewtercourse.failover.OverflowDecision;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
@@ -96,8 +97,8 @@
         sent = s;
         sentAt = now;
         attempts++;
-        FeedEvent.Host to = director.registry.get(s.endpointId());
-        FeedEvent.Host source = s.fillSourceId() == s.endpointId() ? null : director.registry.get(s.fillSourceId());
+        WatchedEndpoint to = director.registry.get(s.endpointId());
+        WatchedEndpoint source = s.fillSourceId() == s.endpointId() ? null : director.registry.get(s.fillSourceId());
         long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
         boolean unlisted = to == null || source == null && s.fillSourceId() != s.endpointId();
         // Never two out at once, never to or from a cache that has gone, never after the client's time.
@@ -152,7 +153,7 @@
     }
 
     /** A purge of this object came: an attempt that still waits for its connection is decided anew. */
-    void purged(FeedEvent.Purge p) {
+    void purged(WatchEvent.Purge p) {
         purged |= p.object() != null ? p.object().equals(request.object()) : p.group() == request.group();
     }
 
@@ -200,7 +201,7 @@
     }
 
     private void seen(SendAttempt s, End end) {
-        FeedEvent.Host at = director.registry.get(s.endpointId());
+        WatchedEndpoint at = director.registry.get(s.endpointId());
         if (at != null) {
             long now = director.clock.getAsLong();
             RequestClass c = director.site.router().classes().get(cls);
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -10,14 +10,15 @@
 import pewtercourse.decision.EndpointLifecycle;
 import pewtercourse.decision.EndpointUpdateKind;
 import pewtercourse.decision.EndpointsChanged;
-import pewtercourse.discovery.FeedEvent;
+import pewtercourse.discovery.WatchEvent;
+import pewtercourse.discovery.WatchedEndpoint;
 
 /**
  * The caches, parents and the origin as the feed last told, and who of them is out by hand. The only place where the
  * two are joined.
  */
 final class ServiceRegistry {
-    private final Map<Long, FeedEvent.Host> hosts = new HashMap<>();
+    private final Map<Long, WatchedEndpoint> hosts = new HashMap<>();
     private SiteSettings site;
     private final CachePool pool;
     private final OperatorDrains out = new OperatorDrains();
@@ -40,15 +41,15 @@
     }
 
     /** Applies a change and returns it in the module's terms. */
-    EndpointsChanged apply(FeedEvent.Members change) {
-        if (change.whole()) {
+    EndpointsChanged apply(WatchEvent.EndpointUpdate change) {
+        if (change.complete()) {
             List<Long> missing = new ArrayList<>(hosts.keySet());
-            change.hosts().forEach(h -> missing.remove(h.id()));
+            change.endpoints().forEach(h -> missing.remove(h.id()));
             missing.forEach(this::forget);
         }
         List<Endpoint> members = new ArrayList<>();
-        for (FeedEvent.Host h : change.hosts()) {
-            FeedEvent.Host before = hosts.get(h.id());
+        for (WatchedEndpoint h : change.endpoints()) {
+            WatchedEndpoint before = hosts.get(h.id());
             if (before != null && before.startedMs() != h.startedMs()) {
                 pool.drop(h.id(), true); // Connections to the process that ran there before.
             }
@@ -60,11 +61,11 @@
             }
             members.add(member(h));
         }
-        return new EndpointsChanged(change.whole() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
+        return new EndpointsChanged(change.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
     }
 
     // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
-    private Endpoint member(FeedEvent.Host h) {
+    private Endpoint member(WatchedEndpoint h) {
         EndpointLifecycle state =
                 out.isOut(h.name()) && h.state() == EndpointLifecycle.READY ? EndpointLifecycle.DRAINING : h.state();
         return site.member(
@@ -72,14 +73,14 @@
     }
 
     private void forget(long id) {
-        FeedEvent.Host h = hosts.remove(id);
+        WatchedEndpoint h = hosts.remove(id);
         if (h != null) {
             out.forget(h.name());
         }
         pool.drop(id, true);
     }
 
-    private FeedEvent.Host named(String name) {
+    private WatchedEndpoint named(String name) {
         return hosts.values().stream()
                 .filter(h -> h.name().equals(name))
                 .findFirst()
@@ -91,7 +92,7 @@
     }
 
     String zoneOf(String name) {
-        FeedEvent.Host h = named(name);
+        WatchedEndpoint h = named(name);
         return h == null || h.zone() == null ? "" : h.zone();
     }
 
@@ -126,7 +127,7 @@
 
     /** It may serve again: what is told is empty while it isn't listed. */
     EndpointsChanged putBack(String name, long nowMs) {
-        FeedEvent.Host h = named(name);
+        WatchedEndpoint h = named(name);
         return out.exit(name, h == null ? 0 : h.startedMs(), nowMs) ? told(h) : null;
     }
 
@@ -144,7 +145,7 @@
     }
 
     // Connections to the process that ran before it was taken out, or came back, are of no use.
-    private EndpointsChanged told(FeedEvent.Host h) {
+    private EndpointsChanged told(WatchedEndpoint h) {
         if (h != null) {
             pool.drop(h.id(), false);
         }
@@ -152,7 +153,7 @@
     }
 
     /** Null once it is gone. */
-    FeedEvent.Host get(long id) {
+    WatchedEndpoint get(long id) {
         return hosts.get(id);
     }
 
@@ -166,7 +167,7 @@
     }
 
     boolean ready(long id) {
-        FeedEvent.Host h = hosts.get(id);
+        WatchedEndpoint h = hosts.get(id);
         return h != null && h.state() == EndpointLifecycle.READY && !out.isOut(h.name());
     }
 }
--- a/src/test/java/pewtercourse/failover/FailoverTraceTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverTraceTest.java
@@ -30,20 +30,20 @@
     private static final int CONTROL_STREAMS = 10;
     private static final int UNIT_STREAMS = 3;
 
-    private static final Map<String, String> digests = new TreeMap<>();
-    private static final Map<String, Integer> outcomes = new TreeMap<>();
+    private static final Map<String, String> DIGESTS = new TreeMap<>();
+    private static final Map<String, Integer> OUTCOMES = new TreeMap<>();
 
     @BeforeAll
     static void playAllStreams() {
         for (int seed = 1; seed <= CONTROL_STREAMS; seed++) {
-            digests.put("control." + seed, new FailoverTrace(seed, outcomes).digest());
+            DIGESTS.put("control." + seed, new FailoverTrace(seed, OUTCOMES).digest());
         }
         for (int seed = 1; seed <= UNIT_STREAMS; seed++) {
-            digests.put("planner." + seed, plannerDigest(seed));
-            digests.put("priorities." + seed, prioritiesDigest(seed));
-            digests.put("shedder." + seed, shedderDigest(seed));
-            digests.put("observations." + seed, observationsDigest(seed));
-            digests.put("state." + seed, stateDigest(seed));
+            DIGESTS.put("planner." + seed, plannerDigest(seed));
+            DIGESTS.put("priorities." + seed, prioritiesDigest(seed));
+            DIGESTS.put("shedder." + seed, shedderDigest(seed));
+            DIGESTS.put("observations." + seed, observationsDigest(seed));
+            DIGESTS.put("state." + seed, stateDigest(seed));
         }
     }
 
@@ -57,10 +57,10 @@
         Map<String, String> expected = new TreeMap<>();
         recorded.forEach((name, digest) -> expected.put((String) name, (String) digest));
 
-        StringBuilder actual = new StringBuilder("actual digests:\n");
-        digests.forEach(
+        StringBuilder actual = new StringBuilder("actual DIGESTS:\n");
+        DIGESTS.forEach(
                 (name, digest) -> actual.append(name).append('=').append(digest).append('\n'));
-        assertEquals(expected, digests, actual::toString);
+        assertEquals(expected, DIGESTS, actual::toString);
     }
 
     @Test
@@ -124,13 +124,13 @@
 
         List<Executable> checks = Stream.of(phases, healths, orders, plans, choices)
                 .flatMap(kinds -> kinds)
-                .map(kind -> (Executable) () -> assertTrue(outcomes.containsKey(kind), kind + " not in " + outcomes))
+                .map(kind -> (Executable) () -> assertTrue(OUTCOMES.containsKey(kind), kind + " not in " + OUTCOMES))
                 .toList();
         assertAll(checks);
     }
 
     private static void count(String outcome) {
-        outcomes.merge(outcome, 1, Integer::sum);
+        OUTCOMES.merge(outcome, 1, Integer::sum);
     }
 
     /** Plans for drifting loads, with and without the solver, for few and for many sites. */
@@ -148,7 +148,7 @@
                 FailoverPlanRequest request = new FailoverPlanRequest(loads, lost, some(sites, random, 8), plan);
                 FailoverPlan next = planner.plan(sites, request);
                 FailoverTrace.addPlan(next, digest);
-                FailoverTrace.countPlan(next, outcomes);
+                FailoverTrace.countPlan(next, OUTCOMES);
                 if (round > 0) {
                     count(next.equals(plan) ? "plan kept" : "plan replaced");
                 }
