--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -104,7 +104,9 @@
         }
         boolean runs = inherited != null
                 && before.processId() != ProcessHandle.current().pid()
-                && ProcessHandle.of(before.processId()).map(ProcessHandle::isAlive).orElse(false);
+                && ProcessHandle.of(before.processId())
+                        .map(ProcessHandle::isAlive)
+                        .orElse(false);
         Log.info(
                 "state.taken_over",
                 "from",
--- a/src/main/java/pewtercourse/config/ClusterConfigReader.java
+++ b/src/main/java/pewtercourse/config/ClusterConfigReader.java
@@ -114,8 +114,7 @@
             throw file.invalid("election_ms", "begins below three times heartbeat_ms");
         }
         if (timeout.maxMillis() <= timeout.minMillis() || timeout.maxMillis() > MAX_ELECTION_MILLIS) {
-            throw file.invalid(
-                    "election_ms", "does not end above its beginning, or ends over " + MAX_ELECTION_MILLIS);
+            throw file.invalid("election_ms", "does not end above its beginning, or ends over " + MAX_ELECTION_MILLIS);
         }
         return timeout;
     }
--- a/src/main/java/pewtercourse/config/LeaseSettingsReader.java
+++ b/src/main/java/pewtercourse/config/LeaseSettingsReader.java
@@ -46,12 +46,7 @@
             }
         }
         return new LeaseSettings(
-                leaseMicros,
-                drift,
-                retryMicros,
-                new TreeSet<>(leases.fieldNames()),
-                maintenanceBudget,
-                quotaPolicy);
+                leaseMicros, drift, retryMicros, new TreeSet<>(leases.fieldNames()), maintenanceBudget, quotaPolicy);
     }
 
     private static JsonObject leases(JsonSection file) {
@@ -67,9 +62,7 @@
 
     private static String unknownLease(String name) {
         return JsonFields.unusable(
-                name,
-                RENAMED_LEASES,
-                "is no duty: there are " + LeaseNames.MAINTENANCE + " and " + LeaseNames.QUOTA);
+                name, RENAMED_LEASES, "is no duty: there are " + LeaseNames.MAINTENANCE + " and " + LeaseNames.QUOTA);
     }
 
     private static LeaseSettings.MaintenanceBudget maintenanceBudget(JsonSection lease) {
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -209,7 +209,8 @@
                     ? request.sizeKb() / director.site.router().bandwidth().clientKbPerSecond() * 1e6
                     : 0;
             director.sightsOrNull()
-                    .recordAttempt(now, at.zone(), end, now - sentAt > c.latencyObjective() + c.transferAllowance() * work);
+                    .recordAttempt(
+                            now, at.zone(), end, now - sentAt > c.latencyObjective() + c.transferAllowance() * work);
         }
     }
 
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -61,7 +61,8 @@
             }
             members.add(member(h));
         }
-        return new EndpointsChanged(change.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
+        return new EndpointsChanged(
+                change.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
     }
 
     // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -48,8 +48,12 @@
 
     static final long MS = 1_000, SECOND = 1_000_000;
     static final int CACHES = 12;
-    private static final RaftSettings RAFT =
-            new RaftSettings(50 * MS, 150 * MS, 300 * MS, new RaftSettings.Replication(4_096, 16, 4, 256), new RaftSettings.Snapshots(64, 1 << 20, 8));
+    private static final RaftSettings RAFT = new RaftSettings(
+            50 * MS,
+            150 * MS,
+            300 * MS,
+            new RaftSettings.Replication(4_096, 16, 4, 256),
+            new RaftSettings.Snapshots(64, 1 << 20, 8));
 
     private record Event(long at, long order, int node, int life, Runnable run) {}
 
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -293,7 +293,14 @@
             OverflowDecision c = overflowRouter.choose(
                     now,
                     new OverflowRequest(
-                            q.object, WORTH[q.cls], q.work, CLASSES[q.cls].latencyObjective(), q.expires, q.work, must, false));
+                            q.object,
+                            WORTH[q.cls],
+                            q.work,
+                            CLASSES[q.cls].latencyObjective(),
+                            q.expires,
+                            q.work,
+                            must,
+                            false));
             if (c.rejected()) {
                 shed++;
                 end(q.id, false);
--- a/src/main/java/pewtercourse/gossip/GossipSocket.java
+++ b/src/main/java/pewtercourse/gossip/GossipSocket.java
@@ -66,7 +66,8 @@
     }
 
     private void receive(DatagramPacket packet) {
-        Integer peer = peerNumbers.get(key(packet.sender().host(), packet.sender().port()));
+        Integer peer =
+                peerNumbers.get(key(packet.sender().host(), packet.sender().port()));
         if (peer == null) {
             Log.counted("peer.stranger", "from", packet.sender());
         } else if (packet.data().length() <= MAX_MESSAGE_BYTES) {
@@ -81,6 +82,7 @@
             return;
         }
         InetSocketAddress address = peers.get(peer);
-        socket.send(Buffer.buffer(message), address.getPort(), address.getAddress().getHostAddress());
+        socket.send(
+                Buffer.buffer(message), address.getPort(), address.getAddress().getHostAddress());
     }
 }
--- a/src/main/java/pewtercourse/handover/InheritedSocket.java
+++ b/src/main/java/pewtercourse/handover/InheritedSocket.java
@@ -41,8 +41,7 @@
             return Optional.empty();
         }
         if (!descriptor.equals(INHERITED_DESCRIPTOR)) {
-            throw new ConfigException(
-                    DESCRIPTOR_VARIABLE, "'" + descriptor + "': only descriptor 0 can be inherited");
+            throw new ConfigException(DESCRIPTOR_VARIABLE, "'" + descriptor + "': only descriptor 0 can be inherited");
         }
         return Optional.of(new InheritedSocket(inheritedChannel(), maxConnections));
     }
--- a/src/main/java/pewtercourse/handover/OperatorState.java
+++ b/src/main/java/pewtercourse/handover/OperatorState.java
@@ -13,8 +13,7 @@
  * @param drained      endpoints that are drained, by name, and since when
  * @param reinstated   endpoints that were drained and may serve again, by name, and when they started last
  */
-public record OperatorState(
-        long processId, boolean standby, Map<String, Long> drained, Map<String, Long> reinstated) {
+public record OperatorState(long processId, boolean standby, Map<String, Long> drained, Map<String, Long> reinstated) {
     private static final int VERSION = 1;
     private static final int MAX_NAMES = 2_048;
     private static final int MAX_NAME_CHARACTERS = 256;
@@ -50,8 +49,7 @@
                 || !(json.getValue(STANDBY_KEY) instanceof Boolean standby)) {
             throw new IllegalArgumentException("pid or standby is missing");
         }
-        return new OperatorState(
-                processId.longValue(), standby, times(json, DRAINED_KEY), times(json, REINSTATED_KEY));
+        return new OperatorState(processId.longValue(), standby, times(json, DRAINED_KEY), times(json, REINSTATED_KEY));
     }
 
     private static Map<String, Long> times(JsonObject json, String key) {
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -148,8 +148,7 @@
     @Test
     void aMaintenanceBudgetHasOneLimit() throws IOException {
         assertRejected(
-                "duties.maintenance.most",
-                json -> json.getJsonObject("duties").put("maintenance", new JsonObject()));
+                "duties.maintenance.most", json -> json.getJsonObject("duties").put("maintenance", new JsonObject()));
         assertRejected("duties.maintenance.most", json -> maintenance(json).put("most", 1));
         assertRejected("duties.maintenance.beyond", json -> maintenance(json).put("beyond", "x"));
     }
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -42,12 +42,7 @@
         assertEquals(0.5, sites.guestMissRatio());
         assertEquals(
                 new FailoverTiming(
-                        1_500_000,
-                        3_000_000,
-                        120_000_000,
-                        2_000_000,
-                        List.of(0.15, 0.3, 0.5, 0.75, 1.0),
-                        3_000_000),
+                        1_500_000, 3_000_000, 120_000_000, 2_000_000, List.of(0.15, 0.3, 0.5, 0.75, 1.0), 3_000_000),
                 sites.timing());
         Site first = sites.byName().get("a");
         assertEquals("", first.hub());
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -100,7 +100,8 @@
                 }
                 case 3 -> {
                     back.keySet().retainAll(listed.keySet());
-                    hear(registry.apply(new WatchEvent.EndpointUpdate(++number, true, new ArrayList<>(listed.values()))));
+                    hear(registry.apply(
+                            new WatchEvent.EndpointUpdate(++number, true, new ArrayList<>(listed.values()))));
                 }
                 case 4 -> {
                     assertEquals(listed.containsKey(i) || out.contains(i), registry.knows("s-" + i));
@@ -151,7 +152,8 @@
         assertFalse(used(1));
         hear(registry.apply(new WatchEvent.EndpointUpdate(2, false, List.of(host(1, EndpointLifecycle.GONE, 0)))));
         assertTrue(registry.knows("s-1"), "out, though it is not listed now");
-        hear(registry.apply(new WatchEvent.EndpointUpdate(3, false, List.of(host(1, EndpointLifecycle.READY, now + 2_000)))));
+        hear(registry.apply(
+                new WatchEvent.EndpointUpdate(3, false, List.of(host(1, EndpointLifecycle.READY, now + 2_000)))));
         assertFalse(used(1), "listed anew, and still out");
         hear(registry.putBack("s-1", now + 9_000));
         assertTrue(used(1));
--- a/src/test/java/pewtercourse/discovery/WatchedFeed.java
+++ b/src/test/java/pewtercourse/discovery/WatchedFeed.java
@@ -101,7 +101,8 @@
     }
 
     int openConnections() {
-        return (int) connections.stream().filter(connection -> !connection.closed).count();
+        return (int)
+                connections.stream().filter(connection -> !connection.closed).count();
     }
 
     void move() {
@@ -180,8 +181,7 @@
     }
 
     void checkInvariants() {
-        assertEquals(
-                LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "not once and in order");
+        assertEquals(LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "not once and in order");
         assertTrue(openConnections() <= MAX_CONNECTIONS, "more connections than the old one and the new");
         assertTrue(timers.size() <= MAX_CONNECTIONS, "a timer that nothing needs");
         assertFalse(timers.isEmpty(), "neither silence nor a delay before reconnecting ends");
