--- a/src/test/java/pewtercourse/lease/LeaseNamesTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseNamesTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** LeaseManager keep their first names between members and on disk: members of two versions have to understand one another. */
+/** Leases keep their first names between members and on disk: members of two versions have to understand one another. */
 class LeaseNamesTest {
     @ParameterizedTest
     @CsvSource({"maintenance, warden", "quota, divider", "sites, sites"})
-    void aCommandNamesADutyAsTheFirstVersionDid(String duty, String onTheWire) throws Exception {
-        Command.Envelope command = new Command.Envelope("d1", 7, new Command.AssignLease(duty, "d2", 3, 0));
+    void aCommandNamesALeaseAsTheFirstVersionDid(String lease, String onTheWire) throws Exception {
+        Command.Envelope command = new Command.Envelope("d1", 7, new Command.AssignLease(lease, "d2", 3, 0));
         byte[] encoded = CommandCodec.encode(command);
         assertEquals(
                 onTheWire, LeaseWire.Command.parseFrom(encoded).getAssignLease().getLease());
