--- a/src/main/java/pewtercourse/cluster/Cluster.java
+++ b/src/main/java/pewtercourse/cluster/Cluster.java
@@ -22,7 +22,7 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.ConfigException;
 import pewtercourse.config.DirectorConfig;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.FailoverPlanner;
 import pewtercourse.failover.FailoverState;
 import pewtercourse.failover.SiteObservation;
@@ -42,8 +42,8 @@
 import pewtercourse.raft.Ready;
 import pewtercourse.raft.Saved;
 import pewtercourse.raft.Snapshot;
-import pewtercourse.raft.net.MemberNet;
-import pewtercourse.raft.store.Store;
+import pewtercourse.raft.net.MemberTransport;
+import pewtercourse.raft.store.LogStore;
 import pewtercourse.raft.store.StoreException;
 import pewtercourse.raft.wire.Wire;
 
@@ -74,7 +74,7 @@
     private LeaseManager duties;
     private ExecutorService thread;
     private Disk disk;
-    private MemberNet net;
+    private MemberTransport net;
     private Raft raft; // Null while the folder is not open.
     private long timer = -1,
             reopenMs = REOPEN_FIRST_MS,
@@ -131,11 +131,11 @@
         thread = Disk.thread();
         ExecutorService mine = thread;
         mine.execute(() -> {
-            Store store = null;
+            LogStore store = null;
             try {
-                store = Store.open(config.data(), config.cluster(), config.name(), SEGMENT);
+                store = LogStore.open(config.data(), config.cluster(), config.name(), SEGMENT);
                 Saved saved = store.recover();
-                Store opened = store;
+                LogStore opened = store;
                 loop.runOnContext(v -> opened(opened, saved).onComplete(up));
             } catch (IOException | RuntimeException e) {
                 if (store != null) {
@@ -152,7 +152,7 @@
         return up.future();
     }
 
-    private Future<Void> opened(Store store, Saved saved) {
+    private Future<Void> opened(LogStore store, Saved saved) {
         if (closed) {
             thread.execute(() -> {
                 try {
@@ -187,7 +187,7 @@
                 Long.toHexString(saved.incarnation()),
                 "members",
                 raft.members().all().keySet());
-        net = new MemberNet(
+        net = new MemberTransport(
                 vertx, config.cluster(), config.name(), saved.incarnation(), random, this::address, this::receive);
         pump();
         return net.listen(SocketAddress.inetSocketAddress(config.listen())).mapEmpty();
@@ -455,13 +455,13 @@
 
     // Off the event loop: a plan for many sites takes some milliseconds.
     private void plan() {
-        FailoverController.Question q =
+        FailoverPlanRequest q =
                 sites == null ? null : duties.planInput(now()).orElse(null);
         if (q == null) {
             return;
         }
         Sites of = sites;
-        vertx.executeBlocking(() -> new FailoverPlanner().plan(of, q.loads(), q.lost(), q.unfit(), q.before()))
+        vertx.executeBlocking(() -> new FailoverPlanner().plan(of, q))
                 .onComplete(p -> {
                     if (p.failed()) {
                         Log.warn("site.not_planned", "error", p.cause());
@@ -617,7 +617,7 @@
     }
 
     public boolean knowsSite(String name) {
-        return sites != null && sites.sites().containsKey(name);
+        return sites != null && sites.byName().containsKey(name);
     }
 
     /** For operators, see {@link ClusterReport#sites}. Null where sites are not kept. */
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -19,7 +19,7 @@
 import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseRecord;
 import pewtercourse.raft.Raft;
-import pewtercourse.raft.net.MemberNet;
+import pewtercourse.raft.net.MemberTransport;
 
 /**
  * What operators read of a member and of what is agreed, put together at the time of the call. Changes nothing.
@@ -27,7 +27,7 @@
  * @param raft   null while the member's folder is not open
  * @param duties null until the folder was first opened, as {@code net}
  */
-record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberNet net) {
+record ClusterReport(ClusterConfig config, Raft raft, LeaseManager duties, MemberTransport net) {
     private ClusterState agreed() {
         return duties == null ? new ClusterState() : duties.state();
     }
@@ -39,7 +39,7 @@
         FailoverState failover = agreed().failover();
         Map<String, Double> loads = duties == null ? Map.of() : duties.siteLoads();
         JsonArray all = new JsonArray();
-        sites.sites().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
+        sites.byName().forEach((name, site) -> all.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
                 .put("controller", agreed().lease(LeaseNames.SITES).holder())
@@ -50,15 +50,16 @@
 
     private static JsonObject site(FailoverState failover, String name, Site site, double load) {
         SiteStatus status = failover.status(name);
-        Set<String> lost = new TreeSet<>(failover.away());
+        Set<String> lost = new TreeSet<>(failover.divertedSites());
         lost.add(name);
-        FailoverPlan.Shares shares = failover.plan().when(lost).getOrDefault(name, FailoverPlan.Shares.NOTHING);
+        FailoverPlan.Distribution shares =
+                failover.plan().distributions(lost).getOrDefault(name, FailoverPlan.Distribution.EMPTY);
         JsonArray takers = new JsonArray();
-        shares.parts()
+        shares.allocations()
                 .forEach(part -> takers.add(new JsonObject()
                         .put("site", part.site())
-                        .put("work", part.work())
-                        .put("most", part.most())));
+                        .put("work", part.load())
+                        .put("most", part.max())));
         return new JsonObject()
                 .put("site", name)
                 .put("phase", lowerCase(status.phase()))
@@ -69,9 +70,9 @@
                 .put("drill", status.drill())
                 .put("load", load)
                 .put("capacity", site.capacity())
-                .put("spare", site.spare(load))
+                .put("spare", site.spareCapacity(load))
                 .put("takers", takers)
-                .put("refused", shares.refused());
+                .put("refused", shares.rejected());
     }
 
     private static String lowerCase(Enum<?> value) {
@@ -86,7 +87,7 @@
         if (raft != null) {
             addRaftFigures(figures, now, applied);
             figures.put("cluster.calls_waiting", (long) callsWaiting);
-            figures.put("cluster.dropped_frames", net.dropped());
+            figures.put("cluster.dropped_frames", net.droppedFrames());
             addDutyFigures(figures, now);
         }
         return figures;
@@ -145,7 +146,7 @@
                 .put("tickets", tickets())
                 .put("part", duties.quotaThousandths(now))
                 .put("lent", agreed.grantedQuotaThousandths())
-                .put("dropped_frames", net.dropped());
+                .put("dropped_frames", net.droppedFrames());
     }
 
     // A member is listed until its removal is agreed, and as a voter once its promotion is: operators stop others by
--- a/src/main/java/pewtercourse/lease/SiteOrders.java
+++ b/src/main/java/pewtercourse/lease/SiteOrders.java
@@ -7,6 +7,7 @@
 import java.util.Set;
 import pewtercourse.failover.FailoverController;
 import pewtercourse.failover.FailoverPlan;
+import pewtercourse.failover.FailoverPlanRequest;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.Sites;
 
@@ -20,27 +21,27 @@
     /** The sites as they are configured from now on. */
     void configure(long now, Sites sites, ClusterState state) {
         controller = Optional.of(
-                controller.map(current -> current.with(sites)).orElseGet(() -> new FailoverController(sites)));
+                controller.map(current -> current.withSites(sites)).orElseGet(() -> new FailoverController(sites)));
         follow(now, state);
     }
 
     void follow(long now, ClusterState state) {
-        controller.ifPresent(current -> current.see(now, state.failover()));
+        controller.ifPresent(current -> current.trackChanges(now, state.failover()));
     }
 
     /** A member's observations were agreed. */
     void observed(long now, String member, Map<String, SiteObservation> observations) {
-        controller.ifPresent(current -> current.detector().see(now, member, observations));
+        controller.ifPresent(current -> current.detector().observe(now, member, observations));
     }
 
     /** What a failover plan is to be computed from; empty if none is due. Asked only by the holder of the lease. */
-    Optional<FailoverController.Question> planInput(long now, ClusterState state) {
-        return controller.map(current -> current.question(now, state.failover()));
+    Optional<FailoverPlanRequest> planInput(long now, ClusterState state) {
+        return controller.flatMap(current -> current.requestPlan(now, state.failover()));
     }
 
     /** The plan from the last {@link #planInput}. */
     void planComputed(long now, FailoverPlan plan) {
-        controller.ifPresent(current -> current.answered(now, plan));
+        controller.ifPresent(current -> current.planComputed(now, plan));
     }
 
     /** Transfers at once that each site's clients ask for, as last reported. */
@@ -55,10 +56,10 @@
     List<Command> orders(long now, long token, ClusterState state, Set<String> members) {
         List<Command> orders = new ArrayList<>();
         controller.ifPresent(current -> {
-            current.detector().members(members);
-            current.orders(now, state.failover(), state.absentMembers())
+            current.detector().retainMembers(members);
+            current.proposeChanges(now, state.failover(), state.absentMembers())
                     .forEach(change -> orders.add(new Command.ChangeSiteStatus(change, token)));
-            Optional.ofNullable(current.planned(state.failover()))
+            current.takeComputedPlan(state.failover())
                     .ifPresent(plan -> orders.add(new Command.PublishFailoverPlan(plan, token)));
         });
         return orders;
--- a/src/test/java/pewtercourse/lease/CommandStream.java
+++ b/src/test/java/pewtercourse/lease/CommandStream.java
@@ -9,11 +9,13 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import pewtercourse.failover.FailoverController;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteHealth;
 import pewtercourse.failover.SiteObservation;
 import pewtercourse.failover.SiteStatus;
+import pewtercourse.failover.SiteStatusChange;
 
 /** Draws commands, mostly valid ones, and applies them to one state. */
 final class CommandStream {
@@ -115,9 +117,9 @@
         return new Command.GrantQuota(member, requestEntry, amount, token(LeaseNames.QUOTA), 1_000);
     }
 
-    private FailoverController.Declaration statusChange() {
+    private SiteStatusChange statusChange() {
         String site = site();
-        return new FailoverController.Declaration(
+        return new SiteStatusChange(
                 site,
                 SiteStatus.Phase.values()[random.nextInt(SiteStatus.Phase.values().length)],
                 SiteHealth.values()[random.nextInt(SiteHealth.values().length)],
@@ -137,17 +139,17 @@
     }
 
     private long entry(String site) {
-        return mostly(state.failover().status(site).entry());
+        return mostly(state.failover().status(site).lastChangeIndex());
     }
 
     private FailoverPlan plan() {
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+        SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         for (int i = random.nextInt(3); i >= 0; i--) {
-            SortedMap<String, FailoverPlan.Shares> shares = new TreeMap<>();
-            List<FailoverPlan.Part> parts = List.of(
-                    new FailoverPlan.Part(site(), random.nextDouble(), 1 + random.nextDouble()),
-                    new FailoverPlan.Part(site(), random.nextDouble(), 2 * random.nextDouble()));
-            shares.put(site(), new FailoverPlan.Shares(parts, random.nextDouble()));
+            SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
+            List<FailoverPlan.Allocation> parts = List.of(
+                    new FailoverPlan.Allocation(site(), random.nextDouble(), 1 + random.nextDouble()),
+                    new FailoverPlan.Allocation(site(), random.nextDouble(), 2 * random.nextDouble()));
+            shares.put(site(), new FailoverPlan.Distribution(parts, random.nextDouble()));
             cases.put(site(), shares);
         }
         return new FailoverPlan(cases);
@@ -246,14 +248,10 @@
 
     private SiteObservation observation() {
         return new SiteObservation(
-                random.nextInt(9),
-                random.nextInt(9),
-                random.nextInt(4),
-                random.nextInt(4),
-                random.nextInt(40),
-                random.nextInt(40),
-                random.nextInt(40),
-                random.nextInt(40),
+                new EndpointCount(random.nextInt(9), random.nextInt(9)),
+                new EndpointCount(random.nextInt(4), random.nextInt(4)),
+                new AttemptCounts(
+                        random.nextInt(40), random.nextInt(40), random.nextInt(40), random.nextInt(40)),
                 random.nextDouble());
     }
 
--- a/src/test/java/pewtercourse/lease/VirtualCluster.java
+++ b/src/test/java/pewtercourse/lease/VirtualCluster.java
@@ -10,6 +10,8 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import pewtercourse.failover.AttemptCounts;
+import pewtercourse.failover.EndpointCount;
 import pewtercourse.failover.FailoverPlan;
 import pewtercourse.failover.SiteObservation;
 
@@ -157,7 +159,7 @@
         String target = "c" + random.nextInt(3) + random.nextInt(3);
         long lastCommand = state.lastOperatorCommand(target);
         String site = SITES.get(random.nextInt(SITES.size()));
-        long entry = state.failover().status(site).entry();
+        long entry = state.failover().status(site).lastChangeIndex();
         String lease = LEASES.get(random.nextInt(3));
         String to = nodes.get(random.nextInt(nodes.size())).name;
         long unixMs = now / 1_000;
@@ -165,7 +167,8 @@
             case 0 -> new Command.DrainCache(target, unixMs, lastCommand);
             case 1, 2 -> new Command.ReinstateCache(target, unixMs, lastCommand);
             case 3, 4, 5, 6 -> new Command.RequestMaintenance(target, "z" + target.charAt(1), unixMs, lastCommand);
-            case 7, 8 -> new Command.RequestTransfer(lease, state.lease(lease).token(), to);
+            case 7, 8 ->
+                new Command.RequestTransfer(lease, state.lease(lease).token(), to);
             case 9 -> new Command.PauseSiteRecovery(site, random.nextInt(3) == 0, entry);
             case 10 -> new Command.StartFailoverDrill(site, entry);
             default -> new Command.RenewLease(lease, state.lease(lease).token(), 1);
@@ -236,22 +239,24 @@
     private Map<String, SiteObservation> observations(Node node) {
         Map<String, SiteObservation> observations = new TreeMap<>();
         for (String site : SITES) {
-            boolean own = SETTINGS.sites.sites().get(site).directors().contains(node.name);
+            boolean own = SETTINGS.sites.byName().get(site).directors().contains(node.name);
             boolean lost = site.equals(lostSite);
             int good = lost ? 0 : 20 + random.nextInt(20);
             int bad = lost ? 20 : 0;
             double load = own ? 4 + random.nextInt(3) : 0;
-            observations.put(site, new SiteObservation(4, lost ? 0 : 4, 1, 1, good, 1, bad, 0, load));
+            EndpointCount caches = new EndpointCount(4, lost ? 0 : 4);
+            AttemptCounts attempts = new AttemptCounts(good, 1, bad, 0);
+            observations.put(site, new SiteObservation(caches, new EndpointCount(1, 1), attempts, load));
         }
         return observations;
     }
 
     private FailoverPlan plan(SortedMap<String, Double> loads) {
-        SortedMap<String, SortedMap<String, FailoverPlan.Shares>> cases = new TreeMap<>();
+        SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         loads.forEach((site, load) -> {
             String other = SITES.get((SITES.indexOf(site) + 1) % SITES.size());
-            FailoverPlan.Part part = new FailoverPlan.Part(other, load / 2, load);
-            cases.put(site, new TreeMap<>(Map.of(site, new FailoverPlan.Shares(List.of(part), load / 4))));
+            FailoverPlan.Allocation part = new FailoverPlan.Allocation(other, load / 2, load);
+            cases.put(site, new TreeMap<>(Map.of(site, new FailoverPlan.Distribution(List.of(part), load / 4))));
         });
         return new FailoverPlan(cases);
     }
--- a/src/test/java/pewtercourse/lease/VirtualClusterSettings.java
+++ b/src/test/java/pewtercourse/lease/VirtualClusterSettings.java
@@ -4,6 +4,7 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import pewtercourse.failover.FailoverTiming;
 import pewtercourse.failover.Site;
 import pewtercourse.failover.Sites;
 
@@ -24,11 +25,11 @@
         SortedMap<String, Site> byName = new TreeMap<>();
         for (int i = 0; i < SITES.size(); i++) {
             Set<String> directors = Set.of("d" + (i + 1));
-            Site.Taker taker = new Site.Taker(SITES.get((i + 1) % SITES.size()), 1);
+            Site.FailoverTarget taker = new Site.FailoverTarget(SITES.get((i + 1) % SITES.size()), 1);
             byName.put(SITES.get(i), new Site(SITES.get(i), "", directors, 20, 0.5, 0.2, 0, List.of(taker)));
         }
         List<Double> steps = List.of(0.25, 0.5, 1.0);
-        Sites.Timing timing = new Sites.Timing(700_000, 1_000_000, 6_000_000, 400_000, steps, 1_500_000);
+        FailoverTiming timing = new FailoverTiming(700_000, 1_000_000, 6_000_000, 400_000, steps, 1_500_000);
         return new Sites(byName, 0.2, timing);
     }
 }
