--- a/src/main/java/pewtercourse/lease/FailoverCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -103,7 +103,8 @@
     private static LeaseWire.SiteShares encode(String site, FailoverPlan.Distribution distribution) {
         LeaseWire.SiteShares.Builder wire =
                 LeaseWire.SiteShares.newBuilder().setSite(site).setRejected(distribution.rejected());
-        distribution.allocations()
+        distribution
+                .allocations()
                 .forEach(part -> wire.addTarget(LeaseWire.TargetShare.newBuilder()
                         .setSite(part.site())
                         .setWork(part.load())
--- a/src/test/java/pewtercourse/lease/CommandStream.java
+++ b/src/test/java/pewtercourse/lease/CommandStream.java
@@ -250,8 +250,7 @@
         return new SiteObservation(
                 new EndpointCount(random.nextInt(9), random.nextInt(9)),
                 new EndpointCount(random.nextInt(4), random.nextInt(4)),
-                new AttemptCounts(
-                        random.nextInt(40), random.nextInt(40), random.nextInt(40), random.nextInt(40)),
+                new AttemptCounts(random.nextInt(40), random.nextInt(40), random.nextInt(40), random.nextInt(40)),
                 random.nextDouble());
     }
 
--- a/src/test/java/pewtercourse/lease/VirtualCluster.java
+++ b/src/test/java/pewtercourse/lease/VirtualCluster.java
@@ -167,8 +167,7 @@
             case 0 -> new Command.DrainCache(target, unixMs, lastCommand);
             case 1, 2 -> new Command.ReinstateCache(target, unixMs, lastCommand);
             case 3, 4, 5, 6 -> new Command.RequestMaintenance(target, "z" + target.charAt(1), unixMs, lastCommand);
-            case 7, 8 ->
-                new Command.RequestTransfer(lease, state.lease(lease).token(), to);
+            case 7, 8 -> new Command.RequestTransfer(lease, state.lease(lease).token(), to);
             case 9 -> new Command.PauseSiteRecovery(site, random.nextInt(3) == 0, entry);
             case 10 -> new Command.StartFailoverDrill(site, entry);
             default -> new Command.RenewLease(lease, state.lease(lease).token(), 1);
