--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -614,7 +614,8 @@
         if (q != null) {
             FailoverPlan plan = plan(q);
             d.failoverController.planComputed(now, plan);
-            FailoverPlan changed = d.failoverController.takeComputedPlan(failover).orElse(null);
+            FailoverPlan changed =
+                    d.failoverController.takeComputedPlan(failover).orElse(null);
             if (changed != null) {
                 agree(() -> {
                     failover.setPlan(changed);
@@ -760,8 +761,7 @@
                 String lost = siteName(site);
                 long expected = failover.status(lost).lastChangeIndex();
                 failover.changeStatus(
-                        ++entry,
-                        new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
+                        ++entry, new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
                 declaredAt = declaredAt < 0 ? now : declaredAt;
                 follow();
             }
--- a/src/main/java/pewtercourse/failover/OverflowRouter.java
+++ b/src/main/java/pewtercourse/failover/OverflowRouter.java
@@ -99,8 +99,8 @@
         if (!request.unconditional() && request.tooLate(now)) {
             return reject(request);
         }
-        boolean admitted = shedders.get(target.get())
-                .admit(now, rank, request.serviceMicros(), request.unconditional());
+        boolean admitted =
+                shedders.get(target.get()).admit(now, rank, request.serviceMicros(), request.unconditional());
         return admitted ? OverflowDecision.serveAt(target.get()) : reject(request);
     }
 
--- a/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
+++ b/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
@@ -44,8 +44,7 @@
             return whileWell(situation);
         }
         boolean newImpairment = situation.health() != situation.status().health();
-        return when(
-                newImpairment && situation.healthAgeMicros() >= timing.lossDelayMicros() / 2, situation.impaired());
+        return when(newImpairment && situation.healthAgeMicros() >= timing.lossDelayMicros() / 2, situation.impaired());
     }
 
     private Optional<SiteStatusChange> whileWell(SiteSituation situation) {
@@ -54,8 +53,8 @@
         boolean calm = status.flaps() > 0
                 && situation.healthAgeMicros() >= calmAfter
                 && situation.statusAgeMicros() >= calmAfter;
-        boolean recovered = status.phase() == SiteStatus.Phase.IMPAIRED
-                && situation.healthAgeMicros() >= timing.lossDelayMicros();
+        boolean recovered =
+                status.phase() == SiteStatus.Phase.IMPAIRED && situation.healthAgeMicros() >= timing.lossDelayMicros();
         return when(calm || recovered, situation.whole(calm ? 0 : status.flaps()));
     }
 
@@ -91,9 +90,7 @@
 
     private SiteStatusChange stepOn(SiteSituation situation) {
         int step = situation.status().step();
-        return step >= timing.lastStep()
-                ? situation.whole(situation.status().flaps())
-                : situation.returning(step + 1);
+        return step >= timing.lastStep() ? situation.whole(situation.status().flaps()) : situation.returning(step + 1);
     }
 
     private static SiteStatusChange stepBack(SiteSituation situation) {
@@ -101,8 +98,7 @@
     }
 
     private static boolean failsAtThisStep(AttemptCounts attempts) {
-        return attempts.enoughCompleted()
-                && attempts.failed() >= STEP_BACK_FAILED_SHARE * attempts.completed();
+        return attempts.enoughCompleted() && attempts.failed() >= STEP_BACK_FAILED_SHARE * attempts.completed();
     }
 
     // Requests rejected for lack of capacity count as late ones: cold caches can't bear the next step yet.
--- a/src/test/java/pewtercourse/failover/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverControllerTest.java
@@ -279,8 +279,7 @@
         pass(8, WELL, FAR);
 
         assertEquals(SiteStatus.Phase.WHOLE, phase());
-        assertTrue(
-                changes.stream().noneMatch(change -> change.phase() == SiteStatus.Phase.LOST), changes::toString);
+        assertTrue(changes.stream().noneMatch(change -> change.phase() == SiteStatus.Phase.LOST), changes::toString);
     }
 
     /** Whatever is seen: no other transitions than these, and one step at a time. */
--- a/src/test/java/pewtercourse/failover/FailoverPlannerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverPlannerTest.java
@@ -27,8 +27,7 @@
 
     private static FailoverPlan nextPlan(
             Sites sites, Map<String, Double> loads, Set<String> ineligible, FailoverPlan current) {
-        FailoverPlanRequest request =
-                new FailoverPlanRequest(new TreeMap<>(loads), Set.of(), ineligible, current);
+        FailoverPlanRequest request = new FailoverPlanRequest(new TreeMap<>(loads), Set.of(), ineligible, current);
         return new FailoverPlanner().plan(sites, request);
     }
 
--- a/src/test/java/pewtercourse/failover/FailoverTrace.java
+++ b/src/test/java/pewtercourse/failover/FailoverTrace.java
@@ -342,7 +342,11 @@
         plan.cases()
                 .values()
                 .forEach(distributions -> distributions.values().forEach(distribution -> {
-                    outcomes.merge("plan over " + Math.min(3, distribution.allocations().size()), 1, Integer::sum);
+                    outcomes.merge(
+                            "plan over "
+                                    + Math.min(3, distribution.allocations().size()),
+                            1,
+                            Integer::sum);
                     if (distribution.rejected() > 0) {
                         outcomes.merge("plan refuses", 1, Integer::sum);
                     }
@@ -407,8 +411,7 @@
         long expires = at + (chance(12) ? needs / 2 : 2_000_000);
         long object = StableHash.of("object " + random.nextInt(400));
         OverflowDecision decision = router.choose(
-                at,
-                new OverflowRequest(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
+                at, new OverflowRequest(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
         digest.add("choice").add(object).add(decision.retryAfterMicros());
         String kind;
         if (decision.rejected()) {
--- a/src/test/java/pewtercourse/failover/FailoverTraceTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverTraceTest.java
@@ -145,8 +145,7 @@
             for (int round = 0; round < 4; round++) {
                 FailoverPlanner planner = random.nextInt(4) == 0 ? new FailoverPlanner(1) : new FailoverPlanner();
                 Set<String> lost = random.nextBoolean() ? Set.of() : some(sites, random, 6);
-                FailoverPlanRequest request =
-                        new FailoverPlanRequest(loads, lost, some(sites, random, 8), plan);
+                FailoverPlanRequest request = new FailoverPlanRequest(loads, lost, some(sites, random, 8), plan);
                 FailoverPlan next = planner.plan(sites, request);
                 FailoverTrace.addPlan(next, digest);
                 FailoverTrace.countPlan(next, outcomes);
@@ -231,7 +230,9 @@
                 Map<String, Integer> parents = random.nextInt(5) == 0 ? Map.of() : Map.of("hub", random.nextInt(4));
                 observer.observe(now, sites, caches, parents).forEach((site, seen) -> {
                     AttemptCounts attempts = seen.attempts();
-                    digest.add(site).add(seen.caches().usual()).add(seen.caches().ready());
+                    digest.add(site)
+                            .add(seen.caches().usual())
+                            .add(seen.caches().ready());
                     digest.add(seen.parents().usual()).add(seen.parents().ready());
                     digest.add(attempts.onTime()).add(attempts.late()).add(attempts.failed());
                     digest.add(attempts.rejected()).add(attempts.completed()).add(seen.load());
@@ -264,7 +265,8 @@
             }
         }
         state.statuses()
-                .forEach((site, status) -> digest.add(site).add(status.lastChangeIndex()).add(status.diverted()));
+                .forEach((site, status) ->
+                        digest.add(site).add(status.lastChangeIndex()).add(status.diverted()));
         return digest.hex();
     }
 }
--- a/src/test/java/pewtercourse/failover/TestSites.java
+++ b/src/test/java/pewtercourse/failover/TestSites.java
@@ -24,9 +24,7 @@
             String name = "s" + i;
             Set<String> directors = Set.of("d" + i);
             List<Site.FailoverTarget> targets = othersOnRing(i, capacities.length);
-            sites.put(
-                    name,
-                    new Site(name, "hub", directors, capacities[i], SPARE_SHARE, RESERVED_SHARE, 0, targets));
+            sites.put(name, new Site(name, "hub", directors, capacities[i], SPARE_SHARE, RESERVED_SHARE, 0, targets));
         }
         return new Sites(sites, GUESTS_NEVER_MISS, TIMING);
     }
