--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -209,7 +209,7 @@
         start(log, Map.of("GW_CONFIG", "examples/config.json"), "java", "-jar", JAR, "serve");
         awaitText(toySite, "toy site: ");
         awaitText(log, " director.listening ");
-        awaitText(log, " feed.connected ");
+        awaitText(log, " discovery.connected ");
 
         Map<String, String> parameters = parametersOfTheReadme();
         parameters.put("HTTP_X_DEADLINE_MS", "30000"); // A busy machine may need longer than README's client waits.
--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -202,7 +202,9 @@
                 Thread.sleep(SLOW_READER_MS);
                 String answer = client.readAnswer();
                 assertNotNull(answer, "ended without an answer");
-                assertTrue(answer.startsWith("Status: 200") && answer.endsWith(large), "not whole: " + answer.length());
+                assertTrue(
+                        answer.startsWith("Status: 200") && answer.endsWith(large),
+                        () -> "not whole, " + answer.length() + " characters: " + answer.lines().limit(5).toList());
             }
             assertNull(client.readAnswer(), "closed, and not reset");
         }
