--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -204,7 +204,8 @@
                 assertNotNull(answer, "ended without an answer");
                 assertTrue(
                         answer.startsWith("Status: 200") && answer.endsWith(large),
-                        () -> "not whole, " + answer.length() + " characters: " + answer.lines().limit(5).toList());
+                        () -> "not whole, " + answer.length() + " characters: "
+                                + answer.lines().limit(5).toList());
             }
             assertNull(client.readAnswer(), "closed, and not reset");
         }
