--- a/src/main/java/pewtercourse/decision/AccessCount.java
+++ b/src/main/java/pewtercourse/decision/AccessCount.java
@@ -1,28 +1,29 @@
 package pewtercourse.decision;
 
-/** Accesses of one object; they halve every {@link #HALF_LIFE}. */
+/** Counts the accesses of one object. The counts halve every {@link #HALF_LIFE}. */
 final class AccessCount {
-    /** Microseconds: long enough to tell popular objects at a few requests a second. */
+    /** Long enough to tell popular objects apart at a few requests a second. */
     static final long HALF_LIFE = 5_000_000;
-    /** Accesses that are kept at most. */
+    /** Maximum of each count; a power of two, because {@link AccessCounts} derives a bit mask from it. */
     static final int MAX = 1 << 12;
 
-    /** Accesses at this router. */
+    /** Accesses at this router; in the table of an object's owner, the accesses that all routers reported. */
     int local;
-    /** Of these, the ones that its owner was not yet told of. */
+    /** Accesses that this router has not yet reported to the object's owner. */
     int unreported;
-    /** Accesses at all routers, as its owner last told. */
+    /** Accesses at all routers, as last reported by the object's owner. */
     int total;
-    /** Number of its next request, by which its replicas take turns. */
+    /** Number of the object's next request; the replicas of the object take turns by it. */
     int nextTurn;
-    /** Segments of the object that were seen asked for. */
+    /** One more than the highest segment index requested so far. */
     int segments = 1;
-    /** Batch of events in which it was last counted. */
+    /** Batch of events in which the object was last counted. */
     long lastBatch;
 
+    /** Half-lives that had passed at the last call of {@link #decay}. */
     private long halvings;
 
-    /** Halves what has aged since the last call. */
+    /** Halves {@link #local} and {@link #total} once for each half-life since the last call. */
     AccessCount decay(long now) {
         int shift = (int) Math.min(31, now / HALF_LIFE - halvings);
         local >>= shift;
@@ -31,7 +32,7 @@
         return this;
     }
 
-    /** Adds accesses and returns their number. */
+    /** Adds accesses, up to the maximum, and returns the new count. */
     int add(int accesses) {
         local = Math.min(MAX, local + accesses);
         return local;
--- a/src/main/java/pewtercourse/decision/AccessCounts.java
+++ b/src/main/java/pewtercourse/decision/AccessCounts.java
@@ -2,23 +2,34 @@
 
 import java.util.Optional;
 
-/** Counts accesses by object, and tells by them on how many caches an object is kept and how long. */
+/**
+ * Counts accesses by object. From the counts it derives on how many caches an object is stored and which
+ * retention rank its copies get.
+ */
 final class AccessCounts {
-    /** Share of one cache's part of all accesses that is worth one more replica. */
+    /**
+     * An object gets one more replica for each time that its accesses reach this share of a cache's mean
+     * accesses.
+     */
     private static final double REPLICA_SHARE = 0.10;
-    /** Least accesses for one more replica, so that a fresh router doesn't spread what it knows little of. */
+    /**
+     * Minimum accesses per additional replica, so that a newly started router doesn't replicate objects of which
+     * it knows little.
+     */
     private static final double MIN_REPLICA_ACCESSES = 4;
-    /** Replicas of one object at most; one cache of the zone always stays out. */
+    /** Maximum replicas of one object. If the zone has several caches, at least one of them holds no replica. */
     private static final int MAX_REPLICAS = 3;
-    /** Accesses by log2 of kilobytes from which a copy gets retention rank 2, and rank 3. */
+    /** Accesses per segment, divided by log2 of the size in kilobytes, from which a copy gets retention rank 2. */
     private static final double RANK_2 = 0.25;
 
+    /** The same for retention rank 3. */
     private static final double RANK_3 = 1.0;
-    /** Log2 of kilobytes that is taken where no size is told. */
+    /** Log2 of the size in kilobytes that is assumed if the size is unknown. */
     private static final double DEFAULT_LOG_SIZE = 8;
 
     private final RoutingContext context;
     private final LruTable<AccessCount> counts = new LruTable<>();
+    /** All accesses at this router. */
     private final AccessCount all = new AccessCount();
 
     AccessCounts(RoutingContext context) {
@@ -34,9 +45,10 @@
     }
 
     /**
-     * Counts a request and gives it its turn; returns the object's count if it has grown. It grows at most once in a batch
-     * of events: what a stall has piled up comes as one batch and would make quiet objects look popular. Retries of clients
-     * are not accesses.
+     * Counts a request and assigns its turn among the object's replicas. Returns the object's count if it has
+     * grown. A count grows at most once per batch of events: requests that queued up during a stall arrive as
+     * one batch and would make rarely requested objects look popular. Retries by clients are not accesses and
+     * are not counted.
      */
     Optional<AccessCount> record(RequestState request) {
         AccessCount count = of(request.objectHash);
@@ -55,14 +67,14 @@
         return Optional.of(count);
     }
 
-    /** Takes over what the owner of a count told, if the object is still known. */
+    /** Stores the total that an object's owner reported, if this router still counts the object. */
     void setTotal(long object, int total) {
         if (counts.containsKey(object)) {
             of(object).total = total;
         }
     }
 
-    /** On how many caches along its placement order an object is kept. */
+    /** Returns on how many caches the object is stored, from the first in its placement order. */
     int replicas(long object, int caches) {
         AccessCount count = of(object);
         double seen = all.decay(context.now()).local;
@@ -73,7 +85,7 @@
         return Math.max(1, Math.min(most, 1 + (int) wanted));
     }
 
-    /** How much a copy is worth to the cache that stores it: 1 to 3, or 0 for what is not stored. */
+    /** Returns how valuable a copy is to the cache that stores it: 1 to 3, or 0 if the answer is not to be stored. */
     int retentionRank(RequestState request) {
         if (!request.isCacheable()) {
             return 0;
@@ -88,9 +100,10 @@
         return value >= RANK_2 ? 2 : 1;
     }
 
-    // What this router saw and, but for the first access, which tells nothing of others, as many at each further router
-    // of
-    // the zone; or the zone's part of what the owner of the count last told.
+    // Estimates the accesses in the zone as the larger of two values. The first extrapolates this router's
+    // count: each other router of the zone is assumed to have counted as many accesses, except for the first
+    // one, which says nothing about the others. The second is the zone's part of the total that the owner of the
+    // count last reported.
     private double accessesInZone(AccessCount count) {
         int routersInZone = context.routersInZone();
         double extrapolated = count.local + Math.max(0, count.local - 1) * (routersInZone - 1.0);
--- a/src/main/java/pewtercourse/decision/AttemptFeedback.java
+++ b/src/main/java/pewtercourse/decision/AttemptFeedback.java
@@ -1,14 +1,15 @@
 package pewtercourse.decision;
 
 /**
- * Learns from the ends of attempts: which cache holds the object, and how well cache and source of the fill do. Each
- * failure is blamed on the right party: an error that tells of its source says nothing of the cache, and one that another
- * cache gives too may be the request's own fault, so that unusable requests eject no healthy cache.
+ * Learns from the end of each attempt: which cache holds the object, and how well the cache and the source of
+ * the fill perform. Each failure is attributed to the party that caused it. An error that the cache attributes
+ * to its source does not count against the cache. An error that another cache returns too may be caused by the
+ * request itself, so unusable requests get no healthy cache ejected.
  */
 final class AttemptFeedback {
-    /** Share of its objective beyond its transfer from which an answer is slow. */
+    /** An answer is slow if its latency without the transfer exceeds this share of its objective. */
     private static final double SLOW_SHARE = 0.1;
-    /** Share of its objective within which an answer is well within it. */
+    /** An answer is well within its objective if its latency is below this share of the objective. */
     private static final double WELL_WITHIN_SHARE = 0.7;
 
     private final RoutingContext context;
@@ -53,9 +54,8 @@
         };
     }
 
-    // The limiter that a late answer shrinks. An ill or lagging source is no reason to fill less from others: a limiter
-    // that
-    // nobody uses takes the sample then.
+    // Returns the limiter that a late answer shrinks. A failing or lagging source is no reason to fill less from
+    // the other sources: in that case a new limiter that nothing else uses takes the sample.
     private ConcurrencyLimiter responsibleLimiter(AttemptState attempt, boolean hit) {
         if (hit || !attempt.fillsFromOutside || outliers.isLaggingCache(attempt.endpoint)) {
             return attempt.endpoint.limiter;
@@ -118,15 +118,13 @@
         }
     }
 
-    // Where caches tell of hits only, one that can't fill says no more than that it is overloaded or that it failed. A
-    // parent that is gone, before the list tells of it, must not shrink all limits: fills that are rejected from one
-    // parent,
-    // one after the other, are its fault. Crowded caches may so cost a parent a second. An error may be the parent's as
-    // well
-    // as the cache's: the parent's record counts it once the request was served by another way, and at once where it
-    // can't
-    // be repeated. That finds a parent that has lost its way to the origin, which fails what it lacks and serves the
-    // rest.
+    // Suspects the parent of a failed fill. Unless caches report all details, a cache that cannot fill reports
+    // only that it is overloaded or that it failed. A parent that is gone but still listed must not shrink all
+    // limits: if one fill after the other from the same parent is rejected, the parent is at fault. Overloaded
+    // caches may thus get a parent ejected for a second. An error may be caused by the parent as well as by the
+    // cache. It counts against the parent once the request was served another way, or at once if the request
+    // can't be repeated. This detects a parent that has lost its connection to the origin: it fails the objects
+    // that it lacks and serves the rest.
     private void accuseSourceOfUnfilled(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         boolean unfilled = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
                 && attempt.fillsFromOutside
--- a/src/main/java/pewtercourse/decision/AttemptFinished.java
+++ b/src/main/java/pewtercourse/decision/AttemptFinished.java
@@ -1,10 +1,11 @@
 package pewtercourse.decision;
 
 /**
- * The end of one attempt.
+ * An attempt has ended.
  *
- * @param attempt number of the request's attempt, from 0
- * @param requestDone whether its client has its answer, or has gone
+ * @param attempt index of the attempt within its request, from 0
+ * @param latency duration of the attempt in microseconds
+ * @param requestDone whether the client has received its answer or has disconnected
  */
 public record AttemptFinished(
         long requestId,
--- a/src/main/java/pewtercourse/decision/AttemptOutcome.java
+++ b/src/main/java/pewtercourse/decision/AttemptOutcome.java
@@ -4,24 +4,24 @@
 public enum AttemptOutcome {
     OK,
     ERROR,
-    /** The endpoint shed it. */
+    /** The endpoint rejected the attempt because it was overloaded. */
     OVERLOADED,
     TIMEOUT,
     CONNECT_FAILED,
     /** The connection broke, or the answer was malformed. */
     RESET,
     CANCELLED,
-    /** Dropped before it was sent, as it had become pointless. */
+    /** Dropped before it was sent because it was no longer needed. */
     SUPERSEDED,
-    /** The endpoint did not hold the object and was not to fetch it. */
+    /** The endpoint did not hold the object and was not allowed to fetch it. */
     MISS;
 
-    /** Whether it is certain that the request had no effect. */
+    /** Whether the attempt certainly had no effect. */
     boolean neverRan() {
         return this == OVERLOADED || this == CONNECT_FAILED || this == SUPERSEDED || this == MISS;
     }
 
-    /** Whether it says nothing about whether the endpoint answers. */
+    /** Whether the outcome does not show if the endpoint responds. */
     boolean isSilent() {
         return this == TIMEOUT || this == CANCELLED || this == SUPERSEDED;
     }
--- a/src/main/java/pewtercourse/decision/AttemptSender.java
+++ b/src/main/java/pewtercourse/decision/AttemptSender.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Sends attempts, and reserves and releases what they take from limits and budgets. */
+/** Sends attempts. Reserves and releases the capacity that they take from limits and budgets. */
 final class AttemptSender {
     private final RoutingContext context;
     private final ActionBuffer actions;
@@ -30,13 +30,17 @@
         this.purges = purges;
     }
 
-    /** Sends the request to the target, which fills a miss from the source, or not at all if that is the target itself. */
+    /**
+     * Sends the request to the target. On a miss the target fills from the source; it does not fill if the
+     * source is the target itself.
+     */
     void send(RequestState request, EndpointState target, EndpointState source, boolean fromSibling) {
         AttemptState attempt = reserve(request, target, source, fromSibling);
         boolean safe = request.isSafe();
         RouterFeatures features = context.settings().features();
         long dueAt = timeouts.dueAt(attempt);
-        // Without a way to cancel it, the attempt's end is told to the caller beforehand, if there is time for another.
+        // If attempts can't be cancelled, this one gets a timeout when it is sent, provided that time remains
+        // for another.
         boolean timeLimited =
                 safe && !features.attemptCancellation() && dueAt + request.transferTime < request.arrival.expiresAt();
         actions.add(new SendAttempt(
@@ -76,7 +80,7 @@
         return attempt;
     }
 
-    /** Gives back what the attempt holds of the limits. */
+    /** Releases the capacity that the attempt takes from the limits. */
     void release(AttemptState attempt) {
         attempt.endpoint.limiter.release(1);
         fills.limiter.release(attempt.fillProbability);
--- a/src/main/java/pewtercourse/decision/AttemptState.java
+++ b/src/main/java/pewtercourse/decision/AttemptState.java
@@ -3,21 +3,21 @@
 /** One attempt of a request. */
 final class AttemptState {
     final EndpointState endpoint;
-    /** From which a miss is filled; the endpoint itself for no fill. */
+    /** Endpoint from which a miss is filled; the attempt's own endpoint if there is no fill. */
     final EndpointState source;
 
     final boolean fromSibling;
-    /** Whether it probably fills from a parent or the origin. */
+    /** Whether the attempt probably needs a fill from a parent or the origin. */
     final boolean fillsFromOutside;
 
     final long sentAt;
-    /** Microseconds that it should take when all is well. */
+    /** Microseconds that the attempt takes under normal conditions. */
     final double usualTime;
-    /** How likely it fills from outside, as it counts for the limit of fills. */
+    /** Probability of a fill from a parent or the origin; the attempt takes this much of the limit on fills. */
     final double fillProbability;
 
     boolean ended;
-    /** Its answer is overdue: it holds no capacity any more. */
+    /** Whether the answer is overdue. An overdue attempt takes no capacity any more. */
     boolean overdue;
 
     AttemptState(
--- a/src/main/java/pewtercourse/decision/Bandwidth.java
+++ b/src/main/java/pewtercourse/decision/Bandwidth.java
@@ -1,9 +1,9 @@
 package pewtercourse.decision;
 
 /**
- * Bandwidths in kilobytes a second, 0 where they are not known.
+ * Bandwidths in kilobytes per second; 0 if unknown.
  *
- * @param clientKbPerSecond of one client's connection
- * @param fillLinkKbPerSecond of the link over which the own zone's caches are filled
+ * @param clientKbPerSecond bandwidth of one client's connection
+ * @param fillLinkKbPerSecond bandwidth of the link over which the caches of the router's zone are filled
  */
 public record Bandwidth(double clientKbPerSecond, double fillLinkKbPerSecond) {}
--- a/src/main/java/pewtercourse/decision/CacheSelector.java
+++ b/src/main/java/pewtercourse/decision/CacheSelector.java
@@ -4,28 +4,31 @@
 import java.util.List;
 
 /**
- * Chooses the cache for an attempt: along the object's placement order, first among as many caches as its popularity is
- * worth, then among the others.
+ * Chooses the cache for an attempt. Caches are considered in the object's placement order: first as many as the
+ * object has replicas, then the others.
  */
 final class CacheSelector {
-    /** A cache with more attempts in flight than this multiple of the mean for its capacity ... */
+    /**
+     * A cache is crowded if it has more attempts in flight than {@link #CROWDED_FLOOR} and more than this
+     * multiple of the mean for its capacity.
+     */
     private static final double CROWDED_MULTIPLE = 1.5;
-    /** ... and more than this many is skipped at first. */
+    /** A cache with no more attempts in flight than this is not crowded. */
     private static final double CROWDED_FLOOR = 3;
-    /** Attempts of one request at one cache, at most. */
+    /** Maximum failures of one request at one cache. */
     private static final int MAX_FAILURES_AT_ONE = 2;
 
-    /** How choosy a look through the caches is. */
+    /** How selective a pass over the caches is. */
     private enum Pass {
-        /** Neither crowded nor unreliable. */
+        /** Only usable caches that are neither crowded nor unreliable. */
         PREFERRED,
-        /** Not ejected, and not tried before. */
+        /** Only caches that are not ejected and at which the request has not failed. */
         USABLE,
-        /** Any that may answer. */
+        /** Any cache that may answer. */
         LAST_RESORT
     }
 
-    /** Attempts in flight at all caches, and the sum of their capacities. */
+    /** Attempts in flight at all caches, and the sum of the capacities of the caches. */
     private record Load(double inFlight, double capacity) {}
 
     private final RoutingContext context;
@@ -55,7 +58,7 @@
         this.transferTimes = transferTimes;
     }
 
-    /** Null if no cache may be used now. */
+    /** Returns the cache for the next attempt; null if no cache may be used now. */
     EndpointState select(RequestState request) {
         List<EndpointState> caches = endpoints.caches();
         order.sort(caches, request.objectHash);
@@ -74,7 +77,8 @@
     }
 
     private boolean mayBeUsed(RequestState request, EndpointState cache) {
-        // What runs at the origin is rare and small: it passes the limits, which guard against the many.
+        // Requests that only the origin can answer are rare and small. They bypass the concurrency limit, which
+        // protects against large numbers of requests.
         return idempotency.allow(request, cache)
                 && (!request.isCacheable() || cache.limiter.admits(transferTimes.relativeSize(request)))
                 && slowStart.hasRoom(cache, request);
@@ -88,10 +92,10 @@
         return usable && (pass == Pass.USABLE || !isCrowded(cache, load) && outliers.isReliableFor(request, cache));
     }
 
-    // Where all look ill, each gets as many at once as its share of answers lets hope for, at least one: the waiting
-    // attempts of all routers must not topple a dead cache as it returns. And no request goes to one a third time: one
-    // that
-    // rejects all would be asked on and on while the others have no room.
+    // If all caches appear to be failing, each may have as many attempts in flight as its success rate suggests,
+    // but at least one: the waiting attempts of all routers must not overload a dead cache as it recovers. No
+    // request goes to the same cache a third time: a cache that rejects everything would be tried over and over
+    // while the others have no room.
     private static boolean isLastResort(RequestState request, EndpointState cache) {
         double hopeful = Math.max(1, cache.limiter.limit() * (1 - cache.health.failureRate()));
         return Collections.frequency(request.failedEndpoints, cache) < MAX_FAILURES_AT_ONE
--- a/src/main/java/pewtercourse/decision/CacheStatusDetail.java
+++ b/src/main/java/pewtercourse/decision/CacheStatusDetail.java
@@ -1,9 +1,9 @@
 package pewtercourse.decision;
 
-/** How much the caches tell of where an answer came from. */
+/** How much the caches report about where an answer came from. */
 public enum CacheStatusDetail {
     NONE,
-    /** Only whether it was a hit. */
+    /** Only whether the answer was a hit. */
     HITS,
     ALL
 }
--- a/src/main/java/pewtercourse/decision/CancelAttempt.java
+++ b/src/main/java/pewtercourse/decision/CancelAttempt.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Cancels one attempt; its end is told as for every other. */
+/** Cancels one attempt. Its end is reported by an {@link AttemptFinished}, like that of any other attempt. */
 public record CancelAttempt(long requestId, int attempt) implements RouterAction {
     @Override
     public void accept(RouterActionVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/CapacityEstimate.java
+++ b/src/main/java/pewtercourse/decision/CapacityEstimate.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * How much work a warm endpoint bears for this router, in transfers at once: by what warm ones have served of late, and for
- * caches at least by what the zone's link for fills can carry.
+ * Estimates how much work a warm endpoint can handle for this router, in concurrent transfers. The estimate is
+ * based on the work that warm endpoints served recently; for caches it is at least what the zone's link for
+ * fills can support.
  */
 final class CapacityEstimate {
     /**
-     * Transfers at once that a zone's caches bear, in those that its link for fills carries. A link is a little wider than
-     * what the caches miss at full load, under a third; halved, as it is a guess.
+     * Concurrent transfers that a zone's caches can handle for each transfer that the zone's link for fills can
+     * carry. A link carries a little more than the misses at full load, which are less than a third of the
+     * traffic. The resulting factor is halved because it is a guess.
      */
     private static final double TRANSFERS_PER_LINK = 1.4;
-    /** A zone of fewer caches than this has a link wider by the root of their ratio. */
+    /** In a zone with fewer caches than this, the link is assumed to be wider by the square root of the ratio. */
     private static final double NOMINAL_CACHES = 8;
-    /** Caches that a zone is taken to have at least. */
+    /** Minimum number of caches that a zone is assumed to have. */
     private static final double MIN_CACHES = 3;
 
     private final RoutingContext context;
@@ -30,8 +32,8 @@
     }
 
     /**
-     * Takes in what was served since. The estimates fade slowly: an outage, in which nothing is served until the list tells
-     * of it, must not be taken for weakness.
+     * Updates the estimates from the work served recently. They decay slowly: in an outage nothing is served
+     * until the endpoint list reports it, and that must not be mistaken for low capacity.
      */
     void update() {
         warmCache = Math.max(warmCache * Housekeeping.FADE, servedByWarm(endpoints.caches(), warmCache));
@@ -46,9 +48,9 @@
         return warmParent;
     }
 
-    // A router that starts with its zone has seen nothing served yet and would reject nearly all until the caches are
-    // warm.
-    // Taken over the most caches listed so far: the first one back must not be given the work of all.
+    // A router that starts together with its zone has seen no work served yet; without this bound it would
+    // reject nearly all requests until the caches are warm. The bound is divided by the largest number of caches
+    // listed so far: the first cache that returns must not get the work of all caches.
     private double supportedByLink() {
         double caches = Math.max(MIN_CACHES, endpoints.mostCaches());
         double wider = Math.sqrt(Math.max(1, NOMINAL_CACHES / caches));
@@ -58,7 +60,7 @@
         return TRANSFERS_PER_LINK * transfers / wider / caches / context.routersInZone();
     }
 
-    // While none is warm the last value stands: a zone that restarts as a whole is not left without.
+    // While no endpoint is warm, the previous value stays: a zone that restarts as a whole keeps an estimate.
     private double servedByWarm(List<EndpointState> list, double before) {
         double sum = 0;
         int warm = 0;
--- a/src/main/java/pewtercourse/decision/ConcurrencyLimiter.java
+++ b/src/main/java/pewtercourse/decision/ConcurrencyLimiter.java
@@ -1,33 +1,36 @@
 package pewtercourse.decision;
 
 /**
- * Limits how many attempts may be in flight at once. The limit is learned: it grows by a constant when answers come well
- * within their objective and shrinks by a factor when they come late (additive increase, multiplicative decrease). Past
- * the limit more work would only make all of it late. After a fault that made answers late for another reason it takes
- * some answers until the limit has grown again.
+ * Limits how many attempts may be in flight. The limit is learned by additive increase and multiplicative
+ * decrease: it grows by a constant when answers come well within their objective and shrinks by a factor when
+ * they come late. Work beyond the limit would only make all of it late. If a fault made answers late for another
+ * reason, the limit needs some answers to grow back after it.
  */
 final class ConcurrencyLimiter {
-    /** Attempts in flight that all routers of a zone together admit at their start. */
+    /** Limit of a zone's only router at its start; see the constructor for zones with more routers. */
     private static final double INITIAL_LIMIT = 16;
-    /** The same at least, however late the answers come. */
+    /** Minimum of the sum of the limits of all routers of a zone, however late the answers come. */
     private static final double MIN_LIMIT = 2;
-    /** Growth for an answer well within its objective. */
+    /** Growth of the limit for each answer well within its objective. */
     private static final double INCREASE = 0.2;
-    /** Share by which one router of one shrinks it. */
+    /** Share by which the only router of a zone shrinks its limit. */
     private static final double DECREASE = 0.1;
-    /** Largest share by which any router shrinks it. */
+    /** Maximum share by which any router shrinks its limit at once. */
     private static final double MAX_DECREASE = 0.4;
-    /** Microseconds between two decreases. */
+    /** Minimum time between two decreases. */
     private static final long DECREASE_INTERVAL = 100_000;
     /** The limit grows only while at least this share of it is in use. */
     private static final double MIN_UTILIZATION = 0.5;
-    /** This share of the limit is open to a request of any size. */
+    /** Share of the limit that is open to requests of any size. */
     private static final double ANY_SIZE_SHARE = 0.2;
-    /** Weight of the newest answer in the share of slow ones. */
+    /** Weight of the newest answer in the share of slow answers. */
     private static final double SLOW_GAIN = 0.05;
-    /** Share of slow answers from which large requests are shed first. */
+    /**
+     * If the share of slow answers exceeds this value, the limiter is strained: it sheds requests above the mean
+     * size first.
+     */
     private static final double STRAINED_SHARE = 0.3;
-    /** Multiple of the mean size that is not yet large while the limiter is not strained. */
+    /** While the limiter is not strained, only requests above this multiple of the mean size are shed first. */
     private static final double LARGE_UNSTRAINED = 4;
 
     private double limit;
@@ -35,17 +38,21 @@
     private double slowShare;
     private long lastDecreaseAt;
 
-    /** The share of a zone's requests that comes to one router varies by chance, hence the root. */
+    /**
+     * Divides the initial limit by the square root of the number of routers, because the share of a zone's
+     * requests that one router gets varies by chance.
+     */
     ConcurrencyLimiter(int routersInZone) {
         limit = INITIAL_LIMIT / Math.sqrt(routersInZone);
     }
 
     /**
-     * Whether one more attempt is admitted. The larger a request is for its class, the sooner it is shed: the capacity
-     * serves more of the others. Without strain only what is far larger is: the limit follows its use, so that large
-     * requests would be shed for good where all goes well.
+     * Whether one more attempt is admitted. The larger a request is for its class, the earlier it is shed: the
+     * same capacity serves more of the other requests. While the limiter is not strained, this applies only to
+     * much larger requests: the limit follows its use, so large requests would be shed permanently even while
+     * all goes well.
      *
-     * @param relativeSize transfer time as a multiple of its class's mean
+     * @param relativeSize transfer time of the request as a multiple of the mean of its class
      */
     boolean admits(double relativeSize) {
         double large = slowShare > STRAINED_SHARE ? 1 : LARGE_UNSTRAINED;
@@ -68,12 +75,15 @@
         return limit;
     }
 
-    /** Counts an answer for the share of slow ones. */
+    /** Updates the share of slow answers. */
     void recordSpeed(boolean slow) {
         slowShare += SLOW_GAIN * ((slow ? 1 : 0) - slowShare);
     }
 
-    /** Each router sees only its part of the late answers and shrinks the more, the more routers there are. */
+    /**
+     * Adapts the limit to one answer. Each router sees only its part of the late answers, so a router shrinks
+     * its limit more if the zone has more routers.
+     */
     void adapt(long now, int routersInZone, boolean wellWithinObjective, boolean late) {
         if (late && now - lastDecreaseAt > DECREASE_INTERVAL) {
             lastDecreaseAt = now;
--- a/src/main/java/pewtercourse/decision/ContentHints.java
+++ b/src/main/java/pewtercourse/decision/ContentHints.java
@@ -1,12 +1,13 @@
 package pewtercourse.decision;
 
-/** Which caches are thought to hold which segments, from the answers that were seen. */
+/** Remembers which caches probably hold which segments, based on the answers seen. */
 final class ContentHints {
-    /** Microseconds: about as long as an unused copy stays in a busy cache. */
+    /** About as long as an unused copy stays in a busy cache. */
     private static final long MAX_AGE = 12_000_000;
 
     private final RoutingContext context;
     private final PurgeLog purges;
+    /** When a cache was last known to hold a segment, by {@link #key}. */
     private final LruTable<Long> lastHeldAt = new LruTable<>();
 
     ContentHints(RoutingContext context, PurgeLog purges) {
@@ -14,6 +15,7 @@
         this.purges = purges;
     }
 
+    /** Whether the cache probably holds the segment, in a copy that may still be used. */
     boolean isLikelyHeld(RequestState request, EndpointState cache) {
         Long heldAt = lastHeldAt.get(key(request, cache));
         long lifetime = request.requestClass.freshnessLifetime();
@@ -24,7 +26,10 @@
                 && heldAt >= cache.endpoint().startedAt();
     }
 
-    /** A hit does not tell the age of a copy that gets stale: half its lifetime is assumed where it was not known. */
+    /**
+     * Records that the cache holds the segment. A hit does not show the age of a copy with a freshness lifetime:
+     * if the age is unknown, half of the lifetime is assumed to have passed.
+     */
     void recordHeld(RequestState request, EndpointState cache, boolean hit) {
         long lifetime = request.requestClass.freshnessLifetime();
         if (hit && lifetime > 0) {
--- a/src/main/java/pewtercourse/decision/CountGossip.java
+++ b/src/main/java/pewtercourse/decision/CountGossip.java
@@ -6,23 +6,25 @@
 import java.util.Random;
 
 /**
- * Shares access counts among the routers. Each object's count is owned by one router, chosen by rendezvous hashing. Routers
- * report their accesses to the owner, which answers with the sums. A message is a kind (1 byte) and entries of a hash
- * (8 bytes) and a count (2 bytes, unsigned), big-endian.
+ * Shares access counts among the routers. The count of each object is owned by one router, chosen by rendezvous
+ * hashing. Routers report their accesses to the owner, which answers with the sums. A message consists of a kind
+ * (1 byte) and entries of a hash (8 bytes) and a count (2 bytes, unsigned), big-endian.
  */
 final class CountGossip {
     private static final byte REPORT = 1;
     private static final byte SUMS = 2;
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int ENTRY_BYTES = 10;
-    /** Microseconds between two reports. */
+    /** Time between two reports. */
     private static final long REPORT_INTERVAL = 2_000_000;
-    /** Unreported accesses of one object that are reported at once. */
+    /** Number of unreported accesses of one object that makes a report due at once. */
     private static final int URGENT_ACCESSES = 8;
 
     private final RoutingContext context;
     private final AccessCounts counts;
+    /** Counts of the objects that this router owns. */
     private final LruTable<AccessCount> owned = new LruTable<>();
+    /** Counts of the objects accessed since the last report. */
     private final LruTable<AccessCount> unreported = new LruTable<>();
     private long nextReportAt;
 
@@ -31,7 +33,7 @@
         this.counts = counts;
     }
 
-    /** Spreads the first reports of routers that start together. */
+    /** Schedules the first report at a random time, so that routers that start together don't all report at once. */
     void start(Random random) {
         nextReportAt = context.now() + REPORT_INTERVAL + random.nextInt((int) REPORT_INTERVAL);
     }
@@ -50,7 +52,10 @@
         }
     }
 
-    /** Answers a report with the sums, and takes over sums. Anything else, cut or too long, is ignored. */
+    /**
+     * Answers a report with the sums, and stores received sums. Any other message, or one that is truncated or
+     * too long, is ignored.
+     */
     void onMessage(GossipReceived message, ActionBuffer actions) {
         if (!isAcceptable(message)) {
             return;
@@ -85,7 +90,8 @@
         return wellFormed && knownSender && context.settings().features().gossipEnabled();
     }
 
-    // Batches by owner what was counted since the last report; what does not fit goes with a later one.
+    // Reports the accesses counted since the last report, in one message per owner. Accesses that don't fit into
+    // the message are not reported; a single access of an object isn't either.
     private void report(ActionBuffer actions) {
         ByteBuffer[] messages = new ByteBuffer[context.settings().topology().routers()];
         for (Map.Entry<Long, AccessCount> entry : unreported.entrySet()) {
--- a/src/main/java/pewtercourse/decision/DeduplicationScope.java
+++ b/src/main/java/pewtercourse/decision/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Which caches recognise a repeated idempotency key, seen from the cache that had the first attempt. */
+/** Which caches recognise a repeated idempotency key, relative to the cache that received the first attempt. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/src/main/java/pewtercourse/decision/EndpointHealth.java
+++ b/src/main/java/pewtercourse/decision/EndpointHealth.java
@@ -1,20 +1,20 @@
 package pewtercourse.decision;
 
 /**
- * Outlier detection for one endpoint: whether it fails so often that it is ejected for a while. After the ejection it gets
- * one trial request at a time, and a longer ejection for each trial that fails. An unlucky endpoint loses its share of the
- * requests for a second.
+ * Outlier detection for one endpoint. An endpoint that fails too often is ejected for a while. After the
+ * ejection it gets one trial request at a time; each failed trial leads to a longer ejection. An endpoint that
+ * fails several times by chance loses its share of the requests for a second.
  */
 final class EndpointHealth {
-    /** Weight of the newest attempt. */
+    /** Weight of the newest attempt in a moving average. */
     static final double GAIN = 0.2;
-    /** Failure rate from which it is ejected. */
+    /** Failure rate above which the endpoint is ejected. */
     private static final double EJECTION_RATE = 0.45;
-    /** Failure rate from which it gets no request that can't be repeated, if another fails less. */
+    /** Failure rate from which requests that can't be repeated go to a more reliable endpoint, if there is one. */
     private static final double UNRELIABLE_RATE = 0.1;
-    /** Microseconds of the first ejection. */
+    /** Duration of the first ejection. */
     static final long FIRST_EJECTION = 1_000_000;
-    /** Microseconds of the longest ejection. */
+    /** Duration of the longest ejection. */
     private static final long MAX_EJECTION = 8_000_000;
 
     private double failureRate;
@@ -22,7 +22,7 @@
     private long ejectedUntil;
     private boolean trialInFlight;
 
-    /** Takes in one more answer or failure. */
+    /** Records an answer or a failure. */
     void record(long now, boolean failed) {
         failureRate += GAIN * ((failed ? 1 : 0) - failureRate);
         boolean onTrial = isEjected() && now >= ejectedUntil;
@@ -37,22 +37,22 @@
         }
     }
 
-    /** Whether it is ejected or on trial. */
+    /** Whether the endpoint is ejected or on trial. */
     boolean isEjected() {
         return ejectedUntil > 0;
     }
 
-    /** Whether a request may be sent to it, be it as a trial. */
+    /** Whether a request may be sent to the endpoint, possibly as a trial. */
     boolean isUsable(long now) {
         return !isEjected() || now >= ejectedUntil && !trialInFlight;
     }
 
-    /** Whether it fails so seldom that a request which can't be repeated may be sent to it. */
+    /** Whether the endpoint fails rarely enough to get requests that can't be repeated. */
     boolean isReliable() {
         return !isEjected() && failureRate < UNRELIABLE_RATE;
     }
 
-    /** Whether it fails clearly less than what gets ejected. */
+    /** Whether the failure rate is clearly below the one that leads to an ejection. */
     boolean isWell() {
         return !isEjected() && failureRate < EJECTION_RATE / 2;
     }
--- a/src/main/java/pewtercourse/decision/EndpointLifecycle.java
+++ b/src/main/java/pewtercourse/decision/EndpointLifecycle.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Whether an endpoint takes requests, as the endpoint list tells. */
+/** Whether an endpoint accepts requests, according to the endpoint list. */
 public enum EndpointLifecycle {
     READY,
     DRAINING,
--- a/src/main/java/pewtercourse/decision/EndpointRole.java
+++ b/src/main/java/pewtercourse/decision/EndpointRole.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** What an endpoint is for. */
+/** The role of an endpoint. */
 public enum EndpointRole {
     /** Answers clients. */
     CACHE,
--- a/src/main/java/pewtercourse/decision/EndpointState.java
+++ b/src/main/java/pewtercourse/decision/EndpointState.java
@@ -1,13 +1,13 @@
 package pewtercourse.decision;
 
-/** What this router has learned of one endpoint since the endpoint was last started. */
+/** What this router has learned about one endpoint since the last start of the endpoint. */
 final class EndpointState {
     final ConcurrencyLimiter limiter;
     final EndpointHealth health = new EndpointHealth();
     final ServedWork served = new ServedWork();
     final WorkWindow slowStartWork = new WorkWindow();
 
-    /** Its score for the object that the endpoints were last ordered for; see {@link PlacementOrder}. */
+    /** Score for the object for which the endpoints were last sorted; see {@link PlacementOrder}. */
     double placementScore;
 
     private Endpoint endpoint;
@@ -19,7 +19,7 @@
         this.limiter = new ConcurrencyLimiter(routersInZone);
     }
 
-    /** Its entry in the list. */
+    /** The endpoint's entry in the endpoint list. */
     Endpoint endpoint() {
         return endpoint;
     }
@@ -36,7 +36,7 @@
         return endpoint.role() == role;
     }
 
-    /** Its capacity, in the unit of the list if weights are capacities; else 1. */
+    /** Capacity in the unit of the endpoint list if weights are capacities; otherwise 1. */
     double capacity(boolean weightsAreCapacities) {
         return weightsAreCapacities && endpoint.weight() > 0 ? endpoint.weight() : 1;
     }
@@ -49,12 +49,12 @@
         return lastAnswerAt >= time;
     }
 
-    /** Time of its answers as a multiple of what is usual. */
+    /** Moving average of answer times, as multiples of the expected time. */
     double pace() {
         return pace;
     }
 
-    /** Takes in the pace of one more answer with a weight of {@code gain}. */
+    /** Adds the pace of one more answer with the weight {@code gain}. */
     void recordPace(double gain, double sample) {
         pace += gain * (sample - pace);
     }
--- a/src/main/java/pewtercourse/decision/EndpointTable.java
+++ b/src/main/java/pewtercourse/decision/EndpointTable.java
@@ -8,7 +8,10 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** The endpoints that are ready, by role. What was learned of one stays until it is started anew. */
+/**
+ * The endpoints that are ready, by role. What was learned about an endpoint is kept while it stays ready, until
+ * it restarts.
+ */
 final class EndpointTable {
     private final RoutingContext context;
     private final Map<Long, EndpointState> endpoints = new LinkedHashMap<>();
@@ -21,7 +24,7 @@
         this.context = context;
     }
 
-    /** Takes over a list that could be read, or changes of it. */
+    /** Applies a complete endpoint list or changes to it, but no {@link EndpointUpdateKind#FAILED} call. */
     void update(EndpointsChanged change) {
         Map<Long, EndpointState> known = new LinkedHashMap<>(endpoints);
         if (change.kind() != EndpointUpdateKind.DELTA) {
@@ -55,22 +58,22 @@
         return endpoints.values().stream().filter(which).collect(Collectors.toCollection(ArrayList::new));
     }
 
-    /** The own zone's caches, in the order in which {@link PlacementOrder} last left them. */
+    /** The caches of the router's zone, in the order in which {@link PlacementOrder} last sorted them. */
     List<EndpointState> caches() {
         return caches;
     }
 
-    /** The parents, in the order in which {@link PlacementOrder} last left them. */
+    /** The parents, in the order in which {@link PlacementOrder} last sorted them. */
     List<EndpointState> parents() {
         return parents;
     }
 
-    /** Null if none is listed. */
+    /** The origin with the lowest id; null if none is listed. */
     EndpointState origin() {
         return origin;
     }
 
-    /** The most caches that were listed at once so far. */
+    /** The largest number of caches listed at once so far. */
     int mostCaches() {
         return mostCaches;
     }
--- a/src/main/java/pewtercourse/decision/EndpointUpdateKind.java
+++ b/src/main/java/pewtercourse/decision/EndpointUpdateKind.java
@@ -1,13 +1,13 @@
 package pewtercourse.decision;
 
-/** How the endpoints of an {@link EndpointsChanged} are to be read. */
+/** How to interpret the endpoints of an {@link EndpointsChanged}. */
 public enum EndpointUpdateKind {
-    /** Only what has changed. */
+    /** Only the endpoints that have changed. */
     DELTA,
-    /** The whole list: what is missing has gone. */
+    /** The complete list: endpoints missing from it are gone. */
     SNAPSHOT,
-    /** The whole list as it was saved before a restart. */
+    /** The complete list as saved before a restart. */
     CACHED,
-    /** None: the call failed. */
+    /** No endpoints: the call failed. */
     FAILED
 }
--- a/src/main/java/pewtercourse/decision/EndpointsChanged.java
+++ b/src/main/java/pewtercourse/decision/EndpointsChanged.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A list of endpoints, or changes of it. */
+/** The endpoint list, or changes to it. */
 public record EndpointsChanged(EndpointUpdateKind kind, List<Endpoint> endpoints) implements RouterEvent {
     @Override
     public void accept(RouterEventVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/FailRequest.java
+++ b/src/main/java/pewtercourse/decision/FailRequest.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** The final answer to a request that may have run and was not served. */
+/** Fails a request that may have taken effect but was not served. This is the final answer. */
 public record FailRequest(long requestId) implements RouterAction {
     @Override
     public void accept(RouterActionVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/FillSourceSelector.java
+++ b/src/main/java/pewtercourse/decision/FillSourceSelector.java
@@ -1,13 +1,17 @@
 package pewtercourse.decision;
 
-/** Chooses from where a cache fills what it does not hold: a sibling that holds it, else a parent, else the origin. */
+/**
+ * Chooses the source from which a cache fills an object that it does not hold: a sibling that holds the object,
+ * otherwise a parent, otherwise the origin.
+ */
 final class FillSourceSelector {
-    /** How choosy a look through the parents is. */
+    /** How selective a pass over the parents is. */
     private enum Pass {
-        /** Reliable, and not tried before. */
+        /** Only reliable parents that the request has not tried without success. */
         PREFERRED,
-        /** Not tried before. */
+        /** Only parents that the request has not tried without success. */
         UNTRIED,
+        /** Any parent. */
         ANY
     }
 
@@ -32,7 +36,10 @@
         this.outliers = outliers;
     }
 
-    /** A cache that probably holds what the target lacks; null if there is none, or if it may not be asked. */
+    /**
+     * Returns a cache that probably holds the object that the target lacks; null if there is none or if siblings
+     * may not be used.
+     */
     EndpointState selectSibling(RequestState request, EndpointState target) {
         boolean allowed = context.settings().upstream().siblingFillPolicy() != SiblingFillPolicy.NONE;
         if (!allowed || request.parentOnly || !request.isCacheable() || hints.isLikelyHeld(request, target)) {
@@ -49,7 +56,10 @@
         return null;
     }
 
-    /** The object's parent, or the origin if no parent is usable; null if there is neither. */
+    /**
+     * Returns the first usable parent in the object's placement order, or the origin if no parent is usable;
+     * null if there is neither.
+     */
     EndpointState selectParent(RequestState request) {
         order.sort(endpoints.parents(), request.objectHash);
         for (Pass pass : Pass.values()) {
--- a/src/main/java/pewtercourse/decision/FillTracker.java
+++ b/src/main/java/pewtercourse/decision/FillTracker.java
@@ -1,6 +1,9 @@
 package pewtercourse.decision;
 
-/** The fills from parents and origin: how many are in flight, how long they take, and how likely an attempt needs one. */
+/**
+ * Tracks the fills from parents and the origin: how many are in flight, how long they take, and how likely an
+ * attempt needs one.
+ */
 final class FillTracker {
     /** Weight of the newest sample. */
     private static final double GAIN = 0.1;
@@ -17,14 +20,14 @@
         limiter = new ConcurrencyLimiter(routersInZone);
     }
 
-    /** Microseconds that a fill adds to an answer. */
+    /** Microseconds that a fill is expected to add to an answer. */
     double expectedWait() {
         return wait;
     }
 
     /**
-     * How likely an attempt that is not thought to hit does fill. The fewer hints a router has, the more of these hit all
-     * the same.
+     * Probability that an attempt that is not expected to hit needs a fill. The fewer hints a router has, the
+     * more of these attempts hit nevertheless.
      */
     double probability() {
         return probability;
--- a/src/main/java/pewtercourse/decision/GossipReceived.java
+++ b/src/main/java/pewtercourse/decision/GossipReceived.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** A datagram from another router. */
+/** A gossip datagram was received from another router. */
 public record GossipReceived(int router, byte[] payload) implements RouterEvent {
     @Override
     public void accept(RouterEventVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/Hashing.java
+++ b/src/main/java/pewtercourse/decision/Hashing.java
@@ -1,8 +1,8 @@
 package pewtercourse.decision;
 
 /**
- * The hash functions by which routers agree without talking: all of them compute the same values, also those of another
- * version, so these functions must never change.
+ * Hash functions by which routers make the same choices without communicating. All routers, also those of other
+ * versions, must compute the same values, so these functions must never change.
  */
 public final class Hashing {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -10,7 +10,7 @@
 
     private Hashing() {}
 
-    /** FNV-1a over the UTF-16 units of a name, finished by {@link #mix}. */
+    /** FNV-1a over the UTF-16 code units of a text, finished by {@link #mix}. */
     public static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -19,7 +19,10 @@
         return mix(hash);
     }
 
-    /** The finaliser of SplitMix64 (Steele, Lea, Flood 2014): each bit of the input moves half of the output's. */
+    /**
+     * The finaliser of SplitMix64 (Steele, Lea, Flood 2014): each bit of the input affects half of the bits of
+     * the output.
+     */
     public static long mix(long value) {
         long mixed = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/pewtercourse/decision/Housekeeping.java
+++ b/src/main/java/pewtercourse/decision/Housekeeping.java
@@ -1,10 +1,10 @@
 package pewtercourse.decision;
 
-/** The rhythm of what a router does without being asked. */
+/** Timing of the periodic work of a router. */
 final class Housekeeping {
-    /** Microseconds: fine against the shortest latency objectives, which are hundreds of milliseconds. */
+    /** Short compared with the shortest latency objectives, which are hundreds of milliseconds. */
     static final long INTERVAL = 20_000;
-    /** Factor in each interval by which an estimate that nothing renews halves in a minute. */
+    /** Factor that is applied in each interval to an estimate, so that it halves in a minute if nothing renews it. */
     static final double FADE = Math.pow(0.5, INTERVAL / 60e6);
 
     private Housekeeping() {}
--- a/src/main/java/pewtercourse/decision/Idempotency.java
+++ b/src/main/java/pewtercourse/decision/Idempotency.java
@@ -1,11 +1,11 @@
 package pewtercourse.decision;
 
-/** What sending a request a second time does. */
+/** The effect of sending a request a second time. */
 public enum Idempotency {
-    /** Nothing: the request has no effect (a read). */
+    /** None: the request has no effect (a read). */
     SAFE,
-    /** Nothing at those caches that remember its idempotency key; see {@link DeduplicationScope}. */
+    /** None at caches that remember the idempotency key; see {@link DeduplicationScope}. */
     IDEMPOTENCY_KEY,
-    /** Its effect happens once more. */
+    /** The request takes effect once more. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/pewtercourse/decision/IdempotencyRules.java
+++ b/src/main/java/pewtercourse/decision/IdempotencyRules.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Whether a request may be sent once more. */
+/** Decides whether a request may be sent again. */
 final class IdempotencyRules {
     private final RoutingContext context;
 
@@ -8,7 +8,7 @@
         this.context = context;
     }
 
-    /** Whether one more attempt at this endpoint can't make the request take effect twice. */
+    /** Whether the request can't take effect twice if it is sent to this endpoint now. */
     boolean allow(RequestState request, EndpointState endpoint) {
         boolean parallel = context.settings().features().parallelAttempts();
         if (request.isSafe()) {
--- a/src/main/java/pewtercourse/decision/LruTable.java
+++ b/src/main/java/pewtercourse/decision/LruTable.java
@@ -3,10 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A table keyed by hashes that evicts its least recently used entry once it is full. */
+/** A table keyed by hashes. A full table evicts its least recently used entry. */
 final class LruTable<V> extends LinkedHashMap<Long, V> {
     private static final long serialVersionUID = 1L;
-    /** Some minutes of one router's distinct objects. */
+    /** Holds the distinct objects that one router sees in a few minutes. */
     private static final int MAX_ENTRIES = 20_000;
 
     LruTable() {
--- a/src/main/java/pewtercourse/decision/OutlierDetector.java
+++ b/src/main/java/pewtercourse/decision/OutlierDetector.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 
-/** Tells which endpoints do worse than their peers, and blames them. */
+/** Detects endpoints that perform worse than their peers, and records failures against them. */
 final class OutlierDetector {
-    /** Multiple of its peers' pace from which an endpoint lags. */
+    /** An endpoint lags if its pace exceeds this multiple of the mean pace of its peers. */
     private static final double LAG = 2.5;
-    /** Weight of an overdue answer in a source's pace. */
+    /** Weight of an overdue answer in the pace of a source. */
     private static final double OVERDUE_GAIN = 0.1;
 
     private final RoutingContext context;
@@ -25,11 +25,10 @@
         return lags(endpoint, endpoints.parents());
     }
 
-    // Much slower for its size than its peers that are well: it ages, stalls or is crowded by others. Only the
-    // difference
-    // counts, so that what slows all ejects none. Of two endpoints alone, one that has drawn the larger misses may look
-    // slow
-    // until its next trial.
+    // Whether the endpoint is much slower, relative to the size of its answers, than its peers that are not
+    // ejected: it degrades, stalls or is crowded by others. Only the difference to the peers counts, so a fault
+    // that slows down all endpoints ejects none. Of only two endpoints, one that happened to get the larger
+    // misses may look slow until its next trial.
     private static boolean lags(EndpointState endpoint, List<EndpointState> peers) {
         double sum = 0;
         int others = 0;
@@ -42,12 +41,18 @@
         return others > 0 && endpoint.pace() > LAG * sum / others;
     }
 
-    /** Whether a parent fails while others don't: what fails at all of them is the origin's fault. */
+    /**
+     * Whether another parent is healthy, so that a failure is this parent's fault. A failure at all parents is
+     * the origin's fault.
+     */
     boolean failsAlone(EndpointState parent) {
         return endpoints.parents().stream().anyMatch(p -> p != parent && p.health.isWell());
     }
 
-    /** Whether the endpoint is usable for this request: what can't be repeated is no trial. */
+    /**
+     * Whether the endpoint is reliable enough for this request. A request that can't be repeated is not sent as
+     * a trial.
+     */
     boolean isReliableFor(RequestState request, EndpointState endpoint) {
         return request.isSafe() || endpoint.health.isReliable();
     }
@@ -56,7 +61,11 @@
         endpoint.health.record(context.now(), failed);
     }
 
-    /** Blames an overdue attempt on the cache if that has answered nothing since, else maybe on the source. */
+    /**
+     * Records an overdue attempt as a failure of the cache if the cache has answered nothing since. Otherwise
+     * records it as a failure of the source if the source has answered nothing either or lags, and if caches
+     * report hits.
+     */
     void onOverdue(AttemptState attempt) {
         if (attempt.fillsFromOutside) {
             attempt.source.recordPace(OVERDUE_GAIN, (context.now() - attempt.sentAt) / attempt.usualTime);
--- a/src/main/java/pewtercourse/decision/PlacementOrder.java
+++ b/src/main/java/pewtercourse/decision/PlacementOrder.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The order of endpoints for an object, by weighted rendezvous hashing (Thaler and Ravishankar 1998; weights after
- * Schindelhauer and Schomaker 2005): every router gets the same order, and a change of the list moves only what it must.
+ * Orders endpoints for an object by weighted rendezvous hashing (Thaler and Ravishankar 1998; weights after
+ * Schindelhauer and Schomaker 2005). Every router computes the same order, and a change of the endpoint list
+ * moves only the objects that it must.
  */
 final class PlacementOrder {
     private static final Comparator<EndpointState> BY_SCORE = (a, b) -> a.placementScore != b.placementScore
@@ -18,7 +19,7 @@
         this.context = context;
     }
 
-    /** Sorts the list in place: those that are to serve the object first. */
+    /** Sorts the list in place: the endpoints that should serve the object come first. */
     void sort(List<EndpointState> endpoints, long object) {
         boolean weighted = context.settings().upstream().weightsAreCapacities();
         for (EndpointState endpoint : endpoints) {
@@ -28,7 +29,7 @@
         endpoints.sort(BY_SCORE);
     }
 
-    /** The upper 53 bits as a number in (0, 1]. */
+    /** Converts the upper 53 bits to a number in (0, 1]. */
     private static double unitInterval(long hash) {
         return ((hash >>> 11) + 1) * 0x1.0p-53;
     }
--- a/src/main/java/pewtercourse/decision/PurgeLog.java
+++ b/src/main/java/pewtercourse/decision/PurgeLog.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Remembers purges for as long as a cache may still hold a copy from before. */
+/** Remembers purges for as long as a cache may still hold a copy from before the purge. */
 final class PurgeLog {
-    /** No purge is remembered. */
+    /** Returned by {@link #lastPurge} if no purge is remembered. */
     static final long NEVER = Long.MIN_VALUE;
-    /** Microseconds that a purge is remembered beyond its propagation. */
+    /** Time that a purge is remembered beyond its propagation. */
     private static final long MARGIN = 2 * Housekeeping.INTERVAL;
 
     private final RoutingContext context;
@@ -17,20 +17,23 @@
         this.context = context;
     }
 
-    /** A purge that is told twice or out of order does no harm; one that is told wrongly costs fills. */
+    /** Records a purge. Duplicate and reordered purges do no harm; a purge reported by mistake costs fills. */
     void record(ContentPurged purge) {
         long key = purge.object() != null ? Hashing.hash(purge.object()) : groupKey(purge.purgeGroup());
         purgedAt.merge(key, context.now() - purge.age(), Math::max);
     }
 
-    /** When the request's object was last purged, or {@link #NEVER}. */
+    /** Returns when the request's object was last purged, or {@link #NEVER}. */
     long lastPurge(RequestState request) {
         return Math.max(
                 purgedAt.getOrDefault(request.objectHash, NEVER),
                 purgedAt.getOrDefault(groupKey(request.arrival.purgeGroup()), NEVER));
     }
 
-    /** Largest age of a copy that will do, in microseconds: at least 1, as 0 stands for any age. */
+    /**
+     * Returns the maximum acceptable age of a copy in microseconds. It is at least 1, because 0 means that any
+     * age is acceptable.
+     */
     long maxCopyAge(RequestState request) {
         long purge = lastPurge(request);
         if (purge == NEVER) {
--- a/src/main/java/pewtercourse/decision/QuotaChanged.java
+++ b/src/main/java/pewtercourse/decision/QuotaChanged.java
@@ -1,8 +1,9 @@
 package pewtercourse.decision;
 
 /**
- * The quota that the routers have agreed on for endpoints in slow start: this router's, as a factor on an equal
- * share.
+ * The routers have agreed on new quotas for endpoints in slow start.
+ *
+ * @param factor quota of this router, as a multiple of an equal share
  */
 public record QuotaChanged(double factor) implements RouterEvent {
     @Override
--- a/src/main/java/pewtercourse/decision/RejectRequest.java
+++ b/src/main/java/pewtercourse/decision/RejectRequest.java
@@ -1,9 +1,9 @@
 package pewtercourse.decision;
 
 /**
- * Rejects a request that had no effect.
+ * Rejects a request that had no effect or may safely be repeated.
  *
- * @param retryAfter microseconds; 0: no advice when to come again
+ * @param retryAfter microseconds after which the client should retry; 0 for no advice
  */
 public record RejectRequest(long requestId, long retryAfter) implements RouterAction {
     @Override
--- a/src/main/java/pewtercourse/decision/RequestArrived.java
+++ b/src/main/java/pewtercourse/decision/RequestArrived.java
@@ -3,10 +3,11 @@
 /**
  * A client's request.
  *
- * @param requestClass index of its class in the settings
- * @param purgeGroup with which its object can be purged
- * @param sizeKb 0 if not told
- * @param clientRetry whether the client marked it as its own retry
+ * @param requestClass index of the request's class in the settings
+ * @param purgeGroup group of objects in which the requested object can be purged
+ * @param sizeKb size of the answer in kilobytes, 0 if unknown
+ * @param expiresAt time at which the client stops waiting
+ * @param clientRetry whether the client marked the request as a retry
  */
 public record RequestArrived(
         long requestId,
--- a/src/main/java/pewtercourse/decision/RequestClass.java
+++ b/src/main/java/pewtercourse/decision/RequestClass.java
@@ -1,16 +1,16 @@
 package pewtercourse.decision;
 
 /**
- * One class of requests. Times are microseconds.
+ * One class of requests. Durations are in microseconds.
  *
- * @param deduplicationScope where a repeated idempotency key is recognised
- * @param idempotencyWindow how long a key is remembered
- * @param latencyObjective within which an answer is in time, besides its transfer
+ * @param deduplicationScope which caches recognise a repeated idempotency key
+ * @param idempotencyWindow how long a cache remembers an idempotency key
+ * @param latencyObjective maximum latency of a timely answer, without its transfer
  * @param transferAllowance multiple of the transfer time that is added to the objective
- * @param deadline after which nobody waits any more
- * @param streaming whether clients are served while the answer still comes in
+ * @param deadline time after which no client waits any more
+ * @param streaming whether clients receive an answer while it is still coming in
  * @param freshnessLifetime how long a copy is fresh; 0: until it is purged
- * @param segmented whether objects are asked for in segments
+ * @param segmented whether objects are requested in segments
  * @param uncacheable whether only the origin can answer
  */
 public record RequestClass(
@@ -24,12 +24,12 @@
         long freshnessLifetime,
         boolean segmented,
         boolean uncacheable) {
-    /** Whether a repeat has no effect. */
+    /** Whether sending the request again has no further effect. */
     public boolean isSafe() {
         return idempotency == Idempotency.SAFE;
     }
 
-    /** The same with another freshness lifetime. */
+    /** Returns a copy of this class with another freshness lifetime. */
     public RequestClass withFreshnessLifetime(long lifetime) {
         return new RequestClass(
                 idempotency,
--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The life of a request: its first attempt, retries, final answer. */
+/** Handles a request from its first attempt through its retries to its final answer. */
 final class RequestDispatcher {
     /**
-     * Advice to a rejected client, as a share of its objective: so soon that it may yet be served within it. Spread up to
-     * twice that, so that clients don't come back at once.
+     * Delay that a rejected client is advised to wait, as a share of its latency objective: short enough that
+     * its retry may still be served within the objective. The delay is spread randomly up to twice this value,
+     * so that clients don't all come back at once.
      */
     private static final double RETRY_AFTER_SHARE = 0.25;
 
@@ -27,7 +28,7 @@
         this.parts = parts;
     }
 
-    /** Takes in a request that has just come; false if one of its id is under way. */
+    /** Registers a new request. Returns false if a request with the same id is in progress. */
     boolean register(RequestState request) {
         if (requests.putIfAbsent(request.id(), request) != null) {
             return false;
@@ -36,7 +37,7 @@
         return true;
     }
 
-    /** Makes the next attempt at the request, or answers it finally. */
+    /** Sends the next attempt of the request, or gives its final answer. */
     void advance(RequestState request) {
         if (request.finished || request.streaming) {
             return;
@@ -60,16 +61,17 @@
             parts.sender().send(request, cache, sibling, true);
             return;
         }
-        // What runs at the origin is rare and small and can't be served otherwise: it passes the limits, which guard
-        // against
-        // the many. It so adds its few to a crowded link.
+        // Requests that only the origin can answer are rare and small and can't be served otherwise. They bypass
+        // the limit on fills, which protects against large numbers of requests. They may thus add a little load
+        // to a crowded link.
         boolean mayFill =
                 !request.isCacheable() || fillsAdmit(request) || parts.hints().isLikelyHeld(request, cache);
         EndpointState parent = mayFill ? parts.sourceSelector().selectParent(request) : null;
         parts.sender().send(request, cache, parent == null ? cache : parent, false);
     }
 
-    // No cache may be used: where that is allowed a request passes them by, until one is listed again.
+    // Handles a request for which no cache may be used. If allowed, it goes directly to a parent while no cache
+    // is listed.
     private void bypassCaches(RequestState request) {
         boolean allowed = context.settings().features().cacheBypassAllowed()
                 && parts.endpoints().caches().isEmpty()
@@ -87,7 +89,7 @@
         return parts.fills().limiter.admits(parts.transferTimes().relativeSize(request));
     }
 
-    /** The end of an attempt: unknown ones are ignored. */
+    /** Handles the end of an attempt; unknown attempts are ignored. */
     void onAttemptFinished(AttemptFinished end) {
         RequestState request = requests.get(end.requestId());
         if (request == null || end.attempt() < 0 || end.attempt() >= request.attempts.size()) {
@@ -119,12 +121,10 @@
         parts.feedback().onAttemptEnded(request, attempt, end);
     }
 
-    // A retry costs a part of the budget, unless the last attempt only learned who lacks the object. What two caches
-    // answer
-    // with an error is not tried on: its retries would use up the budget of the others. What no cache could be reached
-    // for
-    // is given back while its client has half of its time left: a zone that is cut off must not hold requests that
-    // nobody
+    // Sends a retry or gives up the request. A retry counts against the retry budget, unless the last attempt
+    // only showed that an endpoint lacks the object. A request that two caches answered with an error is not
+    // retried: its retries would use up the budget of the others. A request that reached no cache is rejected
+    // while its client has half of its time left: a zone that is cut off must not hold requests that nobody
     // works on.
     private void retryOrGiveUp(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
         if (request.liveAttempts > 0) {
@@ -149,9 +149,9 @@
         return !request.reachedCache && now + (now - attempt.sentAt) > halfTime;
     }
 
-    // The final answer when no attempt is left, at once. The client hears when to come again, also where it is not
-    // known
-    // that clients heed it: those that do come back spread out and within their objective, the others lose nothing.
+    // Gives the final answer as soon as no attempt is left. The client is advised when to retry, even if it is
+    // unknown whether clients follow the advice: those that do retry at different times and within their
+    // objective, the others lose nothing.
     private void giveUp(RequestState request) {
         if (request.liveAttempts > 0) {
             return;
@@ -198,20 +198,18 @@
         }
     }
 
-    /** Looks for overdue attempts of all requests. */
+    /** Handles attempts of all requests that have become overdue. */
     void checkOverdue() {
         for (RequestState request : new ArrayList<>(requests.values())) {
             checkOverdue(request);
         }
     }
 
-    // Another attempt is made beside an overdue one, or in its place where that can yet be in time or the cache is ill:
-    // a
-    // large transfer begun twice ends late. Holds against lost answers, hangs, stalls and cut links. A lost answer
-    // gives back
-    // its capacity and blames no one; an endpoint is blamed only if it answered nothing since. A long stall of all
-    // costs one
-    // retry for each request, within the budget.
+    // Sends another attempt beside an overdue one. If parallel attempts are not allowed, it replaces the overdue
+    // one if the new attempt can still be in time or the cache is failing: a large transfer that is started
+    // twice ends late. This handles lost answers, hangs, stalls and cut links. An attempt whose answer is lost
+    // releases its capacity and is blamed on nobody; an endpoint is blamed only if it has answered nothing
+    // since. A long stall of all endpoints costs one retry per request, within the retry budget.
     private void checkOverdue(RequestState request) {
         int attempts = request.attempts.size();
         for (int number = 0; number < attempts && !request.streaming && !request.finished; number++) {
--- a/src/main/java/pewtercourse/decision/RequestState.java
+++ b/src/main/java/pewtercourse/decision/RequestState.java
@@ -6,36 +6,37 @@
 /** A request from its arrival until its last attempt has ended. */
 final class RequestState {
     final RequestArrived arrival;
-    /** As it was when the request came. */
+    /** The settings of the request's class when the request arrived. */
     final RequestClass requestClass;
 
     final long objectHash;
     final long segmentHash;
-    /** Microseconds that its answer takes to send, as far as is known. */
+    /** Estimated microseconds to send the answer to the client. */
     final double transferTime;
 
     final long arrivedAt;
     final List<AttemptState> attempts = new ArrayList<>(2);
-    /** Endpoints at which an attempt failed, once for each. */
+    /** Endpoints at which an attempt failed, one entry per failure. */
     final List<EndpointState> failedEndpoints = new ArrayList<>(2);
 
+    /** Sources from which a fill failed. */
     final List<EndpointState> failedSources = new ArrayList<>(2);
     /** Caches that answered with an error. */
     final List<EndpointState> accusedCaches = new ArrayList<>(2);
-    /** The parents from which these were to fill. */
+    /** Parents from which the failed attempts were to fill. */
     final List<EndpointState> accusedSources = new ArrayList<>(2);
 
     /** Attempts in flight. */
     int liveAttempts;
-    /** By which its object's replicas take turns. */
+    /** The request's turn among the object's replicas. */
     int turn;
-    /** The first bytes of an answer are on their way to the client. */
+    /** Whether the first bytes of an answer are being sent to the client. */
     boolean streaming;
-    /** No sibling may fill it any more. */
+    /** Whether siblings may no longer fill the request. */
     boolean parentOnly;
-    /** Its client has its final answer. */
+    /** Whether the client has its final answer. */
     boolean finished;
-    /** Some attempt came to a cache. */
+    /** Whether some attempt reached a cache. */
     boolean reachedCache;
 
     private EndpointState firstRunAt;
@@ -58,23 +59,23 @@
         return requestClass.isSafe();
     }
 
-    /** Whether its answer may be stored. */
+    /** Whether the answer may be stored. */
     boolean isCacheable() {
         return !requestClass.uncacheable() && !arrival.write();
     }
 
-    /** Within which its answer is in time, in microseconds from an attempt's start. */
+    /** Maximum latency of a timely answer, in microseconds from the start of an attempt. */
     double latencyObjective() {
         double objective = requestClass.latencyObjective() + requestClass.transferAllowance() * transferTime;
         return Math.min(objective, requestClass.deadline());
     }
 
-    /** The endpoint of the first attempt that may have run or may yet run; null if none may. */
+    /** The endpoint of the first attempt that may have run or may still run; null if there is no such attempt. */
     EndpointState firstRunAt() {
         return firstRunAt;
     }
 
-    /** When that attempt was sent. */
+    /** When the attempt at {@link #firstRunAt} was sent. */
     long firstRunTime() {
         return firstRunTime;
     }
@@ -97,7 +98,7 @@
         reachedCache |= outcome != AttemptOutcome.CONNECT_FAILED && outcome != AttemptOutcome.SUPERSEDED;
     }
 
-    /** Whether it certainly had no effect, or may be repeated anywhere. */
+    /** Whether the request certainly had no effect or may safely be repeated anywhere. */
     boolean isHarmlessToReject() {
         boolean repeatable = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL;
--- a/src/main/java/pewtercourse/decision/RetryBudget.java
+++ b/src/main/java/pewtercourse/decision/RetryBudget.java
@@ -1,10 +1,10 @@
 package pewtercourse.decision;
 
-/** Retries earn their right from first attempts, so that they don't feed an overload. */
+/** Limits retries to a share of the requests, so that retries don't aggravate an overload. */
 final class RetryBudget {
-    /** Retries that each request earns. */
+    /** Retries that each request adds to the budget. */
     private static final double EARNED_PER_REQUEST = 0.2;
-    /** Retries that may be saved up. */
+    /** Maximum retries that the budget can accumulate. */
     private static final double MAX_SAVED = 20;
 
     private double saved = MAX_SAVED;
--- a/src/main/java/pewtercourse/decision/RetryLimits.java
+++ b/src/main/java/pewtercourse/decision/RetryLimits.java
@@ -1,9 +1,9 @@
 package pewtercourse.decision;
 
 /**
- * Limits of retries.
+ * Limits on retries.
  *
- * @param maxRetryAfter longest advice in microseconds that rejected clients follow
- * @param maxAttempts of one request, with the first
+ * @param maxRetryAfter longest delay in microseconds that rejected clients can be advised to wait
+ * @param maxAttempts maximum attempts of one request, including the first
  */
 public record RetryLimits(long maxRetryAfter, int maxAttempts) {}
--- a/src/main/java/pewtercourse/decision/RouterAction.java
+++ b/src/main/java/pewtercourse/decision/RouterAction.java
@@ -1,8 +1,8 @@
 package pewtercourse.decision;
 
-/** What a router asks of its caller: the outputs of the decision module. */
+/** An output of the decision module: something that a router requests from its caller. */
 public sealed interface RouterAction
         permits SendAttempt, CancelAttempt, RejectRequest, FailRequest, StartTimer, SendGossip, WatchEndpoints {
-    /** Calls the visitor's method for this kind. */
+    /** Calls the visitor's method for this kind of action. */
     void accept(RouterActionVisitor visitor);
 }
--- a/src/main/java/pewtercourse/decision/RouterEvent.java
+++ b/src/main/java/pewtercourse/decision/RouterEvent.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** What a router is told: the inputs of the decision module. */
+/** An input of the decision module: something that has happened. */
 public sealed interface RouterEvent
         permits SettingsChanged,
                 EndpointsChanged,
@@ -12,6 +12,6 @@
                 ContentPurged,
                 GossipReceived,
                 ClientDisconnected {
-    /** Calls the visitor's method for this kind. */
+    /** Calls the visitor's method for this kind of event. */
     void accept(RouterEventVisitor visitor);
 }
--- a/src/main/java/pewtercourse/decision/RouterFeatures.java
+++ b/src/main/java/pewtercourse/decision/RouterFeatures.java
@@ -1,13 +1,13 @@
 package pewtercourse.decision;
 
 /**
- * What a router may do.
+ * Features that a router may use.
  *
- * @param requestCoalescing caches may answer several requests by one fill
- * @param cacheBypassAllowed parents may answer clients while there is no cache
- * @param gossipEnabled routers may tell each other their access counts
- * @param parallelAttempts a safe request may be at several caches at once
- * @param attemptCancellation attempts under way may be cancelled
+ * @param requestCoalescing whether caches may answer several requests by one fill
+ * @param cacheBypassAllowed whether parents may answer clients while there is no cache
+ * @param gossipEnabled whether routers may send one another their access counts
+ * @param parallelAttempts whether a safe request may be at several caches at once
+ * @param attemptCancellation whether attempts in flight may be cancelled
  */
 public record RouterFeatures(
         boolean requestCoalescing,
--- a/src/main/java/pewtercourse/decision/RouterSettings.java
+++ b/src/main/java/pewtercourse/decision/RouterSettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The settings of a router. {@link SettingsChanged} replaces them while it runs.
+ * The settings of a router. {@link SettingsChanged} replaces them while the router runs.
  *
- * @param classes a class keeps its place when settings change
+ * @param classes classes of requests; a class keeps its index when the settings change
  * @param purgePropagation microseconds until a purge has reached every cache
  */
 public record RouterSettings(
@@ -21,14 +21,14 @@
         classes = List.copyOf(classes);
     }
 
-    /** The same with these classes. */
+    /** Returns a copy of these settings with other classes. */
     public RouterSettings withClasses(List<RequestClass> others) {
         return new RouterSettings(topology, others, bandwidth, features, retry, upstream, slowStart, purgePropagation);
     }
 
     /**
-     * For a router that sends requests to the caches of another zone: what its link carries is not known, and it gossips
-     * with no one.
+     * Returns settings for a router that sends requests to the caches of another zone: the bandwidth of that
+     * zone's link for fills is unknown, and the router does not gossip.
      */
     public RouterSettings forRemoteZone(int zone, List<RequestClass> others) {
         return new RouterSettings(
--- a/src/main/java/pewtercourse/decision/RouterStatus.java
+++ b/src/main/java/pewtercourse/decision/RouterStatus.java
@@ -1,9 +1,9 @@
 package pewtercourse.decision;
 
 /**
- * What operators may see of a router's state.
+ * The part of a router's state that operators may see.
  *
- * @param ejectedEndpoints listed endpoints that get no requests for now because they failed
- * @param slowStartLimited whether an endpoint in slow start lately had no budget left for a request
+ * @param ejectedEndpoints number of listed endpoints that currently get no requests because they failed
+ * @param slowStartLimited whether an endpoint in slow start recently had no budget left for a request
  */
 public record RouterStatus(int ejectedEndpoints, boolean slowStartLimited) {}
--- a/src/main/java/pewtercourse/decision/RoutingContext.java
+++ b/src/main/java/pewtercourse/decision/RoutingContext.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** What every part of a router may read: the time of the batch in hand and the settings in force. */
+/** Gives every part of a router the time of the current batch and the current settings. */
 final class RoutingContext {
     private RouterSettings settings;
     private int routersInZone;
@@ -21,12 +21,12 @@
         batch++;
     }
 
-    /** Microseconds of the caller's clock. */
+    /** Time of the current batch, in microseconds of the caller's clock. */
     long now() {
         return now;
     }
 
-    /** Number of the batch of events in hand. */
+    /** Number of the current batch of events. */
     long batch() {
         return batch;
     }
@@ -35,7 +35,7 @@
         return settings;
     }
 
-    /** Routers of the own zone, at least 1. */
+    /** Number of routers in the own zone, at least 1. */
     int routersInZone() {
         return routersInZone;
     }
--- a/src/main/java/pewtercourse/decision/RoutingEngine.java
+++ b/src/main/java/pewtercourse/decision/RoutingEngine.java
@@ -4,13 +4,14 @@
 import java.util.Random;
 
 /**
- * The router of one director: handles its events and keeps its house. The work is done by the classes that it puts together,
- * see {@link RoutingParts}; docs/design.md says why they decide as they do. Not thread-safe.
+ * The router of one director. It dispatches the events and runs the periodic housekeeping. The work is done by
+ * the classes that it combines, see {@link RoutingParts}; docs/design.md gives the reasons for their decisions.
+ * Not thread-safe.
  */
 public final class RoutingEngine implements Router {
     private static final String SWEEP_TIMER = "sweep";
     private static final String WATCH_TIMER = "watch";
-    /** Microseconds until the endpoint list is asked for again after a failed call. */
+    /** Delay before the endpoint list is requested again after a failed call. */
     private static final long WATCH_RETRY_DELAY = 1_000_000;
 
     private final RoutingContext context;
@@ -21,7 +22,7 @@
     private final RouterEventVisitor handler = new EventHandler();
     private boolean started;
 
-    /** The same settings, seed and events always give the same actions. */
+    /** Creates a router. The same settings, seed and events always result in the same actions. */
     public RoutingEngine(RouterSettings settings, long seed) {
         random = new Random(seed);
         context = new RoutingContext(settings);
@@ -74,7 +75,7 @@
     private final class EventHandler implements RouterEventVisitor {
         @Override
         public void visit(SettingsChanged event) {
-            // What was learned stays.
+            // Learned state is kept.
             context.configure(event.settings());
             parts.transferTimes().resize(event.settings().classes().size());
         }
--- a/src/main/java/pewtercourse/decision/RoutingParts.java
+++ b/src/main/java/pewtercourse/decision/RoutingParts.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** The parts of a router, each the owner of its own state. */
+/** The parts of a router. Each part owns its state. */
 record RoutingParts(
         EndpointTable endpoints,
         TransferTimes transferTimes,
--- a/src/main/java/pewtercourse/decision/SendAttempt.java
+++ b/src/main/java/pewtercourse/decision/SendAttempt.java
@@ -1,15 +1,15 @@
 package pewtercourse.decision;
 
 /**
- * An attempt at an endpoint.
+ * Sends one attempt to an endpoint.
  *
- * @param timeout microseconds; 0: until the client gives up
- * @param fillSourceId from which a miss is filled; the endpoint itself for no fill
- * @param retentionRank 0: the answer is not to be stored; 1 to 3: how much its copy is worth
- * @param maxAge of a copy in microseconds; 0: as long as the class's copies are fresh
- * @param coalesce whether the fill of another request may answer it
- * @param onlyIfCached whether the source of the fill may answer only what it holds
- * @param refreshInBackground whether a stale copy may be served while it is renewed
+ * @param timeout microseconds; 0: until the client stops waiting
+ * @param fillSourceId endpoint from which a miss is filled; the attempt's own endpoint for no fill
+ * @param retentionRank value of a copy to the cache, from 1 to 3; 0: the answer is not to be stored
+ * @param maxAge maximum age of a copy in microseconds; 0: as long as copies of the class are fresh
+ * @param coalesce whether the fill of another request may answer this one
+ * @param onlyIfCached whether the source of the fill may only answer from its own copies
+ * @param refreshInBackground whether a stale copy may be served while it is refreshed
  */
 public record SendAttempt(
         long requestId,
--- a/src/main/java/pewtercourse/decision/SendGossip.java
+++ b/src/main/java/pewtercourse/decision/SendGossip.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** A datagram to another router. */
+/** Sends a gossip datagram to another router. */
 public record SendGossip(int router, byte[] payload) implements RouterAction {
     @Override
     public void accept(RouterActionVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/ServedWork.java
+++ b/src/main/java/pewtercourse/decision/ServedWork.java
@@ -1,8 +1,8 @@
 package pewtercourse.decision;
 
-/** Work that an endpoint has served of late: transfers at once, as an exponentially decaying average. */
+/** The work that an endpoint served recently: concurrent transfers, as an exponentially decaying average. */
 final class ServedWork {
-    /** Microseconds over which it is averaged. */
+    /** Time constant of the average. */
     private static final double WINDOW = 4_000_000;
 
     private double sum;
--- a/src/main/java/pewtercourse/decision/SettingsChanged.java
+++ b/src/main/java/pewtercourse/decision/SettingsChanged.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** New settings. A class keeps its place, so that requests under way keep their class. */
+/** The settings have changed. Each class keeps its index, so that requests in progress keep their class. */
 public record SettingsChanged(RouterSettings settings) implements RouterEvent {
     @Override
     public void accept(RouterEventVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/SiblingFillPolicy.java
+++ b/src/main/java/pewtercourse/decision/SiblingFillPolicy.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** From which other caches a cache may be filled. */
+/** Which other caches a cache may fill from. */
 public enum SiblingFillPolicy {
     NONE,
     OWN_ZONE,
--- a/src/main/java/pewtercourse/decision/SlowStart.java
+++ b/src/main/java/pewtercourse/decision/SlowStart.java
@@ -1,10 +1,10 @@
 package pewtercourse.decision;
 
 /**
- * How much an endpoint that has just started may get.
+ * Limits on the work of an endpoint that has just started.
  *
- * @param initialShare of its capacity right after its start
- * @param window microseconds until it has its whole capacity; 0: at once
- * @param overcommit how many times its present capacity it may be sent over the overload window
+ * @param initialShare share of its capacity that the endpoint has right after its start
+ * @param window microseconds until the endpoint has its full capacity; 0: it has it at once
+ * @param overcommit multiple of its current capacity that the endpoint may be sent over the overload window
  */
 public record SlowStart(double initialShare, long window, double overcommit) {}
--- a/src/main/java/pewtercourse/decision/SlowStartBudget.java
+++ b/src/main/java/pewtercourse/decision/SlowStartBudget.java
@@ -1,12 +1,13 @@
 package pewtercourse.decision;
 
 /**
- * Limits what an endpoint that has just started is sent: within any overload window its present capacity times the allowed
- * overcommit, split over the routers that may send. Holds for any fresh endpoint, whatever made it start. An endpoint whose
- * start is told wrongly gets too little for a while.
+ * Limits the work sent to an endpoint that has just started. Within any overload window, the endpoint gets at
+ * most its current capacity times the allowed overcommit, divided among the routers that may send to it. This
+ * applies to every endpoint with a recent start, whatever the cause of the start. An endpoint with a wrongly
+ * reported start time gets too little work for a while.
  */
 final class SlowStartBudget {
-    /** Share of the budget that is used: weights and means are rough. */
+    /** Share of the budget that is used, because weights and mean transfer times are inexact. */
     private static final double USED_SHARE = 0.8;
 
     private final RoutingContext context;
@@ -24,12 +25,12 @@
         this.transferTimes = transferTimes;
     }
 
-    /** Sets this router's share of the budget, as a factor on an equal share. */
+    /** Sets this router's share of the budget, as a multiple of an equal share. */
     void setQuotaFactor(double factor) {
         quotaFactor = factor;
     }
 
-    /** Whether the endpoint may get this request. */
+    /** Whether the budget of the endpoint allows this request. */
     boolean hasRoom(EndpointState endpoint, RequestState request) {
         long window = context.settings().slowStart().overloadWindow();
         if (endpoint.is(EndpointRole.ORIGIN) || ramp.isWarm(endpoint) || window <= 0) {
@@ -51,21 +52,20 @@
         }
     }
 
-    /** Whether of late some endpoint had no room. */
+    /** Whether an endpoint recently had no budget left for a request. */
     boolean wasExhausted() {
         return context.now() - lastExhaustedAt < context.settings().slowStart().overloadWindow();
     }
 
-    // Routers that may send to the endpoint.
+    // Number of routers that may send to the endpoint.
     private int sharers(EndpointState endpoint) {
         return endpoint.is(EndpointRole.PARENT)
                 ? Math.max(1, context.settings().topology().routers())
                 : context.routersInZone();
     }
 
-    // Transfers at once that the endpoint bears for this router. Its warmth rises at least linearly: in the middle of
-    // the
-    // window it is the window's mean.
+    // Concurrent transfers that the endpoint can handle for this router. Its share of capacity rises at least
+    // linearly, so the share in the middle of the window is the mean over the window.
     private double bearable(EndpointState endpoint, int sharers, long window) {
         double learned = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
         double warm = weightsAreCapacities() ? endpoint.endpoint().weight() / sharers : learned;
@@ -74,7 +74,8 @@
         return rule.overcommit() * share * warm * quotaFactor;
     }
 
-    // Where capacities are not told, the routers take turns to send one request: else none would learn.
+    // If capacities are unknown, the routers take turns to send one request; otherwise no router would learn
+    // them.
     private boolean isOnTurn(EndpointState endpoint, int sharers, long window) {
         int router = context.settings().topology().router();
         boolean turn = endpoint.slowStartWork.isEmpty() && context.now() / window % sharers == router % sharers;
--- a/src/main/java/pewtercourse/decision/SlowStartRamp.java
+++ b/src/main/java/pewtercourse/decision/SlowStartRamp.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** How warm an endpoint is: the share of its capacity that it has, rising linearly from its start. */
+/** Computes how warm an endpoint is: the share of its capacity that it has, which rises linearly from its start. */
 final class SlowStartRamp {
     private final RoutingContext context;
 
@@ -8,7 +8,7 @@
         this.context = context;
     }
 
-    /** Share of its capacity that the endpoint has at this time, at most 1. */
+    /** Returns the share of its capacity that the endpoint has at the given time, at most 1. */
     double capacityShare(EndpointState endpoint, long at) {
         long startedAt = endpoint.endpoint().startedAt();
         SlowStart rule = context.settings().slowStart().of(endpoint.endpoint().role());
@@ -20,6 +20,7 @@
         return Math.max(rule.initialShare(), Math.min(1, share));
     }
 
+    /** Whether the endpoint has its full capacity now. */
     boolean isWarm(EndpointState endpoint) {
         return capacityShare(endpoint, context.now()) >= 1;
     }
--- a/src/main/java/pewtercourse/decision/StartTimer.java
+++ b/src/main/java/pewtercourse/decision/StartTimer.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Asks for a {@link TimerFired} of this name at this time. */
+/** Requests a {@link TimerFired} with this name at {@code dueAt}. */
 public record StartTimer(String name, long dueAt) implements RouterAction {
     @Override
     public void accept(RouterActionVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/TimerFired.java
+++ b/src/main/java/pewtercourse/decision/TimerFired.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** The time of a {@link StartTimer} has come. */
+/** A timer started by {@link StartTimer} has fired. */
 public record TimerFired(String name) implements RouterEvent {
     @Override
     public void accept(RouterEventVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/TransferTimes.java
+++ b/src/main/java/pewtercourse/decision/TransferTimes.java
@@ -2,21 +2,21 @@
 
 import java.util.Arrays;
 
-/** Mean time that an answer of each class takes to send to its client, in microseconds. */
+/** Mean time in microseconds that it takes to send an answer of each class to its client. */
 final class TransferTimes {
-    /** Requests over which the mean runs. */
+    /** Number of requests over which the mean is taken. */
     private static final long MAX_SAMPLES = 500;
 
     private double[] means = {};
     private long[] requestsSeen = {};
 
-    /** Classes keep their places; what was learned stays. */
+    /** Adapts to the number of classes. Classes keep their indices, and learned means are kept. */
     void resize(int classes) {
         means = Arrays.copyOf(means, classes);
         requestsSeen = Arrays.copyOf(requestsSeen, classes);
     }
 
-    /** Estimates the transfer time of a request that has just come, and takes it into the mean of its class. */
+    /** Estimates the transfer time of a request that has just arrived, and adds it to the mean of its class. */
     double record(RequestArrived request, RequestClass requestClass, double clientKbPerSecond) {
         int index = request.requestClass();
         double time = means[index];
@@ -34,7 +34,7 @@
         return means[request.arrival.requestClass()];
     }
 
-    /** The request's transfer time as a multiple of its class's mean. */
+    /** Returns the transfer time of the request as a multiple of the mean of its class. */
     double relativeSize(RequestState request) {
         return request.transferTime / mean(request);
     }
--- a/src/main/java/pewtercourse/decision/WatchEndpoints.java
+++ b/src/main/java/pewtercourse/decision/WatchEndpoints.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** Asks for changes of the endpoint list from now on, where they do not come by themselves. */
+/** Requests changes of the endpoint list from now on, if they are not pushed. */
 public record WatchEndpoints() implements RouterAction {
     @Override
     public void accept(RouterActionVisitor visitor) {
--- a/src/main/java/pewtercourse/decision/WorkWindow.java
+++ b/src/main/java/pewtercourse/decision/WorkWindow.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** Work that an endpoint in slow start was sent within a sliding window. */
+/** The work sent to an endpoint in slow start within a sliding window. */
 final class WorkWindow {
     private record Sent(long at, double transferTime) {}
 
@@ -14,7 +14,7 @@
         sum += transferTime;
     }
 
-    /** Drops what was sent at {@code time} or before. */
+    /** Drops the work that was sent at {@code time} or before. */
     void dropUntil(long time) {
         while (!sent.isEmpty() && sent.peekFirst().at() <= time) {
             sum -= sent.pollFirst().transferTime();
--- a/src/main/java/pewtercourse/decision/package-info.java
+++ b/src/main/java/pewtercourse/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions on requests: which server, when an attempt is repeated, what is refused. Knows no sockets; the time is
- * an argument.
+ * Routes requests: chooses an endpoint for each attempt, decides on retries and rejects requests. The package
+ * does no I/O; callers pass the time as an argument.
  */
 package pewtercourse.decision;
