--- a/src/main/java/pewtercourse/decision/AccessCount.java
+++ b/src/main/java/pewtercourse/decision/AccessCount.java
@@ -1,11 +1,11 @@
 package pewtercourse.decision;
 
-/** Counts the accesses of one object. The counts halve every {@link #HALF_LIFE}. */
+/** Counts the accesses of one object. The counts halve every {@link #HALF_LIFE_MICROS}. */
 final class AccessCount {
     /** Long enough to tell popular objects apart at a few requests a second. */
-    static final long HALF_LIFE = 5_000_000;
+    static final long HALF_LIFE_MICROS = 5_000_000;
     /** Maximum of each count; a power of two, because {@link AccessCounts} derives a bit mask from it. */
-    static final int MAX = 1 << 12;
+    static final int MAX_COUNT = 1 << 12;
 
     /** Accesses at this router; in the table of an object's owner, the accesses that all routers reported. */
     int local;
@@ -20,21 +20,21 @@
     /** Batch of events in which the object was last counted. */
     long lastBatch;
 
-    /** Half-lives that had passed at the last call of {@link #decay}. */
-    private long halvings;
+    /** Half-lives elapsed until the last call of {@link #decay}. */
+    private long elapsedHalfLives;
 
     /** Halves {@link #local} and {@link #total} once for each half-life since the last call. */
     AccessCount decay(long now) {
-        int shift = (int) Math.min(31, now / HALF_LIFE - halvings);
+        int shift = (int) Math.min(31, now / HALF_LIFE_MICROS - elapsedHalfLives);
         local >>= shift;
         total >>= shift;
-        halvings = now / HALF_LIFE;
+        elapsedHalfLives = now / HALF_LIFE_MICROS;
         return this;
     }
 
     /** Adds accesses, up to the maximum, and returns the new count. */
     int add(int accesses) {
-        local = Math.min(MAX, local + accesses);
+        local = Math.min(MAX_COUNT, local + accesses);
         return local;
     }
 }
--- a/src/main/java/pewtercourse/decision/AccessCounts.java
+++ b/src/main/java/pewtercourse/decision/AccessCounts.java
@@ -20,28 +20,28 @@
     /** Maximum replicas of one object. If the zone has several caches, at least one of them holds no replica. */
     private static final int MAX_REPLICAS = 3;
     /** Accesses per segment, divided by log2 of the size in kilobytes, from which a copy gets retention rank 2. */
-    private static final double RANK_2 = 0.25;
+    private static final double MIN_VALUE_FOR_RANK_2 = 0.25;
 
     /** The same for retention rank 3. */
-    private static final double RANK_3 = 1.0;
+    private static final double MIN_VALUE_FOR_RANK_3 = 1.0;
     /** Log2 of the size in kilobytes that is assumed if the size is unknown. */
-    private static final double DEFAULT_LOG_SIZE = 8;
+    private static final double DEFAULT_LOG2_SIZE_KB = 8;
 
     private final RoutingContext context;
     private final LruTable<AccessCount> counts = new LruTable<>();
     /** All accesses at this router. */
-    private final AccessCount all = new AccessCount();
+    private final AccessCount allAccesses = new AccessCount();
 
     AccessCounts(RoutingContext context) {
         this.context = context;
     }
 
-    AccessCount of(long object) {
-        return of(counts, object, context.now());
+    AccessCount countOf(long object) {
+        return countOf(counts, object, context.now());
     }
 
-    static AccessCount of(LruTable<AccessCount> table, long object, long now) {
-        return table.computeIfAbsent(object, o -> new AccessCount()).decay(now);
+    static AccessCount countOf(LruTable<AccessCount> table, long object, long now) {
+        return table.computeIfAbsent(object, hash -> new AccessCount()).decay(now);
     }
 
     /**
@@ -51,38 +51,39 @@
      * are not counted.
      */
     Optional<AccessCount> record(RequestState request) {
-        AccessCount count = of(request.objectHash);
+        AccessCount count = countOf(request.objectHash);
         count.segments = Math.max(count.segments, request.arrival.segment() + 1);
-        request.turn =
-                request.requestClass.segmented() ? request.arrival.segment() : count.nextTurn++ & AccessCount.MAX - 1;
+        request.replicaTurn = request.requestClass.segmented()
+                ? request.arrival.segment()
+                : count.nextTurn++ & AccessCount.MAX_COUNT - 1;
         if (count.lastBatch == context.batch() || request.arrival.clientRetry()) {
             return Optional.empty();
         }
         count.lastBatch = context.batch();
-        if (count.local < AccessCount.MAX) {
+        if (count.local < AccessCount.MAX_COUNT) {
             count.local++;
             count.unreported++;
         }
-        all.decay(context.now()).local++;
+        allAccesses.decay(context.now()).local++;
         return Optional.of(count);
     }
 
     /** Stores the total that an object's owner reported, if this router still counts the object. */
     void setTotal(long object, int total) {
         if (counts.containsKey(object)) {
-            of(object).total = total;
+            countOf(object).total = total;
         }
     }
 
     /** Returns on how many caches the object is stored, from the first in its placement order. */
     int replicas(long object, int caches) {
-        AccessCount count = of(object);
-        double seen = all.decay(context.now()).local;
-        double perReplica =
-                Math.max(MIN_REPLICA_ACCESSES, REPLICA_SHARE * seen * context.routersInZone() / Math.max(1, caches));
-        int most = Math.min(MAX_REPLICAS, caches - 1);
-        double wanted = accessesInZone(count) * Math.min(count.segments, MAX_REPLICAS) / perReplica;
-        return Math.max(1, Math.min(most, 1 + (int) wanted));
+        AccessCount count = countOf(object);
+        double localAccesses = allAccesses.decay(context.now()).local;
+        double accessesPerReplica = Math.max(
+                MIN_REPLICA_ACCESSES, REPLICA_SHARE * localAccesses * context.routersInZone() / Math.max(1, caches));
+        int maxReplicas = Math.min(MAX_REPLICAS, caches - 1);
+        double extraReplicas = accessesInZone(count) * Math.min(count.segments, MAX_REPLICAS) / accessesPerReplica;
+        return Math.max(1, Math.min(maxReplicas, 1 + (int) extraReplicas));
     }
 
     /** Returns how valuable a copy is to the cache that stores it: 1 to 3, or 0 if the answer is not to be stored. */
@@ -90,14 +91,14 @@
         if (!request.isCacheable()) {
             return 0;
         }
-        AccessCount count = of(request.objectHash);
+        AccessCount count = countOf(request.objectHash);
         double sizeKb = request.arrival.sizeKb();
-        double logSize = sizeKb > 0 ? Math.log(4 + sizeKb) / Math.log(2) : DEFAULT_LOG_SIZE;
-        double value = accessesInZone(count) / count.segments / logSize;
-        if (value >= RANK_3) {
+        double log2SizeKb = sizeKb > 0 ? Math.log(4 + sizeKb) / Math.log(2) : DEFAULT_LOG2_SIZE_KB;
+        double value = accessesInZone(count) / count.segments / log2SizeKb;
+        if (value >= MIN_VALUE_FOR_RANK_3) {
             return 3;
         }
-        return value >= RANK_2 ? 2 : 1;
+        return value >= MIN_VALUE_FOR_RANK_2 ? 2 : 1;
     }
 
     // Estimates the accesses in the zone as the larger of two values. The first extrapolates this router's
--- a/src/main/java/pewtercourse/decision/AttemptFeedback.java
+++ b/src/main/java/pewtercourse/decision/AttemptFeedback.java
@@ -34,7 +34,7 @@
     void onAttemptEnded(RequestState request, AttemptState attempt, AttemptFinished end) {
         attempt.endpoint.health.onAttemptEnded();
         attempt.source.health.onAttemptEnded();
-        if (!end.outcome().isSilent() && end.outcome() != AttemptOutcome.CONNECT_FAILED) {
+        if (!end.outcome().isInconclusive() && end.outcome() != AttemptOutcome.CONNECT_FAILED) {
             attempt.endpoint.onAnswer(context.now());
         }
         boolean hit = isHit(attempt, end.cacheStatus());
@@ -60,8 +60,8 @@
         if (hit || !attempt.fillsFromOutside || outliers.isLaggingCache(attempt.endpoint)) {
             return attempt.endpoint.limiter;
         }
-        boolean sourceIll = attempt.source.health.isEjected() || outliers.isLaggingSource(attempt.source);
-        return sourceIll ? new ConcurrencyLimiter(context.routersInZone()) : fills.limiter;
+        boolean sourceFailing = attempt.source.health.isEjected() || outliers.isLaggingSource(attempt.source);
+        return sourceFailing ? new ConcurrencyLimiter(context.routersInZone()) : fills.limiter;
     }
 
     private void onAnswer(
@@ -69,11 +69,11 @@
         double objective = request.latencyObjective();
         boolean late = latency > objective;
         EndpointState cache = attempt.endpoint;
-        cache.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        cache.recordPace(EndpointHealth.GAIN, latency / attempt.expectedTime);
         outliers.record(cache, late && outliers.isLaggingCache(cache));
-        request.accusedCaches.forEach(accused -> outliers.record(accused, accused != cache));
-        request.accusedSources.forEach(
-                accused -> outliers.record(accused, accused != attempt.source && outliers.failsAlone(accused)));
+        request.suspectedCaches.forEach(suspect -> outliers.record(suspect, suspect != cache));
+        request.suspectedSources.forEach(
+                suspect -> outliers.record(suspect, suspect != attempt.source && outliers.hasHealthyPeer(suspect)));
         limiter.recordSpeed(latency - request.transferTime > SLOW_SHARE * objective);
         limiter.adapt(context.now(), context.routersInZone(), latency < WELL_WITHIN_SHARE * objective, late);
         cache.served.add(context.now(), transferTimes.mean(request));
@@ -90,7 +90,7 @@
 
     private void onFill(RequestState request, AttemptState attempt, long latency, boolean late) {
         EndpointState source = attempt.source;
-        source.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        source.recordPace(EndpointHealth.GAIN, latency / attempt.expectedTime);
         outliers.record(source, late && outliers.isLaggingSource(source));
         source.served.add(context.now(), transferTimes.mean(request));
         source.onAnswer(context.now());
@@ -101,11 +101,11 @@
 
     private void onFailure(
             RequestState request, AttemptState attempt, AttemptFinished end, ConcurrencyLimiter limiter) {
-        accuseSourceOfUnfilled(request, attempt, end.outcome());
+        suspectParentOfFailedFill(request, attempt, end.outcome());
         blameCache(request, attempt, end, limiter);
         if (end.outcome() == AttemptOutcome.TIMEOUT) {
             outliers.onOverdue(attempt);
-        } else if (!end.outcome().isSilent()) {
+        } else if (!end.outcome().isInconclusive()) {
             hints.forget(request, attempt.endpoint);
         }
         if (attempt.fromSibling) {
@@ -125,20 +125,20 @@
     // cache. It counts against the parent once the request was served another way, or at once if the request
     // can't be repeated. This detects a parent that has lost its connection to the origin: it fails the objects
     // that it lacks and serves the rest.
-    private void accuseSourceOfUnfilled(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
-        boolean unfilled = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
+    private void suspectParentOfFailedFill(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+        boolean fillFailed = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
                 && attempt.fillsFromOutside
                 && attempt.source.is(EndpointRole.PARENT)
                 && (outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.ERROR);
-        if (!unfilled) {
+        if (!fillFailed) {
             return;
         }
         request.failedSources.add(attempt.source);
         boolean safeError = isSafeError(request, outcome);
-        if (outcome == AttemptOutcome.OVERLOADED || !safeError && outliers.failsAlone(attempt.source)) {
+        if (outcome == AttemptOutcome.OVERLOADED || !safeError && outliers.hasHealthyPeer(attempt.source)) {
             outliers.record(attempt.source, true);
         } else if (safeError) {
-            request.accusedSources.add(attempt.source);
+            request.suspectedSources.add(attempt.source);
         }
     }
 
@@ -147,8 +147,8 @@
         AttemptOutcome outcome = end.outcome();
         boolean sourceFault = end.cacheStatus().isSourceFault();
         boolean safeError = isSafeError(request, outcome);
-        if (safeError && !sourceFault && !request.accusedCaches.contains(attempt.endpoint)) {
-            request.accusedCaches.add(attempt.endpoint);
+        if (safeError && !sourceFault && !request.suspectedCaches.contains(attempt.endpoint)) {
+            request.suspectedCaches.add(attempt.endpoint);
         } else if (isFailure(outcome) && !safeError && !sourceFault) {
             outliers.record(attempt.endpoint, true);
         } else if (outcome == AttemptOutcome.TIMEOUT && !attempt.overdue || outcome == AttemptOutcome.OVERLOADED) {
--- a/src/main/java/pewtercourse/decision/AttemptOutcome.java
+++ b/src/main/java/pewtercourse/decision/AttemptOutcome.java
@@ -22,7 +22,7 @@
     }
 
     /** Whether the outcome does not show if the endpoint responds. */
-    boolean isSilent() {
+    boolean isInconclusive() {
         return this == TIMEOUT || this == CANCELLED || this == SUPERSEDED;
     }
 }
--- a/src/main/java/pewtercourse/decision/AttemptSender.java
+++ b/src/main/java/pewtercourse/decision/AttemptSender.java
@@ -41,12 +41,12 @@
         long dueAt = timeouts.dueAt(attempt);
         // If attempts can't be cancelled, this one gets a timeout when it is sent, provided that time remains
         // for another.
-        boolean timeLimited =
+        boolean hasTimeout =
                 safe && !features.attemptCancellation() && dueAt + request.transferTime < request.arrival.expiresAt();
         actions.add(new SendAttempt(
                 request.id(),
                 target.id(),
-                timeLimited ? dueAt - context.now() : 0,
+                hasTimeout ? dueAt - context.now() : 0,
                 source.id(),
                 counts.retentionRank(request),
                 purges.maxCopyAge(request),
@@ -64,7 +64,7 @@
                 fromSibling,
                 fillsFromOutside,
                 context.now(),
-                timeouts.usualTime(request, fillsFromOutside),
+                timeouts.expectedTime(request, fillsFromOutside),
                 fillsFromOutside ? fills.probability() : 0);
         request.onAttemptSent(attempt);
         slowStart.onAttemptSent(target, request);
--- a/src/main/java/pewtercourse/decision/AttemptState.java
+++ b/src/main/java/pewtercourse/decision/AttemptState.java
@@ -12,7 +12,7 @@
 
     final long sentAt;
     /** Microseconds that the attempt takes under normal conditions. */
-    final double usualTime;
+    final double expectedTime;
     /** Probability of a fill from a parent or the origin; the attempt takes this much of the limit on fills. */
     final double fillProbability;
 
@@ -26,14 +26,14 @@
             boolean fromSibling,
             boolean fillsFromOutside,
             long sentAt,
-            double usualTime,
+            double expectedTime,
             double fillProbability) {
         this.endpoint = endpoint;
         this.source = source;
         this.fromSibling = fromSibling;
         this.fillsFromOutside = fillsFromOutside;
         this.sentAt = sentAt;
-        this.usualTime = usualTime;
+        this.expectedTime = expectedTime;
         this.fillProbability = fillProbability;
     }
 
--- a/src/main/java/pewtercourse/decision/AttemptTimeouts.java
+++ b/src/main/java/pewtercourse/decision/AttemptTimeouts.java
@@ -6,12 +6,15 @@
  * be met.
  */
 final class AttemptTimeouts {
-    /** An attempt is overdue after {@link #FLOOR} plus this multiple of its expected time at its endpoint's pace. */
-    private static final double USUAL_TIMES = 2.5;
+    /**
+     * An attempt is overdue after this multiple of its expected time at its endpoint's pace, plus {@code
+     * BASE_TIMEOUT_MICROS}.
+     */
+    private static final double EXPECTED_TIME_MULTIPLE = 2.5;
     /** Part of every timeout, in microseconds. */
-    private static final long FLOOR = 100_000;
+    private static final long BASE_TIMEOUT_MICROS = 100_000;
     /** Microseconds of an attempt's expected time that account for the network round trip. */
-    private static final double ROUND_TRIP = 40_000;
+    private static final double ROUND_TRIP_MICROS = 40_000;
     /**
      * If more than this share of overdue attempts is never answered, although their endpoints answer others,
      * overdue answers are assumed to be lost rather than slow.
@@ -30,15 +33,16 @@
     }
 
     /** Returns the microseconds that an attempt takes under normal conditions. */
-    double usualTime(RequestState request, boolean fillsFromOutside) {
-        return ROUND_TRIP + request.transferTime + (fillsFromOutside ? fills.expectedWait() : 0);
+    double expectedTime(RequestState request, boolean fillsFromOutside) {
+        return ROUND_TRIP_MICROS + request.transferTime + (fillsFromOutside ? fills.expectedWait() : 0);
     }
 
     /** Returns the time from which the attempt is overdue. */
     long dueAt(AttemptState attempt) {
-        double share = isLossy() ? LOSSY_SHARE : 1;
-        double patience = FLOOR + USUAL_TIMES * Math.max(1, attempt.endpoint.pace()) * attempt.usualTime;
-        return attempt.sentAt + (long) (share * patience);
+        double timeoutShare = isLossy() ? LOSSY_SHARE : 1;
+        double timeout = BASE_TIMEOUT_MICROS
+                + EXPECTED_TIME_MULTIPLE * Math.max(1, attempt.endpoint.pace()) * attempt.expectedTime;
+        return attempt.sentAt + (long) (timeoutShare * timeout);
     }
 
     /** Whether overdue answers are assumed to be lost rather than slow. */
@@ -51,7 +55,7 @@
         lossRate += GAIN * ((answered ? 0 : 1) - lossRate);
     }
 
-    void fade() {
-        lossRate *= Housekeeping.FADE;
+    void decay() {
+        lossRate *= Housekeeping.DECAY_PER_INTERVAL;
     }
 }
--- a/src/main/java/pewtercourse/decision/CacheSelector.java
+++ b/src/main/java/pewtercourse/decision/CacheSelector.java
@@ -16,7 +16,7 @@
     /** A cache with no more attempts in flight than this is not crowded. */
     private static final double CROWDED_FLOOR = 3;
     /** Maximum failures of one request at one cache. */
-    private static final int MAX_FAILURES_AT_ONE = 2;
+    private static final int MAX_FAILURES_PER_CACHE = 2;
 
     /** How selective a pass over the caches is. */
     private enum Pass {
@@ -63,12 +63,12 @@
         List<EndpointState> caches = endpoints.caches();
         order.sort(caches, request.objectHash);
         int replicas = counts.replicas(request.objectHash, caches.size());
-        int turn = request.turn % replicas;
+        int turn = request.replicaTurn % replicas;
         Load load = load(caches);
         for (Pass pass : Pass.values()) {
             for (int i = 0; i < caches.size(); i++) {
                 EndpointState cache = caches.get(i < replicas ? (turn + i) % replicas : i);
-                if (mayBeUsed(request, cache) && suits(request, cache, pass, load)) {
+                if (mayBeUsed(request, cache) && isEligible(request, cache, pass, load)) {
                     return cache;
                 }
             }
@@ -79,12 +79,12 @@
     private boolean mayBeUsed(RequestState request, EndpointState cache) {
         // Requests that only the origin can answer are rare and small. They bypass the concurrency limit, which
         // protects against large numbers of requests.
-        return idempotency.allow(request, cache)
+        return idempotency.allowsAttempt(request, cache)
                 && (!request.isCacheable() || cache.limiter.admits(transferTimes.relativeSize(request)))
                 && slowStart.hasRoom(cache, request);
     }
 
-    private boolean suits(RequestState request, EndpointState cache, Pass pass, Load load) {
+    private boolean isEligible(RequestState request, EndpointState cache, Pass pass, Load load) {
         if (pass == Pass.LAST_RESORT) {
             return isLastResort(request, cache);
         }
@@ -97,9 +97,9 @@
     // request goes to the same cache a third time: a cache that rejects everything would be tried over and over
     // while the others have no room.
     private static boolean isLastResort(RequestState request, EndpointState cache) {
-        double hopeful = Math.max(1, cache.limiter.limit() * (1 - cache.health.failureRate()));
-        return Collections.frequency(request.failedEndpoints, cache) < MAX_FAILURES_AT_ONE
-                && (!cache.health.isEjected() || cache.limiter.inFlight() < hopeful);
+        double allowedInFlight = Math.max(1, cache.limiter.limit() * (1 - cache.health.failureRate()));
+        return Collections.frequency(request.failedEndpoints, cache) < MAX_FAILURES_PER_CACHE
+                && (!cache.health.isEjected() || cache.limiter.inFlight() < allowedInFlight);
     }
 
     private Load load(List<EndpointState> caches) {
--- a/src/main/java/pewtercourse/decision/CapacityEstimate.java
+++ b/src/main/java/pewtercourse/decision/CapacityEstimate.java
@@ -13,7 +13,7 @@
      * carry. A link carries a little more than the misses at full load, which are less than a third of the
      * traffic. The resulting factor is halved because it is a guess.
      */
-    private static final double TRANSFERS_PER_LINK = 1.4;
+    private static final double TRANSFERS_PER_LINK_TRANSFER = 1.4;
     /** In a zone with fewer caches than this, the link is assumed to be wider by the square root of the ratio. */
     private static final double NOMINAL_CACHES = 8;
     /** Minimum number of caches that a zone is assumed to have. */
@@ -22,8 +22,8 @@
     private final RoutingContext context;
     private final EndpointTable endpoints;
     private final SlowStartRamp ramp;
-    private double warmCache;
-    private double warmParent;
+    private double warmCacheCapacity;
+    private double warmParentCapacity;
 
     CapacityEstimate(RoutingContext context, EndpointTable endpoints, SlowStartRamp ramp) {
         this.context = context;
@@ -36,40 +36,42 @@
      * until the endpoint list reports it, and that must not be mistaken for low capacity.
      */
     void update() {
-        warmCache = Math.max(warmCache * Housekeeping.FADE, servedByWarm(endpoints.caches(), warmCache));
-        warmParent = Math.max(warmParent * Housekeeping.FADE, servedByWarm(endpoints.parents(), warmParent));
+        warmCacheCapacity = Math.max(
+                warmCacheCapacity * Housekeeping.DECAY_PER_INTERVAL, servedByWarm(endpoints.caches(), warmCacheCapacity));
+        warmParentCapacity = Math.max(
+                warmParentCapacity * Housekeeping.DECAY_PER_INTERVAL, servedByWarm(endpoints.parents(), warmParentCapacity));
     }
 
     double ofWarmCache() {
-        return Math.max(warmCache, supportedByLink());
+        return Math.max(warmCacheCapacity, supportedByLink());
     }
 
     double ofWarmParent() {
-        return warmParent;
+        return warmParentCapacity;
     }
 
     // A router that starts together with its zone has seen no work served yet; without this bound it would
     // reject nearly all requests until the caches are warm. The bound is divided by the largest number of caches
     // listed so far: the first cache that returns must not get the work of all caches.
     private double supportedByLink() {
-        double caches = Math.max(MIN_CACHES, endpoints.mostCaches());
-        double wider = Math.sqrt(Math.max(1, NOMINAL_CACHES / caches));
+        double caches = Math.max(MIN_CACHES, endpoints.maxListedCaches());
+        double relativeLinkWidth = Math.sqrt(Math.max(1, NOMINAL_CACHES / caches));
         Bandwidth bandwidth = context.settings().bandwidth();
-        double transfers =
+        double linkTransfers =
                 bandwidth.clientKbPerSecond() > 0 ? bandwidth.fillLinkKbPerSecond() / bandwidth.clientKbPerSecond() : 0;
-        return TRANSFERS_PER_LINK * transfers / wider / caches / context.routersInZone();
+        return TRANSFERS_PER_LINK_TRANSFER * linkTransfers / relativeLinkWidth / caches / context.routersInZone();
     }
 
     // While no endpoint is warm, the previous value stays: a zone that restarts as a whole keeps an estimate.
-    private double servedByWarm(List<EndpointState> list, double before) {
+    private double servedByWarm(List<EndpointState> candidates, double previousCapacity) {
         double sum = 0;
-        int warm = 0;
-        for (EndpointState endpoint : list) {
+        int warmCount = 0;
+        for (EndpointState endpoint : candidates) {
             if (ramp.isWarm(endpoint)) {
                 sum += endpoint.served.average(context.now());
-                warm++;
+                warmCount++;
             }
         }
-        return warm == 0 ? before : sum / warm;
+        return warmCount == 0 ? previousCapacity : sum / warmCount;
     }
 }
--- a/src/main/java/pewtercourse/decision/ConcurrencyLimiter.java
+++ b/src/main/java/pewtercourse/decision/ConcurrencyLimiter.java
@@ -18,7 +18,7 @@
     /** Maximum share by which any router shrinks its limit at once. */
     private static final double MAX_DECREASE = 0.4;
     /** Minimum time between two decreases. */
-    private static final long DECREASE_INTERVAL = 100_000;
+    private static final long DECREASE_INTERVAL_MICROS = 100_000;
     /** The limit grows only while at least this share of it is in use. */
     private static final double MIN_UTILIZATION = 0.5;
     /** Share of the limit that is open to requests of any size. */
@@ -55,8 +55,8 @@
      * @param relativeSize transfer time of the request as a multiple of the mean of its class
      */
     boolean admits(double relativeSize) {
-        double large = slowShare > STRAINED_SHARE ? 1 : LARGE_UNSTRAINED;
-        return inFlight < limit * Math.max(ANY_SIZE_SHARE, Math.min(1, large / relativeSize));
+        double minLargeSize = slowShare > STRAINED_SHARE ? 1 : LARGE_UNSTRAINED;
+        return inFlight < limit * Math.max(ANY_SIZE_SHARE, Math.min(1, minLargeSize / relativeSize));
     }
 
     void acquire(double attempts) {
@@ -85,7 +85,7 @@
      * its limit more if the zone has more routers.
      */
     void adapt(long now, int routersInZone, boolean wellWithinObjective, boolean late) {
-        if (late && now - lastDecreaseAt > DECREASE_INTERVAL) {
+        if (late && now - lastDecreaseAt > DECREASE_INTERVAL_MICROS) {
             lastDecreaseAt = now;
             double decrease = Math.min(MAX_DECREASE, DECREASE * Math.sqrt(routersInZone));
             limit = Math.max(MIN_LIMIT / routersInZone, limit * (1 - decrease));
--- a/src/main/java/pewtercourse/decision/ContentHints.java
+++ b/src/main/java/pewtercourse/decision/ContentHints.java
@@ -3,7 +3,7 @@
 /** Remembers which caches probably hold which segments, based on the answers seen. */
 final class ContentHints {
     /** About as long as an unused copy stays in a busy cache. */
-    private static final long MAX_AGE = 12_000_000;
+    private static final long MAX_HINT_AGE_MICROS = 12_000_000;
 
     private final RoutingContext context;
     private final PurgeLog purges;
@@ -19,7 +19,7 @@
     boolean isLikelyHeld(RequestState request, EndpointState cache) {
         Long heldAt = lastHeldAt.get(key(request, cache));
         long lifetime = request.requestClass.freshnessLifetime();
-        long maxAge = lifetime > 0 ? Math.min(MAX_AGE, lifetime) : MAX_AGE;
+        long maxAge = lifetime > 0 ? Math.min(MAX_HINT_AGE_MICROS, lifetime) : MAX_HINT_AGE_MICROS;
         return heldAt != null
                 && context.now() - heldAt < maxAge
                 && heldAt > purges.lastPurge(request)
--- a/src/main/java/pewtercourse/decision/CountGossip.java
+++ b/src/main/java/pewtercourse/decision/CountGossip.java
@@ -16,7 +16,7 @@
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int ENTRY_BYTES = 10;
     /** Time between two reports. */
-    private static final long REPORT_INTERVAL = 2_000_000;
+    private static final long REPORT_INTERVAL_MICROS = 2_000_000;
     /** Number of unreported accesses of one object that makes a report due at once. */
     private static final int URGENT_ACCESSES = 8;
 
@@ -35,7 +35,7 @@
 
     /** Schedules the first report at a random time, so that routers that start together don't all report at once. */
     void start(Random random) {
-        nextReportAt = context.now() + REPORT_INTERVAL + random.nextInt((int) REPORT_INTERVAL);
+        nextReportAt = context.now() + REPORT_INTERVAL_MICROS + random.nextInt((int) REPORT_INTERVAL_MICROS);
     }
 
     void onAccess(long object, AccessCount count) {
@@ -48,7 +48,7 @@
     void reportIfDue(ActionBuffer actions) {
         if (isEnabled() && context.now() >= nextReportAt) {
             report(actions);
-            nextReportAt = context.now() + REPORT_INTERVAL;
+            nextReportAt = context.now() + REPORT_INTERVAL_MICROS;
         }
     }
 
@@ -60,12 +60,12 @@
         if (!isAcceptable(message)) {
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(message.payload());
-        byte kind = in.get();
+        ByteBuffer payload = ByteBuffer.wrap(message.payload());
+        byte kind = payload.get();
         ByteBuffer sums = null;
-        while (in.hasRemaining() && (kind == REPORT || kind == SUMS)) {
-            long object = in.getLong();
-            int accesses = Math.min(AccessCount.MAX, in.getShort() & 0xffff);
+        while (payload.hasRemaining() && (kind == REPORT || kind == SUMS)) {
+            long object = payload.getLong();
+            int accesses = Math.min(AccessCount.MAX_COUNT, payload.getShort() & 0xffff);
             if (kind == REPORT) {
                 sums = append(sums, SUMS, object, addToOwned(object, accesses));
             } else {
@@ -91,7 +91,7 @@
     }
 
     // Reports the accesses counted since the last report, in one message per owner. Accesses that don't fit into
-    // the message are not reported; a single access of an object isn't either.
+    // the message are not reported, and neither is a single access to an object that another router owns.
     private void report(ActionBuffer actions) {
         ByteBuffer[] messages = new ByteBuffer[context.settings().topology().routers()];
         for (Map.Entry<Long, AccessCount> entry : unreported.entrySet()) {
@@ -112,11 +112,11 @@
     }
 
     private int owner(long object) {
-        int best = 0;
+        int bestRouter = 0;
         for (int router = 1; router < context.settings().topology().routers(); router++) {
-            best = score(object, router) > score(object, best) ? router : best;
+            bestRouter = score(object, router) > score(object, bestRouter) ? router : bestRouter;
         }
-        return best;
+        return bestRouter;
     }
 
     private static long score(long object, int router) {
@@ -124,15 +124,15 @@
     }
 
     private int addToOwned(long object, int accesses) {
-        return AccessCounts.of(owned, object, context.now()).add(accesses);
+        return AccessCounts.countOf(owned, object, context.now()).add(accesses);
     }
 
     private static ByteBuffer append(ByteBuffer message, byte kind, long object, int accesses) {
-        ByteBuffer target =
+        ByteBuffer buffer =
                 message == null ? ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(kind) : message;
-        return target.remaining() < ENTRY_BYTES
-                ? target
-                : target.putLong(object).putShort((short) accesses);
+        return buffer.remaining() < ENTRY_BYTES
+                ? buffer
+                : buffer.putLong(object).putShort((short) accesses);
     }
 
     private static void send(int router, ByteBuffer message, ActionBuffer actions) {
--- a/src/main/java/pewtercourse/decision/EndpointHealth.java
+++ b/src/main/java/pewtercourse/decision/EndpointHealth.java
@@ -13,12 +13,12 @@
     /** Failure rate from which requests that can't be repeated go to a more reliable endpoint, if there is one. */
     private static final double UNRELIABLE_RATE = 0.1;
     /** Duration of the first ejection. */
-    static final long FIRST_EJECTION = 1_000_000;
+    static final long FIRST_EJECTION_MICROS = 1_000_000;
     /** Duration of the longest ejection. */
-    private static final long MAX_EJECTION = 8_000_000;
+    private static final long MAX_EJECTION_MICROS = 8_000_000;
 
     private double failureRate;
-    private long ejectionTime;
+    private long ejectionDuration;
     private long ejectedUntil;
     private boolean trialInFlight;
 
@@ -27,13 +27,13 @@
         failureRate += GAIN * ((failed ? 1 : 0) - failureRate);
         boolean onTrial = isEjected() && now >= ejectedUntil;
         if (failed && (onTrial || !isEjected() && failureRate > EJECTION_RATE)) {
-            ejectionTime = Math.max(FIRST_EJECTION, Math.min(MAX_EJECTION, 2 * ejectionTime));
-            ejectedUntil = now + ejectionTime;
+            ejectionDuration = Math.max(FIRST_EJECTION_MICROS, Math.min(MAX_EJECTION_MICROS, 2 * ejectionDuration));
+            ejectedUntil = now + ejectionDuration;
         } else if (!failed && onTrial) {
             ejectedUntil = 0;
             failureRate = EJECTION_RATE / 2;
         } else if (!failed && failureRate < EJECTION_RATE / 20) {
-            ejectionTime = 0;
+            ejectionDuration = 0;
         }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** Whether the failure rate is clearly below the one that leads to an ejection. */
-    boolean isWell() {
+    boolean isHealthy() {
         return !isEjected() && failureRate < EJECTION_RATE / 2;
     }
 
--- a/src/main/java/pewtercourse/decision/EndpointState.java
+++ b/src/main/java/pewtercourse/decision/EndpointState.java
@@ -24,8 +24,8 @@
         return endpoint;
     }
 
-    void setEndpoint(Endpoint next) {
-        endpoint = next;
+    void setEndpoint(Endpoint newEntry) {
+        endpoint = newEntry;
     }
 
     long id() {
--- a/src/main/java/pewtercourse/decision/EndpointTable.java
+++ b/src/main/java/pewtercourse/decision/EndpointTable.java
@@ -18,7 +18,7 @@
     private List<EndpointState> caches = new ArrayList<>();
     private List<EndpointState> parents = new ArrayList<>();
     private EndpointState origin;
-    private int mostCaches;
+    private int maxListedCaches;
 
     EndpointTable(RoutingContext context) {
         this.context = context;
@@ -43,7 +43,7 @@
         origin = select(e -> e.is(EndpointRole.ORIGIN)).stream()
                 .min(Comparator.comparingLong(EndpointState::id))
                 .orElse(null);
-        mostCaches = Math.max(mostCaches, caches.size());
+        maxListedCaches = Math.max(maxListedCaches, caches.size());
     }
 
     private EndpointState stateOf(Endpoint endpoint, EndpointState known) {
@@ -54,8 +54,8 @@
         return known;
     }
 
-    private List<EndpointState> select(Predicate<EndpointState> which) {
-        return endpoints.values().stream().filter(which).collect(Collectors.toCollection(ArrayList::new));
+    private List<EndpointState> select(Predicate<EndpointState> condition) {
+        return endpoints.values().stream().filter(condition).collect(Collectors.toCollection(ArrayList::new));
     }
 
     /** The caches of the router's zone, in the order in which {@link PlacementOrder} last sorted them. */
@@ -74,8 +74,8 @@
     }
 
     /** The largest number of caches listed at once so far. */
-    int mostCaches() {
-        return mostCaches;
+    int maxListedCaches() {
+        return maxListedCaches;
     }
 
     int countEjected() {
--- a/src/main/java/pewtercourse/decision/FillSourceSelector.java
+++ b/src/main/java/pewtercourse/decision/FillSourceSelector.java
@@ -66,7 +66,7 @@
             for (EndpointState parent : endpoints.parents()) {
                 if (parent.health.isUsable(context.now())
                         && slowStart.hasRoom(parent, request)
-                        && suits(request, parent, pass)) {
+                        && isEligible(request, parent, pass)) {
                     return parent;
                 }
             }
@@ -74,7 +74,7 @@
         return endpoints.origin();
     }
 
-    private boolean suits(RequestState request, EndpointState parent, Pass pass) {
+    private boolean isEligible(RequestState request, EndpointState parent, Pass pass) {
         boolean untried = !request.failedSources.contains(parent);
         return switch (pass) {
             case PREFERRED -> untried && outliers.isReliableFor(request, parent);
--- a/src/main/java/pewtercourse/decision/FillTracker.java
+++ b/src/main/java/pewtercourse/decision/FillTracker.java
@@ -8,12 +8,12 @@
     /** Weight of the newest sample. */
     private static final double GAIN = 0.1;
     /** Microseconds. */
-    private static final double INITIAL_WAIT = 50_000;
+    private static final double INITIAL_WAIT_MICROS = 50_000;
 
     private static final double INITIAL_PROBABILITY = 0.5;
 
     final ConcurrencyLimiter limiter;
-    private double wait = INITIAL_WAIT;
+    private double expectedWait = INITIAL_WAIT_MICROS;
     private double probability = INITIAL_PROBABILITY;
 
     FillTracker(int routersInZone) {
@@ -22,7 +22,7 @@
 
     /** Microseconds that a fill is expected to add to an answer. */
     double expectedWait() {
-        return wait;
+        return expectedWait;
     }
 
     /**
@@ -34,7 +34,7 @@
     }
 
     void recordWait(double sample) {
-        wait += GAIN * (Math.max(0, sample) - wait);
+        expectedWait += GAIN * (Math.max(0, sample) - expectedWait);
     }
 
     void recordNeed(boolean filled) {
--- a/src/main/java/pewtercourse/decision/IdempotencyRules.java
+++ b/src/main/java/pewtercourse/decision/IdempotencyRules.java
@@ -9,21 +9,21 @@
     }
 
     /** Whether the request can't take effect twice if it is sent to this endpoint now. */
-    boolean allow(RequestState request, EndpointState endpoint) {
-        boolean parallel = context.settings().features().parallelAttempts();
+    boolean allowsAttempt(RequestState request, EndpointState endpoint) {
+        boolean parallelAllowed = context.settings().features().parallelAttempts();
         if (request.isSafe()) {
-            return parallel || request.liveAttempts == 0;
+            return parallelAllowed || request.attemptsInFlight == 0;
         }
-        if (request.firstRunAt() == null) {
+        if (request.firstRunEndpoint() == null) {
             return true;
         }
         RequestClass requestClass = request.requestClass;
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
-                || request.liveAttempts > 0 && !parallel
-                || context.now() >= request.firstRunTime() + requestClass.idempotencyWindow()) {
+                || request.attemptsInFlight > 0 && !parallelAllowed
+                || context.now() >= request.firstRunSentAt() + requestClass.idempotencyWindow()) {
             return false;
         }
-        return deduplicates(requestClass.deduplicationScope(), request.firstRunAt(), endpoint);
+        return deduplicates(requestClass.deduplicationScope(), request.firstRunEndpoint(), endpoint);
     }
 
     private static boolean deduplicates(DeduplicationScope scope, EndpointState first, EndpointState other) {
--- a/src/main/java/pewtercourse/decision/OutlierDetector.java
+++ b/src/main/java/pewtercourse/decision/OutlierDetector.java
@@ -5,7 +5,7 @@
 /** Detects endpoints that perform worse than their peers, and records failures against them. */
 final class OutlierDetector {
     /** An endpoint lags if its pace exceeds this multiple of the mean pace of its peers. */
-    private static final double LAG = 2.5;
+    private static final double LAG_MULTIPLE = 2.5;
     /** Weight of an overdue answer in the pace of a source. */
     private static final double OVERDUE_GAIN = 0.1;
 
@@ -30,23 +30,23 @@
     // that slows down all endpoints ejects none. Of only two endpoints, one that happened to get the larger
     // misses may look slow until its next trial.
     private static boolean lags(EndpointState endpoint, List<EndpointState> peers) {
-        double sum = 0;
-        int others = 0;
+        double paceSum = 0;
+        int peerCount = 0;
         for (EndpointState peer : peers) {
             if (peer != endpoint && !peer.health.isEjected()) {
-                sum += peer.pace();
-                others++;
+                paceSum += peer.pace();
+                peerCount++;
             }
         }
-        return others > 0 && endpoint.pace() > LAG * sum / others;
+        return peerCount > 0 && endpoint.pace() > LAG_MULTIPLE * paceSum / peerCount;
     }
 
     /**
      * Whether another parent is healthy, so that a failure is this parent's fault. A failure at all parents is
      * the origin's fault.
      */
-    boolean failsAlone(EndpointState parent) {
-        return endpoints.parents().stream().anyMatch(p -> p != parent && p.health.isWell());
+    boolean hasHealthyPeer(EndpointState parent) {
+        return endpoints.parents().stream().anyMatch(peer -> peer != parent && peer.health.isHealthy());
     }
 
     /**
@@ -68,7 +68,7 @@
      */
     void onOverdue(AttemptState attempt) {
         if (attempt.fillsFromOutside) {
-            attempt.source.recordPace(OVERDUE_GAIN, (context.now() - attempt.sentAt) / attempt.usualTime);
+            attempt.source.recordPace(OVERDUE_GAIN, (context.now() - attempt.sentAt) / attempt.expectedTime);
         }
         if (!attempt.endpoint.answeredSince(attempt.sentAt)) {
             record(attempt.endpoint, true);
--- a/src/main/java/pewtercourse/decision/PurgeLog.java
+++ b/src/main/java/pewtercourse/decision/PurgeLog.java
@@ -8,7 +8,7 @@
     /** Returned by {@link #lastPurge} if no purge is remembered. */
     static final long NEVER = Long.MIN_VALUE;
     /** Time that a purge is remembered beyond its propagation. */
-    private static final long MARGIN = 2 * Housekeeping.INTERVAL;
+    private static final long MARGIN_MICROS = 2 * Housekeeping.INTERVAL_MICROS;
 
     private final RoutingContext context;
     private final Map<Long, Long> purgedAt = new LinkedHashMap<>();
@@ -45,8 +45,8 @@
     }
 
     void expire() {
-        long remembered = context.settings().purgePropagation() + MARGIN;
-        purgedAt.values().removeIf(at -> context.now() - at > remembered);
+        long retention = context.settings().purgePropagation() + MARGIN_MICROS;
+        purgedAt.values().removeIf(purgeTime -> context.now() - purgeTime > retention);
     }
 
     private static long groupKey(int group) {
--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -77,7 +77,7 @@
                 && parts.endpoints().caches().isEmpty()
                 && fillsAdmit(request);
         EndpointState parent = allowed ? parts.sourceSelector().selectParent(request) : null;
-        if (parent != null && parts.idempotency().allow(request, parent)) {
+        if (parent != null && parts.idempotency().allowsAttempt(request, parent)) {
             EndpointState origin = parts.endpoints().origin();
             parts.sender().send(request, parent, origin != null ? origin : parent, false);
         } else {
@@ -99,18 +99,18 @@
         if (attempt.ended) {
             return;
         }
-        settle(request, attempt, end);
+        recordAttemptEnd(request, attempt, end);
         if (end.requestDone() || end.outcome() == AttemptOutcome.OK) {
-            close(request);
+            finish(request);
         } else if (!request.finished) {
             retryOrGiveUp(request, attempt, end.outcome());
         }
-        if (request.finished && request.liveAttempts == 0) {
+        if (request.finished && request.attemptsInFlight == 0) {
             requests.remove(end.requestId());
         }
     }
 
-    private void settle(RequestState request, AttemptState attempt, AttemptFinished end) {
+    private void recordAttemptEnd(RequestState request, AttemptState attempt, AttemptFinished end) {
         AttemptOutcome outcome = end.outcome();
         if (!attempt.overdue) {
             parts.sender().release(attempt);
@@ -127,23 +127,29 @@
     // while its client has half of its time left: a zone that is cut off must not hold requests that nobody
     // works on.
     private void retryOrGiveUp(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
-        if (request.liveAttempts > 0) {
+        if (request.attemptsInFlight > 0) {
             return;
         }
-        boolean free = outcome == AttemptOutcome.MISS || attempt.fromSibling && outcome == AttemptOutcome.OVERLOADED;
-        boolean unusable = request.accusedCaches.size() > 1;
-        boolean noFill = attempt.hasNoFill() && !fillsAdmit(request);
-        if (isHeldBack(request, attempt) || unusable || !free && !retries.hasRetry() || noFill) {
+        boolean exemptFromBudget =
+                outcome == AttemptOutcome.MISS || attempt.fromSibling && outcome == AttemptOutcome.OVERLOADED;
+        boolean requestUnusable = request.suspectedCaches.size() > 1;
+        boolean fillBlocked = attempt.hasNoFill() && !fillsAdmit(request);
+        if (hasWaitedTooLongUnreached(request, attempt)
+                || requestUnusable
+                || !exemptFromBudget && !retries.hasRetry()
+                || fillBlocked) {
             giveUp(request);
             return;
         }
-        if (!free) {
+        if (!exemptFromBudget) {
             retries.spend();
         }
         advance(request);
     }
 
-    private boolean isHeldBack(RequestState request, AttemptState attempt) {
+    // Whether no cache was reached, and another attempt of the same duration would end after half of the client's
+    // time.
+    private boolean hasWaitedTooLongUnreached(RequestState request, AttemptState attempt) {
         long now = context.now();
         long halfTime = request.arrivedAt + (request.arrival.expiresAt() - request.arrivedAt) / 2;
         return !request.reachedCache && now + (now - attempt.sentAt) > halfTime;
@@ -153,14 +159,14 @@
     // unknown whether clients follow the advice: those that do retry at different times and within their
     // objective, the others lose nothing.
     private void giveUp(RequestState request) {
-        if (request.liveAttempts > 0) {
+        if (request.attemptsInFlight > 0) {
             return;
         }
         actions.add(
                 request.isHarmlessToReject()
                         ? new RejectRequest(request.id(), retryAfter(request))
                         : new FailRequest(request.id()));
-        close(request);
+        finish(request);
     }
 
     private long retryAfter(RequestState request) {
@@ -179,21 +185,21 @@
     void onClientDisconnected(long requestId) {
         RequestState request = requests.get(requestId);
         if (request != null) {
-            close(request);
+            finish(request);
         }
     }
 
-    private void close(RequestState request) {
-        boolean cancel = !request.finished
+    private void finish(RequestState request) {
+        boolean cancelAttempts = !request.finished
                 && !request.streaming
                 && context.settings().features().attemptCancellation();
-        for (int number = 0; number < request.attempts.size(); number++) {
-            if (cancel && !request.attempts.get(number).ended) {
-                actions.add(new CancelAttempt(request.id(), number));
+        for (int index = 0; index < request.attempts.size(); index++) {
+            if (cancelAttempts && !request.attempts.get(index).ended) {
+                actions.add(new CancelAttempt(request.id(), index));
             }
         }
         request.finished = true;
-        if (request.liveAttempts == 0) {
+        if (request.attemptsInFlight == 0) {
             requests.remove(request.id());
         }
     }
@@ -212,8 +218,8 @@
     // since. A long stall of all endpoints costs one retry per request, within the retry budget.
     private void checkOverdue(RequestState request) {
         int attempts = request.attempts.size();
-        for (int number = 0; number < attempts && !request.streaming && !request.finished; number++) {
-            AttemptState attempt = request.attempts.get(number);
+        for (int index = 0; index < attempts && !request.streaming && !request.finished; index++) {
+            AttemptState attempt = request.attempts.get(index);
             if (attempt.ended
                     || attempt.overdue
                     || context.now() < parts.timeouts().dueAt(attempt)) {
@@ -223,11 +229,11 @@
             attempt.overdue = true;
             parts.sender().release(attempt);
             request.failedEndpoints.add(attempt.endpoint);
-            hedge(request, attempt, number);
+            hedge(request, attempt, index);
         }
     }
 
-    private void hedge(RequestState request, AttemptState overdue, int number) {
+    private void hedge(RequestState request, AttemptState overdue, int index) {
         boolean inTime = context.now() + request.transferTime < request.arrival.expiresAt();
         if (!request.isSafe() || !retries.hasRetry() || !inTime) {
             return;
@@ -237,13 +243,13 @@
             retries.spend();
             advance(request);
         } else if (features.attemptCancellation() && isWorthReplacing(request, overdue)) {
-            actions.add(new CancelAttempt(request.id(), number));
+            actions.add(new CancelAttempt(request.id(), index));
         }
     }
 
     private boolean isWorthReplacing(RequestState request, AttemptState overdue) {
         return overdue.endpoint.health.isEjected()
                 || parts.timeouts().isLossy()
-                || context.now() + overdue.usualTime < overdue.sentAt + request.latencyObjective();
+                || context.now() + overdue.expectedTime < overdue.sentAt + request.latencyObjective();
     }
 }
--- a/src/main/java/pewtercourse/decision/RequestState.java
+++ b/src/main/java/pewtercourse/decision/RequestState.java
@@ -22,14 +22,14 @@
     /** Sources from which a fill failed. */
     final List<EndpointState> failedSources = new ArrayList<>(2);
     /** Caches that answered with an error. */
-    final List<EndpointState> accusedCaches = new ArrayList<>(2);
+    final List<EndpointState> suspectedCaches = new ArrayList<>(2);
     /** Parents from which the failed attempts were to fill. */
-    final List<EndpointState> accusedSources = new ArrayList<>(2);
+    final List<EndpointState> suspectedSources = new ArrayList<>(2);
 
     /** Attempts in flight. */
-    int liveAttempts;
+    int attemptsInFlight;
     /** The request's turn among the object's replicas. */
-    int turn;
+    int replicaTurn;
     /** Whether the first bytes of an answer are being sent to the client. */
     boolean streaming;
     /** Whether siblings may no longer fill the request. */
@@ -39,8 +39,8 @@
     /** Whether some attempt reached a cache. */
     boolean reachedCache;
 
-    private EndpointState firstRunAt;
-    private long firstRunTime;
+    private EndpointState firstRunEndpoint;
+    private long firstRunSentAt;
 
     RequestState(RequestArrived arrival, RequestClass requestClass, double transferTime, long now) {
         this.arrival = arrival;
@@ -71,29 +71,29 @@
     }
 
     /** The endpoint of the first attempt that may have run or may still run; null if there is no such attempt. */
-    EndpointState firstRunAt() {
-        return firstRunAt;
+    EndpointState firstRunEndpoint() {
+        return firstRunEndpoint;
     }
 
-    /** When the attempt at {@link #firstRunAt} was sent. */
-    long firstRunTime() {
-        return firstRunTime;
+    /** When the attempt at {@link #firstRunEndpoint} was sent. */
+    long firstRunSentAt() {
+        return firstRunSentAt;
     }
 
     void onAttemptSent(AttemptState attempt) {
         attempts.add(attempt);
-        liveAttempts++;
-        if (firstRunAt == null) {
-            firstRunAt = attempt.endpoint;
-            firstRunTime = attempt.sentAt;
+        attemptsInFlight++;
+        if (firstRunEndpoint == null) {
+            firstRunEndpoint = attempt.endpoint;
+            firstRunSentAt = attempt.sentAt;
         }
     }
 
     void onAttemptEnded(AttemptState attempt, AttemptOutcome outcome) {
         attempt.ended = true;
-        liveAttempts--;
-        if (outcome.neverRan() && firstRunTime == attempt.sentAt && liveAttempts == 0) {
-            firstRunAt = null;
+        attemptsInFlight--;
+        if (outcome.neverRan() && firstRunSentAt == attempt.sentAt && attemptsInFlight == 0) {
+            firstRunEndpoint = null;
         }
         reachedCache |= outcome != AttemptOutcome.CONNECT_FAILED && outcome != AttemptOutcome.SUPERSEDED;
     }
@@ -102,6 +102,6 @@
     boolean isHarmlessToReject() {
         boolean repeatable = requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        return isSafe() || firstRunAt == null || repeatable;
+        return isSafe() || firstRunEndpoint == null || repeatable;
     }
 }
--- a/src/main/java/pewtercourse/decision/RetryBudget.java
+++ b/src/main/java/pewtercourse/decision/RetryBudget.java
@@ -4,20 +4,20 @@
 final class RetryBudget {
     /** Retries that each request adds to the budget. */
     private static final double EARNED_PER_REQUEST = 0.2;
-    /** Maximum retries that the budget can accumulate. */
-    private static final double MAX_SAVED = 20;
+    /** Maximum retries that the budget accumulates. */
+    private static final double MAX_AVAILABLE = 20;
 
-    private double saved = MAX_SAVED;
+    private double availableRetries = MAX_AVAILABLE;
 
     void onRequest() {
-        saved = Math.min(MAX_SAVED, saved + EARNED_PER_REQUEST);
+        availableRetries = Math.min(MAX_AVAILABLE, availableRetries + EARNED_PER_REQUEST);
     }
 
     boolean hasRetry() {
-        return saved >= 1;
+        return availableRetries >= 1;
     }
 
     void spend() {
-        saved--;
+        availableRetries--;
     }
 }
--- a/src/main/java/pewtercourse/decision/RouterSettings.java
+++ b/src/main/java/pewtercourse/decision/RouterSettings.java
@@ -22,18 +22,19 @@
     }
 
     /** Returns a copy of these settings with other classes. */
-    public RouterSettings withClasses(List<RequestClass> others) {
-        return new RouterSettings(topology, others, bandwidth, features, retry, upstream, slowStart, purgePropagation);
+    public RouterSettings withClasses(List<RequestClass> newClasses) {
+        return new RouterSettings(
+                topology, newClasses, bandwidth, features, retry, upstream, slowStart, purgePropagation);
     }
 
     /**
      * Returns settings for a router that sends requests to the caches of another zone: the bandwidth of that
      * zone's link for fills is unknown, and the router does not gossip.
      */
-    public RouterSettings forRemoteZone(int zone, List<RequestClass> others) {
+    public RouterSettings forRemoteZone(int zone, List<RequestClass> newClasses) {
         return new RouterSettings(
                 topology.inZone(zone),
-                others,
+                newClasses,
                 new Bandwidth(bandwidth.clientKbPerSecond(), 0),
                 features.withoutGossip(),
                 retry,
--- a/src/main/java/pewtercourse/decision/RoutingContext.java
+++ b/src/main/java/pewtercourse/decision/RoutingContext.java
@@ -11,13 +11,13 @@
         configure(settings);
     }
 
-    void configure(RouterSettings next) {
-        settings = next;
-        routersInZone = next.topology().routersInZone();
+    void configure(RouterSettings newSettings) {
+        settings = newSettings;
+        routersInZone = newSettings.topology().routersInZone();
     }
 
-    void beginBatch(long time) {
-        now = time;
+    void beginBatch(long batchTime) {
+        now = batchTime;
         batch++;
     }
 
--- a/src/main/java/pewtercourse/decision/RoutingEngine.java
+++ b/src/main/java/pewtercourse/decision/RoutingEngine.java
@@ -12,7 +12,7 @@
     private static final String SWEEP_TIMER = "sweep";
     private static final String WATCH_TIMER = "watch";
     /** Delay before the endpoint list is requested again after a failed call. */
-    private static final long WATCH_RETRY_DELAY = 1_000_000;
+    private static final long WATCH_RETRY_DELAY_MICROS = 1_000_000;
 
     private final RoutingContext context;
     private final ActionBuffer actions = new ActionBuffer();
@@ -60,13 +60,13 @@
     }
 
     private void startSweepTimer() {
-        actions.add(new StartTimer(SWEEP_TIMER, context.now() + Housekeeping.INTERVAL));
+        actions.add(new StartTimer(SWEEP_TIMER, context.now() + Housekeeping.INTERVAL_MICROS));
     }
 
     private void sweep() {
         dispatcher.checkOverdue();
         parts.capacity().update();
-        parts.timeouts().fade();
+        parts.timeouts().decay();
         parts.purges().expire();
         parts.gossip().reportIfDue(actions);
         startSweepTimer();
@@ -85,7 +85,7 @@
             if (event.kind() != EndpointUpdateKind.FAILED) {
                 parts.endpoints().update(event);
             } else if (!context.settings().upstream().pushedEndpointUpdates()) {
-                actions.add(new StartTimer(WATCH_TIMER, context.now() + WATCH_RETRY_DELAY));
+                actions.add(new StartTimer(WATCH_TIMER, context.now() + WATCH_RETRY_DELAY_MICROS));
             }
         }
 
--- a/src/main/java/pewtercourse/decision/SlowStartBudget.java
+++ b/src/main/java/pewtercourse/decision/SlowStartBudget.java
@@ -37,13 +37,13 @@
             return true;
         }
         endpoint.slowStartWork.dropUntil(context.now() - window);
-        int sharers = sharers(endpoint);
-        double budget = USED_SHARE * bearable(endpoint, sharers, window) * window;
-        boolean room = endpoint.slowStartWork.sum() + transferTimes.mean(request) <= budget;
-        if (!room) {
+        int sendingRouters = sendingRouters(endpoint);
+        double budget = USED_SHARE * capacityForThisRouter(endpoint, sendingRouters, window) * window;
+        boolean allowed = endpoint.slowStartWork.sum() + transferTimes.mean(request) <= budget;
+        if (!allowed) {
             lastExhaustedAt = context.now();
         }
-        return room || isOnTurn(endpoint, sharers, window);
+        return allowed || isOnTurn(endpoint, sendingRouters, window);
     }
 
     void onAttemptSent(EndpointState endpoint, RequestState request) {
@@ -58,7 +58,7 @@
     }
 
     // Number of routers that may send to the endpoint.
-    private int sharers(EndpointState endpoint) {
+    private int sendingRouters(EndpointState endpoint) {
         return endpoint.is(EndpointRole.PARENT)
                 ? Math.max(1, context.settings().topology().routers())
                 : context.routersInZone();
@@ -66,20 +66,21 @@
 
     // Concurrent transfers that the endpoint can handle for this router. Its share of capacity rises at least
     // linearly, so the share in the middle of the window is the mean over the window.
-    private double bearable(EndpointState endpoint, int sharers, long window) {
-        double learned = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
-        double warm = weightsAreCapacities() ? endpoint.endpoint().weight() / sharers : learned;
-        SlowStart rule = context.settings().slowStart().of(endpoint.endpoint().role());
+    private double capacityForThisRouter(EndpointState endpoint, int sendingRouters, long window) {
+        double estimate = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
+        double warmCapacity = weightsAreCapacities() ? endpoint.endpoint().weight() / sendingRouters : estimate;
+        SlowStart slowStart = context.settings().slowStart().forRole(endpoint.endpoint().role());
         double share = ramp.capacityShare(endpoint, context.now() - window / 2);
-        return rule.overcommit() * share * warm * quotaFactor;
+        return slowStart.overcommit() * share * warmCapacity * quotaFactor;
     }
 
     // If capacities are unknown, the routers take turns to send one request; otherwise no router would learn
     // them.
-    private boolean isOnTurn(EndpointState endpoint, int sharers, long window) {
+    private boolean isOnTurn(EndpointState endpoint, int sendingRouters, long window) {
         int router = context.settings().topology().router();
-        boolean turn = endpoint.slowStartWork.isEmpty() && context.now() / window % sharers == router % sharers;
-        return turn && !weightsAreCapacities();
+        boolean onTurn = endpoint.slowStartWork.isEmpty()
+                && context.now() / window % sendingRouters == router % sendingRouters;
+        return onTurn && !weightsAreCapacities();
     }
 
     private boolean weightsAreCapacities() {
--- a/src/main/java/pewtercourse/decision/SlowStartRamp.java
+++ b/src/main/java/pewtercourse/decision/SlowStartRamp.java
@@ -9,15 +9,15 @@
     }
 
     /** Returns the share of its capacity that the endpoint has at the given time, at most 1. */
-    double capacityShare(EndpointState endpoint, long at) {
+    double capacityShare(EndpointState endpoint, long time) {
         long startedAt = endpoint.endpoint().startedAt();
-        SlowStart rule = context.settings().slowStart().of(endpoint.endpoint().role());
-        if (startedAt <= 0 || rule.window() <= 0) {
+        SlowStart slowStart = context.settings().slowStart().forRole(endpoint.endpoint().role());
+        if (startedAt <= 0 || slowStart.window() <= 0) {
             return 1;
         }
-        double elapsed = (at - startedAt) / (double) rule.window();
-        double share = rule.initialShare() + (1 - rule.initialShare()) * elapsed;
-        return Math.max(rule.initialShare(), Math.min(1, share));
+        double elapsed = (time - startedAt) / (double) slowStart.window();
+        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * elapsed;
+        return Math.max(slowStart.initialShare(), Math.min(1, share));
     }
 
     /** Whether the endpoint has its full capacity now. */
--- a/src/main/java/pewtercourse/decision/SlowStartSettings.java
+++ b/src/main/java/pewtercourse/decision/SlowStartSettings.java
@@ -7,7 +7,7 @@
  *     than it can handle in any such window; 0: no limit
  */
 public record SlowStartSettings(SlowStart cache, SlowStart parent, long overloadWindow) {
-    SlowStart of(EndpointRole role) {
+    SlowStart forRole(EndpointRole role) {
         return role == EndpointRole.CACHE ? cache : parent;
     }
 }
--- a/src/main/java/pewtercourse/decision/TransferTimes.java
+++ b/src/main/java/pewtercourse/decision/TransferTimes.java
@@ -19,15 +19,15 @@
     /** Estimates the transfer time of a request that has just arrived, and adds it to the mean of its class. */
     double record(RequestArrived request, RequestClass requestClass, double clientKbPerSecond) {
         int index = request.requestClass();
-        double time = means[index];
+        double transferTime = means[index];
         if (request.sizeKb() > 0 && clientKbPerSecond > 0) {
-            time = request.sizeKb() / clientKbPerSecond * 1e6;
-        } else if (time == 0) {
-            time = requestClass.latencyObjective() / 2.0;
+            transferTime = request.sizeKb() / clientKbPerSecond * 1e6;
+        } else if (transferTime == 0) {
+            transferTime = requestClass.latencyObjective() / 2.0;
         }
         long samples = Math.min(++requestsSeen[index], MAX_SAMPLES);
-        means[index] += (time - means[index]) / samples;
-        return time;
+        means[index] += (transferTime - means[index]) / samples;
+        return transferTime;
     }
 
     double mean(RequestState request) {
--- a/src/main/java/pewtercourse/decision/WorkWindow.java
+++ b/src/main/java/pewtercourse/decision/WorkWindow.java
@@ -4,7 +4,7 @@
 
 /** The work sent to an endpoint in slow start within a sliding window. */
 final class WorkWindow {
-    private record Sent(long at, double transferTime) {}
+    private record Sent(long sentAt, double transferTime) {}
 
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
     private double sum;
@@ -16,7 +16,7 @@
 
     /** Drops the work that was sent at {@code time} or before. */
     void dropUntil(long time) {
-        while (!sent.isEmpty() && sent.peekFirst().at() <= time) {
+        while (!sent.isEmpty() && sent.peekFirst().sentAt() <= time) {
             sum -= sent.pollFirst().transferTime();
         }
     }
