--- a/src/main/java/pewtercourse/decision/AttemptOutcome.java
+++ b/src/main/java/pewtercourse/decision/AttemptOutcome.java
@@ -21,7 +21,7 @@
         return this == OVERLOADED || this == CONNECT_FAILED || this == SUPERSEDED || this == MISS;
     }
 
-    /** Whether the outcome does not show if the endpoint responds. */
+    /** Whether the outcome does not show whether the endpoint responds. */
     boolean isInconclusive() {
         return this == TIMEOUT || this == CANCELLED || this == SUPERSEDED;
     }
--- a/src/main/java/pewtercourse/decision/CapacityEstimate.java
+++ b/src/main/java/pewtercourse/decision/CapacityEstimate.java
@@ -37,9 +37,11 @@
      */
     void update() {
         warmCacheCapacity = Math.max(
-                warmCacheCapacity * Housekeeping.DECAY_PER_INTERVAL, servedByWarm(endpoints.caches(), warmCacheCapacity));
+                warmCacheCapacity * Housekeeping.DECAY_PER_INTERVAL,
+                servedByWarm(endpoints.caches(), warmCacheCapacity));
         warmParentCapacity = Math.max(
-                warmParentCapacity * Housekeeping.DECAY_PER_INTERVAL, servedByWarm(endpoints.parents(), warmParentCapacity));
+                warmParentCapacity * Housekeeping.DECAY_PER_INTERVAL,
+                servedByWarm(endpoints.parents(), warmParentCapacity));
     }
 
     double ofWarmCache() {
--- a/src/main/java/pewtercourse/decision/ContentHints.java
+++ b/src/main/java/pewtercourse/decision/ContentHints.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Records that the cache holds the segment. A hit does not show the age of a copy with a freshness lifetime:
-     * if the age is unknown, half of the lifetime is assumed to have passed.
+     * Records that the cache holds the segment. A hit does not show how old the copy is. If the age is unknown
+     * and copies of the class have a freshness lifetime, half of the lifetime is assumed to have passed.
      */
     void recordHeld(RequestState request, EndpointState cache, boolean hit) {
         long lifetime = request.requestClass.freshnessLifetime();
--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -211,11 +211,12 @@
         }
     }
 
-    // Sends another attempt beside an overdue one. If parallel attempts are not allowed, it replaces the overdue
-    // one if the new attempt can still be in time or the cache is failing: a large transfer that is started
-    // twice ends late. This handles lost answers, hangs, stalls and cut links. An attempt whose answer is lost
-    // releases its capacity and is blamed on nobody; an endpoint is blamed only if it has answered nothing
-    // since. A long stall of all endpoints costs one retry per request, within the retry budget.
+    // Sends another attempt beside an overdue one. If parallel attempts are not allowed, the overdue attempt is
+    // cancelled and replaced, but only if the new one can still be in time, if answers are being lost or if the
+    // cache is ejected: a large transfer that is started twice ends late. This handles lost answers, hangs,
+    // stalls and cut links. An attempt whose answer is lost releases its capacity and is blamed on nobody; an
+    // endpoint is blamed only if it has answered nothing since. A long stall of all endpoints costs one retry
+    // per request, within the retry budget.
     private void checkOverdue(RequestState request) {
         int attempts = request.attempts.size();
         for (int index = 0; index < attempts && !request.streaming && !request.finished; index++) {
