--- a/src/main/java/pewtercourse/decision/AccessCounts.java
+++ b/src/main/java/pewtercourse/decision/AccessCounts.java
@@ -7,10 +7,7 @@
  * retention rank its copies get.
  */
 final class AccessCounts {
-    /**
-     * An object gets one more replica for each time that its accesses reach this share of a cache's mean
-     * accesses.
-     */
+    /** An object gets one more replica each time its accesses grow by this share of a cache's mean accesses. */
     private static final double REPLICA_SHARE = 0.10;
     /**
      * Minimum accesses per additional replica, so that a newly started router doesn't replicate objects of which
@@ -21,7 +18,6 @@
     private static final int MAX_REPLICAS = 3;
     /** Accesses per segment, divided by log2 of the size in kilobytes, from which a copy gets retention rank 2. */
     private static final double MIN_VALUE_FOR_RANK_2 = 0.25;
-
     /** The same for retention rank 3. */
     private static final double MIN_VALUE_FOR_RANK_3 = 1.0;
     /** Log2 of the size in kilobytes that is assumed if the size is unknown. */
--- a/src/main/java/pewtercourse/decision/AttemptTimeouts.java
+++ b/src/main/java/pewtercourse/decision/AttemptTimeouts.java
@@ -7,8 +7,8 @@
  */
 final class AttemptTimeouts {
     /**
-     * An attempt is overdue after this multiple of its expected time at its endpoint's pace, plus {@code
-     * BASE_TIMEOUT_MICROS}.
+     * An attempt is overdue after {@link #BASE_TIMEOUT_MICROS} plus this multiple of its expected time at its
+     * endpoint's pace.
      */
     private static final double EXPECTED_TIME_MULTIPLE = 2.5;
     /** Part of every timeout, in microseconds. */
--- a/src/main/java/pewtercourse/decision/FillSourceSelector.java
+++ b/src/main/java/pewtercourse/decision/FillSourceSelector.java
@@ -7,11 +7,11 @@
 final class FillSourceSelector {
     /** How selective a pass over the parents is. */
     private enum Pass {
-        /** Only reliable parents that the request has not tried without success. */
+        /** Only reliable parents from which no fill of the request has failed. */
         PREFERRED,
-        /** Only parents that the request has not tried without success. */
+        /** Only parents from which no fill of the request has failed. */
         UNTRIED,
-        /** Any parent. */
+        /** Any usable parent. */
         ANY
     }
 
--- a/src/main/java/pewtercourse/decision/RequestArrived.java
+++ b/src/main/java/pewtercourse/decision/RequestArrived.java
@@ -4,6 +4,8 @@
  * A client's request.
  *
  * @param requestClass index of the request's class in the settings
+ * @param object name of the requested object
+ * @param segment index of the requested segment of the object
  * @param purgeGroup group of objects in which the requested object can be purged
  * @param sizeKb size of the answer in kilobytes, 0 if unknown
  * @param expiresAt time at which the client stops waiting
--- a/src/main/java/pewtercourse/decision/RequestState.java
+++ b/src/main/java/pewtercourse/decision/RequestState.java
@@ -18,7 +18,6 @@
     final List<AttemptState> attempts = new ArrayList<>(2);
     /** Endpoints at which an attempt failed, one entry per failure. */
     final List<EndpointState> failedEndpoints = new ArrayList<>(2);
-
     /** Sources from which a fill failed. */
     final List<EndpointState> failedSources = new ArrayList<>(2);
     /** Caches that answered with an error. */
