--- a/src/main/java/pewtercourse/decision/CountGossip.java
+++ b/src/main/java/pewtercourse/decision/CountGossip.java
@@ -26,6 +26,7 @@
     private final LruTable<AccessCount> owned = new LruTable<>();
     /** Counts of the objects accessed since the last report. */
     private final LruTable<AccessCount> unreported = new LruTable<>();
+
     private long nextReportAt;
 
     CountGossip(RoutingContext context, AccessCounts counts) {
--- a/src/main/java/pewtercourse/decision/SlowStartBudget.java
+++ b/src/main/java/pewtercourse/decision/SlowStartBudget.java
@@ -69,7 +69,8 @@
     private double capacityForThisRouter(EndpointState endpoint, int sendingRouters, long window) {
         double estimate = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
         double warmCapacity = weightsAreCapacities() ? endpoint.endpoint().weight() / sendingRouters : estimate;
-        SlowStart slowStart = context.settings().slowStart().forRole(endpoint.endpoint().role());
+        SlowStart slowStart =
+                context.settings().slowStart().forRole(endpoint.endpoint().role());
         double share = ramp.capacityShare(endpoint, context.now() - window / 2);
         return slowStart.overcommit() * share * warmCapacity * quotaFactor;
     }
@@ -78,8 +79,8 @@
     // them.
     private boolean isOnTurn(EndpointState endpoint, int sendingRouters, long window) {
         int router = context.settings().topology().router();
-        boolean onTurn = endpoint.slowStartWork.isEmpty()
-                && context.now() / window % sendingRouters == router % sendingRouters;
+        boolean onTurn =
+                endpoint.slowStartWork.isEmpty() && context.now() / window % sendingRouters == router % sendingRouters;
         return onTurn && !weightsAreCapacities();
     }
 
--- a/src/main/java/pewtercourse/decision/SlowStartRamp.java
+++ b/src/main/java/pewtercourse/decision/SlowStartRamp.java
@@ -11,7 +11,8 @@
     /** Returns the share of its capacity that the endpoint has at the given time, at most 1. */
     double capacityShare(EndpointState endpoint, long time) {
         long startedAt = endpoint.endpoint().startedAt();
-        SlowStart slowStart = context.settings().slowStart().forRole(endpoint.endpoint().role());
+        SlowStart slowStart =
+                context.settings().slowStart().forRole(endpoint.endpoint().role());
         if (startedAt <= 0 || slowStart.window() <= 0) {
             return 1;
         }
