--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -147,7 +147,7 @@
         advance(request);
     }
 
-    // Whether no cache was reached, and another attempt of the same duration would end after half of the client's
+    // Whether no cache was reached and another attempt of this duration would end after half of the client's
     // time.
     private boolean hasWaitedTooLongUnreached(RequestState request, AttemptState attempt) {
         long now = context.now();
--- a/src/main/java/pewtercourse/decision/SlowStartBudget.java
+++ b/src/main/java/pewtercourse/decision/SlowStartBudget.java
@@ -75,8 +75,7 @@
         return slowStart.overcommit() * share * warmCapacity * quotaFactor;
     }
 
-    // If capacities are unknown, the routers take turns to send one request; otherwise no router would learn
-    // them.
+    // If capacities are unknown, the routers take turns to send one request; otherwise none would learn them.
     private boolean isOnTurn(EndpointState endpoint, int sendingRouters, long window) {
         int router = context.settings().topology().router();
         boolean onTurn =
