--- a/src/main/java/pewtercourse/decision/AttemptFeedback.java
+++ b/src/main/java/pewtercourse/decision/AttemptFeedback.java
@@ -1,14 +1,15 @@
 package pewtercourse.decision;
 
 /**
- * Learns from the ends of attempts: which cache holds the object, and how well cache and source of the fill do. Each
- * failure is blamed on the right party: an error that tells of its source says nothing of the cache, and one that another
- * cache gives too may be the request's own fault, so that unusable requests eject no healthy cache.
+ * Learns from the end of each attempt: which cache holds the object, and how well the cache and the source of
+ * the fill perform. Each failure is attributed to the party that caused it. An error that the cache attributes
+ * to its source does not count against the cache. An error that another cache returns too may be caused by the
+ * request itself, so unusable requests get no healthy cache ejected.
  */
 final class AttemptFeedback {
-    /** Share of its objective beyond its transfer from which an answer is slow. */
+    /** An answer is slow if its latency without the transfer exceeds this share of its objective. */
     private static final double SLOW_SHARE = 0.1;
-    /** Share of its objective within which an answer is well within it. */
+    /** An answer is well within its objective if its latency is below this share of the objective. */
     private static final double WELL_WITHIN_SHARE = 0.7;
 
     private final RoutingContext context;
@@ -33,7 +34,7 @@
     void onAttemptEnded(RequestState request, AttemptState attempt, AttemptFinished end) {
         attempt.endpoint.health.onAttemptEnded();
         attempt.source.health.onAttemptEnded();
-        if (!end.outcome().isSilent() && end.outcome() != AttemptOutcome.CONNECT_FAILED) {
+        if (!end.outcome().isInconclusive() && end.outcome() != AttemptOutcome.CONNECT_FAILED) {
             attempt.endpoint.onAnswer(context.now());
         }
         boolean hit = isHit(attempt, end.cacheStatus());
@@ -53,15 +54,14 @@
         };
     }
 
-    // The limiter that a late answer shrinks. An ill or lagging source is no reason to fill less from others: a limiter
-    // that
-    // nobody uses takes the sample then.
+    // Returns the limiter that a late answer shrinks. A failing or lagging source is no reason to fill less from
+    // the other sources: in that case a new limiter that nothing else uses takes the sample.
     private ConcurrencyLimiter responsibleLimiter(AttemptState attempt, boolean hit) {
         if (hit || !attempt.fillsFromOutside || outliers.isLaggingCache(attempt.endpoint)) {
             return attempt.endpoint.limiter;
         }
-        boolean sourceIll = attempt.source.health.isEjected() || outliers.isLaggingSource(attempt.source);
-        return sourceIll ? new ConcurrencyLimiter(context.routersInZone()) : fills.limiter;
+        boolean sourceFailing = attempt.source.health.isEjected() || outliers.isLaggingSource(attempt.source);
+        return sourceFailing ? new ConcurrencyLimiter(context.routersInZone()) : fills.limiter;
     }
 
     private void onAnswer(
@@ -69,11 +69,11 @@
         double objective = request.latencyObjective();
         boolean late = latency > objective;
         EndpointState cache = attempt.endpoint;
-        cache.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        cache.recordPace(EndpointHealth.GAIN, latency / attempt.expectedTime);
         outliers.record(cache, late && outliers.isLaggingCache(cache));
-        request.accusedCaches.forEach(accused -> outliers.record(accused, accused != cache));
-        request.accusedSources.forEach(
-                accused -> outliers.record(accused, accused != attempt.source && outliers.failsAlone(accused)));
+        request.suspectedCaches.forEach(suspect -> outliers.record(suspect, suspect != cache));
+        request.suspectedSources.forEach(
+                suspect -> outliers.record(suspect, suspect != attempt.source && outliers.hasHealthyPeer(suspect)));
         limiter.recordSpeed(latency - request.transferTime > SLOW_SHARE * objective);
         limiter.adapt(context.now(), context.routersInZone(), latency < WELL_WITHIN_SHARE * objective, late);
         cache.served.add(context.now(), transferTimes.mean(request));
@@ -90,7 +90,7 @@
 
     private void onFill(RequestState request, AttemptState attempt, long latency, boolean late) {
         EndpointState source = attempt.source;
-        source.recordPace(EndpointHealth.GAIN, latency / attempt.usualTime);
+        source.recordPace(EndpointHealth.GAIN, latency / attempt.expectedTime);
         outliers.record(source, late && outliers.isLaggingSource(source));
         source.served.add(context.now(), transferTimes.mean(request));
         source.onAnswer(context.now());
@@ -101,11 +101,11 @@
 
     private void onFailure(
             RequestState request, AttemptState attempt, AttemptFinished end, ConcurrencyLimiter limiter) {
-        accuseSourceOfUnfilled(request, attempt, end.outcome());
+        suspectParentOfFailedFill(request, attempt, end.outcome());
         blameCache(request, attempt, end, limiter);
         if (end.outcome() == AttemptOutcome.TIMEOUT) {
             outliers.onOverdue(attempt);
-        } else if (!end.outcome().isSilent()) {
+        } else if (!end.outcome().isInconclusive()) {
             hints.forget(request, attempt.endpoint);
         }
         if (attempt.fromSibling) {
@@ -118,29 +118,27 @@
         }
     }
 
-    // Where caches tell of hits only, one that can't fill says no more than that it is overloaded or that it failed. A
-    // parent that is gone, before the list tells of it, must not shrink all limits: fills that are rejected from one
-    // parent,
-    // one after the other, are its fault. Crowded caches may so cost a parent a second. An error may be the parent's as
-    // well
-    // as the cache's: the parent's record counts it once the request was served by another way, and at once where it
-    // can't
-    // be repeated. That finds a parent that has lost its way to the origin, which fails what it lacks and serves the
-    // rest.
-    private void accuseSourceOfUnfilled(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
-        boolean unfilled = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
+    // Suspects the parent of a failed fill. Unless caches report all details, a cache that cannot fill reports
+    // only that it is overloaded or that it failed. A parent that is gone but still listed must not shrink all
+    // limits: if one fill after the other from the same parent is rejected, the parent is at fault. Overloaded
+    // caches may thus get a parent ejected for a second. An error may be caused by the parent as well as by the
+    // cache. It counts against the parent once the request was served another way, or at once if the request
+    // can't be repeated. This detects a parent that has lost its connection to the origin: it fails the objects
+    // that it lacks and serves the rest.
+    private void suspectParentOfFailedFill(RequestState request, AttemptState attempt, AttemptOutcome outcome) {
+        boolean fillFailed = context.settings().upstream().cacheStatusDetail() != CacheStatusDetail.ALL
                 && attempt.fillsFromOutside
                 && attempt.source.is(EndpointRole.PARENT)
                 && (outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.ERROR);
-        if (!unfilled) {
+        if (!fillFailed) {
             return;
         }
         request.failedSources.add(attempt.source);
         boolean safeError = isSafeError(request, outcome);
-        if (outcome == AttemptOutcome.OVERLOADED || !safeError && outliers.failsAlone(attempt.source)) {
+        if (outcome == AttemptOutcome.OVERLOADED || !safeError && outliers.hasHealthyPeer(attempt.source)) {
             outliers.record(attempt.source, true);
         } else if (safeError) {
-            request.accusedSources.add(attempt.source);
+            request.suspectedSources.add(attempt.source);
         }
     }
 
@@ -149,8 +147,8 @@
         AttemptOutcome outcome = end.outcome();
         boolean sourceFault = end.cacheStatus().isSourceFault();
         boolean safeError = isSafeError(request, outcome);
-        if (safeError && !sourceFault && !request.accusedCaches.contains(attempt.endpoint)) {
-            request.accusedCaches.add(attempt.endpoint);
+        if (safeError && !sourceFault && !request.suspectedCaches.contains(attempt.endpoint)) {
+            request.suspectedCaches.add(attempt.endpoint);
         } else if (isFailure(outcome) && !safeError && !sourceFault) {
             outliers.record(attempt.endpoint, true);
         } else if (outcome == AttemptOutcome.TIMEOUT && !attempt.overdue || outcome == AttemptOutcome.OVERLOADED) {
--- a/src/main/java/pewtercourse/decision/CountGossip.java
+++ b/src/main/java/pewtercourse/decision/CountGossip.java
@@ -6,24 +6,27 @@
 import java.util.Random;
 
 /**
- * Shares access counts among the routers. Each object's count is owned by one router, chosen by rendezvous hashing. Routers
- * report their accesses to the owner, which answers with the sums. A message is a kind (1 byte) and entries of a hash
- * (8 bytes) and a count (2 bytes, unsigned), big-endian.
+ * Shares access counts among the routers. The count of each object is owned by one router, chosen by rendezvous
+ * hashing. Routers report their accesses to the owner, which answers with the sums. A message consists of a kind
+ * (1 byte) and entries of a hash (8 bytes) and a count (2 bytes, unsigned), big-endian.
  */
 final class CountGossip {
     private static final byte REPORT = 1;
     private static final byte SUMS = 2;
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final int ENTRY_BYTES = 10;
-    /** Microseconds between two reports. */
-    private static final long REPORT_INTERVAL = 2_000_000;
-    /** Unreported accesses of one object that are reported at once. */
+    /** Time between two reports. */
+    private static final long REPORT_INTERVAL_MICROS = 2_000_000;
+    /** Number of unreported accesses of one object that makes a report due at once. */
     private static final int URGENT_ACCESSES = 8;
 
     private final RoutingContext context;
     private final AccessCounts counts;
+    /** Counts of the objects that this router owns. */
     private final LruTable<AccessCount> owned = new LruTable<>();
+    /** Counts of the objects accessed since the last report. */
     private final LruTable<AccessCount> unreported = new LruTable<>();
+
     private long nextReportAt;
 
     CountGossip(RoutingContext context, AccessCounts counts) {
@@ -31,9 +34,9 @@
         this.counts = counts;
     }
 
-    /** Spreads the first reports of routers that start together. */
+    /** Schedules the first report at a random time, so that routers that start together don't all report at once. */
     void start(Random random) {
-        nextReportAt = context.now() + REPORT_INTERVAL + random.nextInt((int) REPORT_INTERVAL);
+        nextReportAt = context.now() + REPORT_INTERVAL_MICROS + random.nextInt((int) REPORT_INTERVAL_MICROS);
     }
 
     void onAccess(long object, AccessCount count) {
@@ -46,21 +49,24 @@
     void reportIfDue(ActionBuffer actions) {
         if (isEnabled() && context.now() >= nextReportAt) {
             report(actions);
-            nextReportAt = context.now() + REPORT_INTERVAL;
+            nextReportAt = context.now() + REPORT_INTERVAL_MICROS;
         }
     }
 
-    /** Answers a report with the sums, and takes over sums. Anything else, cut or too long, is ignored. */
+    /**
+     * Answers a report with the sums, and stores received sums. Any other message, or one that is truncated or
+     * too long, is ignored.
+     */
     void onMessage(GossipReceived message, ActionBuffer actions) {
         if (!isAcceptable(message)) {
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(message.payload());
-        byte kind = in.get();
+        ByteBuffer payload = ByteBuffer.wrap(message.payload());
+        byte kind = payload.get();
         ByteBuffer sums = null;
-        while (in.hasRemaining() && (kind == REPORT || kind == SUMS)) {
-            long object = in.getLong();
-            int accesses = Math.min(AccessCount.MAX, in.getShort() & 0xffff);
+        while (payload.hasRemaining() && (kind == REPORT || kind == SUMS)) {
+            long object = payload.getLong();
+            int accesses = Math.min(AccessCount.MAX_COUNT, payload.getShort() & 0xffff);
             if (kind == REPORT) {
                 sums = append(sums, SUMS, object, addToOwned(object, accesses));
             } else {
@@ -85,7 +91,8 @@
         return wellFormed && knownSender && context.settings().features().gossipEnabled();
     }
 
-    // Batches by owner what was counted since the last report; what does not fit goes with a later one.
+    // Reports the accesses counted since the last report, in one message per owner. Accesses that don't fit into
+    // the message are not reported, and neither is a single access to an object that another router owns.
     private void report(ActionBuffer actions) {
         ByteBuffer[] messages = new ByteBuffer[context.settings().topology().routers()];
         for (Map.Entry<Long, AccessCount> entry : unreported.entrySet()) {
@@ -106,11 +113,11 @@
     }
 
     private int owner(long object) {
-        int best = 0;
+        int bestRouter = 0;
         for (int router = 1; router < context.settings().topology().routers(); router++) {
-            best = score(object, router) > score(object, best) ? router : best;
+            bestRouter = score(object, router) > score(object, bestRouter) ? router : bestRouter;
         }
-        return best;
+        return bestRouter;
     }
 
     private static long score(long object, int router) {
@@ -118,15 +125,15 @@
     }
 
     private int addToOwned(long object, int accesses) {
-        return AccessCounts.of(owned, object, context.now()).add(accesses);
+        return AccessCounts.countOf(owned, object, context.now()).add(accesses);
     }
 
     private static ByteBuffer append(ByteBuffer message, byte kind, long object, int accesses) {
-        ByteBuffer target =
+        ByteBuffer buffer =
                 message == null ? ByteBuffer.allocate(MAX_MESSAGE_BYTES).put(kind) : message;
-        return target.remaining() < ENTRY_BYTES
-                ? target
-                : target.putLong(object).putShort((short) accesses);
+        return buffer.remaining() < ENTRY_BYTES
+                ? buffer
+                : buffer.putLong(object).putShort((short) accesses);
     }
 
     private static void send(int router, ByteBuffer message, ActionBuffer actions) {
--- a/src/main/java/pewtercourse/decision/RetryBudget.java
+++ b/src/main/java/pewtercourse/decision/RetryBudget.java
@@ -1,23 +1,23 @@
 package pewtercourse.decision;
 
-/** Retries earn their right from first attempts, so that they don't feed an overload. */
+/** Limits retries to a share of the requests, so that retries don't aggravate an overload. */
 final class RetryBudget {
-    /** Retries that each request earns. */
+    /** Retries that each request adds to the budget. */
     private static final double EARNED_PER_REQUEST = 0.2;
-    /** Retries that may be saved up. */
-    private static final double MAX_SAVED = 20;
+    /** Maximum retries that the budget accumulates. */
+    private static final double MAX_AVAILABLE = 20;
 
-    private double saved = MAX_SAVED;
+    private double availableRetries = MAX_AVAILABLE;
 
     void onRequest() {
-        saved = Math.min(MAX_SAVED, saved + EARNED_PER_REQUEST);
+        availableRetries = Math.min(MAX_AVAILABLE, availableRetries + EARNED_PER_REQUEST);
     }
 
     boolean hasRetry() {
-        return saved >= 1;
+        return availableRetries >= 1;
     }
 
     void spend() {
-        saved--;
+        availableRetries--;
     }
 }
--- a/src/main/java/pewtercourse/decision/SlowStartBudget.java
+++ b/src/main/java/pewtercourse/decision/SlowStartBudget.java
@@ -1,12 +1,13 @@
 package pewtercourse.decision;
 
 /**
- * Limits what an endpoint that has just started is sent: within any overload window its present capacity times the allowed
- * overcommit, split over the routers that may send. Holds for any fresh endpoint, whatever made it start. An endpoint whose
- * start is told wrongly gets too little for a while.
+ * Limits the work sent to an endpoint that has just started. Within any overload window, the endpoint gets at
+ * most its current capacity times the allowed overcommit, divided among the routers that may send to it. This
+ * applies to every endpoint with a recent start, whatever the cause of the start. An endpoint with a wrongly
+ * reported start time gets too little work for a while.
  */
 final class SlowStartBudget {
-    /** Share of the budget that is used: weights and means are rough. */
+    /** Share of the budget that is used, because weights and mean transfer times are inexact. */
     private static final double USED_SHARE = 0.8;
 
     private final RoutingContext context;
@@ -24,25 +25,25 @@
         this.transferTimes = transferTimes;
     }
 
-    /** Sets this router's share of the budget, as a factor on an equal share. */
+    /** Sets this router's share of the budget, as a multiple of an equal share. */
     void setQuotaFactor(double factor) {
         quotaFactor = factor;
     }
 
-    /** Whether the endpoint may get this request. */
+    /** Whether the budget of the endpoint allows this request. */
     boolean hasRoom(EndpointState endpoint, RequestState request) {
         long window = context.settings().slowStart().overloadWindow();
         if (endpoint.is(EndpointRole.ORIGIN) || ramp.isWarm(endpoint) || window <= 0) {
             return true;
         }
         endpoint.slowStartWork.dropUntil(context.now() - window);
-        int sharers = sharers(endpoint);
-        double budget = USED_SHARE * bearable(endpoint, sharers, window) * window;
-        boolean room = endpoint.slowStartWork.sum() + transferTimes.mean(request) <= budget;
-        if (!room) {
+        int sendingRouters = sendingRouters(endpoint);
+        double budget = USED_SHARE * capacityForThisRouter(endpoint, sendingRouters, window) * window;
+        boolean allowed = endpoint.slowStartWork.sum() + transferTimes.mean(request) <= budget;
+        if (!allowed) {
             lastExhaustedAt = context.now();
         }
-        return room || isOnTurn(endpoint, sharers, window);
+        return allowed || isOnTurn(endpoint, sendingRouters, window);
     }
 
     void onAttemptSent(EndpointState endpoint, RequestState request) {
@@ -51,34 +52,35 @@
         }
     }
 
-    /** Whether of late some endpoint had no room. */
+    /** Whether an endpoint recently had no budget left for a request. */
     boolean wasExhausted() {
         return context.now() - lastExhaustedAt < context.settings().slowStart().overloadWindow();
     }
 
-    // Routers that may send to the endpoint.
-    private int sharers(EndpointState endpoint) {
+    // Number of routers that may send to the endpoint.
+    private int sendingRouters(EndpointState endpoint) {
         return endpoint.is(EndpointRole.PARENT)
                 ? Math.max(1, context.settings().topology().routers())
                 : context.routersInZone();
     }
 
-    // Transfers at once that the endpoint bears for this router. Its warmth rises at least linearly: in the middle of
-    // the
-    // window it is the window's mean.
-    private double bearable(EndpointState endpoint, int sharers, long window) {
-        double learned = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
-        double warm = weightsAreCapacities() ? endpoint.endpoint().weight() / sharers : learned;
-        SlowStart rule = context.settings().slowStart().of(endpoint.endpoint().role());
+    // Concurrent transfers that the endpoint can handle for this router. Its share of capacity rises at least
+    // linearly, so the share in the middle of the window is the mean over the window.
+    private double capacityForThisRouter(EndpointState endpoint, int sendingRouters, long window) {
+        double estimate = endpoint.is(EndpointRole.PARENT) ? capacity.ofWarmParent() : capacity.ofWarmCache();
+        double warmCapacity = weightsAreCapacities() ? endpoint.endpoint().weight() / sendingRouters : estimate;
+        SlowStart slowStart =
+                context.settings().slowStart().forRole(endpoint.endpoint().role());
         double share = ramp.capacityShare(endpoint, context.now() - window / 2);
-        return rule.overcommit() * share * warm * quotaFactor;
+        return slowStart.overcommit() * share * warmCapacity * quotaFactor;
     }
 
-    // Where capacities are not told, the routers take turns to send one request: else none would learn.
-    private boolean isOnTurn(EndpointState endpoint, int sharers, long window) {
+    // If capacities are unknown, the routers take turns to send one request; otherwise none would learn them.
+    private boolean isOnTurn(EndpointState endpoint, int sendingRouters, long window) {
         int router = context.settings().topology().router();
-        boolean turn = endpoint.slowStartWork.isEmpty() && context.now() / window % sharers == router % sharers;
-        return turn && !weightsAreCapacities();
+        boolean onTurn =
+                endpoint.slowStartWork.isEmpty() && context.now() / window % sendingRouters == router % sendingRouters;
+        return onTurn && !weightsAreCapacities();
     }
 
     private boolean weightsAreCapacities() {
--- a/src/main/java/pewtercourse/decision/SlowStartRamp.java
+++ b/src/main/java/pewtercourse/decision/SlowStartRamp.java
@@ -1,6 +1,6 @@
 package pewtercourse.decision;
 
-/** How warm an endpoint is: the share of its capacity that it has, rising linearly from its start. */
+/** Computes how warm an endpoint is: the share of its capacity that it has, which rises linearly from its start. */
 final class SlowStartRamp {
     private final RoutingContext context;
 
@@ -8,18 +8,20 @@
         this.context = context;
     }
 
-    /** Share of its capacity that the endpoint has at this time, at most 1. */
-    double capacityShare(EndpointState endpoint, long at) {
+    /** Returns the share of its capacity that the endpoint has at the given time, at most 1. */
+    double capacityShare(EndpointState endpoint, long time) {
         long startedAt = endpoint.endpoint().startedAt();
-        SlowStart rule = context.settings().slowStart().of(endpoint.endpoint().role());
-        if (startedAt <= 0 || rule.window() <= 0) {
+        SlowStart slowStart =
+                context.settings().slowStart().forRole(endpoint.endpoint().role());
+        if (startedAt <= 0 || slowStart.window() <= 0) {
             return 1;
         }
-        double elapsed = (at - startedAt) / (double) rule.window();
-        double share = rule.initialShare() + (1 - rule.initialShare()) * elapsed;
-        return Math.max(rule.initialShare(), Math.min(1, share));
+        double elapsed = (time - startedAt) / (double) slowStart.window();
+        double share = slowStart.initialShare() + (1 - slowStart.initialShare()) * elapsed;
+        return Math.max(slowStart.initialShare(), Math.min(1, share));
     }
 
+    /** Whether the endpoint has its full capacity now. */
     boolean isWarm(EndpointState endpoint) {
         return capacityShare(endpoint, context.now()) >= 1;
     }
