--- a/src/main/java/pewtercourse/cache/AnswerReader.java
+++ b/src/main/java/pewtercourse/cache/AnswerReader.java
@@ -187,8 +187,8 @@
                 head.headers().get(HttpHeaderNames.ETAG),
                 head.headers().get("Outcome"));
         // Nobody may be told that a copy holds that was not asked about.
-        boolean wrongCopy = a.end() == End.NOT_MODIFIED && (known == null || !known.equals(a.tag()));
-        return wrongCopy || a.end() == End.SERVED && repeated(a.tag(), bytes) ? broken() : a;
+        boolean wrongCopy = a.end() == AttemptResult.NOT_MODIFIED && (known == null || !known.equals(a.tag()));
+        return wrongCopy || a.end() == AttemptResult.SERVED && repeated(a.tag(), bytes) ? broken() : a;
     }
 
     // A second copy of the last answer that came so late that its connection was in use again.
@@ -206,6 +206,6 @@
 
     private CacheAnswer broken() {
         clean = false;
-        return CacheAnswer.of(End.MALFORMED);
+        return CacheAnswer.of(AttemptResult.MALFORMED);
     }
 }
--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -66,19 +66,19 @@
         }
         var connecting = pool.connect(address, Timers.millis(connectTimeout) + LATE_MS);
         if (connecting == null) {
-            end(CacheAnswer.of(End.NO_DESCRIPTOR));
+            end(CacheAnswer.of(AttemptResult.NO_DESCRIPTOR));
             return;
         }
         long left = until - clock.getAsLong();
         timer = timers.set(
-                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheAnswer.of(End.CONNECT_TIMEOUT)));
+                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheAnswer.of(AttemptResult.CONNECT_TIMEOUT)));
         // After a late turn the client's close may stand unread behind the connection's coming up.
         connecting.onComplete(c -> timers.afterReads(() -> connected(c)));
     }
 
     private void connected(AsyncResult<CacheConnection> c) {
         if (c.failed()) {
-            end(CacheAnswer.of(End.REFUSED));
+            end(CacheAnswer.of(AttemptResult.REFUSED));
         } else if (ended) {
             pool.keep(cache, generation, c.result());
         } else {
@@ -94,25 +94,25 @@
         if (left <= 0 || replaced || !stillRight.getAsBoolean()) {
             pool.keep(cache, generation, connection);
             connection = null;
-            end(CacheAnswer.of(End.OVERTAKEN));
+            end(CacheAnswer.of(AttemptResult.OVERTAKEN));
             return;
         }
         if (!connection.isOpen()) {
-            end(CacheAnswer.of(End.REFUSED)); // Nothing was written, so nothing ran.
+            end(CacheAnswer.of(AttemptResult.REFUSED)); // Nothing was written, so nothing ran.
             return;
         }
         written = true;
         pool.wrote();
-        timer = timers.set(Timers.millis(left), () -> end(CacheAnswer.of(End.TIMEOUT)));
+        timer = timers.set(Timers.millis(left), () -> end(CacheAnswer.of(AttemptResult.TIMEOUT)));
         // Once the request may have left, a connection that ends proves nothing: RESET, reused or not.
         connection
                 .exchange(request, Math.max(1, left / 1000))
-                .onComplete(a -> end(a.succeeded() ? a.result() : CacheAnswer.of(End.RESET)));
+                .onComplete(a -> end(a.succeeded() ? a.result() : CacheAnswer.of(AttemptResult.RESET)));
     }
 
     /** Withdraws it. Its end is told as for every other. */
     public void cancel() {
-        end(CacheAnswer.of(written ? End.CANCELLED : End.CANCELLED_UNSENT));
+        end(CacheAnswer.of(written ? AttemptResult.CANCELLED : AttemptResult.CANCELLED_UNSENT));
     }
 
     private void end(CacheAnswer answer) {
--- a/src/main/java/pewtercourse/director/Endings.java
+++ b/src/main/java/pewtercourse/director/Endings.java
@@ -1,6 +1,6 @@
 package pewtercourse.director;
 
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 import pewtercourse.decision.AttemptOutcome;
 import pewtercourse.decision.CacheStatus;
 
@@ -9,7 +9,7 @@
     private Endings() {}
 
     /** What proves that nothing ran is FULL, MISS, CONNECT_FAILED or MOOT; all else may have run. */
-    static AttemptOutcome of(End end) {
+    static AttemptOutcome of(AttemptResult end) {
         return switch (end) {
             case SERVED, NOT_MODIFIED -> AttemptOutcome.OK;
             case MISS -> AttemptOutcome.MISS;
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -4,9 +4,9 @@
 import pewtercourse.Log;
 import pewtercourse.Timers;
 import pewtercourse.cache.Attempt;
+import pewtercourse.cache.AttemptResult;
 import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheRequest;
-import pewtercourse.cache.End;
 import pewtercourse.decision.AttemptFinished;
 import pewtercourse.decision.ClientDisconnected;
 import pewtercourse.decision.RequestArrived;
@@ -107,7 +107,7 @@
                 || unlisted
                 || until <= now
                 || attempts > director.site.router().retry().maxAttempts()) {
-            queue.tell(outcome(attempts - 1, s, End.OVERTAKEN, null));
+            queue.tell(outcome(attempts - 1, s, AttemptResult.OVERTAKEN, null));
             return;
         }
         purged = false;
@@ -166,9 +166,9 @@
     // ---- The attempt ends: the first that serves is the client's answer; the module hears of each ----
     private void ended(int number, SendAttempt s, CacheAnswer a) {
         attempt = null;
-        if (a.end() == End.SERVED) {
+        if (a.end() == AttemptResult.SERVED) {
             finish(Answer.served(a.body(), a.tag()));
-        } else if (a.end() == End.NOT_MODIFIED) {
+        } else if (a.end() == AttemptResult.NOT_MODIFIED) {
             finish(Answer.same(a.tag()));
         }
         if (director.tracing) {
@@ -200,7 +200,7 @@
         leave();
     }
 
-    private void seen(SendAttempt s, End end) {
+    private void seen(SendAttempt s, AttemptResult end) {
         WatchedEndpoint at = director.registry.get(s.endpointId());
         if (at != null) {
             long now = director.clock.getAsLong();
@@ -214,7 +214,7 @@
         }
     }
 
-    private AttemptFinished outcome(int number, SendAttempt s, End end, String note) {
+    private AttemptFinished outcome(int number, SendAttempt s, AttemptResult end, String note) {
         return new AttemptFinished(
                 id,
                 number,
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -15,7 +15,7 @@
 import org.apache.commons.math3.distribution.ZipfDistribution;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 import pewtercourse.decision.AttemptFinished;
 import pewtercourse.decision.AttemptOutcome;
 import pewtercourse.decision.Bandwidth;
@@ -366,10 +366,10 @@
                             mark,
                             began,
                             now + (silent ? 400 * MS : MS),
-                            silent ? End.CONNECT_TIMEOUT : End.REFUSED,
+                            silent ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
                             CacheStatus.UNKNOWN);
-                case FULL -> ended(desk, s, number, mark, began, now + MS, End.FULL, CacheStatus.UNKNOWN);
-                case MISS -> ended(desk, s, number, mark, began, now + MS, End.MISS, CacheStatus.UNKNOWN);
+                case FULL -> ended(desk, s, number, mark, began, now + MS, AttemptResult.FULL, CacheStatus.UNKNOWN);
+                case MISS -> ended(desk, s, number, mark, began, now + MS, AttemptResult.MISS, CacheStatus.UNKNOWN);
                 default -> {
                     if (CLASSES[q.cls].uncacheable()) {
                         q.effects++;
@@ -388,7 +388,7 @@
                         }
                     });
                     if (at > until) {
-                        ended(desk, s, number, mark, began, until, End.TIMEOUT, CacheStatus.UNKNOWN);
+                        ended(desk, s, number, mark, began, until, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
                     } else {
                         at(at, () -> {
                             boolean died = c.life != cacheLife;
@@ -398,7 +398,7 @@
                                     number,
                                     mark,
                                     began,
-                                    died ? End.RESET : End.SERVED,
+                                    died ? AttemptResult.RESET : AttemptResult.SERVED,
                                     died ? CacheStatus.UNKNOWN : fill ? CacheStatus.FILLED : CacheStatus.HIT);
                         });
                     }
@@ -407,11 +407,11 @@
         }
 
         private void ended(
-                Desk desk, SendAttempt s, int number, long mark, long began, long at, End end, CacheStatus note) {
+                Desk desk, SendAttempt s, int number, long mark, long began, long at, AttemptResult end, CacheStatus note) {
             at(at, () -> close(desk, s, number, mark, began, end, note));
         }
 
-        private void close(Desk desk, SendAttempt s, int number, long mark, long began, End end, CacheStatus note) {
+        private void close(Desk desk, SendAttempt s, int number, long mark, long began, AttemptResult end, CacheStatus note) {
             long[] is = out.get(s.requestId());
             if (is == null || is[1] != mark) {
                 return;
@@ -422,7 +422,7 @@
             Cache c = byId.get(s.endpointId());
             if (q != null) {
                 siteObservations.recordAttempt(now, siteName(c.site), end, now - began > q.aim());
-                if (end == End.SERVED) {
+                if (end == AttemptResult.SERVED) {
                     end(s.requestId(), true);
                     over = true;
                 }
--- a/src/main/java/pewtercourse/failover/AttemptCounter.java
+++ b/src/main/java/pewtercourse/failover/AttemptCounter.java
@@ -1,6 +1,6 @@
 package pewtercourse.failover;
 
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 
 /** Counts requests and attempts at one site's caches in one half of the observed window. */
 final class AttemptCounter {
@@ -27,7 +27,7 @@
         rejected++;
     }
 
-    void addAttempt(End end, boolean slow) {
+    void addAttempt(AttemptResult end, boolean slow) {
         switch (end) {
             case SERVED, NOT_MODIFIED, MISS -> addAnswer(slow);
             case FULL -> late++;
--- a/src/main/java/pewtercourse/failover/SiteObserver.java
+++ b/src/main/java/pewtercourse/failover/SiteObserver.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 
 /**
  * Collects what this director sees of the sites: how its attempts at their caches end, and what its endpoint list has.
@@ -42,7 +42,7 @@
      * @param end  how it ended
      * @param slow whether it took longer than the latency objective of its class
      */
-    public void recordAttempt(long now, String site, End end, boolean slow) {
+    public void recordAttempt(long now, String site, AttemptResult end, boolean slow) {
         counter(now, site).addAttempt(end, slow);
     }
 
--- a/src/test/java/pewtercourse/cache/AnswerReaderTest.java
+++ b/src/test/java/pewtercourse/cache/AnswerReaderTest.java
@@ -48,7 +48,7 @@
             at = to;
         }
         assertNotNull(got);
-        assertEquals(End.SERVED, got.end());
+        assertEquals(AttemptResult.SERVED, got.end());
         assertEquals(BODY, got.body().toString());
         assertEquals("t", got.tag());
     }
@@ -65,7 +65,7 @@
     private void broken(String text) {
         CacheAnswer a = answer(text);
         assertNotNull(a, text);
-        assertEquals(End.MALFORMED, a.end());
+        assertEquals(AttemptResult.MALFORMED, a.end());
         assertFalse(reader.clean());
     }
 
@@ -78,7 +78,7 @@
     void aHeadWithALineThatIsNoFieldIsNoAnswer() {
         for (String line : List.of("no colon here", "no colon: here", ": nameless", " folded", "na(me: x")) {
             CacheAnswer a = new AnswerReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
-            assertEquals(End.MALFORMED, a.end(), line);
+            assertEquals(AttemptResult.MALFORMED, a.end(), line);
         }
     }
 
@@ -140,23 +140,23 @@
     @Example
     void onlyTheCopyThatWasAskedAboutCanHold() {
         assertEquals(
-                End.NOT_MODIFIED,
+                AttemptResult.NOT_MODIFIED,
                 answer("HTTP/1.1 304 Not Modified\r\nETag: abc\r\n\r\n").end());
         broken("HTTP/1.1 304 Not Modified\r\nETag: other\r\n\r\n");
     }
 
     @Example
     void aLateSecondCopyIsNotTheAnswerToTheNextRequest() {
-        assertEquals(End.SERVED, answer(OK).end());
-        assertEquals(End.SERVED, answer(OK).end(), "the same object may well have the same answer");
+        assertEquals(AttemptResult.SERVED, answer(OK).end());
+        assertEquals(AttemptResult.SERVED, answer(OK).end(), "the same object may well have the same answer");
         reader.expect(request("2", null));
-        assertEquals(End.MALFORMED, reader.add(Buffer.buffer(OK)).end());
+        assertEquals(AttemptResult.MALFORMED, reader.add(Buffer.buffer(OK)).end());
     }
 
     @Example
     void anAnswerThatSaysItIsTheLastEndsTheConnection() {
         assertEquals(
-                End.MISS,
+                AttemptResult.MISS,
                 answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                         .end());
         assertFalse(reader.clean());
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -28,8 +28,8 @@
 /** Attempts and the pool under random steps: connections come up, fail, die, fall silent; timers run out. */
 class AttemptModelTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 9);
-    private static final Set<End> UNSENT =
-            EnumSet.of(End.REFUSED, End.CONNECT_TIMEOUT, End.NO_DESCRIPTOR, End.OVERTAKEN, End.CANCELLED_UNSENT);
+    private static final Set<AttemptResult> UNSENT =
+            EnumSet.of(AttemptResult.REFUSED, AttemptResult.CONNECT_TIMEOUT, AttemptResult.NO_DESCRIPTOR, AttemptResult.OVERTAKEN, AttemptResult.CANCELLED_UNSENT);
     private static final int CONNECTIONS_MOST = 4;
     private static final long IDLE_MOST = 40_000;
 
@@ -78,7 +78,7 @@
         Attempt attempt;
         Promise<CacheConnection> connecting;
         boolean right = true;
-        End end;
+        AttemptResult end;
     }
 
     private static final class Model {
@@ -164,18 +164,18 @@
                 Line l = new Line(t.cache);
                 lines.add(l);
                 t.connecting.complete(l);
-                assertTrue(before || t.end == null || t.end == End.OVERTAKEN);
+                assertTrue(before || t.end == null || t.end == AttemptResult.OVERTAKEN);
             } else {
                 t.connecting.fail("refused");
-                assertTrue(before || t.end == End.REFUSED);
+                assertTrue(before || t.end == AttemptResult.REFUSED);
             }
         }
 
-        void answered(int i, End end) {
+        void answered(int i, AttemptResult end) {
             Line l = pickLine(i);
             if (l != null) {
                 l.answer.complete(CacheAnswer.of(end));
-                assertTrue(l.open == (end != End.MALFORMED), "kept only after a whole answer");
+                assertTrue(l.open == (end != AttemptResult.MALFORMED), "kept only after a whole answer");
             }
         }
 
@@ -183,11 +183,11 @@
         void dies(int i) {
             Line l = pickLine(i);
             if (l != null) {
-                long resets = tries.stream().filter(t -> t.end == End.RESET).count();
+                long resets = tries.stream().filter(t -> t.end == AttemptResult.RESET).count();
                 l.close();
                 assertEquals(
                         resets + 1,
-                        tries.stream().filter(t -> t.end == End.RESET).count());
+                        tries.stream().filter(t -> t.end == AttemptResult.RESET).count());
             }
         }
 
@@ -210,9 +210,9 @@
         void cancel(int i) {
             Try t = pick(i);
             if (t != null) {
-                End before = t.end;
+                AttemptResult before = t.end;
                 t.attempt.cancel();
-                assertTrue(before != null ? t.end == before : t.end == End.CANCELLED || t.end == End.CANCELLED_UNSENT);
+                assertTrue(before != null ? t.end == before : t.end == AttemptResult.CANCELLED || t.end == AttemptResult.CANCELLED_UNSENT);
             }
         }
 
@@ -277,7 +277,7 @@
     @Provide
     Arbitrary<ActionChain<Model>> chains() {
         Arbitrary<Integer> n = Arbitraries.integers().between(0, 20);
-        Arbitrary<End> heard = Arbitraries.of(End.SERVED, End.MISS, End.FULL, End.ERROR, End.MALFORMED);
+        Arbitrary<AttemptResult> heard = Arbitraries.of(AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.FULL, AttemptResult.ERROR, AttemptResult.MALFORMED);
         return ActionChain.startWith(Model::new)
                 .withAction(6, step(n.map(i -> Transformer.mutate("start", m -> m.start(i % 2)))))
                 .withAction(6, step(n.map(i -> Transformer.mutate("connected " + i, m -> m.connected(i, i % 4 > 0)))))
@@ -305,7 +305,7 @@
         Model m = new Model();
         m.start(0);
         m.connected(0, true);
-        m.answered(0, End.SERVED);
+        m.answered(0, AttemptResult.SERVED);
         m.settle();
         m.now += IDLE_MOST;
         m.start(0);
@@ -321,7 +321,7 @@
         m.start(0);
         m.replaced(0);
         m.connected(0, true);
-        assertEquals(End.OVERTAKEN, m.tries.get(0).end);
+        assertEquals(AttemptResult.OVERTAKEN, m.tries.get(0).end);
         assertFalse(m.lines.get(0).open);
         m.start(0);
         m.tries.get(1).attempt.cancel();
@@ -338,7 +338,7 @@
         line.close();
         m.lines.add(line);
         m.tries.get(0).connecting.complete(line);
-        assertEquals(End.REFUSED, m.tries.get(0).end);
+        assertEquals(AttemptResult.REFUSED, m.tries.get(0).end);
     }
 
     @Example
@@ -346,7 +346,7 @@
         Model m = new Model();
         m.start(0);
         m.connected(0, true);
-        m.answered(0, End.SERVED);
+        m.answered(0, AttemptResult.SERVED);
         m.start(0);
         assertTrue(m.tries.get(1).connecting != null, "used again at once");
         m.tries.get(1).attempt.cancel();
@@ -360,13 +360,13 @@
     void anAnswerThatIsNotWholeIsNeverServed() {
         Buffer b = Buffer.buffer("1234");
         assertEquals(
-                End.SERVED, CacheAnswer.decode(200, false, "4", b, "t", "mem").end());
+                AttemptResult.SERVED, CacheAnswer.decode(200, false, "4", b, "t", "mem").end());
         assertEquals(
-                End.MALFORMED,
+                AttemptResult.MALFORMED,
                 CacheAnswer.decode(200, false, "5", b, "t", "mem").end());
         assertEquals(
-                End.ERROR, CacheAnswer.decode(503, false, "0", b, null, null).end());
-        assertEquals(End.FULL, CacheAnswer.decode(503, true, "0", b, null, null).end());
-        assertTrue(UNSENT.contains(End.REFUSED));
+                AttemptResult.ERROR, CacheAnswer.decode(503, false, "0", b, null, null).end());
+        assertEquals(AttemptResult.FULL, CacheAnswer.decode(503, true, "0", b, null, null).end());
+        assertTrue(UNSENT.contains(AttemptResult.REFUSED));
     }
 }
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pewtercourse.ExampleConfig;
+import pewtercourse.cache.AttemptResult;
 import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheConnection;
 import pewtercourse.cache.CacheRequest;
-import pewtercourse.cache.End;
 import pewtercourse.cache.Transport;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.front.Answer;
@@ -341,7 +341,7 @@
             onLoop(() -> caches.asked.size()); // The module has sent it on.
             onLoop(() -> {
                 assertEquals(n + 1, caches.asked.size(), "one attempt for each client");
-                caches.asked.get(n).complete(CacheAnswer.of(End.MISS));
+                caches.asked.get(n).complete(CacheAnswer.of(AttemptResult.MISS));
                 gone.run();
                 return null;
             });
@@ -354,7 +354,7 @@
         onLoop(() -> null);
         onLoop(() -> {
             assertEquals(401, caches.asked.size(), "the caches have room for one more");
-            caches.asked.get(400).complete(new CacheAnswer(End.SERVED, Buffer.buffer("menu"), "t", "mem"));
+            caches.asked.get(400).complete(new CacheAnswer(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
             return null;
         });
         assertEquals(Answer.Kind.SERVED, get(answer).kind());
--- a/src/test/java/pewtercourse/director/EndingsTest.java
+++ b/src/test/java/pewtercourse/director/EndingsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 import pewtercourse.decision.AttemptOutcome;
 import pewtercourse.decision.CacheStatus;
 
@@ -17,12 +17,12 @@
     private static final Set<AttemptOutcome> NEVER_RAN = EnumSet.of(
             AttemptOutcome.OVERLOADED, AttemptOutcome.MISS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED);
     /** What may have run: an order must not be repeated after any of these. */
-    private static final Set<End> MAY_HAVE_RUN =
-            EnumSet.of(End.SERVED, End.NOT_MODIFIED, End.ERROR, End.MALFORMED, End.RESET, End.TIMEOUT, End.CANCELLED);
+    private static final Set<AttemptResult> MAY_HAVE_RUN =
+            EnumSet.of(AttemptResult.SERVED, AttemptResult.NOT_MODIFIED, AttemptResult.ERROR, AttemptResult.MALFORMED, AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
 
     @ParameterizedTest
-    @EnumSource(End.class)
-    void onlyWhatProvesThatNothingRanSaysSo(End end) {
+    @EnumSource(AttemptResult.class)
+    void onlyWhatProvesThatNothingRanSaysSo(AttemptResult end) {
         assertEquals(!MAY_HAVE_RUN.contains(end), NEVER_RAN.contains(Endings.of(end)));
     }
 
@@ -47,6 +47,6 @@
     @Test
     void noWordIsNoNote() {
         assertEquals(CacheStatus.UNKNOWN, Endings.note(null));
-        assertFalse(NEVER_RAN.contains(Endings.of(End.RESET)));
+        assertFalse(NEVER_RAN.contains(Endings.of(AttemptResult.RESET)));
     }
 }
--- a/src/test/java/pewtercourse/failover/FailoverTraceTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverTraceTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 
 /**
  * Random streams by fixed seeds through the whole package. The digest of all outputs of each stream is equal to the one
@@ -213,7 +213,7 @@
         TraceDigest digest = new TraceDigest();
         Sites sites = TraceSites.draw(random, 4);
         SiteObserver observer = new SiteObserver("s0");
-        End[] ends = End.values();
+        AttemptResult[] ends = AttemptResult.values();
         long now = 5_000_000;
         for (int i = 0; i < 4_000; i++) {
             now += random.nextInt(200) == 0 ? 100_000_000L * random.nextInt(8) : random.nextInt(100_000);
--- a/src/test/java/pewtercourse/failover/SiteObserverTest.java
+++ b/src/test/java/pewtercourse/failover/SiteObserverTest.java
@@ -4,7 +4,7 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import pewtercourse.cache.End;
+import pewtercourse.cache.AttemptResult;
 
 class SiteObserverTest {
     private static final long SECOND = 1_000_000;
@@ -21,11 +21,11 @@
 
     @Test
     void attemptsCountBySiteAndByHowTheyEnded() {
-        observer.recordAttempt(START, "s1", End.SERVED, false);
-        observer.recordAttempt(START, "s1", End.SERVED, true);
-        observer.recordAttempt(START, "s1", End.FULL, false);
-        observer.recordAttempt(START, "s1", End.RESET, false);
-        observer.recordAttempt(START, "s1", End.ERROR, false);
+        observer.recordAttempt(START, "s1", AttemptResult.SERVED, false);
+        observer.recordAttempt(START, "s1", AttemptResult.SERVED, true);
+        observer.recordAttempt(START, "s1", AttemptResult.FULL, false);
+        observer.recordAttempt(START, "s1", AttemptResult.RESET, false);
+        observer.recordAttempt(START, "s1", AttemptResult.ERROR, false);
 
         assertEquals(new AttemptCounts(1, 2, 1, 0), observe(START, "s1").attempts());
         assertEquals(AttemptCounts.NONE, observe(START, "s0").attempts());
@@ -33,7 +33,7 @@
 
     @Test
     void whatIsOlderThanTheWindowIsForgotten() {
-        observer.recordAttempt(START, "s1", End.SERVED, false);
+        observer.recordAttempt(START, "s1", AttemptResult.SERVED, false);
 
         assertEquals(1, observe(START + SECOND, "s1").attempts().completed());
         assertEquals(0, observe(START + 4 * SECOND, "s1").attempts().completed());
