--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -11,7 +11,7 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.director.Director;
-import pewtercourse.director.Figures;
+import pewtercourse.director.Metrics;
 import pewtercourse.failover.Sites;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
@@ -38,7 +38,7 @@
     private final Warmup warmup;
     private final FastCgiServer front;
     private final Drain drain = new Drain();
-    private final Figures figures = new Figures();
+    private final Metrics metrics = new Metrics();
     private final RequestHandler turnedAway;
     private final InheritedSocket inherited;
     private final FrontTransport transport;
@@ -57,15 +57,15 @@
         this.warmup = new Warmup(
                 vertx,
                 config,
-                figures.count(director, director::knowsClass),
-                figures.count(Warmup.REFUSING, director::knowsClass));
-        this.turnedAway = figures.count(
+                metrics.countRequests(director, director::knowsClass),
+                metrics.countRequests(Warmup.REFUSING, director::knowsClass));
+        this.turnedAway = metrics.countRequests(
                 (request, answer) -> {
                     answer.accept(Answer.refused(HOLD_OFF_MS));
                     return () -> {};
                 },
                 director::knowsClass);
-        figures.show(config.site().classes().keySet());
+        metrics.registerClasses(config.site().classes().keySet());
         this.front = new FastCgiServer(vertx, new Gate(), director.clock(), config.front());
         this.state = config.stateFolder() == null ? null : new StateFile(config.stateFolder());
     }
@@ -193,7 +193,7 @@
 
     @Override
     public String metrics() {
-        String own = figures.text(director.gauges(accepted, invalid));
+        String own = metrics.format(director.gaugeValues(accepted, invalid));
         return agreement == null ? own : own + agreement.figures();
     }
 
@@ -315,7 +315,7 @@
     void reload(DirectorConfig to) {
         accepted++;
         config = to;
-        figures.show(to.site().classes().keySet());
+        metrics.registerClasses(to.site().classes().keySet());
         director.reload(to);
     }
 
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -261,8 +261,8 @@
     }
 
     /** The figures of the parts behind the front. */
-    public Figures.Gauges gauges(long accepted, long invalid) {
-        return new Figures.Gauges(
+    public Metrics.GaugeValues gaugeValues(long accepted, long invalid) {
+        return new Metrics.GaugeValues(
                 pool.written(),
                 registry.size(),
                 registry.listedOut() + home.router().status().ejectedEndpoints(),
--- a/src/main/java/pewtercourse/director/Figures.java
+++ b/src/main/java/pewtercourse/director/Metrics.java
@@ -13,9 +13,9 @@
  * What operators read. Requests are counted here and nowhere else: each is open from when it is handed on until its one
  * answer or its client's leaving, which counts as failed. Knows no sockets.
  */
-public final class Figures {
+public final class Metrics {
     /** The figures that others own, as of now. */
-    public record Gauges(long relayed, int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid) {}
+    public record GaugeValues(long relayed, int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid) {}
 
     private static final class Operations {
         long fulfilled, throttled, faulted;
@@ -25,19 +25,19 @@
     private int open;
 
     /** Classes that the settings have: shown from now on, also while nothing was asked. */
-    public void show(Iterable<String> names) {
+    public void registerClasses(Iterable<String> names) {
         names.forEach(n -> classes.computeIfAbsent(n, c -> new Operations()));
     }
 
     /** Counts what goes to {@code behind}. A class that {@code known} lacks is no class: bad clients make up any. */
-    public RequestHandler count(RequestHandler behind, Predicate<String> known) {
+    public RequestHandler countRequests(RequestHandler behind, Predicate<String> known) {
         return new RequestHandler() {
             @Override
             public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
                 if (!known.test(request.className())) {
                     return behind.handle(request, answer);
                 }
-                show(List.of(request.className()));
+                registerClasses(List.of(request.className()));
                 One one = new One(classes.get(request.className()));
                 Runnable gone = behind.handle(request, a -> {
                     one.answered(a.kind());
@@ -84,12 +84,12 @@
         }
     }
 
-    public int open() {
+    public int openRequests() {
         return open;
     }
 
     /** A line for each figure. */
-    public String text(Gauges g) {
+    public String format(GaugeValues g) {
         StringBuilder out = new StringBuilder();
         classes.forEach((name, o) -> {
             String prefix = "operations." + name + '.';
--- a/src/test/java/pewtercourse/director/FiguresModelTest.java
+++ b/src/test/java/pewtercourse/director/MetricsModelTest.java
@@ -18,7 +18,7 @@
 import pewtercourse.front.RequestHandler;
 
 /** Requests that are answered or whose clients leave, in any order, against what their clients saw or gave up. */
-class FiguresModelTest {
+class MetricsModelTest {
     private static final String[] CLASSES = {"menu-media", "menu-page", "no-such-class"};
     private static final Answer[] ANSWERS = {
         Answer.served(Buffer.buffer("menu"), "t"), Answer.same("t"), Answer.refused(50), Answer.failed()
@@ -30,13 +30,13 @@
     void everyRequestIsCountedOnceByTheAnswerThatItsClientSaw(
             @ForAll List<@IntRange(max = 7) Integer> steps, @ForAll long seed) {
         Random random = new Random(seed);
-        Figures figures = new Figures();
-        figures.show(List.of("menu-media", "menu-page"));
+        Metrics metrics = new Metrics();
+        metrics.registerClasses(List.of("menu-media", "menu-page"));
         List<Consumer<Answer>> behind = new ArrayList<>();
         List<Open> open = new ArrayList<>();
         boolean[] atOnce = {false};
         long serial = 0;
-        RequestHandler counted = figures.count(
+        RequestHandler counted = metrics.countRequests(
                 (r, answer) -> {
                     if (atOnce[0]) {
                         answer.accept(Answer.refused(50));
@@ -73,9 +73,9 @@
                 o.answer.accept(ANSWERS[0]); // Too late.
             }
             assertEquals(
-                    open.stream().filter(o -> !o.cls.equals("no-such-class")).count(), figures.open());
+                    open.stream().filter(o -> !o.cls.equals("no-such-class")).count(), metrics.openRequests());
         }
-        String text = figures.text(new Figures.Gauges(7, 12, 2, 1, 3));
+        String text = metrics.format(new Metrics.GaugeValues(7, 12, 2, 1, 3));
         for (String cls : List.of("menu-media", "menu-page")) {
             int served = seen.getOrDefault(cls + "SERVED", 0) + seen.getOrDefault(cls + "SAME", 0);
             assertTrue(text.contains("operations." + cls + ".fulfilled=" + served + "\n"), text);
@@ -85,7 +85,7 @@
         }
         assertTrue(!text.contains("no-such-class"), "a name that a bad client made up");
         assertTrue(
-                text.endsWith("relayed=7\nopen_requests=" + figures.open()
+                text.endsWith("relayed=7\nopen_requests=" + metrics.openRequests()
                         + "\nregistry_entries=12\nout_of_rotation=2\ncfg_accepted=1\ncfg_invalid=3\n"),
                 text);
     }
