--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -208,7 +208,7 @@
         if (agreement != null && director.knows(target)) {
             return agreement.takeOut(target);
         }
-        boolean known = director.takeOut(target);
+        boolean known = director.drainEndpoint(target);
         write();
         Log.info("operator.out", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
@@ -220,7 +220,7 @@
         if (agreement != null && director.knows(target)) {
             return agreement.putBack(target);
         }
-        boolean known = director.putBack(target);
+        boolean known = director.reinstateEndpoint(target);
         write();
         Log.info("operator.in", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -203,12 +203,12 @@
     }
 
     /** Takes a member out by hand; false if none of this name is known. */
-    public boolean takeOut(String name) {
+    public boolean drainEndpoint(String name) {
         return byHand(name, registry.knows(name) ? registry.takeOut(name, clock.getAsLong() / 1000) : null);
     }
 
     /** The end of that; false if none of this name is known. */
-    public boolean putBack(String name) {
+    public boolean reinstateEndpoint(String name) {
         return byHand(name, registry.knows(name) ? registry.putBack(name, clock.getAsLong() / 1000) : null);
     }
 
