--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -205,7 +205,7 @@
     @Override
     public Future<Verdict> enterMaintenance(String target) {
         follow();
-        if (agreement != null && director.knows(target)) {
+        if (agreement != null && director.knowsEndpoint(target)) {
             return agreement.takeOut(target);
         }
         boolean known = director.drainEndpoint(target);
@@ -217,7 +217,7 @@
     @Override
     public Future<Verdict> exitMaintenance(String target) {
         follow();
-        if (agreement != null && director.knows(target)) {
+        if (agreement != null && director.knowsEndpoint(target)) {
             return agreement.putBack(target);
         }
         boolean known = director.reinstateEndpoint(target);
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -222,7 +222,7 @@
         return home.router().status().slowStartLimited() ? 1 : 0;
     }
 
-    public boolean knows(String name) {
+    public boolean knowsEndpoint(String name) {
         return registry.knows(name);
     }
 
