--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -206,12 +206,12 @@
     public void setQuotaFactor(double factor) {
         if (factor != part) {
             part = factor;
-            director.part(factor);
+            director.setQuotaFactor(factor);
         }
     }
 
     @Override
     public double wantedQuota() {
-        return director.coldWanted();
+        return director.wantedQuota();
     }
 }
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -213,12 +213,12 @@
     }
 
     /** This director's part of what cold caches bear, as a factor on an equal part. */
-    public void part(double factor) {
+    public void setQuotaFactor(double factor) {
         home.tell(new QuotaChanged(factor));
     }
 
     /** How much more of that it could use, as a share of an equal part. */
-    public double coldWanted() {
+    public double wantedQuota() {
         return home.router().status().slowStartLimited() ? 1 : 0;
     }
 
