--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -184,12 +184,12 @@
 
     @Override
     public void failoverChanged(FailoverState failover, Set<String> absent) {
-        director.follow(failover, absent);
+        director.applyFailoverState(failover, absent);
     }
 
     @Override
     public void drainsChanged(Map<String, Long> out, Map<String, Long> back) {
-        director.follow(new OperatorState(ProcessHandle.current().pid(), false, out, back));
+        director.applyOperatorState(new OperatorState(ProcessHandle.current().pid(), false, out, back));
     }
 
     @Override
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -144,7 +144,7 @@
 
     private void heed(OperatorState told) {
         if (agreement == null) {
-            director.follow(told); // In a cluster what was agreed there counts.
+            director.applyOperatorState(told); // In a cluster what was agreed there counts.
         }
         if (told.standby() != drain.has(Drain.Cause.STANDBY)) {
             standby(told.standby());
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -237,7 +237,7 @@
     }
 
     /** What operators told another process of this director. */
-    public void follow(OperatorState state) {
+    public void applyOperatorState(OperatorState state) {
         EndpointsChanged change = registry.follow(state.drained(), state.reinstated(), clock.getAsLong() / 1000);
         if (!change.endpoints().isEmpty()) {
             tell(change);
@@ -355,7 +355,7 @@
     }
 
     /** What is agreed on the sites has changed. */
-    public void follow(FailoverState failover, Set<String> absent) {
+    public void applyFailoverState(FailoverState failover, Set<String> absent) {
         if (sites == null) {
             return;
         }
