--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -29,7 +29,7 @@
         this.director = director;
         this.cluster = new ClusterMember(vertx, config, this);
         if (config.sites() != null) {
-            director.sites(config.sites());
+            director.setSites(config.sites());
         }
     }
 
@@ -149,7 +149,7 @@
 
     /** A new file of sites, already checked. */
     void sites(Sites to) {
-        director.sites(to);
+        director.setSites(to);
         cluster.updateSites(to);
     }
 
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -346,7 +346,7 @@
     // ---- Sites: whose caches serve a request ----
 
     /** Other sites may take this director's clients, by what is agreed, from now on. */
-    public void sites(Sites to) {
+    public void setSites(Sites to) {
         sites = to;
         overflowRouter =
                 new OverflowRouter(to, config.zone(), site.router().retry().maxRetryAfter(), config.seed());
