--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -73,7 +73,7 @@
     Future<Void> start() {
         boolean upgrade = takeOver();
         director.start();
-        director.onPeerHeard(upgrade ? () -> {} : warmup::missed);
+        director.onPeerMessage(upgrade ? () -> {} : warmup::missed);
         SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
         transport.frontNext();
         return front.listen(at)
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -129,7 +129,7 @@
     }
 
     /** Runs {@code then} at each message of another director: they only send any while they serve. */
-    public void onPeerHeard(Runnable then) {
+    public void onPeerMessage(Runnable then) {
         peerHeard = then;
     }
 
