--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -161,7 +161,7 @@
         Log.info(
                 on ? "operator.standby" : "operator.active",
                 "open",
-                director.open(),
+                director.openRequests(),
                 "connections",
                 front.connections());
         if (on) {
@@ -289,7 +289,7 @@
 
     /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
     boolean finished() {
-        return refuses() && director.open() == 0 && (agreement == null || agreement.handedOn());
+        return refuses() && director.openRequests() == 0 && (agreement == null || agreement.handedOn());
     }
 
     /** Client connections whose last bytes may not have been read yet. */
@@ -299,7 +299,7 @@
 
     /** Answers as failed what is open: its time to be served is over. */
     void giveUp() {
-        director.giveUp();
+        director.failOpenRequests();
     }
 
     void reloadsBy(Reloader to) {
@@ -325,6 +325,6 @@
     }
 
     int open() {
-        return director.open();
+        return director.openRequests();
     }
 }
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -278,7 +278,7 @@
         return clock;
     }
 
-    public int open() {
+    public int openRequests() {
         return requests.size();
     }
 
@@ -311,7 +311,7 @@
     }
 
     /** What is open is answered as failed, at once. */
-    public void giveUp() {
+    public void failOpenRequests() {
         List.copyOf(requests.values()).forEach(ProxiedRequest::abandon);
     }
 
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -115,7 +115,7 @@
         vertx.runOnContext(v -> director.stop());
         assertEquals(Answer.Kind.FAILED, get(answer).kind());
         CompletableFuture<Integer> open = new CompletableFuture<>();
-        vertx.runOnContext(v -> open.complete(director.open()));
+        vertx.runOnContext(v -> open.complete(director.openRequests()));
         assertEquals(0, get(open));
     }
 
@@ -249,7 +249,7 @@
                                 a -> {})
                         .run();
             }
-            open.complete(director.open());
+            open.complete(director.openRequests());
         });
         assertEquals(0, get(open));
         assertEquals(Answer.Kind.SERVED, ask("menu-page", null, 20_000).kind());
@@ -347,7 +347,7 @@
             });
             onLoop(() -> null); // The module has heard both.
             onLoop(() -> null); // And how the attempt ended that it had ordered meanwhile.
-            assertEquals(0, onLoop(director::open));
+            assertEquals(0, onLoop(director::openRequests));
         }
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         onLoop(() -> director.handle(page(7, 20_000), answer::complete));
@@ -376,7 +376,7 @@
         onLoop(() -> null);
         onLoop(() -> null);
         assertEquals(0, onLoop(() -> caches.asked.size()), "sent on for a client that had gone");
-        assertEquals(0, onLoop(director::open));
+        assertEquals(0, onLoop(director::openRequests));
     }
 
     // A turn that took too long leaves much to do: what is due comes first, and the rest doesn't come in one piece.
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -183,7 +183,7 @@
         while (!onLoop(holds)) {
             assertTrue(
                     System.nanoTime() < end,
-                    () -> "never came: " + what + "; open " + director.open() + ", timers " + timers.waiting.size()
+                    () -> "never came: " + what + "; open " + director.openRequests() + ", timers " + timers.waiting.size()
                             + ", answers " + answers + ", connections " + atCaches.size());
         }
     }
@@ -193,10 +193,10 @@
     void afterAStormNothingIsLeftOver(long seed, boolean silent) throws Exception {
         onLoop(() -> silentCaches = silent);
         int stay = onLoop(() -> ask(new Random(seed)));
-        until("an answer for each that stays", () -> answers >= stay && director.open() == 0);
+        until("an answer for each that stays", () -> answers >= stay && director.openRequests() == 0);
         until("no timer but the module's", () -> timers.waiting.size() <= STANDING_TIMERS);
         assertEquals(stay, answers, "one answer each");
-        assertEquals(0, onLoop(director::open));
+        assertEquals(0, onLoop(director::openRequests));
         int idle = onLoop(director.pool::idle);
         until(
                 "no connection but idle ones",
