--- a/src/main/java/pewtercourse/cache/AnswerReader.java
+++ b/src/main/java/pewtercourse/cache/AnswerReader.java
@@ -121,8 +121,8 @@
     }
 
     /** The answer once it is whole or can't be used any more; until then null. */
-    CacheAnswer add(Buffer bytes) {
-        CacheAnswer answer = null;
+    CacheResponse add(Buffer bytes) {
+        CacheResponse answer = null;
         for (Object o : answers.read(bytes.getBytes())) {
             if (answer == null) {
                 answer = take((HttpObject) o);
@@ -138,7 +138,7 @@
         return clean && !answers.behind;
     }
 
-    private CacheAnswer take(HttpObject o) {
+    private CacheResponse take(HttpObject o) {
         if (o.decoderResult().isFailure() || answers.unreadable) {
             return broken();
         }
@@ -175,11 +175,11 @@
         return length != null && LENGTH.matcher(length).matches() ? Long.parseLong(length) : Long.MAX_VALUE;
     }
 
-    private CacheAnswer whole() {
+    private CacheResponse whole() {
         clean &= HttpUtil.isKeepAlive(head);
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
-        CacheAnswer a = CacheAnswer.decode(
+        CacheResponse a = CacheResponse.decode(
                 head.status().code(),
                 "1".equals(head.headers().get("Never-Ran")),
                 head.headers().get(HttpHeaderNames.CONTENT_LENGTH),
@@ -204,8 +204,8 @@
         return same;
     }
 
-    private CacheAnswer broken() {
+    private CacheResponse broken() {
         clean = false;
-        return CacheAnswer.of(AttemptResult.MALFORMED);
+        return CacheResponse.of(AttemptResult.MALFORMED);
     }
 }
--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -24,7 +24,7 @@
     private final CacheRequest request;
     private final long connectTimeout, until;
     private final BooleanSupplier stillRight;
-    private final Consumer<CacheAnswer> done;
+    private final Consumer<CacheResponse> done;
     private Object generation;
     private CacheConnection connection;
     private long timer = -1;
@@ -44,7 +44,7 @@
             long connectTimeout,
             long until,
             BooleanSupplier stillRight,
-            Consumer<CacheAnswer> done) {
+            Consumer<CacheResponse> done) {
         this.pool = pool;
         this.timers = timers;
         this.clock = clock;
@@ -66,19 +66,19 @@
         }
         var connecting = pool.connect(address, Timers.millis(connectTimeout) + LATE_MS);
         if (connecting == null) {
-            end(CacheAnswer.of(AttemptResult.NO_DESCRIPTOR));
+            end(CacheResponse.of(AttemptResult.NO_DESCRIPTOR));
             return;
         }
         long left = until - clock.getAsLong();
         timer = timers.set(
-                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheAnswer.of(AttemptResult.CONNECT_TIMEOUT)));
+                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheResponse.of(AttemptResult.CONNECT_TIMEOUT)));
         // After a late turn the client's close may stand unread behind the connection's coming up.
         connecting.onComplete(c -> timers.afterReads(() -> connected(c)));
     }
 
     private void connected(AsyncResult<CacheConnection> c) {
         if (c.failed()) {
-            end(CacheAnswer.of(AttemptResult.REFUSED));
+            end(CacheResponse.of(AttemptResult.REFUSED));
         } else if (ended) {
             pool.keep(cache, generation, c.result());
         } else {
@@ -94,28 +94,28 @@
         if (left <= 0 || replaced || !stillRight.getAsBoolean()) {
             pool.keep(cache, generation, connection);
             connection = null;
-            end(CacheAnswer.of(AttemptResult.OVERTAKEN));
+            end(CacheResponse.of(AttemptResult.OVERTAKEN));
             return;
         }
         if (!connection.isOpen()) {
-            end(CacheAnswer.of(AttemptResult.REFUSED)); // Nothing was written, so nothing ran.
+            end(CacheResponse.of(AttemptResult.REFUSED)); // Nothing was written, so nothing ran.
             return;
         }
         written = true;
         pool.wrote();
-        timer = timers.set(Timers.millis(left), () -> end(CacheAnswer.of(AttemptResult.TIMEOUT)));
+        timer = timers.set(Timers.millis(left), () -> end(CacheResponse.of(AttemptResult.TIMEOUT)));
         // Once the request may have left, a connection that ends proves nothing: RESET, reused or not.
         connection
                 .exchange(request, Math.max(1, left / 1000))
-                .onComplete(a -> end(a.succeeded() ? a.result() : CacheAnswer.of(AttemptResult.RESET)));
+                .onComplete(a -> end(a.succeeded() ? a.result() : CacheResponse.of(AttemptResult.RESET)));
     }
 
     /** Withdraws it. Its end is told as for every other. */
     public void cancel() {
-        end(CacheAnswer.of(written ? AttemptResult.CANCELLED : AttemptResult.CANCELLED_UNSENT));
+        end(CacheResponse.of(written ? AttemptResult.CANCELLED : AttemptResult.CANCELLED_UNSENT));
     }
 
-    private void end(CacheAnswer answer) {
+    private void end(CacheResponse answer) {
         if (ended) {
             return;
         }
--- a/src/main/java/pewtercourse/cache/CacheAnswer.java
+++ b/src/main/java/pewtercourse/cache/CacheResponse.java
@@ -3,13 +3,13 @@
 import io.vertx.core.buffer.Buffer;
 
 /** How an attempt ended, with the bytes, their tag and the note of where they came from, if there are any. */
-public record CacheAnswer(AttemptResult end, Buffer body, String tag, String outcome) {
-    public static CacheAnswer of(AttemptResult end) {
-        return new CacheAnswer(end, null, null, null);
+public record CacheResponse(AttemptResult end, Buffer body, String tag, String outcome) {
+    public static CacheResponse of(AttemptResult end) {
+        return new CacheResponse(end, null, null, null);
     }
 
     /** The one place where a status is read. */
-    static CacheAnswer decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcome) {
+    static CacheResponse decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcome) {
         AttemptResult end = switch (status) {
             case 200 -> length != null && !length.equals(String.valueOf(body.length())) ? AttemptResult.MALFORMED : AttemptResult.SERVED;
             case 304 -> AttemptResult.NOT_MODIFIED;
@@ -18,6 +18,6 @@
             case 504 -> neverRan ? AttemptResult.EXPIRED : AttemptResult.ERROR;
             default -> AttemptResult.ERROR;
         };
-        return new CacheAnswer(end, end == AttemptResult.SERVED ? body : null, tag, outcome);
+        return new CacheResponse(end, end == AttemptResult.SERVED ? body : null, tag, outcome);
     }
 }
--- a/src/main/java/pewtercourse/cache/CannedTransport.java
+++ b/src/main/java/pewtercourse/cache/CannedTransport.java
@@ -27,8 +27,8 @@
         private boolean open = true;
 
         @Override
-        public Future<CacheAnswer> exchange(CacheRequest request, long timeoutMs) {
-            Promise<CacheAnswer> answer = Promise.promise();
+        public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
+            Promise<CacheResponse> answer = Promise.promise();
             AnswerReader reader = new AnswerReader();
             reader.expect(request);
             request.encode("0.0.0.0:0", timeoutMs);
--- a/src/main/java/pewtercourse/cache/HttpTransport.java
+++ b/src/main/java/pewtercourse/cache/HttpTransport.java
@@ -35,7 +35,7 @@
         private final NetSocket socket;
         private final String host;
         private final AnswerReader reader = new AnswerReader();
-        private Promise<CacheAnswer> answer;
+        private Promise<CacheResponse> answer;
         private boolean open = true;
         private Runnable onClose = () -> {};
 
@@ -58,7 +58,7 @@
                 close(); // What comes unasked spoils the next answer.
                 return;
             }
-            CacheAnswer a = reader.add(bytes);
+            CacheResponse a = reader.add(bytes);
             if (a != null) {
                 open &= reader.clean();
                 answer.tryComplete(a);
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public Future<CacheAnswer> exchange(CacheRequest r, long timeoutMs) {
+        public Future<CacheResponse> exchange(CacheRequest r, long timeoutMs) {
             answer = Promise.promise();
             if (open) {
                 reader.expect(r);
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -5,8 +5,8 @@
 import pewtercourse.Timers;
 import pewtercourse.cache.Attempt;
 import pewtercourse.cache.AttemptResult;
-import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheRequest;
+import pewtercourse.cache.CacheResponse;
 import pewtercourse.decision.AttemptFinished;
 import pewtercourse.decision.ClientDisconnected;
 import pewtercourse.decision.RequestArrived;
@@ -164,7 +164,7 @@
     }
 
     // ---- The attempt ends: the first that serves is the client's answer; the module hears of each ----
-    private void ended(int number, SendAttempt s, CacheAnswer a) {
+    private void ended(int number, SendAttempt s, CacheResponse a) {
         attempt = null;
         if (a.end() == AttemptResult.SERVED) {
             finish(Answer.served(a.body(), a.tag()));
--- a/src/test/java/pewtercourse/cache/AnswerReaderTest.java
+++ b/src/test/java/pewtercourse/cache/AnswerReaderTest.java
@@ -35,10 +35,10 @@
         r.expect(request("1", null));
         String all = BEFORE.get(before) + OK + BEHIND.get(behind);
         int whole = BEFORE.get(before).length() + OK.length();
-        CacheAnswer got = null;
+        CacheResponse got = null;
         for (int i = 0, at = 0; at < all.length(); i++) {
             int to = i < cuts.size() ? Math.min(all.length(), at + cuts.get(i)) : all.length();
-            CacheAnswer a = r.add(Buffer.buffer(all.substring(at, to), "ISO-8859-1"));
+            CacheResponse a = r.add(Buffer.buffer(all.substring(at, to), "ISO-8859-1"));
             assertEquals(at < whole && to >= whole, a != null, "told at its last byte, once");
             got = a != null ? a : got;
             if (a != null) {
@@ -57,13 +57,13 @@
         return new CacheRequest("id", "c", object, 0, Buffer.buffer(), null, 0, 0, false, false, false, known);
     }
 
-    private CacheAnswer answer(String text) {
+    private CacheResponse answer(String text) {
         reader.expect(request("1", "abc"));
         return reader.add(Buffer.buffer(text, "ISO-8859-1"));
     }
 
     private void broken(String text) {
-        CacheAnswer a = answer(text);
+        CacheResponse a = answer(text);
         assertNotNull(a, text);
         assertEquals(AttemptResult.MALFORMED, a.end());
         assertFalse(reader.clean());
@@ -77,7 +77,7 @@
     @Example
     void aHeadWithALineThatIsNoFieldIsNoAnswer() {
         for (String line : List.of("no colon here", "no colon: here", ": nameless", " folded", "na(me: x")) {
-            CacheAnswer a = new AnswerReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
+            CacheResponse a = new AnswerReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
             assertEquals(AttemptResult.MALFORMED, a.end(), line);
         }
     }
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -35,7 +35,7 @@
 
     private static final class Line implements CacheConnection {
         final long cache;
-        Promise<CacheAnswer> answer;
+        Promise<CacheResponse> answer;
         boolean open = true;
         Runnable onClose = () -> {};
 
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public Future<CacheAnswer> exchange(CacheRequest request, long timeoutMs) {
+        public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
             assertTrue(open, "written to a closed connection");
             assertTrue(answer == null || answer.future().isComplete(), "two requests at once");
             answer = Promise.promise();
@@ -174,7 +174,7 @@
         void answered(int i, AttemptResult end) {
             Line l = pickLine(i);
             if (l != null) {
-                l.answer.complete(CacheAnswer.of(end));
+                l.answer.complete(CacheResponse.of(end));
                 assertTrue(l.open == (end != AttemptResult.MALFORMED), "kept only after a whole answer");
             }
         }
@@ -360,13 +360,13 @@
     void anAnswerThatIsNotWholeIsNeverServed() {
         Buffer b = Buffer.buffer("1234");
         assertEquals(
-                AttemptResult.SERVED, CacheAnswer.decode(200, false, "4", b, "t", "mem").end());
+                AttemptResult.SERVED, CacheResponse.decode(200, false, "4", b, "t", "mem").end());
         assertEquals(
                 AttemptResult.MALFORMED,
-                CacheAnswer.decode(200, false, "5", b, "t", "mem").end());
+                CacheResponse.decode(200, false, "5", b, "t", "mem").end());
         assertEquals(
-                AttemptResult.ERROR, CacheAnswer.decode(503, false, "0", b, null, null).end());
-        assertEquals(AttemptResult.FULL, CacheAnswer.decode(503, true, "0", b, null, null).end());
+                AttemptResult.ERROR, CacheResponse.decode(503, false, "0", b, null, null).end());
+        assertEquals(AttemptResult.FULL, CacheResponse.decode(503, true, "0", b, null, null).end());
         assertTrue(UNSENT.contains(AttemptResult.REFUSED));
     }
 }
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Test;
 import pewtercourse.ExampleConfig;
 import pewtercourse.cache.AttemptResult;
-import pewtercourse.cache.CacheAnswer;
 import pewtercourse.cache.CacheConnection;
 import pewtercourse.cache.CacheRequest;
+import pewtercourse.cache.CacheResponse;
 import pewtercourse.cache.Transport;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.front.Answer;
@@ -258,7 +258,7 @@
 
     /** Caches that answer when the test lets them. */
     private static final class ScriptedTransport implements Transport {
-        final List<Promise<CacheAnswer>> asked = new ArrayList<>();
+        final List<Promise<CacheResponse>> asked = new ArrayList<>();
         final List<Promise<Void>> dials = new ArrayList<>(); // Where the test lets connections come up.
         boolean slow;
 
@@ -276,7 +276,7 @@
                 private boolean open = true;
 
                 @Override
-                public Future<CacheAnswer> exchange(CacheRequest request, long timeoutMs) {
+                public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
                     asked.add(Promise.promise());
                     return asked.get(asked.size() - 1).future();
                 }
@@ -341,7 +341,7 @@
             onLoop(() -> caches.asked.size()); // The module has sent it on.
             onLoop(() -> {
                 assertEquals(n + 1, caches.asked.size(), "one attempt for each client");
-                caches.asked.get(n).complete(CacheAnswer.of(AttemptResult.MISS));
+                caches.asked.get(n).complete(CacheResponse.of(AttemptResult.MISS));
                 gone.run();
                 return null;
             });
@@ -354,7 +354,7 @@
         onLoop(() -> null);
         onLoop(() -> {
             assertEquals(401, caches.asked.size(), "the caches have room for one more");
-            caches.asked.get(400).complete(new CacheAnswer(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
+            caches.asked.get(400).complete(new CacheResponse(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
             return null;
         });
         assertEquals(Answer.Kind.SERVED, get(answer).kind());
