--- a/src/main/java/pewtercourse/cache/CannedTransport.java
+++ b/src/main/java/pewtercourse/cache/CannedTransport.java
@@ -29,7 +29,7 @@
         @Override
         public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
             Promise<CacheResponse> answer = Promise.promise();
-            AnswerReader reader = new AnswerReader();
+            ResponseReader reader = new ResponseReader();
             reader.expect(request);
             request.encode("0.0.0.0:0", timeoutMs);
             vertx.runOnContext(v -> answer.complete(reader.add(ANSWER)));
--- a/src/main/java/pewtercourse/cache/HttpTransport.java
+++ b/src/main/java/pewtercourse/cache/HttpTransport.java
@@ -34,7 +34,7 @@
     private static final class Connection implements CacheConnection {
         private final NetSocket socket;
         private final String host;
-        private final AnswerReader reader = new AnswerReader();
+        private final ResponseReader reader = new ResponseReader();
         private Promise<CacheResponse> answer;
         private boolean open = true;
         private Runnable onClose = () -> {};
--- a/src/main/java/pewtercourse/cache/AnswerReader.java
+++ b/src/main/java/pewtercourse/cache/ResponseReader.java
@@ -24,7 +24,7 @@
  * whoever stands between, that send too little, too much or no end: an answer is whole only by its length or
  * its chunks, never because the connection ended, and nothing is held beyond the largest object.
  */
-final class AnswerReader {
+final class ResponseReader {
     static final int BODY_MOST = 240_000;
     private static final int HEAD_MOST = 8_192, LINE_MOST = 1_024, INTERIM_MOST = 16;
     private static final Pattern LINE_END = Pattern.compile("\r?\n"), LENGTH = Pattern.compile("[0-9]{1,9}");
--- a/src/test/java/pewtercourse/cache/AnswerReaderTest.java
+++ b/src/test/java/pewtercourse/cache/ResponseReaderTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** What caches send, cut anywhere: only a whole answer counts, and what follows it is noticed. */
-class AnswerReaderTest {
+class ResponseReaderTest {
     private static final String BODY = "x".repeat(300),
             OK = "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n" + "ETag: t\r\nOutcome: mem\r\n\r\n" + BODY;
     private static final List<String> BEFORE = List.of(
@@ -24,14 +24,14 @@
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
     private static final List<String> BEHIND = List.of("", OK, "noise that nobody asked for\r\n\r\n", "\0\1\2HTTP");
 
-    private final AnswerReader reader = new AnswerReader();
+    private final ResponseReader reader = new ResponseReader();
 
     @Property(tries = 400, seed = "7")
     void aGoodAnswerIsServedWhateverCameBeforeAndWhatFollowsEndsTheConnection(
             @ForAll @IntRange(max = 2) int before,
             @ForAll @IntRange(max = 3) int behind,
             @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 120) Integer> cuts) {
-        AnswerReader r = new AnswerReader();
+        ResponseReader r = new ResponseReader();
         r.expect(request("1", null));
         String all = BEFORE.get(before) + OK + BEHIND.get(behind);
         int whole = BEFORE.get(before).length() + OK.length();
@@ -77,7 +77,7 @@
     @Example
     void aHeadWithALineThatIsNoFieldIsNoAnswer() {
         for (String line : List.of("no colon here", "no colon: here", ": nameless", " folded", "na(me: x")) {
-            CacheResponse a = new AnswerReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
+            CacheResponse a = new ResponseReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
             assertEquals(AttemptResult.MALFORMED, a.end(), line);
         }
     }
