--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -16,7 +16,7 @@
     // A connection that comes up so long after its attempt was given up is kept for the next one.
     private static final long LATE_MS = 100;
 
-    private final CachePool pool;
+    private final ConnectionPool pool;
     private final Timers timers;
     private final LongSupplier clock;
     private final long cache;
@@ -35,7 +35,7 @@
      * is written: what the feed has told meanwhile may forbid it.
      */
     public Attempt(
-            CachePool pool,
+            ConnectionPool pool,
             Timers timers,
             LongSupplier clock,
             long cache,
--- a/src/main/java/pewtercourse/cache/CachePool.java
+++ b/src/main/java/pewtercourse/cache/ConnectionPool.java
@@ -15,7 +15,7 @@
  * gone, and must not get its connections. The last used is taken first. Counts every connection, so that the
  * descriptors last.
  */
-public final class CachePool {
+public final class ConnectionPool {
     private record Idle(CacheConnection connection, long since) {}
 
     // A connection rests after an answer: bytes that come behind it, a second copy or noise, would else be taken for
@@ -33,7 +33,7 @@
     private long written;
 
     /** {@code idleMost}: microseconds after which an idle connection isn't used again. */
-    public CachePool(Transport transport, Timers timers, LongSupplier clock, long idleMost, int connectionsMost) {
+    public ConnectionPool(Transport transport, Timers timers, LongSupplier clock, long idleMost, int connectionsMost) {
         this.transport = transport;
         this.timers = timers;
         this.clock = clock;
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -15,7 +15,7 @@
 import java.util.function.LongSupplier;
 import pewtercourse.Log;
 import pewtercourse.Timers;
-import pewtercourse.cache.CachePool;
+import pewtercourse.cache.ConnectionPool;
 import pewtercourse.cache.HttpTransport;
 import pewtercourse.cache.Transport;
 import pewtercourse.config.DirectorConfig;
@@ -77,7 +77,7 @@
     SiteSettings site; // As of the last file that was taken.
     final LongSupplier clock = new UnixClock();
     final Timers timers;
-    final CachePool pool;
+    final ConnectionPool pool;
     final ServiceRegistry registry;
     final boolean tracing = Boolean.getBoolean("pewtercourse.trace");
     private DirectorConfig config;
@@ -118,7 +118,7 @@
         this.config = config;
         this.site = config.site();
         this.timers = timers;
-        this.pool = new CachePool(
+        this.pool = new ConnectionPool(
                 transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
         this.registry = new ServiceRegistry(site, pool);
         this.home = queue(site.router(), false);
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pewtercourse.cache.CachePool;
+import pewtercourse.cache.ConnectionPool;
 import pewtercourse.config.SiteSettings;
 import pewtercourse.decision.Endpoint;
 import pewtercourse.decision.EndpointLifecycle;
@@ -20,10 +20,10 @@
 final class ServiceRegistry {
     private final Map<Long, WatchedEndpoint> hosts = new HashMap<>();
     private SiteSettings site;
-    private final CachePool pool;
+    private final ConnectionPool pool;
     private final OperatorDrains out = new OperatorDrains();
 
-    ServiceRegistry(SiteSettings site, CachePool pool) {
+    ServiceRegistry(SiteSettings site, ConnectionPool pool) {
         this.site = site;
         this.pool = pool;
     }
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -88,7 +88,7 @@
         long now, nextTimer;
         Try starting;
         final Map<Long, Runnable> settling = new TreeMap<>();
-        final CachePool pool = new CachePool(
+        final ConnectionPool pool = new ConnectionPool(
                 (to, timeoutMs) -> {
                     starting.connecting = Promise.promise();
                     return starting.connecting.future();
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 import pewtercourse.ExampleConfig;
 import pewtercourse.Timers;
-import pewtercourse.cache.CachePool;
+import pewtercourse.cache.ConnectionPool;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.decision.Endpoint;
 import pewtercourse.decision.EndpointLifecycle;
@@ -54,7 +54,7 @@
         module.clear();
         now = 1_000_000;
         DirectorConfig c = ExampleConfig.read();
-        registry = new ServiceRegistry(c.site(), new CachePool(null, NO_TIMERS, () -> now, 1, 1));
+        registry = new ServiceRegistry(c.site(), new ConnectionPool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
     private static WatchedEndpoint host(int i, EndpointLifecycle state, long started) {
