--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -83,8 +83,8 @@
     private DirectorConfig config;
     private final Vertx vertx;
     private final Context context;
-    private final RouterQueue home;
-    private final Map<String, RouterQueue> abroad =
+    private final RouterEventQueue home;
+    private final Map<String, RouterEventQueue> abroad =
             new HashMap<>(); // By zone: for requests that its caches take as guests.
     private final GossipSocket peers;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
@@ -408,20 +408,20 @@
     }
 
     /** The module for a site's caches. */
-    RouterQueue queue(String zone) {
+    RouterEventQueue queue(String zone) {
         if (zone.equals(config.zone())) {
             return home;
         }
         return abroad.computeIfAbsent(zone, z -> {
-            RouterQueue queue = queue(site.guestsAt(z), true);
+            RouterEventQueue queue = queue(site.guestsAt(z), true);
             queue.tell(new QuotaChanged(0)); // What its cold caches bear is for its own clients.
             queue.tell(registry.whole());
             return queue;
         });
     }
 
-    private RouterQueue queue(RouterSettings settings, boolean guest) {
-        return new RouterQueue(
+    private RouterEventQueue queue(RouterSettings settings, boolean guest) {
+        return new RouterEventQueue(
                 new RoutingEngine(settings, config.seed()),
                 guest,
                 clock,
@@ -429,11 +429,11 @@
                 this::forget);
     }
 
-    RouterQueue home() {
+    RouterEventQueue home() {
         return home;
     }
 
-    private void decide(RouterQueue queue) {
+    private void decide(RouterEventQueue queue) {
         if (stopped) {
             return;
         }
@@ -449,7 +449,7 @@
         List.copyOf(requests.values()).forEach(x -> x.answerIfDue(now));
     }
 
-    private void handle(RouterQueue queue, List<RouterEvent> batch) {
+    private void handle(RouterEventQueue queue, List<RouterEvent> batch) {
         try {
             for (RouterAction a : queue.router().handle(clock.getAsLong(), batch)) {
                 act(queue, a);
@@ -466,7 +466,7 @@
         }
     }
 
-    private void act(RouterQueue queue, RouterAction action) {
+    private void act(RouterEventQueue queue, RouterAction action) {
         if (action instanceof StartTimer t) {
             timers.set(Timers.millis(t.dueAt() - clock.getAsLong()), () -> queue.tell(new TimerFired(t.name())));
         } else if (action instanceof SendGossip t) {
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -38,7 +38,7 @@
     private final int cls;
     private final long expires, backstop;
     private final Consumer<Answer> answer;
-    private RouterQueue queue; // The module that has it.
+    private RouterEventQueue queue; // The module that has it.
     private RequestArrived arrival;
     private Attempt attempt;
     private SendAttempt sent;
--- a/src/main/java/pewtercourse/director/RouterQueue.java
+++ b/src/main/java/pewtercourse/director/RouterEventQueue.java
@@ -11,14 +11,14 @@
  * A router and the events that it is to be told next, in order of arrival: one batch for each turn of the event loop. The
  * queue of the own zone is there always; others are for requests that another zone's caches take as guests.
  */
-final class RouterQueue {
+final class RouterEventQueue {
     // What a late turn has piled up must not keep the sockets and timers of the others waiting.
     private static final int BATCH_MOST = 256;
 
     private final Router router;
     private final boolean guest;
     private final LongSupplier clock;
-    private final Consumer<RouterQueue> scheduler;
+    private final Consumer<RouterEventQueue> scheduler;
     private final Consumer<ProxiedRequest> forget;
     private List<RouterEvent> events = new ArrayList<>();
     private List<ProxiedRequest> leaving = new ArrayList<>();
@@ -26,11 +26,11 @@
     private long scheduledAt;
 
     /** {@code scheduler} runs {@link #nextBatch} in a turn of its own; {@code forget} is told of requests that have ended. */
-    RouterQueue(
+    RouterEventQueue(
             Router router,
             boolean guest,
             LongSupplier clock,
-            Consumer<RouterQueue> scheduler,
+            Consumer<RouterEventQueue> scheduler,
             Consumer<ProxiedRequest> forget) {
         this.router = router;
         this.guest = guest;
