--- a/src/main/java/pewtercourse/director/Endings.java
+++ b/src/main/java/pewtercourse/director/AttemptOutcomes.java
@@ -5,8 +5,8 @@
 import pewtercourse.decision.CacheStatus;
 
 /** The one place where what happened on a socket becomes an outcome of the decision module. */
-final class Endings {
-    private Endings() {}
+final class AttemptOutcomes {
+    private AttemptOutcomes() {}
 
     /** What proves that nothing ran is FULL, MISS, CONNECT_FAILED or MOOT; all else may have run. */
     static AttemptOutcome of(AttemptResult end) {
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -219,10 +219,10 @@
                 id,
                 number,
                 s.endpointId(),
-                Endings.of(end),
+                AttemptOutcomes.of(end),
                 director.clock.getAsLong() - sentAt,
                 over,
-                Endings.note(note));
+                AttemptOutcomes.note(note));
     }
 
     // ---- The module gives up ----
--- a/src/test/java/pewtercourse/director/EndingsTest.java
+++ b/src/test/java/pewtercourse/director/AttemptOutcomesTest.java
@@ -13,7 +13,7 @@
 import pewtercourse.decision.AttemptOutcome;
 import pewtercourse.decision.CacheStatus;
 
-class EndingsTest {
+class AttemptOutcomesTest {
     private static final Set<AttemptOutcome> NEVER_RAN = EnumSet.of(
             AttemptOutcome.OVERLOADED, AttemptOutcome.MISS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED);
     /** What may have run: an order must not be repeated after any of these. */
@@ -23,7 +23,7 @@
     @ParameterizedTest
     @EnumSource(AttemptResult.class)
     void onlyWhatProvesThatNothingRanSaysSo(AttemptResult end) {
-        assertEquals(!MAY_HAVE_RUN.contains(end), NEVER_RAN.contains(Endings.of(end)));
+        assertEquals(!MAY_HAVE_RUN.contains(end), NEVER_RAN.contains(AttemptOutcomes.of(end)));
     }
 
     @ParameterizedTest
@@ -41,12 +41,12 @@
         "other,0"
     })
     void notesGoByNameToTheSimulatorsNumbers(String word, int number) {
-        assertEquals(number, Endings.note(word).ordinal());
+        assertEquals(number, AttemptOutcomes.note(word).ordinal());
     }
 
     @Test
     void noWordIsNoNote() {
-        assertEquals(CacheStatus.UNKNOWN, Endings.note(null));
-        assertFalse(NEVER_RAN.contains(Endings.of(AttemptResult.RESET)));
+        assertEquals(CacheStatus.UNKNOWN, AttemptOutcomes.note(null));
+        assertFalse(NEVER_RAN.contains(AttemptOutcomes.of(AttemptResult.RESET)));
     }
 }
