--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -8,125 +8,138 @@
 import pewtercourse.Timers;
 
 /**
- * One attempt at one cache: a connection, new or idle, then the request and its answer. It ends once, by
- * whichever comes first; what comes later is dropped. A connection whose answer has not come whole is closed,
- * which gives up the request.
+ * Sends one request to one cache: acquires a connection, new or idle, writes the request and waits for the
+ * response. Finishes exactly once, with the first result; later events are ignored. Unless the response is
+ * complete and well-formed, its connection is closed, which makes the cache give up the request. Confined to
+ * the event loop; times are microseconds.
  */
 public final class Attempt {
-    // A connection that comes up so long after its attempt was given up is kept for the next one.
-    private static final long LATE_MS = 100;
+    // A connection that is established up to this long after the connect timeout is still kept, for a later
+    // attempt.
+    private static final long LATE_CONNECT_GRACE_MS = 100;
 
     private final ConnectionPool pool;
     private final Timers timers;
     private final LongSupplier clock;
-    private final long cache;
+    private final long cacheId;
     private final InetSocketAddress address;
     private final CacheRequest request;
-    private final long connectTimeout, until;
-    private final BooleanSupplier stillRight;
-    private final Consumer<CacheResponse> done;
+    private final long connectTimeoutMicros;
+    private final long deadline;
+    private final BooleanSupplier precondition;
+    private final Consumer<CacheResponse> onFinished;
     private Object generation;
     private CacheConnection connection;
     private long timer = -1;
-    private boolean written, ended;
+    private boolean requestWritten;
+    private boolean finished;
 
     /**
-     * {@code until}: clock time at which it is given up. {@code stillRight} is asked just before the first byte
-     * is written: what the feed has told meanwhile may forbid it.
+     * Prepares an attempt; {@link #start} begins it.
+     *
+     * @param cacheId      number of the cache
+     * @param deadline     clock time at which the attempt times out
+     * @param precondition whether the request may still be sent; evaluated just before its first byte is
+     *     written, since the control feed may have removed an endpoint or purged the object while the
+     *     connection was established
+     * @param onFinished   receives the result, once
      */
     public Attempt(
             ConnectionPool pool,
             Timers timers,
             LongSupplier clock,
-            long cache,
+            long cacheId,
             InetSocketAddress address,
             CacheRequest request,
-            long connectTimeout,
-            long until,
-            BooleanSupplier stillRight,
-            Consumer<CacheResponse> done) {
+            long connectTimeoutMicros,
+            long deadline,
+            BooleanSupplier precondition,
+            Consumer<CacheResponse> onFinished) {
         this.pool = pool;
         this.timers = timers;
         this.clock = clock;
-        this.cache = cache;
+        this.cacheId = cacheId;
         this.address = address;
         this.request = request;
-        this.connectTimeout = connectTimeout;
-        this.until = until;
-        this.stillRight = stillRight;
-        this.done = done;
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.deadline = deadline;
+        this.precondition = precondition;
+        this.onFinished = onFinished;
     }
 
+    /** Starts the attempt on an idle connection, or on a new one if there is none. */
     public void start() {
-        generation = pool.generation(cache);
-        connection = pool.take(cache);
+        generation = pool.generation(cacheId);
+        connection = pool.acquireIdle(cacheId);
         if (connection != null) {
-            write();
+            writeRequest();
             return;
         }
-        var connecting = pool.connect(address, Timers.millis(connectTimeout) + LATE_MS);
+        var connecting = pool.connect(address, Timers.millis(connectTimeoutMicros) + LATE_CONNECT_GRACE_MS);
         if (connecting == null) {
-            end(CacheResponse.of(AttemptResult.NO_DESCRIPTOR));
+            finish(CacheResponse.of(AttemptResult.NO_DESCRIPTOR));
             return;
         }
-        long left = until - clock.getAsLong();
+        long remainingMicros = deadline - clock.getAsLong();
         timer = timers.set(
-                Timers.millis(Math.min(connectTimeout, left)), () -> end(CacheResponse.of(AttemptResult.CONNECT_TIMEOUT)));
-        // After a late turn the client's close may stand unread behind the connection's coming up.
-        connecting.onComplete(c -> timers.afterReads(() -> connected(c)));
+                Timers.millis(Math.min(connectTimeoutMicros, remainingMicros)), () -> finish(CacheResponse.of(AttemptResult.CONNECT_TIMEOUT)));
+        // After a long turn of the event loop the client's close may still be unread when the connection is
+        // established: it is read first.
+        connecting.onComplete(result -> timers.afterReads(() -> onConnected(result)));
     }
 
-    private void connected(AsyncResult<CacheConnection> c) {
-        if (c.failed()) {
-            end(CacheResponse.of(AttemptResult.REFUSED));
-        } else if (ended) {
-            pool.keep(cache, generation, c.result());
+    private void onConnected(AsyncResult<CacheConnection> result) {
+        if (result.failed()) {
+            finish(CacheResponse.of(AttemptResult.REFUSED));
+        } else if (finished) {
+            pool.keepIdle(cacheId, generation, result.result());
         } else {
             timers.cancel(timer);
-            connection = c.result();
-            write();
+            connection = result.result();
+            writeRequest();
         }
     }
 
-    private void write() {
-        long left = until - clock.getAsLong();
-        boolean replaced = pool.generation(cache) != generation;
-        if (left <= 0 || replaced || !stillRight.getAsBoolean()) {
-            pool.keep(cache, generation, connection);
+    private void writeRequest() {
+        long remainingMicros = deadline - clock.getAsLong();
+        boolean cacheReplaced = pool.generation(cacheId) != generation;
+        if (remainingMicros <= 0 || cacheReplaced || !precondition.getAsBoolean()) {
+            pool.keepIdle(cacheId, generation, connection);
             connection = null;
-            end(CacheResponse.of(AttemptResult.OVERTAKEN));
+            finish(CacheResponse.of(AttemptResult.OVERTAKEN));
             return;
         }
         if (!connection.isOpen()) {
-            end(CacheResponse.of(AttemptResult.REFUSED)); // Nothing was written, so nothing ran.
+            finish(CacheResponse.of(AttemptResult.REFUSED)); // Nothing was written, so the request did not run.
             return;
         }
-        written = true;
-        pool.wrote();
-        timer = timers.set(Timers.millis(left), () -> end(CacheResponse.of(AttemptResult.TIMEOUT)));
-        // Once the request may have left, a connection that ends proves nothing: RESET, reused or not.
+        requestWritten = true;
+        pool.recordRequestWritten();
+        timer = timers.set(Timers.millis(remainingMicros), () -> finish(CacheResponse.of(AttemptResult.TIMEOUT)));
+        // The request may have left: if the connection ends now, it may have run, on a new connection as on a
+        // reused one.
         connection
-                .exchange(request, Math.max(1, left / 1000))
-                .onComplete(a -> end(a.succeeded() ? a.result() : CacheResponse.of(AttemptResult.RESET)));
+                .exchange(request, Math.max(1, remainingMicros / 1000))
+                .onComplete(exchanged -> finish(exchanged.succeeded() ? exchanged.result() : CacheResponse.of(AttemptResult.RESET)));
     }
 
-    /** Withdraws it. Its end is told as for every other. */
+    /** Cancels the attempt, if it has not finished; its result is reported like any other. */
     public void cancel() {
-        end(CacheResponse.of(written ? AttemptResult.CANCELLED : AttemptResult.CANCELLED_UNSENT));
+        finish(CacheResponse.of(requestWritten ? AttemptResult.CANCELLED : AttemptResult.CANCELLED_UNSENT));
     }
 
-    private void end(CacheResponse answer) {
-        if (ended) {
+    private void finish(CacheResponse response) {
+        if (finished) {
             return;
         }
-        ended = true;
+        finished = true;
         timers.cancel(timer);
         if (connection != null) {
-            switch (answer.end()) {
-                case SERVED, NOT_MODIFIED, MISS, FULL, EXPIRED, ERROR -> pool.giveBack(cache, generation, connection);
+            switch (response.result()) {
+                case SERVED, NOT_MODIFIED, MISS, FULL, EXPIRED, ERROR -> pool.release(cacheId, generation, connection);
                 default -> connection.close();
             }
         }
-        done.accept(answer);
+        onFinished.accept(response);
     }
 }
--- a/src/main/java/pewtercourse/cache/AttemptResult.java
+++ b/src/main/java/pewtercourse/cache/AttemptResult.java
@@ -1,35 +1,38 @@
 package pewtercourse.cache;
 
-/** Every way in which an attempt at a cache can end. The director maps each to the module's outcome. */
+/** How an attempt at a cache ended. The names of the constants are logged. */
 public enum End {
-    /** 200 with all of its bytes. */
+    /** 200 with a complete body. */
     SERVED,
-    /** 304: the client's copy is the one. */
+    /** 304: the copy that the client holds is current. */
     NOT_MODIFIED,
-    /** 404: not held, never ran. */
+    /** 404: the cache does not hold the object and did not fetch it; the request did not run. */
     MISS,
-    /** 503 with the mark that it never ran. */
+    /** 503 with the header Never-Ran: the cache was overloaded and the request did not run. */
     FULL,
-    /** 504 with the mark that it never ran: the time was over. */
+    /** 504 with the header Never-Ran: the request's time had run out, and it did not run. */
     EXPIRED,
-    /** 500, or any status that proves nothing. */
+    /** 500, or any other status that does not prove that the request did not run. */
     ERROR,
-    /** An answer that can't be read. */
+    /** The response breaks the protocol; the request may have run. */
     MALFORMED,
-    /** No connection: refused, or closed before its first use. Nothing was written. */
+    /** The connection was refused, or was closed before the request. Nothing was written. */
     REFUSED,
-    /** No connection in time. Nothing was written. */
+    /** The connection was not established in time. Nothing was written. */
     CONNECT_TIMEOUT,
-    /** No descriptor left for one more connection. Nothing was written. */
+    /** The limit of open connections was reached. Nothing was written. */
     NO_DESCRIPTOR,
-    /** Overtaken by the feed before the first byte: the cache or the source left, or a purge came. */
+    /**
+     * Given up before the first byte: the cache or the fill source went, the object was purged, or the deadline
+     * passed. Nothing was written.
+     */
     OVERTAKEN,
-    /** The connection ended after the request was written: it may have run. */
+    /** The connection ended after the request was written; the request may have run. */
     RESET,
-    /** No whole answer in time: it may have run. */
+    /** No complete response by the deadline; the request may have run. */
     TIMEOUT,
-    /** Withdrawn after it was written. */
+    /** Cancelled after the request was written; it may have run. */
     CANCELLED,
-    /** Withdrawn before anything was written. */
+    /** Cancelled before anything was written. */
     CANCELLED_UNSENT
 }
--- a/src/main/java/pewtercourse/cache/CacheConnection.java
+++ b/src/main/java/pewtercourse/cache/CacheConnection.java
@@ -4,12 +4,14 @@
 
 /** A connection to a cache, which carries one request at a time. */
 public interface CacheConnection {
-    /** Writes the request; fails if the connection ends before the whole answer has come. */
+    /** Writes the request; fails if the connection ends before the response is complete. */
     Future<CacheResponse> exchange(CacheRequest request, long timeoutMs);
 
+    /** Whether the connection may carry another request. */
     boolean isOpen();
 
-    void onClose(Runnable then);
+    /** Sets what runs when the connection has been closed by either side. */
+    void onClose(Runnable listener);
 
     void close();
 }
--- a/src/main/java/pewtercourse/cache/CacheRequest.java
+++ b/src/main/java/pewtercourse/cache/CacheRequest.java
@@ -4,8 +4,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One attempt as it goes out. {@code source} null: no fill; {@code maxAgeMs} 0: as long as copies are fresh;
- * {@code known} null: no tag of the client's is passed on.
+ * A request to a cache.
+ *
+ * @param id                  correlation id of the client's request
+ * @param fillSource          name of the endpoint that a miss is filled from; null for no fill
+ * @param retentionRank       0: the object is not to be stored; 1 to 3: how much its copy is worth
+ * @param maxAgeMs            maximum age of a copy that may be served; 0: as long as copies of the class are
+ *     fresh
+ * @param coalesce            whether the fill of another request may answer this one
+ * @param onlyIfCached        whether the fill source may answer only with what it holds
+ * @param refreshInBackground whether a stale copy may be served while it is renewed
+ * @param knownTag            entity tag of the copy that the client holds; null if there is none
  */
 public record CacheRequest(
         String id,
@@ -13,25 +22,26 @@
         String object,
         int part,
         Buffer body,
-        String source,
-        int keep,
+        String fillSource,
+        int retentionRank,
         long maxAgeMs,
-        boolean join,
-        boolean sourceHoldsOnly,
-        boolean renew,
-        String known) {
-    private static final String SEGMENT_MARKS = "-._~!$&'()*+,;=:@";
+        boolean coalesce,
+        boolean onlyIfCached,
+        boolean refreshInBackground,
+        String knownTag) {
+    private static final String UNESCAPED_MARKS = "-._~!$&'()*+,;=:@";
 
+    /** Path of the object at a cache. */
     String path() {
         return "/o/" + segment(className) + '/' + object + '/' + part;
     }
 
-    /** A path segment by RFC 3986: what it doesn't allow is percent-encoded, byte by byte. */
+    /** Encodes a path segment as in RFC 3986: bytes that may not stand in one are percent-encoded. */
     private static String segment(String text) {
         StringBuilder encoded = new StringBuilder(text.length());
         for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            boolean plain = b > ' ' && b < 127 && (Character.isLetterOrDigit(b) || SEGMENT_MARKS.indexOf(b) >= 0);
-            if (plain) {
+            boolean unescaped = b > ' ' && b < 127 && (Character.isLetterOrDigit(b) || UNESCAPED_MARKS.indexOf(b) >= 0);
+            if (unescaped) {
                 encoded.append((char) b);
             } else {
                 encoded.append(String.format("%%%02X", b));
@@ -40,39 +50,40 @@
         return encoded.toString();
     }
 
-    /** GET with a body too: caches answer 400 to any other method, whatever the client's was. */
+    /** Encodes the request as a GET, also with a body: caches answer 400 to any other method. */
     Buffer encode(String host, long timeoutMs) {
         StringBuilder head =
                 new StringBuilder(256).append("GET ").append(path()).append(" HTTP/1.1\r\n");
-        field(head, "Host", host);
-        field(head, "Request-Id", id);
-        field(head, "Timeout-Ms", String.valueOf(timeoutMs));
-        field(head, "X-Fill-From", source);
-        field(head, "X-Keep", keep > 0 ? String.valueOf(keep) : null);
-        field(head, "X-Max-Age-Ms", maxAgeMs > 0 ? String.valueOf(maxAgeMs) : null);
-        field(head, "X-Flags", flags().isEmpty() ? null : flags());
-        field(head, "If-None-Match", known);
-        field(head, "Content-Length", body.length() > 0 ? String.valueOf(body.length()) : null);
+        appendField(head, "Host", host);
+        appendField(head, "Request-Id", id);
+        appendField(head, "Timeout-Ms", String.valueOf(timeoutMs));
+        appendField(head, "X-Fill-From", fillSource);
+        appendField(head, "X-Keep", retentionRank > 0 ? String.valueOf(retentionRank) : null);
+        appendField(head, "X-Max-Age-Ms", maxAgeMs > 0 ? String.valueOf(maxAgeMs) : null);
+        appendField(head, "X-Flags", flags().isEmpty() ? null : flags());
+        appendField(head, "If-None-Match", knownTag);
+        appendField(head, "Content-Length", body.length() > 0 ? String.valueOf(body.length()) : null);
         return Buffer.buffer(head.append("\r\n").toString()).appendBuffer(body);
     }
 
-    private static void field(StringBuilder to, String name, String value) {
+    private static void appendField(StringBuilder head, String name, String value) {
         if (value != null) {
-            to.append(name).append(": ").append(value).append("\r\n");
+            head.append(name).append(": ").append(value).append("\r\n");
         }
     }
 
+    /** The words of the header X-Flags; empty if no flag is set. */
     String flags() {
         StringBuilder words = new StringBuilder();
-        word(words, join, "wait-for");
-        word(words, sourceHoldsOnly, "no-fetch");
-        word(words, renew, "background");
+        appendWord(words, coalesce, "wait-for");
+        appendWord(words, onlyIfCached, "no-fetch");
+        appendWord(words, refreshInBackground, "background");
         return words.toString();
     }
 
-    private static void word(StringBuilder to, boolean set, String word) {
-        if (set) {
-            to.append(to.isEmpty() ? "" : "+").append(word);
+    private static void appendWord(StringBuilder words, boolean isSet, String word) {
+        if (isSet) {
+            words.append(words.isEmpty() ? "" : "+").append(word);
         }
     }
 }
--- a/src/main/java/pewtercourse/cache/CacheResponse.java
+++ b/src/main/java/pewtercourse/cache/CacheResponse.java
@@ -2,15 +2,28 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** How an attempt ended, with the bytes, their tag and the note of where they came from, if there are any. */
-public record CacheResponse(AttemptResult end, Buffer body, String tag, String outcome) {
-    public static CacheResponse of(AttemptResult end) {
-        return new CacheResponse(end, null, null, null);
+/**
+ * The result of an attempt, with what the response carried.
+ *
+ * @param body          null unless the result is {@link AttemptResult#SERVED}
+ * @param tag           entity tag of the object; null if there is none
+ * @param outcomeHeader value of the header Outcome, which says where the body came from or why a fill failed;
+ *     null if there is none
+ */
+public record CacheResponse(AttemptResult result, Buffer body, String tag, String outcomeHeader) {
+    /** A result without a response. */
+    public static CacheResponse of(AttemptResult result) {
+        return new CacheResponse(result, null, null, null);
     }
 
-    /** The one place where a status is read. */
-    static CacheResponse decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcome) {
-        AttemptResult end = switch (status) {
+    /**
+     * Interprets a complete response.
+     *
+     * @param neverRan whether the cache states that the request did not run
+     * @param length   value of the header Content-Length, or null
+     */
+    static CacheResponse decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcomeHeader) {
+        AttemptResult result = switch (status) {
             case 200 -> length != null && !length.equals(String.valueOf(body.length())) ? AttemptResult.MALFORMED : AttemptResult.SERVED;
             case 304 -> AttemptResult.NOT_MODIFIED;
             case 404 -> AttemptResult.MISS;
@@ -18,6 +31,6 @@
             case 504 -> neverRan ? AttemptResult.EXPIRED : AttemptResult.ERROR;
             default -> AttemptResult.ERROR;
         };
-        return new CacheResponse(end, end == AttemptResult.SERVED ? body : null, tag, outcome);
+        return new CacheResponse(result, result == AttemptResult.SERVED ? body : null, tag, outcomeHeader);
     }
 }
--- a/src/main/java/pewtercourse/cache/CannedTransport.java
+++ b/src/main/java/pewtercourse/cache/CannedTransport.java
@@ -6,20 +6,24 @@
 import io.vertx.core.buffer.Buffer;
 import java.net.InetSocketAddress;
 
-/** Caches that are not there: each answers at once with the same bytes, read as a real answer would be. */
+/**
+ * Stands in for all caches without opening a socket: answers each request at once with the same bytes, which
+ * are decoded like a real response.
+ */
 public final class CannedTransport implements Transport {
-    private static final Buffer ANSWER = Buffer.buffer("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n"
+    private static final Buffer RESPONSE = Buffer.buffer("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n"
             + "ETag: 4be0c1927d55a6f3\r\nX-Born-Ms: 1\r\nOutcome: mem\r\nLoad-Report: inflight:1;x0:0.5\r\n\r\n"
             + "menu".repeat(1_000));
 
     private final Vertx vertx;
 
+    /** Creates a transport that responds on the current event loop of {@code vertx}. */
     public CannedTransport(Vertx vertx) {
         this.vertx = vertx;
     }
 
     @Override
-    public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
+    public Future<CacheConnection> connect(InetSocketAddress address, long timeoutMs) {
         return Future.succeededFuture(new Connection());
     }
 
@@ -28,12 +32,12 @@
 
         @Override
         public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
-            Promise<CacheResponse> answer = Promise.promise();
+            Promise<CacheResponse> response = Promise.promise();
             ResponseReader reader = new ResponseReader();
-            reader.expect(request);
+            reader.expectResponseTo(request);
             request.encode("0.0.0.0:0", timeoutMs);
-            vertx.runOnContext(v -> answer.complete(reader.add(ANSWER)));
-            return answer.future();
+            vertx.runOnContext(v -> response.complete(reader.read(RESPONSE)));
+            return response.future();
         }
 
         @Override
@@ -42,7 +46,7 @@
         }
 
         @Override
-        public void onClose(Runnable then) {}
+        public void onClose(Runnable listener) {}
 
         @Override
         public void close() {
--- a/src/main/java/pewtercourse/cache/ConnectionPool.java
+++ b/src/main/java/pewtercourse/cache/ConnectionPool.java
@@ -11,83 +11,86 @@
 import pewtercourse.Timers;
 
 /**
- * Idle connections to caches, by the cache's number: a new cache may come up at the address of one that is
- * gone, and must not get its connections. The last used is taken first. Counts every connection, so that the
- * descriptors last.
+ * Keeps idle connections to caches and limits the number of open ones, so that the process does not run out of
+ * file descriptors. Connections are kept by the cache's number, not by its address: a new cache may listen at
+ * the address of one that is gone, and must not get its connections. The most recently used connection is
+ * reused first. Confined to the event loop; times are microseconds.
  */
 public final class ConnectionPool {
-    private record Idle(CacheConnection connection, long since) {}
+    private record IdleConnection(CacheConnection connection, long idleSince) {}
 
-    // A connection rests after an answer: bytes that come behind it, a second copy or noise, would else be taken for
-    // the answer to the next request. Two waits, since after a stall of the program the first may be over before
-    // what came meanwhile is read.
-    private static final long SETTLE_MS = 8, SETTLE_AGAIN_MS = 2;
+    // A connection is not reused at once after a response: bytes that follow it, a second copy or noise, would
+    // be taken for the response to the next request. There are two waits, because after a stall of the process
+    // the first may have ended before the bytes that arrived meanwhile are read.
+    private static final long SETTLE_MS = 8;
+    private static final long SECOND_SETTLE_MS = 2;
 
     private final Transport transport;
     private final Timers timers;
     private final LongSupplier clock;
-    private long idleMost;
-    private final int connectionsMost;
-    private final Map<Long, Deque<Idle>> idle = new HashMap<>();
+    private long maxIdleMicros;
+    private final int maxConnections;
+    private final Map<Long, Deque<IdleConnection>> idleByCache = new HashMap<>();
     private int connections;
-    private long written;
+    private long requestsWritten;
 
-    /** {@code idleMost}: microseconds after which an idle connection isn't used again. */
-    public ConnectionPool(Transport transport, Timers timers, LongSupplier clock, long idleMost, int connectionsMost) {
+    /** Creates an empty pool; an idle connection is not reused after {@code maxIdleMicros}. */
+    public ConnectionPool(
+            Transport transport, Timers timers, LongSupplier clock, long maxIdleMicros, int maxConnections) {
         this.transport = transport;
         this.timers = timers;
         this.clock = clock;
-        this.idleMost = idleMost;
-        this.connectionsMost = connectionsMost;
+        this.maxIdleMicros = maxIdleMicros;
+        this.maxConnections = maxConnections;
     }
 
-    /** From now on an idle connection isn't used again after this many microseconds. */
-    public void idleMost(long micros) {
-        idleMost = micros;
+    /** Changes the time after which an idle connection is not reused. */
+    public void setMaxIdleMicros(long micros) {
+        maxIdleMicros = micros;
     }
 
-    /** An idle connection that is still open, or null. */
-    CacheConnection take(long cache) {
-        Deque<Idle> of = idle.get(cache);
-        while (of != null && !of.isEmpty()) {
-            Idle i = of.pollLast();
-            if (i.connection.isOpen() && clock.getAsLong() - i.since < idleMost) {
-                return i.connection;
+    /** Takes an idle connection to a cache that is still open out of the pool; null if there is none. */
+    CacheConnection acquireIdle(long cacheId) {
+        Deque<IdleConnection> idle = idleByCache.get(cacheId);
+        while (idle != null && !idle.isEmpty()) {
+            IdleConnection last = idle.pollLast();
+            if (last.connection.isOpen() && clock.getAsLong() - last.idleSince < maxIdleMicros) {
+                return last.connection;
             }
-            i.connection.close();
+            last.connection.close();
         }
         return null;
     }
 
-    /** An attempt was written whole. */
-    void wrote() {
-        written++;
+    /** Counts a request that was written to a connection. */
+    void recordRequestWritten() {
+        requestsWritten++;
     }
 
-    /** Attempts that were written whole. */
-    public long written() {
-        return written;
+    /** Number of requests written to connections so far. */
+    public long requestsWritten() {
+        return requestsWritten;
     }
 
-    /** Connections that are up, coming up, or not known to be closed yet. */
+    /** Number of connections that are open, being established, or not yet known to be closed. */
     public int connections() {
         return connections;
     }
 
-    /** Connections that nothing is asked on. */
-    public int idle() {
-        return idle.values().stream().mapToInt(Deque::size).sum();
+    /** Number of idle connections. */
+    public int idleConnections() {
+        return idleByCache.values().stream().mapToInt(Deque::size).sum();
     }
 
-    /** A new connection, or null if there are as many as may be and none is idle. */
-    Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
-        if (connections >= connectionsMost && !closeOneIdle()) {
+    /** Opens a connection; null if the maximum number is open and none of them is idle. */
+    Future<CacheConnection> connect(InetSocketAddress address, long timeoutMs) {
+        if (connections >= maxConnections && !closeOneIdle()) {
             return null;
         }
         connections++;
-        return transport.connect(to, timeoutMs).onComplete(done -> {
-            if (done.succeeded()) {
-                done.result().onClose(() -> connections--);
+        return transport.connect(address, timeoutMs).onComplete(result -> {
+            if (result.succeeded()) {
+                result.result().onClose(() -> connections--);
             } else {
                 connections--;
             }
@@ -95,53 +98,58 @@
     }
 
     /**
-     * Which process of the cache its connections lead to: another value, or null, once it has been dropped for good. A
-     * connection that was dialled or used before that is of no use to the next process of the same name.
+     * Identifies the process of the cache that connections lead to now. The value changes when the cache is
+     * removed and added again, and is null while it is not in the pool: a connection that was opened under
+     * another value must not be used.
      */
-    Object generation(long cache) {
-        return idle.get(cache);
+    Object generation(long cacheId) {
+        return idleByCache.get(cacheId);
     }
 
-    /** After an answer: it may be used again once nothing came behind that. */
-    void giveBack(long cache, Object generation, CacheConnection c) {
-        if (!c.isOpen()) {
-            c.close();
+    /**
+     * Returns a connection after a complete response; it is reused once no bytes have followed that response
+     * for a while.
+     */
+    void release(long cacheId, Object generation, CacheConnection connection) {
+        if (!connection.isOpen()) {
+            connection.close();
             return;
         }
-        timers.set(SETTLE_MS, () -> timers.set(SETTLE_AGAIN_MS, () -> keep(cache, generation, c)));
+        timers.set(
+                SETTLE_MS, () -> timers.set(SECOND_SETTLE_MS, () -> keepIdle(cacheId, generation, connection)));
     }
 
-    /** Nothing was asked on it since it came up, or since it was taken. */
-    void keep(long cache, Object generation, CacheConnection c) {
-        Deque<Idle> of = idle.get(cache);
-        if (of == null || of != generation || !c.isOpen()) {
-            c.close();
+    /** Keeps a connection that carries no request for reuse, or closes it if its cache was removed. */
+    void keepIdle(long cacheId, Object generation, CacheConnection connection) {
+        Deque<IdleConnection> idle = idleByCache.get(cacheId);
+        if (idle == null || idle != generation || !connection.isOpen()) {
+            connection.close();
             return;
         }
-        of.addLast(new Idle(c, clock.getAsLong()));
-        while (clock.getAsLong() - of.peekFirst().since >= idleMost) {
-            of.pollFirst().connection.close();
+        idle.addLast(new IdleConnection(connection, clock.getAsLong()));
+        while (clock.getAsLong() - idle.peekFirst().idleSince >= maxIdleMicros) {
+            idle.pollFirst().connection.close();
         }
     }
 
-    /** From now on connections to this cache are kept. */
-    public void admit(long cache) {
-        idle.putIfAbsent(cache, new ArrayDeque<>());
+    /** Adds a cache, unless it is in the pool already: its idle connections are kept from now on. */
+    public void addCache(long cacheId) {
+        idleByCache.putIfAbsent(cacheId, new ArrayDeque<>());
     }
 
-    /** The cache is gone, or is not trusted to answer: its idle connections are closed. */
-    public void drop(long cache, boolean forGood) {
-        Deque<Idle> of = forGood ? idle.remove(cache) : idle.get(cache);
-        while (of != null && !of.isEmpty()) {
-            of.pollLast().connection.close();
+    /** Closes the idle connections to a cache; with {@code remove} the cache leaves the pool. */
+    public void closeIdleConnections(long cacheId, boolean remove) {
+        Deque<IdleConnection> idle = remove ? idleByCache.remove(cacheId) : idleByCache.get(cacheId);
+        while (idle != null && !idle.isEmpty()) {
+            idle.pollLast().connection.close();
         }
     }
 
     private boolean closeOneIdle() {
-        for (Iterator<Deque<Idle>> all = idle.values().iterator(); all.hasNext(); ) {
-            Deque<Idle> of = all.next();
-            if (!of.isEmpty()) {
-                of.pollFirst().connection.close();
+        for (Iterator<Deque<IdleConnection>> queues = idleByCache.values().iterator(); queues.hasNext(); ) {
+            Deque<IdleConnection> idle = queues.next();
+            if (!idle.isEmpty()) {
+                idle.pollFirst().connection.close();
                 return true;
             }
         }
--- a/src/main/java/pewtercourse/cache/HttpTransport.java
+++ b/src/main/java/pewtercourse/cache/HttpTransport.java
@@ -12,30 +12,32 @@
 import java.net.InetSocketAddress;
 
 /**
- * HTTP/1.1 on the library's sockets, read by its decoder. Its HTTP client is left out: that one reads a body
- * without a bound, takes the end of a connection for the end of an answer, and can't tell what came after.
+ * Speaks HTTP/1.1 with caches on Vert.x sockets. The HTTP client of Vert.x is not used: it reads a body without
+ * a limit, takes the end of the connection for the end of a response, and does not report bytes that follow a
+ * response.
  */
 public final class HttpTransport implements Transport {
     private final NetClient client;
 
+    /** Creates a transport whose connections run on the event loops of {@code vertx}. */
     public HttpTransport(Vertx vertx) {
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
     @Override
-    public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
-        String host = to.getAddress().getHostAddress() + ':' + to.getPort();
+    public Future<CacheConnection> connect(InetSocketAddress address, long timeoutMs) {
+        String host = address.getAddress().getHostAddress() + ':' + address.getPort();
         ConnectOptions options = new ConnectOptions()
-                .setRemoteAddress(SocketAddress.inetSocketAddress(to))
+                .setRemoteAddress(SocketAddress.inetSocketAddress(address))
                 .setTimeout((int) timeoutMs);
-        return client.connect(options).map(s -> new Connection(s, host));
+        return client.connect(options).map(socket -> new Connection(socket, host));
     }
 
     private static final class Connection implements CacheConnection {
         private final NetSocket socket;
         private final String host;
         private final ResponseReader reader = new ResponseReader();
-        private Promise<CacheResponse> answer;
+        private Promise<CacheResponse> response;
         private boolean open = true;
         private Runnable onClose = () -> {};
 
@@ -47,34 +49,34 @@
             socket.closeHandler(v -> {
                 open = false;
                 onClose.run();
-                if (answer != null) {
-                    answer.tryFail("closed");
+                if (response != null) {
+                    response.tryFail("closed");
                 }
             });
         }
 
         private void read(Buffer bytes) {
-            if (answer == null || answer.future().isComplete()) {
-                close(); // What comes unasked spoils the next answer.
+            if (response == null || response.future().isComplete()) {
+                close(); // Bytes without a request would be taken for the next response.
                 return;
             }
-            CacheResponse a = reader.add(bytes);
-            if (a != null) {
-                open &= reader.clean();
-                answer.tryComplete(a);
+            CacheResponse complete = reader.read(bytes);
+            if (complete != null) {
+                open &= reader.isReusable();
+                response.tryComplete(complete);
             }
         }
 
         @Override
-        public Future<CacheResponse> exchange(CacheRequest r, long timeoutMs) {
-            answer = Promise.promise();
+        public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
+            response = Promise.promise();
             if (open) {
-                reader.expect(r);
-                socket.write(r.encode(host, timeoutMs));
+                reader.expectResponseTo(request);
+                socket.write(request.encode(host, timeoutMs));
             } else {
-                answer.fail("closed");
+                response.fail("closed");
             }
-            return answer.future();
+            return response.future();
         }
 
         @Override
@@ -83,8 +85,8 @@
         }
 
         @Override
-        public void onClose(Runnable then) {
-            onClose = then;
+        public void onClose(Runnable listener) {
+            onClose = listener;
         }
 
         @Override
--- a/src/main/java/pewtercourse/cache/ResponseReader.java
+++ b/src/main/java/pewtercourse/cache/ResponseReader.java
@@ -20,81 +20,90 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one answer after the other off a connection, by the library's decoder. Guards against caches, or
- * whoever stands between, that send too little, too much or no end: an answer is whole only by its length or
- * its chunks, never because the connection ended, and nothing is held beyond the largest object.
+ * Reads the HTTP responses of one connection, one after the other, with Netty's decoder. Guards against caches
+ * and intermediaries that send too few bytes, too many or no end: a response is complete by its length or its
+ * last chunk only, never because the connection ended, and a body larger than the largest object is rejected.
+ * Confined to the event loop of its connection.
  */
 final class ResponseReader {
-    static final int BODY_MOST = 240_000;
-    private static final int HEAD_MOST = 8_192, LINE_MOST = 1_024, INTERIM_MOST = 16;
-    private static final Pattern LINE_END = Pattern.compile("\r?\n"), LENGTH = Pattern.compile("[0-9]{1,9}");
-    private static final UnpooledByteBufAllocator HEAP = new UnpooledByteBufAllocator(false);
+    static final int MAX_BODY_BYTES = 240_000;
+    private static final int MAX_HEAD_BYTES = 8_192;
+    private static final int MAX_STATUS_LINE_BYTES = 1_024;
+    private static final int MAX_INTERIM_RESPONSES = 16;
+    private static final Pattern LINE_END = Pattern.compile("\r?\n");
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,9}");
+    private static final UnpooledByteBufAllocator HEAP_ALLOCATOR = new UnpooledByteBufAllocator(false);
 
     /**
-     * Tells what the library's decoder passes over in silence: bytes behind the end of an answer, which it keeps
-     * or skips, and lines of a head that are no fields, from which it makes some.
+     * Notices two faults that Netty's decoder does not report: bytes after the end of a response, which it
+     * keeps or skips, and lines of a head that are no header fields, which it turns into fields.
      */
     private static final class Decoder extends HttpResponseDecoder {
-        private final StringBuilder head = new StringBuilder();
-        private ByteBuf rest = Unpooled.EMPTY_BUFFER;
-        private boolean body, last, behind, unreadable;
+        private final StringBuilder rawHead = new StringBuilder();
+        private ByteBuf unread = Unpooled.EMPTY_BUFFER;
+        private boolean inBody;
+        private boolean finalResponse;
+        private boolean hasTrailingBytes;
+        private boolean malformed;
 
         Decoder() {
-            super(LINE_MOST, HEAD_MOST, BODY_MOST);
+            super(MAX_STATUS_LINE_BYTES, MAX_HEAD_BYTES, MAX_BODY_BYTES);
         }
 
-        // As the library's pipeline would, without one: a channel for each connection cost more than its decoder.
+        // Calls the decoder as Netty's pipeline does. A pipeline needs a channel for each connection, which
+        // cost more than the decoder itself.
         List<Object> read(byte[] bytes) {
-            rest = rest.isReadable()
-                    ? HEAP.heapBuffer(rest.readableBytes() + bytes.length)
-                            .writeBytes(rest)
+            unread = unread.isReadable()
+                    ? HEAP_ALLOCATOR.heapBuffer(unread.readableBytes() + bytes.length)
+                            .writeBytes(unread)
                             .writeBytes(bytes)
                     : Unpooled.wrappedBuffer(bytes);
-            List<Object> out = new ArrayList<>(4);
+            List<Object> parts = new ArrayList<>(4);
             try {
-                for (int left = -1, had = 0;
-                        rest.isReadable() && (left != rest.readableBytes() || had != out.size()); ) {
-                    left = rest.readableBytes();
-                    had = out.size();
-                    decode(null, rest, out);
+                for (int previousBytes = -1, previousParts = 0;
+                        unread.isReadable() && (previousBytes != unread.readableBytes() || previousParts != parts.size()); ) {
+                    previousBytes = unread.readableBytes();
+                    previousParts = parts.size();
+                    decode(null, unread, parts);
                 }
             } catch (Exception e) {
-                unreadable = true;
+                malformed = true;
             }
-            return out;
+            return parts;
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            int from = in.readerIndex();
-            super.decode(ctx, in, out);
-            if (!body) {
-                head.append(in.toString(from, in.readerIndex() - from, StandardCharsets.ISO_8859_1));
+        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> parts) throws Exception {
+            int start = in.readerIndex();
+            super.decode(ctx, in, parts);
+            if (!inBody) {
+                rawHead.append(in.toString(start, in.readerIndex() - start, StandardCharsets.ISO_8859_1));
             }
-            for (Object o : out) {
-                if (o instanceof HttpResponse r) {
-                    unreadable |= !allFields(head);
-                    head.setLength(0);
-                    body = true;
-                    last = r.status().code() / 100 != 1;
+            for (Object part : parts) {
+                if (part instanceof HttpResponse response) {
+                    malformed |= !hasOnlyHeaderFields(rawHead);
+                    rawHead.setLength(0);
+                    inBody = true;
+                    finalResponse = response.status().code() / 100 != 1;
                 }
-                behind |= o instanceof LastHttpContent && last && in.isReadable();
-                body &= !(o instanceof LastHttpContent);
+                hasTrailingBytes |= part instanceof LastHttpContent && finalResponse && in.isReadable();
+                inBody &= !(part instanceof LastHttpContent);
             }
         }
 
-        // Each line after the first up to the empty one is a name of token characters and a colon.
-        private static boolean allFields(CharSequence head) {
-            String[] lines = LINE_END.split(head.toString().strip());
+        // Whether each line between the status line and the empty line starts with a field name (RFC 9110
+        // token) and a colon.
+        private static boolean hasOnlyHeaderFields(CharSequence rawHead) {
+            String[] lines = LINE_END.split(rawHead.toString().strip());
             for (int i = 1; i < lines.length; i++) {
-                int at = 0;
-                while (at < lines[i].length()
-                        && lines[i].charAt(at) > ' '
-                        && lines[i].charAt(at) < 127
-                        && "\"(),/:;<=>?@[\\]{}".indexOf(lines[i].charAt(at)) < 0) {
-                    at++;
+                int nameLength = 0;
+                while (nameLength < lines[i].length()
+                        && lines[i].charAt(nameLength) > ' '
+                        && lines[i].charAt(nameLength) < 127
+                        && "\"(),/:;<=>?@[\\]{}".indexOf(lines[i].charAt(nameLength)) < 0) {
+                    nameLength++;
                 }
-                if (at == 0 || at == lines[i].length() || lines[i].charAt(at) != ':') {
+                if (nameLength == 0 || nameLength == lines[i].length() || lines[i].charAt(nameLength) != ':') {
                     return false;
                 }
             }
@@ -102,110 +111,125 @@
         }
     }
 
-    private final Decoder answers = new Decoder();
+    private final Decoder decoder = new Decoder();
     private HttpResponse head;
     private ByteBuf body;
-    private String known, path, pathBefore, tagBefore;
-    private int hashBefore;
-    private int interim;
-    private boolean clean = true;
-
-    /** The next answer belongs to this request. */
-    void expect(CacheRequest r) {
-        known = r.known();
-        pathBefore = path;
-        path = r.path();
+    private String knownTag;
+    private String path;
+    private String previousPath;
+    private String previousTag;
+    private int previousHash;
+    private int interimResponses;
+    private boolean reusable = true;
+
+    /** Prepares for the response to {@code request}, which is about to be sent. */
+    void expectResponseTo(CacheRequest request) {
+        knownTag = request.knownTag();
+        previousPath = path;
+        path = request.path();
         head = null;
         body = null;
-        interim = 0;
+        interimResponses = 0;
     }
 
-    /** The answer once it is whole or can't be used any more; until then null. */
-    CacheResponse add(Buffer bytes) {
-        CacheResponse answer = null;
-        for (Object o : answers.read(bytes.getBytes())) {
-            if (answer == null) {
-                answer = take((HttpObject) o);
+    /** Reads the next bytes; returns the response once it is complete or found malformed, and null before that. */
+    CacheResponse read(Buffer bytes) {
+        CacheResponse response = null;
+        for (Object part : decoder.read(bytes.getBytes())) {
+            if (response == null) {
+                response = readPart((HttpObject) part);
             } else {
-                clean = false;
+                reusable = false;
             }
         }
-        return answer == null && answers.unreadable ? broken() : answer;
+        return response == null && decoder.malformed ? malformedResponse() : response;
     }
 
-    /** Whether nothing came but the answers that were due, and the last one leaves the connection open. */
-    boolean clean() {
-        return clean && !answers.behind;
+    /**
+     * Whether the connection may carry another request: nothing came but well-formed responses to the requests,
+     * and the last one keeps the connection alive.
+     */
+    boolean isReusable() {
+        return reusable && !decoder.hasTrailingBytes;
     }
 
-    private CacheResponse take(HttpObject o) {
-        if (o.decoderResult().isFailure() || answers.unreadable) {
-            return broken();
+    private CacheResponse readPart(HttpObject part) {
+        if (part.decoderResult().isFailure() || decoder.malformed) {
+            return malformedResponse();
         }
-        if (o instanceof HttpResponse r) {
-            if (!r.protocolVersion().text().startsWith("HTTP/1.")) {
-                return broken();
+        if (part instanceof HttpResponse response) {
+            if (!response.protocolVersion().text().startsWith("HTTP/1.")) {
+                return malformedResponse();
             }
-            if (r.status().code() / 100 == 1) {
-                return ++interim > INTERIM_MOST ? broken() : null;
+            if (response.status().code() / 100 == 1) {
+                return ++interimResponses > MAX_INTERIM_RESPONSES ? malformedResponse() : null;
             }
-            head = r;
-            body = HEAP.heapBuffer(1_024);
-            if (bytesOf(r) > BODY_MOST) {
-                return broken();
+            head = response;
+            body = HEAP_ALLOCATOR.heapBuffer(1_024);
+            if (declaredBodyBytes(response) > MAX_BODY_BYTES) {
+                return malformedResponse();
             }
         }
-        if (head != null && o instanceof HttpContent c) {
-            if (body.readableBytes() + c.content().readableBytes() > BODY_MOST) {
-                return broken();
+        if (head != null && part instanceof HttpContent content) {
+            if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
+                return malformedResponse();
             }
-            body.writeBytes(c.content());
-            return o instanceof LastHttpContent ? whole() : null;
+            body.writeBytes(content.content());
+            return part instanceof LastHttpContent ? completeResponse() : null;
         }
         return null;
     }
 
-    /** How long the body says it is; past all bounds where it doesn't say, as then its end proves nothing. */
-    private static long bytesOf(HttpResponse r) {
-        String length = r.headers().get(HttpHeaderNames.CONTENT_LENGTH);
-        int code = r.status().code();
-        if (code == 304 || code == 204 || length == null && HttpUtil.isTransferEncodingChunked(r)) {
+    /**
+     * Length of the body as its head declares it, and 0 if it has none or comes in chunks. Without a valid
+     * length it is {@code Long.MAX_VALUE}, which is rejected: only the end of the connection would end the
+     * body, and that proves nothing.
+     */
+    private static long declaredBodyBytes(HttpResponse response) {
+        String length = response.headers().get(HttpHeaderNames.CONTENT_LENGTH);
+        int code = response.status().code();
+        if (code == 304 || code == 204 || length == null && HttpUtil.isTransferEncodingChunked(response)) {
             return 0;
         }
-        return length != null && LENGTH.matcher(length).matches() ? Long.parseLong(length) : Long.MAX_VALUE;
+        return length != null && CONTENT_LENGTH.matcher(length).matches() ? Long.parseLong(length) : Long.MAX_VALUE;
     }
 
-    private CacheResponse whole() {
-        clean &= HttpUtil.isKeepAlive(head);
+    private CacheResponse completeResponse() {
+        reusable &= HttpUtil.isKeepAlive(head);
         byte[] bytes = new byte[body.readableBytes()];
         body.readBytes(bytes);
-        CacheResponse a = CacheResponse.decode(
+        CacheResponse response = CacheResponse.decode(
                 head.status().code(),
                 "1".equals(head.headers().get("Never-Ran")),
                 head.headers().get(HttpHeaderNames.CONTENT_LENGTH),
                 Buffer.buffer(bytes),
                 head.headers().get(HttpHeaderNames.ETAG),
                 head.headers().get("Outcome"));
-        // Nobody may be told that a copy holds that was not asked about.
-        boolean wrongCopy = a.end() == AttemptResult.NOT_MODIFIED && (known == null || !known.equals(a.tag()));
-        return wrongCopy || a.end() == AttemptResult.SERVED && repeated(a.tag(), bytes) ? broken() : a;
+        // A 304 counts only for the tag that the request named: it must not confirm any other copy.
+        boolean confirmsOtherCopy = response.result() == AttemptResult.NOT_MODIFIED
+                && (knownTag == null || !knownTag.equals(response.tag()));
+        return confirmsOtherCopy
+                        || response.result() == AttemptResult.SERVED && repeatsPreviousResponse(response.tag(), bytes)
+                ? malformedResponse()
+                : response;
     }
 
-    // A second copy of the last answer that came so late that its connection was in use again.
-    private boolean repeated(String tag, byte[] bytes) {
+    // Whether this is a second copy of the previous response, which came so late that its connection was in use
+    // again: the content is the same though the request was for another path.
+    private boolean repeatsPreviousResponse(String tag, byte[] bytes) {
         int hash = tag != null ? tag.hashCode() : Arrays.hashCode(bytes);
-        boolean same = pathBefore != null
-                && !pathBefore.equals(path)
+        boolean repeats = previousPath != null
+                && !previousPath.equals(path)
                 && bytes.length > 0
-                && Objects.equals(tag, tagBefore)
-                && hash == hashBefore;
-        tagBefore = tag;
-        hashBefore = hash;
-        return same;
+                && Objects.equals(tag, previousTag)
+                && hash == previousHash;
+        previousTag = tag;
+        previousHash = hash;
+        return repeats;
     }
 
-    private CacheResponse broken() {
-        clean = false;
+    private CacheResponse malformedResponse() {
+        reusable = false;
         return CacheResponse.of(AttemptResult.MALFORMED);
     }
 }
--- a/src/main/java/pewtercourse/cache/Transport.java
+++ b/src/main/java/pewtercourse/cache/Transport.java
@@ -5,6 +5,6 @@
 
 /** Opens connections to caches. */
 public interface Transport {
-    /** A connection that is not up after {@code timeoutMs} is dropped, whoever waits for it. */
-    Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs);
+    /** Opens a connection; fails if it is not established within {@code timeoutMs}. */
+    Future<CacheConnection> connect(InetSocketAddress address, long timeoutMs);
 }
--- a/src/main/java/pewtercourse/cache/package-info.java
+++ b/src/main/java/pewtercourse/cache/package-info.java
@@ -1,2 +1,5 @@
-/** Connections and attempts to caches over HTTP/1.1, and how each of them can end. */
+/**
+ * Connections to caches over HTTP/1.1, the requests that are attempted on them, and the results of those
+ * attempts.
+ */
 package pewtercourse.cache;
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -181,7 +181,7 @@
         site = next;
         home.tell(new SettingsChanged(next.router()));
         abroad.forEach((zone, d) -> d.tell(new SettingsChanged(next.guestsAt(zone))));
-        pool.idleMost((long) (IDLE_SHARE * next.idleClose()));
+        pool.setMaxIdleMicros((long) (IDLE_SHARE * next.idleClose()));
         registry.use(next);
         if (listAnew) {
             tell(registry.whole());
@@ -263,7 +263,7 @@
     /** The figures of the parts behind the front. */
     public Metrics.GaugeValues gaugeValues(long accepted, long invalid) {
         return new Metrics.GaugeValues(
-                pool.written(),
+                pool.requestsWritten(),
                 registry.size(),
                 registry.listedOut() + home.router().status().ejectedEndpoints(),
                 accepted,
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -166,9 +166,9 @@
     // ---- The attempt ends: the first that serves is the client's answer; the module hears of each ----
     private void ended(int number, SendAttempt s, CacheResponse a) {
         attempt = null;
-        if (a.end() == AttemptResult.SERVED) {
+        if (a.result() == AttemptResult.SERVED) {
             finish(Answer.served(a.body(), a.tag()));
-        } else if (a.end() == AttemptResult.NOT_MODIFIED) {
+        } else if (a.result() == AttemptResult.NOT_MODIFIED) {
             finish(Answer.same(a.tag()));
         }
         if (director.tracing) {
@@ -183,9 +183,9 @@
                     "source",
                     Long.toHexString(s.fillSourceId()),
                     "end",
-                    a.end(),
+                    a.result(),
                     "outcome",
-                    a.outcome(),
+                    a.outcomeHeader(),
                     "bytes",
                     a.body() == null ? 0 : a.body().length(),
                     "kb",
@@ -194,9 +194,9 @@
                     (director.clock.getAsLong() - sentAt) / 1000);
         }
         if (director.sightsOrNull() != null) {
-            seen(s, a.end());
+            seen(s, a.result());
         }
-        queue.tell(outcome(number, s, a.end(), a.outcome()));
+        queue.tell(outcome(number, s, a.result(), a.outcomeHeader()));
         leave();
     }
 
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -51,13 +51,13 @@
         for (WatchedEndpoint h : change.endpoints()) {
             WatchedEndpoint before = hosts.get(h.id());
             if (before != null && before.startedMs() != h.startedMs()) {
-                pool.drop(h.id(), true); // Connections to the process that ran there before.
+                pool.closeIdleConnections(h.id(), true); // Connections to the process that ran there before.
             }
             if (h.state() == EndpointLifecycle.GONE || h.address() == null) {
                 forget(h.id());
             } else {
                 hosts.put(h.id(), h);
-                pool.admit(h.id());
+                pool.addCache(h.id());
             }
             members.add(member(h));
         }
@@ -78,7 +78,7 @@
         if (h != null) {
             out.forget(h.name());
         }
-        pool.drop(id, true);
+        pool.closeIdleConnections(id, true);
     }
 
     private WatchedEndpoint named(String name) {
@@ -148,7 +148,7 @@
     // Connections to the process that ran before it was taken out, or came back, are of no use.
     private EndpointsChanged told(WatchedEndpoint h) {
         if (h != null) {
-            pool.drop(h.id(), false);
+            pool.closeIdleConnections(h.id(), false);
         }
         return new EndpointsChanged(EndpointUpdateKind.DELTA, h == null ? List.of() : List.of(member(h)));
     }
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -25,30 +25,33 @@
 import net.jqwik.api.state.Transformer;
 import pewtercourse.Timers;
 
-/** Attempts and the pool under random steps: connections come up, fail, die, fall silent; timers run out. */
+/**
+ * Runs attempts and their pool through random steps: connections are established, refused, broken or silent,
+ * and timers fire.
+ */
 class AttemptModelTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 9);
-    private static final Set<AttemptResult> UNSENT =
+    private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress("127.0.0.1", 9);
+    private static final Set<AttemptResult> NOTHING_WRITTEN =
             EnumSet.of(AttemptResult.REFUSED, AttemptResult.CONNECT_TIMEOUT, AttemptResult.NO_DESCRIPTOR, AttemptResult.OVERTAKEN, AttemptResult.CANCELLED_UNSENT);
-    private static final int CONNECTIONS_MOST = 4;
-    private static final long IDLE_MOST = 40_000;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final long MAX_IDLE_MICROS = 40_000;
 
-    private static final class Line implements CacheConnection {
+    private static final class FakeConnection implements CacheConnection {
         final long cache;
-        Promise<CacheResponse> answer;
+        Promise<CacheResponse> response;
         boolean open = true;
         Runnable onClose = () -> {};
 
-        Line(long cache) {
+        FakeConnection(long cache) {
             this.cache = cache;
         }
 
         @Override
         public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
             assertTrue(open, "written to a closed connection");
-            assertTrue(answer == null || answer.future().isComplete(), "two requests at once");
-            answer = Promise.promise();
-            return answer.future();
+            assertTrue(response == null || response.future().isComplete(), "two requests at once");
+            response = Promise.promise();
+            return response.future();
         }
 
         @Override
@@ -57,8 +60,8 @@
         }
 
         @Override
-        public void onClose(Runnable then) {
-            onClose = then;
+        public void onClose(Runnable listener) {
+            onClose = listener;
         }
 
         @Override
@@ -66,141 +69,145 @@
             if (open) {
                 open = false;
                 onClose.run();
-                if (answer != null) {
-                    answer.tryFail("closed");
+                if (response != null) {
+                    response.tryFail("closed");
                 }
             }
         }
     }
 
-    private static final class Try {
+    private static final class TrackedAttempt {
         long cache;
         Attempt attempt;
         Promise<CacheConnection> connecting;
-        boolean right = true;
-        AttemptResult end;
+        boolean preconditionHolds = true;
+        AttemptResult result;
     }
 
     private static final class Model {
-        final List<Line> lines = new ArrayList<>();
-        final List<Try> tries = new ArrayList<>();
+        final List<FakeConnection> connections = new ArrayList<>();
+        final List<TrackedAttempt> attempts = new ArrayList<>();
         final Map<Long, Runnable> timers = new TreeMap<>();
-        long now, nextTimer;
-        Try starting;
+        long now;
+        long nextTimer;
+        TrackedAttempt starting;
         final Map<Long, Runnable> settling = new TreeMap<>();
         final ConnectionPool pool = new ConnectionPool(
-                (to, timeoutMs) -> {
+                (address, timeoutMs) -> {
                     starting.connecting = Promise.promise();
                     return starting.connecting.future();
                 },
-                timers(settling),
+                timersIn(settling),
                 () -> now,
-                IDLE_MOST,
-                CONNECTIONS_MOST);
+                MAX_IDLE_MICROS,
+                MAX_CONNECTIONS);
 
         Model() {
-            pool.admit(0);
-            pool.admit(1);
+            pool.addCache(0);
+            pool.addCache(1);
         }
 
-        Timers timers(Map<Long, Runnable> of) {
+        Timers timersIn(Map<Long, Runnable> pending) {
             return new Timers() {
                 @Override
-                public long set(long delayMs, Runnable then) {
-                    of.put(++nextTimer, then);
+                public long set(long delayMs, Runnable task) {
+                    pending.put(++nextTimer, task);
                     return nextTimer;
                 }
 
                 @Override
                 public void cancel(long timer) {
-                    of.remove(timer);
+                    pending.remove(timer);
                 }
             };
         }
 
-        /** Connections that rest after their answers have done so. */
-        void settle() {
+        /** Ends the wait of all connections after their last response. */
+        void settleAll() {
             while (!settling.isEmpty()) {
                 settling.remove(settling.keySet().iterator().next()).run();
             }
         }
 
         void start(long cache) {
-            Try t = new Try();
-            t.cache = cache;
-            starting = t;
-            t.attempt = new Attempt(
+            TrackedAttempt tracked = new TrackedAttempt();
+            tracked.cache = cache;
+            starting = tracked;
+            tracked.attempt = new Attempt(
                     pool,
-                    timers(timers),
+                    timersIn(timers),
                     () -> now,
                     cache,
-                    ANY,
+                    ANY_ADDRESS,
                     new CacheRequest("id", "c", "o", 0, Buffer.buffer(), null, 0, 0, false, false, false, null),
                     400_000,
                     now + 1_000_000,
-                    () -> t.right,
-                    a -> {
-                        assertEquals(null, t.end, "ended twice");
-                        t.end = a.end();
+                    () -> tracked.preconditionHolds,
+                    response -> {
+                        assertEquals(null, tracked.result, "finished twice");
+                        tracked.result = response.result();
                     });
-            tries.add(t);
-            t.attempt.start();
+            attempts.add(tracked);
+            tracked.attempt.start();
         }
 
-        Line lineOf(Try t) {
-            return lines.stream()
-                    .filter(l -> l.answer != null && !l.answer.future().isComplete() && l.open && l.cache == t.cache)
+        FakeConnection busyConnectionOf(TrackedAttempt tracked) {
+            return connections.stream()
+                    .filter(connection -> connection.response != null && !connection.response.future().isComplete() && connection.open && connection.cache == tracked.cache)
                     .findFirst()
                     .orElse(null);
         }
 
-        void connected(int i, boolean up) {
-            Try t = pick(i);
-            if (t == null || t.connecting == null || t.connecting.future().isComplete()) {
+        void completeConnect(int i, boolean succeeds) {
+            TrackedAttempt tracked = pickAttempt(i);
+            if (tracked == null || tracked.connecting == null || tracked.connecting.future().isComplete()) {
                 return;
             }
-            boolean before = t.end != null;
-            if (up) {
-                Line l = new Line(t.cache);
-                lines.add(l);
-                t.connecting.complete(l);
-                assertTrue(before || t.end == null || t.end == AttemptResult.OVERTAKEN);
+            boolean finishedBefore = tracked.result != null;
+            if (succeeds) {
+                FakeConnection connection = new FakeConnection(tracked.cache);
+                connections.add(connection);
+                tracked.connecting.complete(connection);
+                assertTrue(finishedBefore || tracked.result == null || tracked.result == AttemptResult.OVERTAKEN);
             } else {
-                t.connecting.fail("refused");
-                assertTrue(before || t.end == AttemptResult.REFUSED);
+                tracked.connecting.fail("refused");
+                assertTrue(finishedBefore || tracked.result == AttemptResult.REFUSED);
             }
         }
 
-        void answered(int i, AttemptResult end) {
-            Line l = pickLine(i);
-            if (l != null) {
-                l.answer.complete(CacheResponse.of(end));
-                assertTrue(l.open == (end != AttemptResult.MALFORMED), "kept only after a whole answer");
+        void respond(int i, AttemptResult result) {
+            FakeConnection connection = pickBusyConnection(i);
+            if (connection != null) {
+                connection.response.complete(CacheResponse.of(result));
+                assertTrue(connection.open == (result != AttemptResult.MALFORMED), "kept only after a well-formed response");
             }
         }
 
-        /** A connection that dies after the write may have run its request, reused or not. */
-        void dies(int i) {
-            Line l = pickLine(i);
-            if (l != null) {
-                long resets = tries.stream().filter(t -> t.end == AttemptResult.RESET).count();
-                l.close();
+        /**
+         * Breaks a connection after the write: its request may have run, on a new connection as on a reused
+         * one.
+         */
+        void breakBusyConnection(int i) {
+            FakeConnection connection = pickBusyConnection(i);
+            if (connection != null) {
+                long resets = attempts.stream().filter(tracked -> tracked.result == AttemptResult.RESET).count();
+                connection.close();
                 assertEquals(
                         resets + 1,
-                        tries.stream().filter(t -> t.end == AttemptResult.RESET).count());
+                        attempts.stream().filter(tracked -> tracked.result == AttemptResult.RESET).count());
             }
         }
 
-        void idleDies(int i) {
-            if (!lines.isEmpty()) {
-                Line l = lines.get(i % lines.size());
-                if (l.answer != null && l.answer.future().isComplete()) {
-                    l.close();
+        void breakIdleConnection(int i) {
+            if (!connections.isEmpty()) {
+                FakeConnection connection = connections.get(i % connections.size());
+                if (connection.response != null && connection.response.future().isComplete()) {
+                    connection.close();
                 }
             }
         }
 
-        void timer(int i) {
+        void fireTimer(int i) {
             if (!timers.isEmpty()) {
                 Long id = new ArrayList<>(timers.keySet()).get(i % timers.size());
                 timers.remove(id).run();
@@ -208,165 +215,165 @@
         }
 
         void cancel(int i) {
-            Try t = pick(i);
-            if (t != null) {
-                AttemptResult before = t.end;
-                t.attempt.cancel();
-                assertTrue(before != null ? t.end == before : t.end == AttemptResult.CANCELLED || t.end == AttemptResult.CANCELLED_UNSENT);
+            TrackedAttempt tracked = pickAttempt(i);
+            if (tracked != null) {
+                AttemptResult before = tracked.result;
+                tracked.attempt.cancel();
+                assertTrue(before != null ? tracked.result == before : tracked.result == AttemptResult.CANCELLED || tracked.result == AttemptResult.CANCELLED_UNSENT);
             }
         }
 
-        void overtaken(int i) {
-            Try t = pick(i);
-            if (t != null) {
-                t.right = false;
+        void breakPrecondition(int i) {
+            TrackedAttempt tracked = pickAttempt(i);
+            if (tracked != null) {
+                tracked.preconditionHolds = false;
             }
         }
 
-        /** A new cache takes over the address: none of the old connections may serve it. */
-        void replaced(long cache) {
-            pool.drop(cache, true);
-            settle();
+        /** Replaces a cache by a new process: none of the old connections may serve it. */
+        void replaceCache(long cache) {
+            pool.closeIdleConnections(cache, true);
+            settleAll();
             assertTrue(
-                    lines.stream()
-                            .noneMatch(l -> l.cache == cache
-                                    && l.open
-                                    && (l.answer == null || l.answer.future().isComplete())),
-                    "idle connections to a gone cache");
-            pool.admit(cache);
+                    connections.stream()
+                            .noneMatch(connection -> connection.cache == cache
+                                    && connection.open
+                                    && (connection.response == null || connection.response.future().isComplete())),
+                    "idle connections to a removed cache");
+            pool.addCache(cache);
         }
 
-        private Try pick(int i) {
-            return tries.isEmpty() ? null : tries.get(i % tries.size());
+        private TrackedAttempt pickAttempt(int i) {
+            return attempts.isEmpty() ? null : attempts.get(i % attempts.size());
         }
 
-        private Line pickLine(int i) {
-            List<Line> busy = lines.stream()
-                    .filter(l ->
-                            l.open && l.answer != null && !l.answer.future().isComplete())
+        private FakeConnection pickBusyConnection(int i) {
+            List<FakeConnection> busy = connections.stream()
+                    .filter(connection ->
+                            connection.open && connection.response != null && !connection.response.future().isComplete())
                     .toList();
             return busy.isEmpty() ? null : busy.get(i % busy.size());
         }
 
-        void check() {
-            long busy = lines.stream()
-                    .filter(l ->
-                            l.open && l.answer != null && !l.answer.future().isComplete())
+        void checkInvariants() {
+            long busy = connections.stream()
+                    .filter(connection ->
+                            connection.open && connection.response != null && !connection.response.future().isComplete())
                     .count();
-            long running = tries.stream().filter(t -> t.end == null).count();
-            long connecting = tries.stream()
-                    .filter(t -> t.end == null
-                            && t.connecting != null
-                            && !t.connecting.future().isComplete())
+            long running = attempts.stream().filter(tracked -> tracked.result == null).count();
+            long connecting = attempts.stream()
+                    .filter(tracked -> tracked.result == null
+                            && tracked.connecting != null
+                            && !tracked.connecting.future().isComplete())
                     .count();
-            assertEquals(running - connecting, busy, "a connection is busy only for an attempt that is out");
-            assertEquals(running, timers.size(), "one timer for each attempt that is out, none besides");
-            assertTrue(lines.stream().filter(Line::isOpen).count() <= CONNECTIONS_MOST, "too many connections");
+            assertEquals(running - connecting, busy, "a connection is busy only for a running attempt");
+            assertEquals(running, timers.size(), "one timer for each running attempt and no other");
+            assertTrue(connections.stream().filter(FakeConnection::isOpen).count() <= MAX_CONNECTIONS, "too many connections");
         }
     }
 
     @Property(tries = 500, seed = "7")
-    void anAttemptEndsOnceAndLeavesNothingBehind(@ForAll("chains") ActionChain<Model> chain) {
-        Model m = chain.withInvariant(Model::check).run();
-        while (!m.timers.isEmpty()) {
-            m.timer(0);
+    void finishesEachAttemptOnceAndLeavesNoTimer(@ForAll("chains") ActionChain<Model> chain) {
+        Model model = chain.withInvariant(Model::checkInvariants).run();
+        while (!model.timers.isEmpty()) {
+            model.fireTimer(0);
         }
-        assertTrue(m.tries.stream().allMatch(t -> t.end != null), "an attempt without an end");
+        assertTrue(model.attempts.stream().allMatch(tracked -> tracked.result != null), "an attempt without a result");
     }
 
     @Provide
     Arbitrary<ActionChain<Model>> chains() {
-        Arbitrary<Integer> n = Arbitraries.integers().between(0, 20);
-        Arbitrary<AttemptResult> heard = Arbitraries.of(AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.FULL, AttemptResult.ERROR, AttemptResult.MALFORMED);
+        Arbitrary<Integer> index = Arbitraries.integers().between(0, 20);
+        Arbitrary<AttemptResult> results = Arbitraries.of(AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.FULL, AttemptResult.ERROR, AttemptResult.MALFORMED);
         return ActionChain.startWith(Model::new)
-                .withAction(6, step(n.map(i -> Transformer.mutate("start", m -> m.start(i % 2)))))
-                .withAction(6, step(n.map(i -> Transformer.mutate("connected " + i, m -> m.connected(i, i % 4 > 0)))))
+                .withAction(6, step(index.map(i -> Transformer.mutate("start", m -> m.start(i % 2)))))
+                .withAction(6, step(index.map(i -> Transformer.mutate("complete connect " + i, m -> m.completeConnect(i, i % 4 > 0)))))
                 .withAction(
                         5,
-                        step(n.flatMap(i ->
-                                heard.map(e -> Transformer.mutate("answered " + e, m -> m.answered(i, e))))))
-                .withAction(2, step(n.map(i -> Transformer.mutate("dies " + i, m -> m.dies(i)))))
-                .withAction(2, step(n.map(i -> Transformer.mutate("idle dies " + i, m -> m.idleDies(i)))))
-                .withAction(2, step(n.map(i -> Transformer.mutate("timer " + i, m -> m.timer(i)))))
-                .withAction(2, step(n.map(i -> Transformer.mutate("cancel " + i, m -> m.cancel(i)))))
-                .withAction(1, step(n.map(i -> Transformer.mutate("overtaken " + i, m -> m.overtaken(i)))))
-                .withAction(1, step(n.map(i -> Transformer.mutate("replaced " + i, m -> m.replaced(i % 2)))))
-                .withAction(3, step(n.map(i -> Transformer.mutate("settle", Model::settle))))
-                .withAction(1, step(n.map(i -> Transformer.mutate("later", m -> m.now += 6_000))))
+                        step(index.flatMap(i ->
+                                results.map(result -> Transformer.mutate("respond " + result, m -> m.respond(i, result))))))
+                .withAction(2, step(index.map(i -> Transformer.mutate("break busy connection " + i, m -> m.breakBusyConnection(i)))))
+                .withAction(2, step(index.map(i -> Transformer.mutate("break idle connection " + i, m -> m.breakIdleConnection(i)))))
+                .withAction(2, step(index.map(i -> Transformer.mutate("fire timer " + i, m -> m.fireTimer(i)))))
+                .withAction(2, step(index.map(i -> Transformer.mutate("cancel " + i, m -> m.cancel(i)))))
+                .withAction(1, step(index.map(i -> Transformer.mutate("break precondition " + i, m -> m.breakPrecondition(i)))))
+                .withAction(1, step(index.map(i -> Transformer.mutate("replace cache " + i, m -> m.replaceCache(i % 2)))))
+                .withAction(3, step(index.map(i -> Transformer.mutate("settle all", Model::settleAll))))
+                .withAction(1, step(index.map(i -> Transformer.mutate("later", m -> m.now += 6_000))))
                 .withMaxTransformations(60);
     }
 
-    private static Action.Independent<Model> step(Arbitrary<Transformer<Model>> of) {
-        return () -> of;
+    private static Action.Independent<Model> step(Arbitrary<Transformer<Model>> transformers) {
+        return () -> transformers;
     }
 
     @Example
-    void aConnectionThatStayedIdleTooLongIsNotUsedAgain() {
-        Model m = new Model();
-        m.start(0);
-        m.connected(0, true);
-        m.answered(0, AttemptResult.SERVED);
-        m.settle();
-        m.now += IDLE_MOST;
-        m.start(0);
-        assertFalse(m.lines.get(0).open);
-        assertTrue(m.tries.get(1).connecting != null);
+    void doesNotReuseAConnectionThatWasIdleTooLong() {
+        Model model = new Model();
+        model.start(0);
+        model.completeConnect(0, true);
+        model.respond(0, AttemptResult.SERVED);
+        model.settleAll();
+        model.now += MAX_IDLE_MICROS;
+        model.start(0);
+        assertFalse(model.connections.get(0).open);
+        assertTrue(model.attempts.get(1).connecting != null);
     }
 
-    // The list may tell of a new process of the same name, at another address, while a connection to the old one comes
-    // up.
+    // The control feed may list a new process of the same name, at another address, while a connection to the
+    // old one is being established.
     @Example
-    void aConnectionThatWasDialledToAnEarlierProcessIsNeitherUsedNorKept() {
-        Model m = new Model();
-        m.start(0);
-        m.replaced(0);
-        m.connected(0, true);
-        assertEquals(AttemptResult.OVERTAKEN, m.tries.get(0).end);
-        assertFalse(m.lines.get(0).open);
-        m.start(0);
-        m.tries.get(1).attempt.cancel();
-        m.replaced(0);
-        m.connected(1, true);
-        assertFalse(m.lines.get(1).open, "came up late, for an attempt that had ended");
+    void neitherUsesNorKeepsAConnectionToAnEarlierProcess() {
+        Model model = new Model();
+        model.start(0);
+        model.replaceCache(0);
+        model.completeConnect(0, true);
+        assertEquals(AttemptResult.OVERTAKEN, model.attempts.get(0).result);
+        assertFalse(model.connections.get(0).open);
+        model.start(0);
+        model.attempts.get(1).attempt.cancel();
+        model.replaceCache(0);
+        model.completeConnect(1, true);
+        assertFalse(model.connections.get(1).open, "established late, for an attempt that had finished");
     }
 
     @Example
-    void aNewConnectionThatIsClosedBeforeTheRequestIsWrittenProvesThatNothingRan() {
-        Model m = new Model();
-        m.start(0);
-        Line line = new Line(0);
-        line.close();
-        m.lines.add(line);
-        m.tries.get(0).connecting.complete(line);
-        assertEquals(AttemptResult.REFUSED, m.tries.get(0).end);
+    void reportsRefusedWhenANewConnectionClosesBeforeTheRequestIsWritten() {
+        Model model = new Model();
+        model.start(0);
+        FakeConnection connection = new FakeConnection(0);
+        connection.close();
+        model.connections.add(connection);
+        model.attempts.get(0).connecting.complete(connection);
+        assertEquals(AttemptResult.REFUSED, model.attempts.get(0).result);
     }
 
     @Example
-    void aConnectionRestsAfterAnAnswerLestWhatComesBehindItIsTakenForTheNext() {
-        Model m = new Model();
-        m.start(0);
-        m.connected(0, true);
-        m.answered(0, AttemptResult.SERVED);
-        m.start(0);
-        assertTrue(m.tries.get(1).connecting != null, "used again at once");
-        m.tries.get(1).attempt.cancel();
-        m.settle();
-        m.start(0);
-        assertTrue(m.tries.get(2).connecting == null, "not used again");
-        assertEquals(null, m.tries.get(2).end);
+    void reusesAConnectionOnlyAfterItsSettleTime() {
+        Model model = new Model();
+        model.start(0);
+        model.completeConnect(0, true);
+        model.respond(0, AttemptResult.SERVED);
+        model.start(0);
+        assertTrue(model.attempts.get(1).connecting != null, "reused at once");
+        model.attempts.get(1).attempt.cancel();
+        model.settleAll();
+        model.start(0);
+        assertTrue(model.attempts.get(2).connecting == null, "not reused");
+        assertEquals(null, model.attempts.get(2).result);
     }
 
     @Example
-    void anAnswerThatIsNotWholeIsNeverServed() {
-        Buffer b = Buffer.buffer("1234");
+    void neverServesAnIncompleteResponse() {
+        Buffer body = Buffer.buffer("1234");
         assertEquals(
-                AttemptResult.SERVED, CacheResponse.decode(200, false, "4", b, "t", "mem").end());
+                AttemptResult.SERVED, CacheResponse.decode(200, false, "4", body, "t", "mem").result());
         assertEquals(
                 AttemptResult.MALFORMED,
-                CacheResponse.decode(200, false, "5", b, "t", "mem").end());
+                CacheResponse.decode(200, false, "5", body, "t", "mem").result());
         assertEquals(
-                AttemptResult.ERROR, CacheResponse.decode(503, false, "0", b, null, null).end());
-        assertEquals(AttemptResult.FULL, CacheResponse.decode(503, true, "0", b, null, null).end());
-        assertTrue(UNSENT.contains(AttemptResult.REFUSED));
+                AttemptResult.ERROR, CacheResponse.decode(503, false, "0", body, null, null).result());
+        assertEquals(AttemptResult.FULL, CacheResponse.decode(503, true, "0", body, null, null).result());
+        assertTrue(NOTHING_WRITTEN.contains(AttemptResult.REFUSED));
     }
 }
--- a/src/test/java/pewtercourse/cache/HttpTransportTest.java
+++ b/src/test/java/pewtercourse/cache/HttpTransportTest.java
@@ -13,9 +13,10 @@
 import pewtercourse.SilentListener;
 
 class HttpTransportTest {
-    private static final long HASTY_MS = 50, PATIENT_MS = 600_000;
-    // Over the hasty timeout, far under the library's own of a minute.
-    private static final long ENDED_SECONDS = 30;
+    private static final long SHORT_TIMEOUT_MS = 50;
+    private static final long LONG_TIMEOUT_MS = 600_000;
+    // Longer than the short timeout, far shorter than the default of Vert.x, a minute.
+    private static final long WAIT_SECONDS = 30;
 
     private final Vertx vertx = Vertx.vertx();
 
@@ -24,16 +25,19 @@
         vertx.close();
     }
 
-    /** After a reload the next dial goes by the new timeout, also while one with the old timeout is under way. */
+    /**
+     * After a reload new connections use the new timeout, also while one with the old timeout is being
+     * established.
+     */
     @Test
-    void eachDialHasItsOwnTimeout() throws Exception {
+    void eachConnectHasItsOwnTimeout() throws Exception {
         try (SilentListener listener = new SilentListener("127.0.0.1")) {
             HttpTransport transport = new HttpTransport(vertx);
-            Future<CacheConnection> patient = transport.connect(listener.address(), PATIENT_MS);
-            Future<CacheConnection> hasty = transport.connect(listener.address(), HASTY_MS);
-            CompletableFuture<CacheConnection> ended = hasty.toCompletionStage().toCompletableFuture();
-            assertThrows(ExecutionException.class, () -> ended.get(ENDED_SECONDS, TimeUnit.SECONDS));
-            assertFalse(patient.isComplete());
+            Future<CacheConnection> withLongTimeout = transport.connect(listener.address(), LONG_TIMEOUT_MS);
+            Future<CacheConnection> withShortTimeout = transport.connect(listener.address(), SHORT_TIMEOUT_MS);
+            CompletableFuture<CacheConnection> failing = withShortTimeout.toCompletionStage().toCompletableFuture();
+            assertThrows(ExecutionException.class, () -> failing.get(WAIT_SECONDS, TimeUnit.SECONDS));
+            assertFalse(withLongTimeout.isComplete());
         }
     }
 }
--- a/src/test/java/pewtercourse/cache/ResponseReaderTest.java
+++ b/src/test/java/pewtercourse/cache/ResponseReaderTest.java
@@ -14,151 +14,159 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** What caches send, cut anywhere: only a whole answer counts, and what follows it is noticed. */
+/**
+ * Feeds the reader with responses that are cut at any byte: only complete ones count, and trailing bytes are
+ * noticed.
+ */
 class ResponseReaderTest {
-    private static final String BODY = "x".repeat(300),
-            OK = "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n" + "ETag: t\r\nOutcome: mem\r\n\r\n" + BODY;
-    private static final List<String> BEFORE = List.of(
+    private static final String BODY = "x".repeat(300);
+    private static final String OK =
+            "HTTP/1.1 200 OK\r\nContent-Length: 300\r\n" + "ETag: t\r\nOutcome: mem\r\n\r\n" + BODY;
+    private static final List<String> INTERIM_RESPONSES = List.of(
             "",
             "HTTP/1.1 100 Continue\r\n\r\n",
             "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n");
-    private static final List<String> BEHIND = List.of("", OK, "noise that nobody asked for\r\n\r\n", "\0\1\2HTTP");
+    private static final List<String> TRAILING_BYTES =
+            List.of("", OK, "noise that nobody asked for\r\n\r\n", "\0\1\2HTTP");
 
     private final ResponseReader reader = new ResponseReader();
 
     @Property(tries = 400, seed = "7")
-    void aGoodAnswerIsServedWhateverCameBeforeAndWhatFollowsEndsTheConnection(
-            @ForAll @IntRange(max = 2) int before,
-            @ForAll @IntRange(max = 3) int behind,
-            @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 120) Integer> cuts) {
-        ResponseReader r = new ResponseReader();
-        r.expect(request("1", null));
-        String all = BEFORE.get(before) + OK + BEHIND.get(behind);
-        int whole = BEFORE.get(before).length() + OK.length();
-        CacheResponse got = null;
-        for (int i = 0, at = 0; at < all.length(); i++) {
-            int to = i < cuts.size() ? Math.min(all.length(), at + cuts.get(i)) : all.length();
-            CacheResponse a = r.add(Buffer.buffer(all.substring(at, to), "ISO-8859-1"));
-            assertEquals(at < whole && to >= whole, a != null, "told at its last byte, once");
-            got = a != null ? a : got;
-            if (a != null) {
-                assertTrue(to == whole || !r.clean(), "what follows went unnoticed");
-                break; // From here on the connection closes on any byte.
+    void servesACompleteResponseAfterInterimOnesAndNoticesTrailingBytes(
+            @ForAll @IntRange(max = 2) int interimIndex,
+            @ForAll @IntRange(max = 3) int trailingIndex,
+            @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 120) Integer> pieceLengths) {
+        ResponseReader pieceReader = new ResponseReader();
+        pieceReader.expectResponseTo(request("1", null));
+        String sent = INTERIM_RESPONSES.get(interimIndex) + OK + TRAILING_BYTES.get(trailingIndex);
+        int completeLength = INTERIM_RESPONSES.get(interimIndex).length() + OK.length();
+        CacheResponse complete = null;
+        for (int i = 0, start = 0; start < sent.length(); i++) {
+            int end = i < pieceLengths.size() ? Math.min(sent.length(), start + pieceLengths.get(i)) : sent.length();
+            CacheResponse response = pieceReader.read(Buffer.buffer(sent.substring(start, end), "ISO-8859-1"));
+            assertEquals(
+                    start < completeLength && end >= completeLength,
+                    response != null,
+                    "the response is returned once, with its last byte");
+            complete = response != null ? response : complete;
+            if (response != null) {
+                assertTrue(end == completeLength || !pieceReader.isReusable(), "trailing bytes were not noticed");
+                break; // The connection closes on any further byte.
             }
-            at = to;
+            start = end;
         }
-        assertNotNull(got);
-        assertEquals(AttemptResult.SERVED, got.end());
-        assertEquals(BODY, got.body().toString());
-        assertEquals("t", got.tag());
+        assertNotNull(complete);
+        assertEquals(AttemptResult.SERVED, complete.result());
+        assertEquals(BODY, complete.body().toString());
+        assertEquals("t", complete.tag());
     }
 
-    private static CacheRequest request(String object, String known) {
-        return new CacheRequest("id", "c", object, 0, Buffer.buffer(), null, 0, 0, false, false, false, known);
+    private static CacheRequest request(String object, String knownTag) {
+        return new CacheRequest("id", "c", object, 0, Buffer.buffer(), null, 0, 0, false, false, false, knownTag);
     }
 
-    private CacheResponse answer(String text) {
-        reader.expect(request("1", "abc"));
-        return reader.add(Buffer.buffer(text, "ISO-8859-1"));
+    private CacheResponse read(String text) {
+        reader.expectResponseTo(request("1", "abc"));
+        return reader.read(Buffer.buffer(text, "ISO-8859-1"));
     }
 
-    private void broken(String text) {
-        CacheResponse a = answer(text);
-        assertNotNull(a, text);
-        assertEquals(AttemptResult.MALFORMED, a.end());
-        assertFalse(reader.clean());
+    private void assertMalformed(String text) {
+        CacheResponse response = read(text);
+        assertNotNull(response, text);
+        assertEquals(AttemptResult.MALFORMED, response.result());
+        assertFalse(reader.isReusable());
     }
 
     @Example
-    void noiseForAHeadIsNoAnswer() {
-        broken("\7\7noise noise\r\n\r\n");
+    void rejectsNoiseInsteadOfAHead() {
+        assertMalformed("\7\7noise noise\r\n\r\n");
     }
 
     @Example
-    void aHeadWithALineThatIsNoFieldIsNoAnswer() {
+    void rejectsAHeadWithALineThatIsNoField() {
         for (String line : List.of("no colon here", "no colon: here", ": nameless", " folded", "na(me: x")) {
-            CacheResponse a = new ResponseReaderTest().answer(OK.replace("ETag: t", "ETag: t\r\n" + line));
-            assertEquals(AttemptResult.MALFORMED, a.end(), line);
+            CacheResponse response = new ResponseReaderTest().read(OK.replace("ETag: t", "ETag: t\r\n" + line));
+            assertEquals(AttemptResult.MALFORMED, response.result(), line);
         }
     }
 
     @Example
-    void aHeadThatNeverEndsIsGivenUp() {
-        broken("HTTP/1.1 200 OK\r\n" + "X-Filler: more and more\r\n".repeat(1_000));
+    void rejectsAHeadWithoutAnEnd() {
+        assertMalformed("HTTP/1.1 200 OK\r\n" + "X-Filler: more and more\r\n".repeat(1_000));
     }
 
     @Example
-    void interimAnswersWithoutEndAreGivenUp() {
-        broken("HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
+    void rejectsTooManyInterimResponses() {
+        assertMalformed("HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
     }
 
     @Example
-    void anAnswerLargerThanAnyObjectIsGivenUpAtItsHead() {
-        broken("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
+    void rejectsABodyLargerThanAnyObjectAtItsHead() {
+        assertMalformed("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
     }
 
     @Example
-    void aNegativeLengthIsGivenUp() {
-        broken("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n");
+    void rejectsANegativeLength() {
+        assertMalformed("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n");
     }
 
     @Example
-    void aLengthThatIsNoNumberIsGivenUp() {
-        broken("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n");
+    void rejectsALengthThatIsNoNumber() {
+        assertMalformed("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n");
     }
 
     @Example
-    void twoLengthsAreGivenUp() {
-        broken("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello");
+    void rejectsTwoLengths() {
+        assertMalformed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello");
     }
 
     @Example
-    void aBodyThatOnlyTheEndOfItsConnectionWouldEndIsNeverWhole() {
-        broken("HTTP/1.1 200 OK\r\nETag: t\r\n\r\nmenu");
+    void rejectsABodyThatOnlyTheEndOfItsConnectionEnds() {
+        assertMalformed("HTTP/1.1 200 OK\r\nETag: t\r\n\r\nmenu");
     }
 
     @Example
-    void chunksWithoutEndAreGivenUpPastTheLargestObject() {
-        broken("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    void rejectsChunksBeyondTheLargestObject() {
+        assertMalformed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(60));
     }
 
     @Example
-    void chunksWithAnEndAreWhole() {
+    void joinsChunksUpToTheLastOne() {
         assertEquals(
                 "menu",
-                answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n")
+                read("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n")
                         .body()
                         .toString());
     }
 
     @Example
-    void whatStopsShortIsNotToldAtAll() {
-        assertNull(answer(OK.substring(0, OK.length() - 1)));
+    void returnsNothingForAnIncompleteResponse() {
+        assertNull(read(OK.substring(0, OK.length() - 1)));
     }
 
     @Example
-    void onlyTheCopyThatWasAskedAboutCanHold() {
+    void acceptsNotModifiedOnlyForTheRequestedTag() {
         assertEquals(
                 AttemptResult.NOT_MODIFIED,
-                answer("HTTP/1.1 304 Not Modified\r\nETag: abc\r\n\r\n").end());
-        broken("HTTP/1.1 304 Not Modified\r\nETag: other\r\n\r\n");
+                read("HTTP/1.1 304 Not Modified\r\nETag: abc\r\n\r\n").result());
+        assertMalformed("HTTP/1.1 304 Not Modified\r\nETag: other\r\n\r\n");
     }
 
     @Example
-    void aLateSecondCopyIsNotTheAnswerToTheNextRequest() {
-        assertEquals(AttemptResult.SERVED, answer(OK).end());
-        assertEquals(AttemptResult.SERVED, answer(OK).end(), "the same object may well have the same answer");
-        reader.expect(request("2", null));
-        assertEquals(AttemptResult.MALFORMED, reader.add(Buffer.buffer(OK)).end());
+    void rejectsASecondCopyAsTheResponseToTheNextRequest() {
+        assertEquals(AttemptResult.SERVED, read(OK).result());
+        assertEquals(AttemptResult.SERVED, read(OK).result(), "the same object may have the same response");
+        reader.expectResponseTo(request("2", null));
+        assertEquals(AttemptResult.MALFORMED, reader.read(Buffer.buffer(OK)).result());
     }
 
     @Example
-    void anAnswerThatSaysItIsTheLastEndsTheConnection() {
+    void doesNotReuseAConnectionThatTheResponseCloses() {
         assertEquals(
                 AttemptResult.MISS,
-                answer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-                        .end());
-        assertFalse(reader.clean());
+                read("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                        .result());
+        assertFalse(reader.isReusable());
     }
 }
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -197,10 +197,10 @@
         until("no timer but the module's", () -> timers.waiting.size() <= STANDING_TIMERS);
         assertEquals(stay, answers, "one answer each");
         assertEquals(0, onLoop(director::openRequests));
-        int idle = onLoop(director.pool::idle);
+        int idle = onLoop(director.pool::idleConnections);
         until(
                 "no connection but idle ones",
-                () -> atCaches.size() <= director.pool.idle() && director.pool.connections() == director.pool.idle());
+                () -> atCaches.size() <= director.pool.idleConnections() && director.pool.connections() == director.pool.idleConnections());
         assertTrue(idle <= REQUESTS);
     }
 }
