--- a/src/main/java/pewtercourse/director/AttemptOutcomes.java
+++ b/src/main/java/pewtercourse/director/AttemptOutcomes.java
@@ -4,13 +4,16 @@
 import pewtercourse.decision.AttemptOutcome;
 import pewtercourse.decision.CacheStatus;
 
-/** The one place where what happened on a socket becomes an outcome of the decision module. */
+/** Converts what a cache did and stated into the terms of the routing engine. */
 final class AttemptOutcomes {
     private AttemptOutcomes() {}
 
-    /** What proves that nothing ran is FULL, MISS, CONNECT_FAILED or MOOT; all else may have run. */
-    static AttemptOutcome of(AttemptResult end) {
-        return switch (end) {
+    /**
+     * Converts the result of an attempt. OVERLOADED, MISS, CONNECT_FAILED and SUPERSEDED state that the request
+     * did not run; after any other outcome it may have run.
+     */
+    static AttemptOutcome fromResult(AttemptResult result) {
+        return switch (result) {
             case SERVED, NOT_MODIFIED -> AttemptOutcome.OK;
             case MISS -> AttemptOutcome.MISS;
             case FULL -> AttemptOutcome.OVERLOADED;
@@ -23,9 +26,13 @@
         };
     }
 
-    /** By name, as the simulator numbers them: the order of the words on the socket says nothing. */
-    static CacheStatus note(String word) {
-        return switch (word == null ? "" : word) {
+    /**
+     * Converts the value of the header Outcome, or null, by its name.
+     *
+     * @return UNKNOWN for a value that is not known
+     */
+    static CacheStatus parseCacheStatus(String outcomeHeader) {
+        return switch (outcomeHeader == null ? "" : outcomeHeader) {
             case "mem" -> CacheStatus.HIT;
             case "parent" -> CacheStatus.FILLED;
             case "origin" -> CacheStatus.FILLED_FROM_ORIGIN;
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -61,20 +61,21 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * Between the sockets and the decision module: hands it what happened, in order of arrival and in one batch for
- * each turn of the event loop, and carries out what it orders. All runs on one event loop.
+ * Connects the sockets with the routing engine: passes events to the routers in order of arrival, in one batch
+ * for each turn of the event loop, and carries out the actions that they order. Confined to one event loop.
  */
 public final class Director implements RequestHandler {
-    // An idle connection is not used in the last part of the time after which a cache closes it.
-    private static final double IDLE_SHARE = 0.8;
+    // An idle connection is reused only within this fraction of the time after which a cache closes it.
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
-    // An id is new with every request, so one that was answered before is no usual client's.
-    private static final int ANSWERED_MOST = 4_096;
+    // How many ids of answered requests are remembered. Each request has a new id, so no regular client sends
+    // one that was answered before.
+    private static final int MAX_ANSWERED_IDS = 4_096;
 
-    // A turn is late after this; what is due is then answered before anything else.
-    private static final long LATE = 20_000;
+    // If a turn of the event loop starts later than this, expired requests are answered before all else.
+    private static final long LATE_TURN_MICROS = 20_000;
 
-    SiteSettings site; // As of the last file that was taken.
+    SiteSettings siteSettings; // Of the last configuration that was accepted.
     final LongSupplier clock = new UnixClock();
     final Timers timers;
     final ConnectionPool pool;
@@ -83,31 +84,35 @@
     private DirectorConfig config;
     private final Vertx vertx;
     private final Context context;
-    private final RouterEventQueue home;
-    private final Map<String, RouterEventQueue> abroad =
-            new HashMap<>(); // By zone: for requests that its caches take as guests.
-    private final GossipSocket peers;
+    private final RouterEventQueue localRouterQueue;
+    // By zone: for requests that the caches of other zones serve.
+    private final Map<String, RouterEventQueue> remoteRouterQueues = new HashMap<>();
+    private final GossipSocket gossipSocket;
     private final Map<Long, ProxiedRequest> requests = new HashMap<>();
-    private final Set<Long> answered = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<Long> answeredIds = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > ANSWERED_MOST;
+            return size() > MAX_ANSWERED_IDS;
         }
     });
     private EndpointWatch endpointWatch;
-    private Sites sites; // Null where no site takes another's clients.
+    private Sites sites; // Null unless the caches of other sites may serve this director's clients.
     private OverflowRouter overflowRouter;
-    private SiteObserver siteObservations;
-    private Runnable peerHeard = () -> {};
+    private SiteObserver siteObserver;
+    private Runnable peerMessageListener = () -> {};
     private boolean stopped;
 
-    /** Must be called on the event loop's context. */
+    /** Creates a director that sends requests to real caches. Must be called on the event loop's context. */
     public Director(Vertx vertx, DirectorConfig config) {
         this(vertx, config, new HttpTransport(vertx));
     }
 
+    /**
+     * Creates a director that reaches its caches by {@code transport}. Must be called on the event loop's
+     * context.
+     */
     public Director(Vertx vertx, DirectorConfig config, Transport transport) {
         this(vertx, config, transport, Timers.of(vertx));
     }
@@ -116,28 +121,32 @@
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.config = config;
-        this.site = config.site();
+        this.siteSettings = config.site();
         this.timers = timers;
         this.pool = new ConnectionPool(
-                transport, timers, clock, (long) (IDLE_SHARE * site.idleClose()), config.cacheConnections());
-        this.registry = new ServiceRegistry(site, pool);
-        this.home = queue(site.router(), false);
-        this.peers = new GossipSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
-            peerHeard.run();
-            home.tell(new GossipReceived(from, bytes));
+                transport,
+                timers,
+                clock,
+                (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleClose()),
+                config.cacheConnections());
+        this.registry = new ServiceRegistry(siteSettings, pool);
+        this.localRouterQueue = newRouterQueue(siteSettings.router(), false);
+        this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
+            peerMessageListener.run();
+            localRouterQueue.enqueue(new GossipReceived(from, bytes));
         });
     }
 
-    /** Runs {@code then} at each message of another director: they only send any while they serve. */
-    public void onPeerMessage(Runnable then) {
-        peerHeard = then;
+    /** Sets what runs at each message of another director; directors send messages only while they serve. */
+    public void onPeerMessage(Runnable listener) {
+        peerMessageListener = listener;
     }
 
-    /** Takes in what is known, then follows the feed and the peers. */
+    /** Applies the initial events of the configuration, then follows the control feed and listens to the peers. */
     public void start() {
         for (int i = 0; i < config.known().size(); i++) {
             try {
-                handle(WatchEventDecoder.decode(config.known().getJsonObject(i)));
+                applyWatchEvent(WatchEventDecoder.decode(config.known().getJsonObject(i)));
             } catch (MalformedEventException e) {
                 logMalformedInitialEvent(i, e.getCause());
             } catch (RuntimeException e) {
@@ -148,12 +157,12 @@
             watchEndpoints(config.feed());
         }
         if (config.peerListen() != null) {
-            peers.listen(config.peerListen()).onFailure(e -> Log.warn("peer.not_listening", "error", e));
+            gossipSocket.listen(config.peerListen()).onFailure(e -> Log.warn("peer.not_listening", "error", e));
         }
     }
 
-    private static void logMalformedInitialEvent(int place, Throwable error) {
-        Log.warn("discovery.malformed", "event", "known.events[" + place + "]", "error", error);
+    private static void logMalformedInitialEvent(int index, Throwable error) {
+        Log.warn("discovery.malformed", "event", "known.events[" + index + "]", "error", error);
     }
 
     private void watchEndpoints(InetSocketAddress feed) {
@@ -163,335 +172,358 @@
                 feed,
                 config.knownNumber(),
                 new Random(config.seed()),
-                this::handle);
+                this::applyWatchEvent);
         endpointWatch.start();
     }
 
     /**
-     * A new configuration, already checked: its settings count and the feed moves at once; all else needs a restart and
-     * is named.
+     * Applies a new configuration, which was checked before: its settings and the address of its control feed
+     * take effect at once. All other changes need a restart, and their keys are logged.
      */
-    public void reload(DirectorConfig to) {
-        List<String> later = to.changedSince(config);
-        if (!later.isEmpty()) {
-            Log.warn("config.needs_restart", "keys", String.join(",", later));
+    public void reload(DirectorConfig newConfig) {
+        List<String> keysThatNeedRestart = newConfig.changedSince(config);
+        if (!keysThatNeedRestart.isEmpty()) {
+            Log.warn("config.needs_restart", "keys", String.join(",", keysThatNeedRestart));
         }
-        SiteSettings next = to.site().placed(site);
-        boolean listAnew = !next.namesAlike(site);
-        site = next;
-        home.tell(new SettingsChanged(next.router()));
-        abroad.forEach((zone, d) -> d.tell(new SettingsChanged(next.guestsAt(zone))));
-        pool.setMaxIdleMicros((long) (IDLE_SHARE * next.idleClose()));
-        registry.use(next);
-        if (listAnew) {
-            tell(registry.whole());
+        SiteSettings newSettings = newConfig.site().placed(siteSettings);
+        boolean namesChanged = !newSettings.namesAlike(siteSettings);
+        siteSettings = newSettings;
+        localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
+        remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.guestsAt(zone))));
+        pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleClose()));
+        registry.updateSettings(newSettings);
+        if (namesChanged) {
+            enqueueForAllRouters(registry.snapshot());
         }
-        config = to;
-        if (to.feed() != null && endpointWatch != null) {
-            endpointWatch.move(to.feed());
-        } else if (to.feed() != null) {
-            watchEndpoints(to.feed());
+        config = newConfig;
+        if (newConfig.feed() != null && endpointWatch != null) {
+            endpointWatch.move(newConfig.feed());
+        } else if (newConfig.feed() != null) {
+            watchEndpoints(newConfig.feed());
         }
         Log.info(
                 "config.reloaded",
                 "feed",
-                to.feed(),
+                newConfig.feed(),
                 "classes",
-                String.join(",", new TreeSet<>(next.classes().keySet())),
+                String.join(",", new TreeSet<>(newSettings.classes().keySet())),
                 "attempts",
-                next.router().retry().maxAttempts());
+                newSettings.router().retry().maxAttempts());
     }
 
-    /** Takes a member out by hand; false if none of this name is known. */
+    /** Drains an endpoint by an operator's call; false if no endpoint of this name is known. */
     public boolean drainEndpoint(String name) {
-        return byHand(name, registry.knows(name) ? registry.takeOut(name, clock.getAsLong() / 1000) : null);
+        return applyOperatorCall(
+                name, registry.knowsEndpoint(name) ? registry.drainEndpoint(name, clock.getAsLong() / 1000) : null);
     }
 
-    /** The end of that; false if none of this name is known. */
+    /** Ends the drain of an endpoint by an operator's call; false if no endpoint of this name is known. */
     public boolean reinstateEndpoint(String name) {
-        return byHand(name, registry.knows(name) ? registry.putBack(name, clock.getAsLong() / 1000) : null);
+        return applyOperatorCall(
+                name, registry.knowsEndpoint(name) ? registry.reinstateEndpoint(name, clock.getAsLong() / 1000) : null);
     }
 
-    /** This director's part of what cold caches bear, as a factor on an equal part. */
+    /** Sets this director's quota of requests to endpoints in slow start, as a factor of an equal share. */
     public void setQuotaFactor(double factor) {
-        home.tell(new QuotaChanged(factor));
+        localRouterQueue.enqueue(new QuotaChanged(factor));
     }
 
-    /** How much more of that it could use, as a share of an equal part. */
+    /** How much more of that quota this director could use, as a fraction of an equal share. */
     public double wantedQuota() {
-        return home.router().status().slowStartLimited() ? 1 : 0;
+        return localRouterQueue.router().status().slowStartLimited() ? 1 : 0;
     }
 
+    /** Whether an endpoint of this name is listed or drained. */
     public boolean knowsEndpoint(String name) {
-        return registry.knows(name);
+        return registry.knowsEndpoint(name);
     }
 
-    /** The zone of a listed cache or parent, "" where it is not listed. */
+    /** The zone of a listed endpoint; empty if it is not listed. */
     public String zoneOf(String name) {
         return registry.zoneOf(name);
     }
 
-    /** Caches listed in a zone. */
+    /** Number of caches listed in a zone. */
     public int zoneSize(String zone) {
         return registry.zoneSize(zone);
     }
 
-    /** What operators told another process of this director. */
+    /**
+     * Adopts the drains that operators ordered from another process of this director, or that the cluster
+     * agreed on.
+     */
     public void applyOperatorState(OperatorState state) {
-        EndpointsChanged change = registry.follow(state.drained(), state.reinstated(), clock.getAsLong() / 1000);
+        EndpointsChanged change = registry.adoptDrains(state.drained(), state.reinstated(), clock.getAsLong() / 1000);
         if (!change.endpoints().isEmpty()) {
-            tell(change);
+            enqueueForAllRouters(change);
         }
     }
 
-    /** What another process has to know. */
+    /** The operators' orders, for another process of this director. */
     public OperatorState operatorState(boolean standby) {
         return new OperatorState(
                 ProcessHandle.current().pid(),
                 standby,
-                Map.copyOf(registry.byHand().out()),
-                Map.copyOf(registry.byHand().back()));
+                Map.copyOf(registry.drains().drained()),
+                Map.copyOf(registry.drains().reinstated()));
     }
 
-    private boolean byHand(String name, EndpointsChanged change) {
+    private boolean applyOperatorCall(String name, EndpointsChanged change) {
         if (change != null) {
-            tell(change);
+            enqueueForAllRouters(change);
         }
-        return registry.knows(name);
+        return registry.knowsEndpoint(name);
     }
 
-    /** The figures of the parts behind the front. */
-    public Metrics.GaugeValues gaugeValues(long accepted, long invalid) {
+    /** Current values of the metrics that the parts of the director and its caller keep. */
+    public Metrics.GaugeValues gaugeValues(long acceptedConfigs, long invalidConfigs) {
         return new Metrics.GaugeValues(
                 pool.requestsWritten(),
                 registry.size(),
-                registry.listedOut() + home.router().status().ejectedEndpoints(),
-                accepted,
-                invalid);
+                registry.drainedSize() + localRouterQueue.router().status().ejectedEndpoints(),
+                acceptedConfigs,
+                invalidConfigs);
     }
 
+    /** Whether the settings have a class of requests of this name. */
     public boolean knowsClass(String name) {
-        return site.classes().containsKey(name);
+        return siteSettings.classes().containsKey(name);
     }
 
+    /** The director's clock, in Unix microseconds. */
     public LongSupplier clock() {
         return clock;
     }
 
+    /** Number of requests that are not finished: unanswered, or answered while an attempt still runs. */
     public int openRequests() {
         return requests.size();
     }
 
-    private void handle(WatchEvent e) {
-        if (e instanceof WatchEvent.EndpointUpdate m) {
-            tell(registry.apply(m));
-            noteListed();
-        } else if (e instanceof WatchEvent.Purge p) {
-            requests.values().forEach(x -> x.purged(p));
-            tell(new ContentPurged(p.object(), p.group(), Math.max(0, clock.getAsLong() - p.purgedMs() * 1000)));
+    private void applyWatchEvent(WatchEvent event) {
+        if (event instanceof WatchEvent.EndpointUpdate update) {
+            enqueueForAllRouters(registry.apply(update));
+            updateOwnCachesListed();
+        } else if (event instanceof WatchEvent.Purge purge) {
+            requests.values().forEach(request -> request.recordPurge(purge));
+            enqueueForAllRouters(new ContentPurged(
+                    purge.object(), purge.group(), Math.max(0, clock.getAsLong() - purge.purgedMs() * 1000)));
         }
     }
 
     @Override
-    public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-        Integer cls = site.classes().get(request.className());
-        // Looked up before the exchange is made: one that is turned away must leave no timer behind, which would
-        // end the request that holds the id.
-        if (cls == null
-                || requests.containsKey(ProxiedRequest.id(request))
-                || answered.contains(ProxiedRequest.id(request))) {
-            Log.counted("request.unusable", "id", request.id(), "class", cls == null ? "unknown" : request.className());
+    public Runnable handle(ClientRequest clientRequest, Consumer<Answer> answer) {
+        Integer classIndex = siteSettings.classes().get(clientRequest.className());
+        // Checked before the ProxiedRequest is created: a rejected request must not leave a timer, which would
+        // end the open request of the same id.
+        if (classIndex == null
+                || requests.containsKey(ProxiedRequest.parseId(clientRequest))
+                || answeredIds.contains(ProxiedRequest.parseId(clientRequest))) {
+            Log.counted(
+                    "request.unusable",
+                    "id",
+                    clientRequest.id(),
+                    "class",
+                    classIndex == null ? "unknown" : clientRequest.className());
             answer.accept(Answer.failed());
             return () -> {};
         }
-        ProxiedRequest x = new ProxiedRequest(this, request, cls, answer);
-        requests.put(x.id, x);
-        x.arrive();
-        return x::clientGone;
+        ProxiedRequest request = new ProxiedRequest(this, clientRequest, classIndex, answer);
+        requests.put(request.id, request);
+        request.route();
+        return request::onClientDisconnected;
     }
 
-    /** What is open is answered as failed, at once. */
+    /** Answers all open requests as failed, at once. */
     public void failOpenRequests() {
-        List.copyOf(requests.values()).forEach(ProxiedRequest::abandon);
+        List.copyOf(requests.values()).forEach(ProxiedRequest::abort);
     }
 
-    /** For one that was never in service: what is open is given up at once, and from now on it does nothing. */
+    /** Stops a director that was never in service: fails its open requests, and ignores all later events. */
     public void stop() {
         stopped = true;
-        giveUp();
+        failOpenRequests();
         requests.clear();
-        peers.close();
+        gossipSocket.close();
     }
 
-    void answered(ProxiedRequest x) {
-        answered.add(x.id);
+    /** Remembers the id of a request that has its answer. */
+    void recordAnswered(ProxiedRequest request) {
+        answeredIds.add(request.id);
     }
 
-    void forget(ProxiedRequest x) {
-        requests.remove(x.id, x);
+    /** Removes a finished request. */
+    void removeRequest(ProxiedRequest request) {
+        requests.remove(request.id, request);
     }
 
-    private void noteListed() {
+    private void updateOwnCachesListed() {
         if (overflowRouter != null) {
             overflowRouter.setOwnCachesListed(registry.readyCaches().getOrDefault(config.zone(), 0) > 0);
         }
     }
 
-    // To all modules: the list and purges count for each.
-    private void tell(RouterEvent e) {
-        home.tell(e);
-        abroad.values().forEach(d -> d.tell(e));
+    // For changes of the endpoint list and for purges, which concern every router.
+    private void enqueueForAllRouters(RouterEvent event) {
+        localRouterQueue.enqueue(event);
+        remoteRouterQueues.values().forEach(queue -> queue.enqueue(event));
     }
 
     // ---- Sites: whose caches serve a request ----
 
-    /** Other sites may take this director's clients, by what is agreed, from now on. */
-    public void setSites(Sites to) {
-        sites = to;
-        overflowRouter =
-                new OverflowRouter(to, config.zone(), site.router().retry().maxRetryAfter(), config.seed());
-        siteObservations = siteObservations == null ? new SiteObserver(config.zone()) : siteObservations;
-        noteListed();
+    /** Lets the caches of other sites serve this director's clients from now on, as the failover state allows. */
+    public void setSites(Sites newSites) {
+        sites = newSites;
+        overflowRouter = new OverflowRouter(
+                newSites, config.zone(), siteSettings.router().retry().maxRetryAfter(), config.seed());
+        siteObserver = siteObserver == null ? new SiteObserver(config.zone()) : siteObserver;
+        updateOwnCachesListed();
     }
 
-    /** What is agreed on the sites has changed. */
+    /** Applies a change of what the cluster has agreed on the sites; {@code absent} names the absent directors. */
     public void applyFailoverState(FailoverState failover, Set<String> absent) {
         if (sites == null) {
             return;
         }
-        Site own = sites.byName().get(config.zone());
-        int there = own == null
+        Site ownSite = sites.byName().get(config.zone());
+        int presentDirectors = ownSite == null
                 ? 1
-                : (int) own.directors().stream()
-                        .filter(d -> !absent.contains(d))
+                : (int) ownSite.directors().stream()
+                        .filter(director -> !absent.contains(director))
                         .count();
-        overflowRouter.follow(clock.getAsLong(), failover, there);
+        overflowRouter.follow(clock.getAsLong(), failover, presentDirectors);
     }
 
-    /** What was seen of sites in the last seconds. */
+    /** What was observed of each site in the last seconds; empty without sites. */
     public Map<String, SiteObservation> siteObservations() {
         return sites == null
                 ? Map.of()
-                : siteObservations.observe(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
+                : siteObserver.observe(clock.getAsLong(), sites, registry.readyCaches(), registry.readyParents());
     }
 
-    SiteObserver sightsOrNull() {
-        return siteObservations;
+    /** Observes the sites; null without sites. */
+    SiteObserver siteObserverOrNull() {
+        return siteObserver;
     }
 
-    /** Where a request is to go, or null: to no other site than the own one. */
-    OverflowDecision choose(ClientRequest r, int cls, long expires) {
+    /** Chooses the site that serves a request; null if no request is diverted from the own site. */
+    OverflowDecision chooseSite(ClientRequest request, int classIndex, long deadline) {
         if (overflowRouter == null) {
             return null;
         }
         long now = clock.getAsLong();
-        RequestClass c = site.router().classes().get(cls);
-        double work = r.sizeKb() > 0 && site.router().bandwidth().clientKbPerSecond() > 0
-                ? r.sizeKb() / site.router().bandwidth().clientKbPerSecond() * 1e6
-                : c.latencyObjective() / 2.0;
-        siteObservations.recordRequest(now, work);
+        RequestClass requestClass = siteSettings.router().classes().get(classIndex);
+        double serviceMicros =
+                request.sizeKb() > 0 && siteSettings.router().bandwidth().clientKbPerSecond() > 0
+                        ? request.sizeKb() / siteSettings.router().bandwidth().clientKbPerSecond() * 1e6
+                        : requestClass.latencyObjective() / 2.0;
+        siteObserver.recordRequest(now, serviceMicros);
         if (!overflowRouter.diverting()) {
             return null;
         }
-        boolean must = c.idempotency() == Idempotency.NON_IDEMPOTENT || c.uncacheable();
+        boolean unconditional =
+                requestClass.idempotency() == Idempotency.NON_IDEMPOTENT || requestClass.uncacheable();
         return overflowRouter.choose(
                 now,
                 new OverflowRequest(
-                        StableHash.of(r.object()),
-                        site.worths().get(r.className()).worth(),
-                        work,
-                        c.latencyObjective(),
-                        expires,
-                        (long) work,
-                        must,
+                        StableHash.of(request.object()),
+                        siteSettings.worths().get(request.className()).worth(),
+                        serviceMicros,
+                        requestClass.latencyObjective(),
+                        deadline,
+                        (long) serviceMicros,
+                        unconditional,
                         false));
     }
 
-    /** The module for a site's caches. */
-    RouterEventQueue queue(String zone) {
+    /** The queue of the router for a zone's caches. */
+    RouterEventQueue routerQueue(String zone) {
         if (zone.equals(config.zone())) {
-            return home;
+            return localRouterQueue;
         }
-        return abroad.computeIfAbsent(zone, z -> {
-            RouterEventQueue queue = queue(site.guestsAt(z), true);
-            queue.tell(new QuotaChanged(0)); // What its cold caches bear is for its own clients.
-            queue.tell(registry.whole());
+        return remoteRouterQueues.computeIfAbsent(zone, remoteZone -> {
+            RouterEventQueue queue = newRouterQueue(siteSettings.guestsAt(remoteZone), true);
+            // The capacity of another zone's caches in slow start is left to the clients of that zone.
+            queue.enqueue(new QuotaChanged(0));
+            queue.enqueue(registry.snapshot());
             return queue;
         });
     }
 
-    private RouterEventQueue queue(RouterSettings settings, boolean guest) {
+    private RouterEventQueue newRouterQueue(RouterSettings settings, boolean remoteZone) {
         return new RouterEventQueue(
                 new RoutingEngine(settings, config.seed()),
-                guest,
+                remoteZone,
                 clock,
-                queue -> context.runOnContext(v -> decide(queue)),
-                this::forget);
+                queue -> context.runOnContext(v -> handleNextBatch(queue)),
+                this::removeRequest);
     }
 
-    RouterEventQueue home() {
-        return home;
+    /** The queue of the router for the caches of this director's zone. */
+    RouterEventQueue localRouterQueue() {
+        return localRouterQueue;
     }
 
-    private void decide(RouterEventQueue queue) {
+    private void handleNextBatch(RouterEventQueue queue) {
         if (stopped) {
             return;
         }
-        if (queue.late() > LATE) {
-            answerDue();
+        if (queue.turnDelayMicros() > LATE_TURN_MICROS) {
+            failExpiredRequests();
         }
-        queue.nextBatch(batch -> handle(queue, batch));
+        queue.handleNextBatch(batch -> handleBatch(queue, batch));
     }
 
-    // Their own timers may stand behind much other work.
-    private void answerDue() {
+    // The timers of these requests may run only after much other work.
+    private void failExpiredRequests() {
         long now = clock.getAsLong();
-        List.copyOf(requests.values()).forEach(x -> x.answerIfDue(now));
+        List.copyOf(requests.values()).forEach(request -> request.failIfExpired(now));
     }
 
-    private void handle(RouterEventQueue queue, List<RouterEvent> batch) {
+    private void handleBatch(RouterEventQueue queue, List<RouterEvent> batch) {
         try {
-            for (RouterAction a : queue.router().handle(clock.getAsLong(), batch)) {
-                act(queue, a);
+            for (RouterAction action : queue.router().handle(clock.getAsLong(), batch)) {
+                execute(queue, action);
             }
         } catch (RuntimeException e) {
             Log.error("decision.unexpected", e);
             for (RouterEvent event : batch) {
-                if (event instanceof RequestArrived r && requests.containsKey(r.requestId())) {
-                    requests.get(r.requestId()).abandon();
-                } else if (event instanceof AttemptFinished o && requests.containsKey(o.requestId())) {
-                    requests.get(o.requestId()).abandon();
+                if (event instanceof RequestArrived arrived && requests.containsKey(arrived.requestId())) {
+                    requests.get(arrived.requestId()).abort();
+                } else if (event instanceof AttemptFinished finished && requests.containsKey(finished.requestId())) {
+                    requests.get(finished.requestId()).abort();
                 }
             }
         }
     }
 
-    private void act(RouterEventQueue queue, RouterAction action) {
-        if (action instanceof StartTimer t) {
-            timers.set(Timers.millis(t.dueAt() - clock.getAsLong()), () -> queue.tell(new TimerFired(t.name())));
-        } else if (action instanceof SendGossip t) {
-            peers.send(t.router(), t.payload());
-        } else if (action instanceof SendAttempt s) {
-            with(s.requestId(), x -> x.send(s));
-        } else if (action instanceof CancelAttempt c) {
-            with(c.requestId(), x -> x.cancel(c.attempt()));
-        } else if (action instanceof RejectRequest r) {
-            with(r.requestId(), x -> x.refuse(r.retryAfter()));
-        } else if (action instanceof FailRequest f) {
-            with(f.requestId(), ProxiedRequest::fail);
+    private void execute(RouterEventQueue queue, RouterAction action) {
+        if (action instanceof StartTimer timer) {
+            timers.set(
+                    Timers.millis(timer.dueAt() - clock.getAsLong()), () -> queue.enqueue(new TimerFired(timer.name())));
+        } else if (action instanceof SendGossip gossip) {
+            gossipSocket.send(gossip.router(), gossip.payload());
+        } else if (action instanceof SendAttempt send) {
+            withRequest(send.requestId(), request -> request.sendAttempt(send));
+        } else if (action instanceof CancelAttempt cancel) {
+            withRequest(cancel.requestId(), request -> request.cancelAttempt(cancel.attempt()));
+        } else if (action instanceof RejectRequest reject) {
+            withRequest(reject.requestId(), request -> request.reject(reject.retryAfter()));
+        } else if (action instanceof FailRequest fail) {
+            withRequest(fail.requestId(), ProxiedRequest::fail);
         }
     }
 
-    private void with(long id, Consumer<ProxiedRequest> then) {
-        ProxiedRequest x = requests.get(id);
-        if (x == null) {
+    private void withRequest(long id, Consumer<ProxiedRequest> action) {
+        ProxiedRequest request = requests.get(id);
+        if (request == null) {
             return;
         }
         try {
-            then.accept(x);
+            action.accept(request);
         } catch (RuntimeException e) {
             Log.error("request.unexpected", e);
-            x.abandon();
+            request.abort();
         }
     }
 }
--- a/src/main/java/pewtercourse/director/Metrics.java
+++ b/src/main/java/pewtercourse/director/Metrics.java
@@ -10,103 +10,122 @@
 import pewtercourse.front.RequestHandler;
 
 /**
- * What operators read. Requests are counted here and nowhere else: each is open from when it is handed on until its one
- * answer or its client's leaving, which counts as failed. Knows no sockets.
+ * Counts requests and formats the metrics that operators read. A request is open from the moment it is passed
+ * on until it is answered or its client disconnects; a disconnect counts as failed. No other class counts
+ * requests. Opens no sockets; confined to the event loop.
  */
 public final class Metrics {
-    /** The figures that others own, as of now. */
-    public record GaugeValues(long relayed, int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid) {}
+    /**
+     * Current values of the metrics that other components keep.
+     *
+     * @param requestsWritten number of requests written to caches
+     * @param registryEntries number of listed endpoints
+     * @param outOfRotation   number of endpoints that are drained or ejected
+     * @param acceptedConfigs number of reloaded configurations that were accepted
+     * @param invalidConfigs  number of reloaded configurations that were invalid
+     */
+    public record GaugeValues(
+            long requestsWritten, int registryEntries, int outOfRotation, long acceptedConfigs, long invalidConfigs) {}
 
-    private static final class Operations {
-        long fulfilled, throttled, faulted;
+    private static final class ClassCounters {
+        long fulfilled;
+        long throttled;
+        long faulted;
     }
 
-    private final Map<String, Operations> classes = new TreeMap<>();
-    private int open;
+    private final Map<String, ClassCounters> countersByClass = new TreeMap<>();
+    private int openRequests;
 
-    /** Classes that the settings have: shown from now on, also while nothing was asked. */
-    public void registerClasses(Iterable<String> names) {
-        names.forEach(n -> classes.computeIfAbsent(n, c -> new Operations()));
+    /** Adds classes of requests: their counters are reported from now on, even while they are 0. */
+    public void registerClasses(Iterable<String> classNames) {
+        classNames.forEach(className -> countersByClass.computeIfAbsent(className, name -> new ClassCounters()));
     }
 
-    /** Counts what goes to {@code behind}. A class that {@code known} lacks is no class: bad clients make up any. */
-    public RequestHandler countRequests(RequestHandler behind, Predicate<String> known) {
+    /**
+     * Returns a handler that counts the requests that it passes on to {@code handler}. Requests of a class that
+     * is not known are passed on without being counted, because faulty clients can send any name.
+     */
+    public RequestHandler countRequests(RequestHandler handler, Predicate<String> isKnownClass) {
         return new RequestHandler() {
             @Override
             public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-                if (!known.test(request.className())) {
-                    return behind.handle(request, answer);
+                if (!isKnownClass.test(request.className())) {
+                    return handler.handle(request, answer);
                 }
                 registerClasses(List.of(request.className()));
-                One one = new One(classes.get(request.className()));
-                Runnable gone = behind.handle(request, a -> {
-                    one.answered(a.kind());
-                    answer.accept(a);
+                CountedRequest counted = new CountedRequest(countersByClass.get(request.className()));
+                Runnable onDisconnect = handler.handle(request, finalAnswer -> {
+                    counted.finish(finalAnswer.kind());
+                    answer.accept(finalAnswer);
                 });
                 return () -> {
-                    one.answered(Answer.Kind.FAILED); // Withdrawn before it was answered: nobody was served.
-                    gone.run();
+                    counted.finish(Answer.Kind.FAILED); // The client disconnected before it was answered.
+                    onDisconnect.run();
                 };
             }
 
             @Override
             public boolean ready() {
-                return behind.ready();
+                return handler.ready();
             }
         };
     }
 
-    private final class One {
-        private final Operations of;
-        private boolean over;
+    private final class CountedRequest {
+        private final ClassCounters counters;
+        private boolean finished;
 
-        One(Operations of) {
-            this.of = of;
-            open++;
+        CountedRequest(ClassCounters counters) {
+            this.counters = counters;
+            openRequests++;
         }
 
-        boolean end() {
-            boolean first = !over;
-            open -= first ? 1 : 0;
-            over = true;
+        boolean close() {
+            boolean first = !finished;
+            openRequests -= first ? 1 : 0;
+            finished = true;
             return first;
         }
 
-        void answered(Answer.Kind kind) {
-            if (!end()) {
-                return; // It ended before, and is counted.
+        void finish(Answer.Kind kind) {
+            if (!close()) {
+                return; // It was counted when it finished before.
             }
             switch (kind) {
-                case SERVED, SAME -> of.fulfilled++;
-                case REFUSED -> of.throttled++;
-                case FAILED -> of.faulted++;
+                case SERVED, SAME -> counters.fulfilled++;
+                case REFUSED -> counters.throttled++;
+                case FAILED -> counters.faulted++;
             }
         }
     }
 
+    /** Number of requests that are neither answered nor disconnected. */
     public int openRequests() {
-        return open;
+        return openRequests;
     }
 
-    /** A line for each figure. */
-    public String format(GaugeValues g) {
-        StringBuilder out = new StringBuilder();
-        classes.forEach((name, o) -> {
-            String prefix = "operations." + name + '.';
-            line(
-                    line(line(out, prefix + "fulfilled", o.fulfilled), prefix + "throttled", o.throttled),
+    /** Formats all metrics, one NAME=VALUE a line. */
+    public String format(GaugeValues gauges) {
+        StringBuilder text = new StringBuilder();
+        countersByClass.forEach((className, counters) -> {
+            String prefix = "operations." + className + '.';
+            appendLine(
+                    appendLine(
+                            appendLine(text, prefix + "fulfilled", counters.fulfilled),
+                            prefix + "throttled",
+                            counters.throttled),
                     prefix + "faulted",
-                    o.faulted);
+                    counters.faulted);
         });
-        line(out, "relayed", g.relayed());
-        line(out, "open_requests", open);
-        line(out, "registry_entries", g.registryEntries());
-        line(out, "out_of_rotation", g.outOfRotation());
-        line(out, "cfg_accepted", g.cfgAccepted());
-        return line(out, "cfg_invalid", g.cfgInvalid()).toString();
+        appendLine(text, "relayed", gauges.requestsWritten());
+        appendLine(text, "open_requests", openRequests);
+        appendLine(text, "registry_entries", gauges.registryEntries());
+        appendLine(text, "out_of_rotation", gauges.outOfRotation());
+        appendLine(text, "cfg_accepted", gauges.acceptedConfigs());
+        return appendLine(text, "cfg_invalid", gauges.invalidConfigs()).toString();
     }
 
-    private static StringBuilder line(StringBuilder to, String name, long value) {
-        return to.append(name).append('=').append(value).append('\n');
+    private static StringBuilder appendLine(StringBuilder text, String name, long value) {
+        return text.append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/pewtercourse/director/OperatorDrains.java
+++ b/src/main/java/pewtercourse/director/OperatorDrains.java
@@ -7,75 +7,89 @@
 import java.util.TreeSet;
 
 /**
- * The members that operators have taken out, whatever the feed says of them in between, and when those that came back
- * started. By name, as a ban outlasts the member's line in the list. Knows no sockets; times are Unix milliseconds.
+ * The endpoints that operators have drained, whatever the control feed says of them, and when the reinstated
+ * ones started. Keyed by name, since a drain outlasts the endpoint's entry in the endpoint list. Opens no
+ * sockets; times are Unix milliseconds.
  */
 final class OperatorDrains {
-    // More names than any list has: calls with made-up names are turned away before.
-    private static final int MOST = 1_024;
+    // More names than any endpoint list has; calls with unknown names are rejected earlier.
+    private static final int MAX_NAMES = 1_024;
 
-    private final Map<String, Long> since = new LinkedHashMap<>();
-    private final Map<String, Long> started = new HashMap<>();
+    private final Map<String, Long> drainedSince = new LinkedHashMap<>();
+    private final Map<String, Long> startedAt = new HashMap<>();
 
-    /** False if nothing changes: a call may come twice. */
-    boolean enter(String name, long now) {
-        return since.size() < MOST && since.putIfAbsent(name, now) == null;
+    /** Drains an endpoint; false if it is drained already, as a call may be repeated, or if too many are. */
+    boolean drain(String name, long now) {
+        return drainedSince.size() < MAX_NAMES && drainedSince.putIfAbsent(name, now) == null;
     }
 
     /**
-     * One call back ends it, however often it was taken out. {@code told}: the start that the feed last told; one
-     * during the ban is believed, else it is taken to have started just now. False if it was not out.
+     * Ends the drain of an endpoint, however often it was drained. From then on the endpoint counts as started
+     * at the start time that the control feed gave, if that lies within the drain, and otherwise as started
+     * now.
+     *
+     * @param listedStart the last start time that the control feed gave; 0 if there is none
+     * @return false if the endpoint was not drained
      */
-    boolean exit(String name, long told, long now) {
-        Long out = since.remove(name);
-        if (out == null) {
+    boolean reinstate(String name, long listedStart, long now) {
+        Long since = drainedSince.remove(name);
+        if (since == null) {
             return false;
         }
-        started.put(name, told >= out ? told : now);
+        startedAt.put(name, listedStart >= since ? listedStart : now);
         return true;
     }
 
-    boolean isOut(String name) {
-        return since.containsKey(name);
+    boolean isDrained(String name) {
+        return drainedSince.containsKey(name);
     }
 
-    /** When it last started: as the feed tells, but no earlier than its return. */
-    long started(String name, long told) {
-        long returned = started.getOrDefault(name, 0L);
-        if (returned > 0 && told >= returned) {
-            started.remove(name); // The feed knows of a later one.
+    /**
+     * When an endpoint last started: the start time that the control feed gives, but not before its
+     * reinstatement.
+     */
+    long lastStart(String name, long listedStart) {
+        long reinstatedStart = startedAt.getOrDefault(name, 0L);
+        if (reinstatedStart > 0 && listedStart >= reinstatedStart) {
+            startedAt.remove(name); // The control feed knows a later start.
         }
-        return Math.max(told, returned);
+        return Math.max(listedStart, reinstatedStart);
     }
 
-    /** It has left the list for good or will be told anew; a ban stays. */
-    void forget(String name) {
-        started.remove(name);
+    /** Forgets when a reinstated endpoint started, as the endpoint has left the endpoint list; a drain stays. */
+    void forgetStart(String name) {
+        startedAt.remove(name);
     }
 
-    Map<String, Long> out() {
-        return since;
+    /** The drained endpoints, by name, and since when. */
+    Map<String, Long> drained() {
+        return drainedSince;
     }
 
-    Map<String, Long> back() {
-        return started;
+    /** The reinstated endpoints, by name, and when they started. */
+    Map<String, Long> reinstated() {
+        return startedAt;
     }
 
-    /** Another process of this director was told: its word counts. Returns whose state has changed. */
-    Set<String> follow(Map<String, Long> out, Map<String, Long> back, long now) {
+    /**
+     * Adopts the drains and reinstatements of another process of this director, which the operators called.
+     *
+     * @return names of the endpoints whose state has changed
+     */
+    Set<String> adopt(Map<String, Long> drained, Map<String, Long> reinstated, long now) {
         Set<String> changed = new TreeSet<>();
-        out.forEach((name, at) -> {
-            if (enter(name, at)) {
+        drained.forEach((name, since) -> {
+            if (drain(name, since)) {
                 changed.add(name);
             }
         });
-        for (String name : Set.copyOf(since.keySet())) {
-            if (!out.containsKey(name) && exit(name, 0, back.getOrDefault(name, now))) {
+        for (String name : Set.copyOf(drainedSince.keySet())) {
+            if (!drained.containsKey(name) && reinstate(name, 0, reinstated.getOrDefault(name, now))) {
                 changed.add(name);
             }
         }
-        back.forEach((name, at) -> {
-            if (!isOut(name) && started.size() < MOST && started.putIfAbsent(name, at) == null) {
+        reinstated.forEach((name, started) -> {
+            if (!isDrained(name) && startedAt.size() < MAX_NAMES && startedAt.putIfAbsent(name, started) == null) {
                 changed.add(name);
             }
         });
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -19,157 +19,173 @@
 import pewtercourse.front.ClientRequest;
 
 /**
- * The life of one request, from top to bottom: it arrives; the module sends it on, once or several times, one
- * attempt after the other; each attempt ends and the module hears how; the client gets one answer.
+ * One client request, from its arrival to its one answer. The router orders attempts, one after the other; the
+ * result of each is reported back to the router, and the first that serves the object answers the client.
+ * Confined to the event loop; times are microseconds.
  */
 final class ProxiedRequest {
-    // The module answers at the deadline by itself; if it has not by then, something went wrong here.
-    private static final long BACKSTOP = 15_000;
-    // What can't be in time is given up a little before the client's time is over: of 169,000 answers of a fleet's day
-    // 20
-    // came in the last 100 ms, while 283 clients got their refusal some milliseconds after their time, and one whose
-    // director ended just then got none at all.
-    private static final long SPARE_MOST = 100_000;
-    private static final double SPARE_SHARE = 0.04;
+    // The router answers a request by its deadline. If the request is still open this long after it, something
+    // has gone wrong, and the request is failed without the router.
+    private static final long BACKSTOP_DELAY_MICROS = 15_000;
+    // A request that can't be answered in time is failed shortly before the client's own deadline. In a day of
+    // a fleet, 20 of 169,000 answers came in the last 100 ms before that deadline, while 283 clients got their
+    // rejection some milliseconds after it, and one client whose director ended just then got no answer at all.
+    private static final long MAX_DEADLINE_MARGIN_MICROS = 100_000;
+    private static final double DEADLINE_MARGIN_FRACTION = 0.04;
 
     final long id;
     private final Director director;
     private final ClientRequest request;
-    private final int cls;
-    private final long expires, backstop;
+    private final int classIndex;
+    private final long deadline;
+    private final long backstopTimer;
     private final Consumer<Answer> answer;
-    private RouterEventQueue queue; // The module that has it.
+    private RouterEventQueue queue; // Of the router that handles the request.
     private RequestArrived arrival;
     private Attempt attempt;
-    private SendAttempt sent;
+    private SendAttempt lastSend;
     private long sentAt;
     private int attempts;
-    private boolean over, purged;
+    private boolean closed; // Answered, or its client has disconnected.
+    private boolean purged;
 
-    ProxiedRequest(Director director, ClientRequest request, int cls, Consumer<Answer> answer) {
+    ProxiedRequest(Director director, ClientRequest request, int classIndex, Consumer<Answer> answer) {
         this.director = director;
-        this.id = id(request);
+        this.id = parseId(request);
         this.request = request;
-        this.cls = cls;
-        this.expires = expires(request);
+        this.classIndex = classIndex;
+        this.deadline = deadlineOf(request);
         this.answer = answer;
-        this.queue = director.home();
-        this.backstop =
-                director.timers.set(Timers.millis(expires + BACKSTOP - director.clock.getAsLong()), this::unanswered);
+        this.queue = director.localRouterQueue();
+        this.backstopTimer = director.timers.set(
+                Timers.millis(deadline + BACKSTOP_DELAY_MICROS - director.clock.getAsLong()), this::failUnanswered);
     }
 
-    static long id(ClientRequest request) {
+    /** The correlation id as a number. */
+    static long parseId(ClientRequest request) {
         return Long.parseUnsignedLong(request.id(), 16);
     }
 
-    /** Clock time by which it is answered, one way or another: before its client's time is over. */
-    static long expires(ClientRequest request) {
-        long time = (long) (request.deadlineMs() * 1000);
-        return request.takenAt() + time - (long) Math.min(SPARE_MOST, SPARE_SHARE * time);
+    /**
+     * Clock time by which a request is answered or failed; it lies before the time at which the client stops
+     * waiting.
+     */
+    static long deadlineOf(ClientRequest request) {
+        long waitMicros = (long) (request.deadlineMs() * 1000);
+        return request.takenAt()
+                + waitMicros
+                - (long) Math.min(MAX_DEADLINE_MARGIN_MICROS, DEADLINE_MARGIN_FRACTION * waitMicros);
     }
 
-    // ---- It arrives: the module of the site that is to serve it plans ----
-    void arrive() {
-        OverflowDecision choice = director.choose(request, cls, expires);
-        if (choice != null && choice.rejected()) {
-            refuse(choice.retryAfterMicros());
+    // ---- Arrival ----
+
+    /** Chooses the site that serves the request and passes the request to the router for its caches. */
+    void route() {
+        OverflowDecision decision = director.chooseSite(request, classIndex, deadline);
+        if (decision != null && decision.rejected()) {
+            reject(decision.retryAfterMicros());
             return;
         }
-        if (choice != null) {
-            queue = director.queue(choice.site().orElseThrow());
+        if (decision != null) {
+            queue = director.routerQueue(decision.site().orElseThrow());
         }
         arrival = new RequestArrived(
                 id,
-                cls,
+                classIndex,
                 request.object(),
                 request.part(),
                 request.group(),
                 request.sizeKb(),
-                expires,
+                deadline,
                 false,
-                director.site.router().classes().get(cls).uncacheable());
-        queue.tell(arrival);
+                director.siteSettings.router().classes().get(classIndex).uncacheable());
+        queue.enqueue(arrival);
     }
 
-    // ---- The module sends it to a cache ----
-    void send(SendAttempt s) {
+    // ---- Attempts ----
+
+    /** Starts the attempt that the router ordered. */
+    void sendAttempt(SendAttempt send) {
         long now = director.clock.getAsLong();
-        sent = s;
+        lastSend = send;
         sentAt = now;
         attempts++;
-        WatchedEndpoint to = director.registry.get(s.endpointId());
-        WatchedEndpoint source = s.fillSourceId() == s.endpointId() ? null : director.registry.get(s.fillSourceId());
-        long until = s.timeout() > 0 ? Math.min(expires, now + s.timeout()) : expires;
-        boolean unlisted = to == null || source == null && s.fillSourceId() != s.endpointId();
-        // Never two out at once, never to or from a cache that has gone, never after the client's time.
-        if (over
+        WatchedEndpoint cache = director.registry.get(send.endpointId());
+        WatchedEndpoint source =
+                send.fillSourceId() == send.endpointId() ? null : director.registry.get(send.fillSourceId());
+        long attemptDeadline = send.timeout() > 0 ? Math.min(deadline, now + send.timeout()) : deadline;
+        boolean unlisted = cache == null || source == null && send.fillSourceId() != send.endpointId();
+        // Never two attempts at a time, never an endpoint that is not listed, never after the deadline.
+        if (closed
                 || attempt != null
                 || unlisted
-                || until <= now
-                || attempts > director.site.router().retry().maxAttempts()) {
-            queue.tell(outcome(attempts - 1, s, AttemptResult.OVERTAKEN, null));
+                || attemptDeadline <= now
+                || attempts > director.siteSettings.router().retry().maxAttempts()) {
+            queue.enqueue(attemptFinished(attempts - 1, send, AttemptResult.OVERTAKEN, null));
             return;
         }
         purged = false;
-        CacheRequest out = new CacheRequest(
+        CacheRequest cacheRequest = new CacheRequest(
                 request.id(),
                 request.className(),
                 request.object(),
                 request.part(),
                 request.body(),
                 source == null ? null : source.name(),
-                keep(s),
-                (s.maxAge() + 999) / 1000,
-                s.coalesce(),
-                s.onlyIfCached(),
-                s.refreshInBackground(),
+                retentionRank(send),
+                (send.maxAge() + 999) / 1000,
+                send.coalesce(),
+                send.onlyIfCached(),
+                send.refreshInBackground(),
                 request.known());
         int number = attempts - 1;
         attempt = new Attempt(
                 director.pool,
                 director.timers,
                 director.clock,
-                s.endpointId(),
-                to.address(),
-                out,
-                director.site.connectTimeout(),
-                until,
-                () -> stillRight(s),
-                a -> ended(number, s, a));
+                send.endpointId(),
+                cache.address(),
+                cacheRequest,
+                director.siteSettings.connectTimeout(),
+                attemptDeadline,
+                () -> maySend(send),
+                response -> onAttemptFinished(number, send, response));
         attempt.start();
     }
 
-    // A guest's copies are the first to go: they are of no use once its site is back.
-    private int keep(SendAttempt s) {
-        return queue.guest() ? Math.min(1, s.retentionRank()) : s.retentionRank();
+    // Copies that another zone's cache stores for this site's clients are evicted first: once this site serves
+    // them again, those copies are of no use.
+    private int retentionRank(SendAttempt send) {
+        return queue.isRemoteZone() ? Math.min(1, send.retentionRank()) : send.retentionRank();
     }
 
-    // The feed may have spoken while a connection came up.
-    private boolean stillRight(SendAttempt s) {
-        return !over
+    // The client may have disconnected, and the control feed may have changed an endpoint or purged the object,
+    // while the connection was established.
+    private boolean maySend(SendAttempt send) {
+        return !closed
                 && !purged
-                && director.registry.ready(s.endpointId())
-                && (s.fillSourceId() == s.endpointId() || director.registry.ready(s.fillSourceId()));
+                && director.registry.isReady(send.endpointId())
+                && (send.fillSourceId() == send.endpointId() || director.registry.isReady(send.fillSourceId()));
     }
 
-    /** A purge of this object came: an attempt that still waits for its connection is decided anew. */
-    void purged(WatchEvent.Purge p) {
-        purged |= p.object() != null ? p.object().equals(request.object()) : p.group() == request.group();
+    /** Records a purge; if it is of this object, an attempt that still waits for its connection is not sent. */
+    void recordPurge(WatchEvent.Purge purge) {
+        purged |= purge.object() != null ? purge.object().equals(request.object()) : purge.group() == request.group();
     }
 
-    void cancel(int number) {
+    /** Cancels the attempt of this number, if it is the one that runs. */
+    void cancelAttempt(int number) {
         if (attempt != null && number == attempts - 1) {
             attempt.cancel();
         }
     }
 
-    // ---- The attempt ends: the first that serves is the client's answer; the module hears of each ----
-    private void ended(int number, SendAttempt s, CacheResponse a) {
+    private void onAttemptFinished(int number, SendAttempt send, CacheResponse response) {
         attempt = null;
-        if (a.result() == AttemptResult.SERVED) {
-            finish(Answer.served(a.body(), a.tag()));
-        } else if (a.result() == AttemptResult.NOT_MODIFIED) {
-            finish(Answer.same(a.tag()));
+        if (response.result() == AttemptResult.SERVED) {
+            answerClient(Answer.served(response.body(), response.tag()));
+        } else if (response.result() == AttemptResult.NOT_MODIFIED) {
+            answerClient(Answer.same(response.tag()));
         }
         if (director.tracing) {
             Log.info(
@@ -179,91 +195,103 @@
                     "number",
                     number,
                     "cache",
-                    Long.toHexString(s.endpointId()),
+                    Long.toHexString(send.endpointId()),
                     "source",
-                    Long.toHexString(s.fillSourceId()),
+                    Long.toHexString(send.fillSourceId()),
                     "end",
-                    a.result(),
+                    response.result(),
                     "outcome",
-                    a.outcomeHeader(),
+                    response.outcomeHeader(),
                     "bytes",
-                    a.body() == null ? 0 : a.body().length(),
+                    response.body() == null ? 0 : response.body().length(),
                     "kb",
                     request.sizeKb(),
                     "ms",
                     (director.clock.getAsLong() - sentAt) / 1000);
         }
-        if (director.sightsOrNull() != null) {
-            seen(s, a.result());
+        if (director.siteObserverOrNull() != null) {
+            observeAttempt(send, response.result());
         }
-        queue.tell(outcome(number, s, a.result(), a.outcomeHeader()));
-        leave();
+        queue.enqueue(attemptFinished(number, send, response.result(), response.outcomeHeader()));
+        removeIfFinished();
     }
 
-    private void seen(SendAttempt s, AttemptResult end) {
-        WatchedEndpoint at = director.registry.get(s.endpointId());
-        if (at != null) {
+    private void observeAttempt(SendAttempt send, AttemptResult result) {
+        WatchedEndpoint cache = director.registry.get(send.endpointId());
+        if (cache != null) {
             long now = director.clock.getAsLong();
-            RequestClass c = director.site.router().classes().get(cls);
-            double work = director.site.router().bandwidth().clientKbPerSecond() > 0
-                    ? request.sizeKb() / director.site.router().bandwidth().clientKbPerSecond() * 1e6
+            RequestClass requestClass = director.siteSettings.router().classes().get(classIndex);
+            double transferMicros = director.siteSettings.router().bandwidth().clientKbPerSecond() > 0
+                    ? request.sizeKb()
+                            / director.siteSettings.router().bandwidth().clientKbPerSecond()
+                            * 1e6
                     : 0;
-            director.sightsOrNull()
+            director.siteObserverOrNull()
                     .recordAttempt(
-                            now, at.zone(), end, now - sentAt > c.latencyObjective() + c.transferAllowance() * work);
+                            now,
+                            cache.zone(),
+                            result,
+                            now - sentAt
+                                    > requestClass.latencyObjective()
+                                            + requestClass.transferAllowance() * transferMicros);
         }
     }
 
-    private AttemptFinished outcome(int number, SendAttempt s, AttemptResult end, String note) {
+    private AttemptFinished attemptFinished(
+            int number, SendAttempt send, AttemptResult result, String outcomeHeader) {
         return new AttemptFinished(
                 id,
                 number,
-                s.endpointId(),
-                AttemptOutcomes.of(end),
+                send.endpointId(),
+                AttemptOutcomes.fromResult(result),
                 director.clock.getAsLong() - sentAt,
-                over,
-                AttemptOutcomes.note(note));
+                closed,
+                AttemptOutcomes.parseCacheStatus(outcomeHeader));
     }
 
-    // ---- The module gives up ----
-    void refuse(long holdOff) {
-        if (director.sightsOrNull() != null && !queue.guest() && arrival != null) {
-            director.sightsOrNull().recordRejection(director.clock.getAsLong());
+    // ---- Rejection and failure ----
+
+    /** Tells the client to retry later. */
+    void reject(long retryAfterMicros) {
+        if (director.siteObserverOrNull() != null && !queue.isRemoteZone() && arrival != null) {
+            director.siteObserverOrNull().recordRejection(director.clock.getAsLong());
         }
-        finish(Answer.refused(holdOff / 1000));
-        leave();
+        answerClient(Answer.refused(retryAfterMicros / 1000));
+        removeIfFinished();
     }
 
+    /** Answers the client that the request failed. */
     void fail() {
-        finish(Answer.failed());
-        leave();
+        answerClient(Answer.failed());
+        removeIfFinished();
     }
 
-    // ---- The client has left ----
-    void clientGone() {
-        if (!over) {
-            over = true;
-            director.timers.cancel(backstop);
-            // What is withdrawn before the module has planned it is never planned: hundreds of requests that come and
-            // go at once would else take up the room of the others until their attempts have ended.
-            if (queue.withdraw(arrival)) {
-                director.forget(this);
+    /** Gives the request up, as its client has disconnected. */
+    void onClientDisconnected() {
+        if (!closed) {
+            closed = true;
+            director.timers.cancel(backstopTimer);
+            // A request that is withdrawn before the router has seen it is never routed. Otherwise hundreds of
+            // requests that arrive and disconnect at once would count against the concurrency limits until
+            // their attempts finish.
+            if (queue.remove(arrival)) {
+                director.removeRequest(this);
                 return;
             }
-            queue.tell(new ClientDisconnected(id));
-            cancel(attempts - 1);
-            leave();
+            queue.enqueue(new ClientDisconnected(id));
+            cancelAttempt(attempts - 1);
+            removeIfFinished();
         }
     }
 
-    // ---- No request is lost, whatever broke ----
-    void answerIfDue(long now) {
-        if (!over && now >= expires) {
-            unanswered();
+    /** Fails the request if its deadline has passed without an answer. */
+    void failIfExpired(long now) {
+        if (!closed && now >= deadline) {
+            failUnanswered();
         }
     }
 
-    private void unanswered() {
+    private void failUnanswered() {
         Log.warn(
                 "request.unanswered",
                 "id",
@@ -275,21 +303,22 @@
                 "out",
                 attempt != null,
                 "late_ms",
-                (director.clock.getAsLong() - expires) / 1000);
-        abandon();
+                (director.clock.getAsLong() - deadline) / 1000);
+        abort();
     }
 
-    void abandon() {
-        finish(Answer.failed());
-        queue.tell(new ClientDisconnected(id));
-        cancel(attempts - 1);
-        leave();
+    /** Fails the request without the router, and cancels its attempt. */
+    void abort() {
+        answerClient(Answer.failed());
+        queue.enqueue(new ClientDisconnected(id));
+        cancelAttempt(attempts - 1);
+        removeIfFinished();
     }
 
-    private void finish(Answer a) {
-        if (!over) {
-            over = true;
-            director.timers.cancel(backstop);
+    private void answerClient(Answer finalAnswer) {
+        if (!closed) {
+            closed = true;
+            director.timers.cancel(backstopTimer);
             if (director.tracing) {
                 Log.info(
                         "request.answered",
@@ -298,22 +327,23 @@
                         "class",
                         request.className(),
                         "kind",
-                        a.kind(),
+                        finalAnswer.kind(),
                         "attempts",
                         attempts,
                         "ms",
                         (director.clock.getAsLong() - request.takenAt()) / 1000);
             }
-            director.answered(this);
-            answer.accept(a);
+            director.recordAnswered(this);
+            answer.accept(finalAnswer);
         }
     }
 
-    // It stays known until the module has handled what it has been told: that may order one more attempt in the same
-    // batch, whose outcome it must hear, or that attempt would take up room for good.
-    private void leave() {
-        if (over && attempt == null) {
-            queue.forgetAfterBatch(this);
+    // The request stays registered until the router has handled the events that are queued: the router may
+    // order one more attempt in the same batch and must learn its outcome, or the attempt would count against
+    // the limits for good.
+    private void removeIfFinished() {
+        if (closed && attempt == null) {
+            queue.removeAfterBatch(this);
         }
     }
 }
--- a/src/main/java/pewtercourse/director/RouterEventQueue.java
+++ b/src/main/java/pewtercourse/director/RouterEventQueue.java
@@ -8,55 +8,64 @@
 import pewtercourse.decision.RouterEvent;
 
 /**
- * A router and the events that it is to be told next, in order of arrival: one batch for each turn of the event loop. The
- * queue of the own zone is there always; others are for requests that another zone's caches take as guests.
+ * Queues the events for one router in order of arrival and passes them on in one batch for each turn of the
+ * event loop. The local router chooses among the caches of this director's zone; a remote-zone router chooses
+ * among the caches of another zone that serve some of this director's requests. Confined to the event loop;
+ * times are microseconds.
  */
 final class RouterEventQueue {
-    // What a late turn has piled up must not keep the sockets and timers of the others waiting.
-    private static final int BATCH_MOST = 256;
+    // After a long turn many events are queued: handled in one turn, they would delay sockets and timers
+    // further.
+    private static final int MAX_BATCH_EVENTS = 256;
 
     private final Router router;
-    private final boolean guest;
+    private final boolean remoteZone;
     private final LongSupplier clock;
     private final Consumer<RouterEventQueue> scheduler;
-    private final Consumer<ProxiedRequest> forget;
+    private final Consumer<ProxiedRequest> onRequestRemoved;
     private List<RouterEvent> events = new ArrayList<>();
-    private List<ProxiedRequest> leaving = new ArrayList<>();
+    private List<ProxiedRequest> finishedRequests = new ArrayList<>();
     private boolean scheduled;
     private long scheduledAt;
 
-    /** {@code scheduler} runs {@link #nextBatch} in a turn of its own; {@code forget} is told of requests that have ended. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param scheduler        calls {@link #handleNextBatch} in a later turn of the event loop
+     * @param onRequestRemoved receives the finished requests that no event refers to any more
+     */
     RouterEventQueue(
             Router router,
-            boolean guest,
+            boolean remoteZone,
             LongSupplier clock,
             Consumer<RouterEventQueue> scheduler,
-            Consumer<ProxiedRequest> forget) {
+            Consumer<ProxiedRequest> onRequestRemoved) {
         this.router = router;
-        this.guest = guest;
+        this.remoteZone = remoteZone;
         this.clock = clock;
         this.scheduler = scheduler;
-        this.forget = forget;
+        this.onRequestRemoved = onRequestRemoved;
     }
 
     Router router() {
         return router;
     }
 
-    boolean guest() {
-        return guest;
+    /** Whether the caches that the router chooses among belong to another zone. */
+    boolean isRemoteZone() {
+        return remoteZone;
     }
 
-    /** Queues an event; the batch goes to the router when what the loop has at hand is read. */
-    void tell(RouterEvent event) {
+    /** Adds an event to the next batch. */
+    void enqueue(RouterEvent event) {
         events.add(event);
         if (!scheduled) {
             schedule();
         }
     }
 
-    /** Takes back an event that has not been handed over yet; false if it is too late. */
-    boolean withdraw(RouterEvent event) {
+    /** Removes an event that has not been passed to the router yet; false if it has. */
+    boolean remove(RouterEvent event) {
         for (int i = events.size() - 1; i >= 0; i--) {
             if (events.get(i) == event) {
                 events.remove(i);
@@ -66,35 +75,38 @@
         return false;
     }
 
-    /** Forgets a request that has ended, once the router has handled all that it has been told so far. */
-    void forgetAfterBatch(ProxiedRequest exchange) {
+    /** Removes a finished request once the router has handled the events that are queued now. */
+    void removeAfterBatch(ProxiedRequest request) {
         if (scheduled) {
-            leaving.add(exchange);
+            finishedRequests.add(request);
         } else {
-            forget.accept(exchange);
+            onRequestRemoved.accept(request);
         }
     }
 
-    /** How long ago the present turn was asked for; in microseconds of the clock. */
-    long late() {
+    /** Time since the current turn was scheduled. */
+    long turnDelayMicros() {
         return clock.getAsLong() - scheduledAt;
     }
 
-    /** Hands over its next events, as many as one turn may handle; what is left has its own turn. */
-    void nextBatch(Consumer<List<RouterEvent>> handler) {
+    /**
+     * Passes the next events to {@code handler}, as many as one turn may handle, and schedules a turn for the
+     * rest.
+     */
+    void handleNextBatch(Consumer<List<RouterEvent>> handler) {
         scheduled = false;
         List<RouterEvent> batch = events;
         events = new ArrayList<>();
-        if (batch.size() > BATCH_MOST) {
-            events.addAll(batch.subList(BATCH_MOST, batch.size()));
+        if (batch.size() > MAX_BATCH_EVENTS) {
+            events.addAll(batch.subList(MAX_BATCH_EVENTS, batch.size()));
             schedule();
-            handler.accept(batch.subList(0, BATCH_MOST));
+            handler.accept(batch.subList(0, MAX_BATCH_EVENTS));
             return;
         }
-        List<ProxiedRequest> ended = leaving;
-        leaving = new ArrayList<>();
+        List<ProxiedRequest> removed = finishedRequests;
+        finishedRequests = new ArrayList<>();
         handler.accept(batch);
-        ended.forEach(forget);
+        removed.forEach(onRequestRemoved);
     }
 
     private void schedule() {
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -14,161 +14,171 @@
 import pewtercourse.discovery.WatchedEndpoint;
 
 /**
- * The caches, parents and the origin as the feed last told, and who of them is out by hand. The only place where the
- * two are joined.
+ * The caches, parents and the origin as the control feed last listed them, combined with the drains of
+ * operators. No other class combines the two. Confined to the event loop.
  */
 final class ServiceRegistry {
-    private final Map<Long, WatchedEndpoint> hosts = new HashMap<>();
-    private SiteSettings site;
+    private final Map<Long, WatchedEndpoint> endpointsById = new HashMap<>();
+    private SiteSettings settings;
     private final ConnectionPool pool;
-    private final OperatorDrains out = new OperatorDrains();
+    private final OperatorDrains drains = new OperatorDrains();
 
-    ServiceRegistry(SiteSettings site, ConnectionPool pool) {
-        this.site = site;
+    ServiceRegistry(SiteSettings settings, ConnectionPool pool) {
+        this.settings = settings;
         this.pool = pool;
     }
 
-    /** New settings: names of zones and kinds may mean something else. */
-    void use(SiteSettings to) {
-        site = to;
+    /** Replaces the settings, by which the names of zones and kinds are resolved. */
+    void updateSettings(SiteSettings newSettings) {
+        settings = newSettings;
     }
 
-    /** The whole list in the module's terms. */
-    EndpointsChanged whole() {
+    /** The complete endpoint list, as an event for a router. */
+    EndpointsChanged snapshot() {
         return new EndpointsChanged(
                 EndpointUpdateKind.SNAPSHOT,
-                hosts.values().stream().map(this::member).toList());
+                endpointsById.values().stream().map(this::toEndpoint).toList());
     }
 
-    /** Applies a change and returns it in the module's terms. */
-    EndpointsChanged apply(WatchEvent.EndpointUpdate change) {
-        if (change.complete()) {
-            List<Long> missing = new ArrayList<>(hosts.keySet());
-            change.endpoints().forEach(h -> missing.remove(h.id()));
-            missing.forEach(this::forget);
+    /** Applies a change of the endpoint list and returns it as an event for a router. */
+    EndpointsChanged apply(WatchEvent.EndpointUpdate update) {
+        if (update.complete()) {
+            List<Long> unlisted = new ArrayList<>(endpointsById.keySet());
+            update.endpoints().forEach(endpoint -> unlisted.remove(endpoint.id()));
+            unlisted.forEach(this::remove);
         }
-        List<Endpoint> members = new ArrayList<>();
-        for (WatchedEndpoint h : change.endpoints()) {
-            WatchedEndpoint before = hosts.get(h.id());
-            if (before != null && before.startedMs() != h.startedMs()) {
-                pool.closeIdleConnections(h.id(), true); // Connections to the process that ran there before.
+        List<Endpoint> changed = new ArrayList<>();
+        for (WatchedEndpoint endpoint : update.endpoints()) {
+            WatchedEndpoint previous = endpointsById.get(endpoint.id());
+            if (previous != null && previous.startedMs() != endpoint.startedMs()) {
+                pool.closeIdleConnections(endpoint.id(), true); // They lead to the process before the restart.
             }
-            if (h.state() == EndpointLifecycle.GONE || h.address() == null) {
-                forget(h.id());
+            if (endpoint.state() == EndpointLifecycle.GONE || endpoint.address() == null) {
+                remove(endpoint.id());
             } else {
-                hosts.put(h.id(), h);
-                pool.addCache(h.id());
+                endpointsById.put(endpoint.id(), endpoint);
+                pool.addCache(endpoint.id());
             }
-            members.add(member(h));
+            changed.add(toEndpoint(endpoint));
         }
         return new EndpointsChanged(
-                change.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, members);
+                update.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, changed);
     }
 
-    // One that is out is told as draining: the rule on drains, for requests and for sources, has one path.
-    private Endpoint member(WatchedEndpoint h) {
-        EndpointLifecycle state =
-                out.isOut(h.name()) && h.state() == EndpointLifecycle.READY ? EndpointLifecycle.DRAINING : h.state();
-        return site.member(
-                h.id(), h.zone(), h.kind(), h.cell(), state, h.weight(), out.started(h.name(), h.startedMs()) * 1000);
+    // A router sees an endpoint that an operator drained as DRAINING, so that the same rules apply to it, as a
+    // target of requests and as a fill source.
+    private Endpoint toEndpoint(WatchedEndpoint endpoint) {
+        EndpointLifecycle lifecycle =
+                drains.isDrained(endpoint.name()) && endpoint.state() == EndpointLifecycle.READY ? EndpointLifecycle.DRAINING : endpoint.state();
+        return settings.member(
+                endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), lifecycle, endpoint.weight(), drains.lastStart(endpoint.name(), endpoint.startedMs()) * 1000);
     }
 
-    private void forget(long id) {
-        WatchedEndpoint h = hosts.remove(id);
-        if (h != null) {
-            out.forget(h.name());
+    private void remove(long id) {
+        WatchedEndpoint endpoint = endpointsById.remove(id);
+        if (endpoint != null) {
+            drains.forgetStart(endpoint.name());
         }
         pool.closeIdleConnections(id, true);
     }
 
-    private WatchedEndpoint named(String name) {
-        return hosts.values().stream()
-                .filter(h -> h.name().equals(name))
+    private WatchedEndpoint endpointNamed(String name) {
+        return endpointsById.values().stream()
+                .filter(endpoint -> endpoint.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    boolean knows(String name) {
-        return named(name) != null || out.isOut(name);
+    /** Whether an endpoint of this name is listed or drained. */
+    boolean knowsEndpoint(String name) {
+        return endpointNamed(name) != null || drains.isDrained(name);
     }
 
+    /** Zone of a listed endpoint; empty if it is not listed or has none. */
     String zoneOf(String name) {
-        WatchedEndpoint h = named(name);
-        return h == null || h.zone() == null ? "" : h.zone();
+        WatchedEndpoint endpoint = endpointNamed(name);
+        return endpoint == null || endpoint.zone() == null ? "" : endpoint.zone();
     }
 
+    /** Number of caches listed in a zone. */
     int zoneSize(String zone) {
-        return (int) hosts.values().stream()
-                .filter(h -> zone.equals(h.zone()) && site.isCache(h.kind()))
+        return (int) endpointsById.values().stream()
+                .filter(endpoint -> zone.equals(endpoint.zone()) && settings.isCache(endpoint.kind()))
                 .count();
     }
 
-    /** Caches that may serve now, by zone. */
+    /** Number of caches that may serve now, by zone. */
     Map<String, Integer> readyCaches() {
-        return ready(true);
+        return countReady(true);
     }
 
-    /** Parents that may be filled from now, by zone. */
+    /** Number of parents that may be filled from now, by zone. */
     Map<String, Integer> readyParents() {
-        return ready(false);
+        return countReady(false);
     }
 
-    private Map<String, Integer> ready(boolean caches) {
-        Map<String, Integer> ready = new HashMap<>();
-        hosts.values().stream()
-                .filter(h -> ready(h.id()) && (caches ? site.isCache(h.kind()) : site.isParent(h.kind())))
-                .forEach(h -> ready.merge(h.zone(), 1, Integer::sum));
-        return ready;
+    private Map<String, Integer> countReady(boolean countCaches) {
+        Map<String, Integer> readyByZone = new HashMap<>();
+        endpointsById.values().stream()
+                .filter(endpoint -> isReady(endpoint.id()) && (countCaches ? settings.isCache(endpoint.kind()) : settings.isParent(endpoint.kind())))
+                .forEach(endpoint -> readyByZone.merge(endpoint.zone(), 1, Integer::sum));
+        return readyByZone;
     }
 
-    /** Takes a member out; returns what the module is to be told, null if nothing changes. */
-    EndpointsChanged takeOut(String name, long nowMs) {
-        return out.enter(name, nowMs) ? told(named(name)) : null;
+    /** Drains an endpoint; returns the event for a router, or null if nothing changes. */
+    EndpointsChanged drainEndpoint(String name, long nowMs) {
+        return drains.drain(name, nowMs) ? reportChange(endpointNamed(name)) : null;
     }
 
-    /** It may serve again: what is told is empty while it isn't listed. */
-    EndpointsChanged putBack(String name, long nowMs) {
-        WatchedEndpoint h = named(name);
-        return out.exit(name, h == null ? 0 : h.startedMs(), nowMs) ? told(h) : null;
+    /**
+     * Ends the drain of an endpoint; returns the event for a router, which is empty while the endpoint is not
+     * listed, or null if nothing changes.
+     */
+    EndpointsChanged reinstateEndpoint(String name, long nowMs) {
+        WatchedEndpoint endpoint = endpointNamed(name);
+        return drains.reinstate(name, endpoint == null ? 0 : endpoint.startedMs(), nowMs) ? reportChange(endpoint) : null;
     }
 
-    /** Takes over what another process was told; returns what the module is to be told. */
-    EndpointsChanged follow(Map<String, Long> nowOut, Map<String, Long> back, long nowMs) {
-        List<Endpoint> members = new ArrayList<>();
-        for (String name : out.follow(nowOut, back, nowMs)) {
-            members.addAll(told(named(name)).endpoints());
+    /** Adopts the drains and reinstatements of another process; returns the event for a router. */
+    EndpointsChanged adoptDrains(Map<String, Long> drained, Map<String, Long> reinstated, long nowMs) {
+        List<Endpoint> changed = new ArrayList<>();
+        for (String name : drains.adopt(drained, reinstated, nowMs)) {
+            changed.addAll(reportChange(endpointNamed(name)).endpoints());
         }
-        return new EndpointsChanged(EndpointUpdateKind.DELTA, members);
+        return new EndpointsChanged(EndpointUpdateKind.DELTA, changed);
     }
 
-    OperatorDrains byHand() {
-        return out;
+    OperatorDrains drains() {
+        return drains;
     }
 
-    // Connections to the process that ran before it was taken out, or came back, are of no use.
-    private EndpointsChanged told(WatchedEndpoint h) {
-        if (h != null) {
-            pool.closeIdleConnections(h.id(), false);
+    // The idle connections to the endpoint may lead to a process that ran before the drain or the
+    // reinstatement: they are closed.
+    private EndpointsChanged reportChange(WatchedEndpoint endpoint) {
+        if (endpoint != null) {
+            pool.closeIdleConnections(endpoint.id(), false);
         }
-        return new EndpointsChanged(EndpointUpdateKind.DELTA, h == null ? List.of() : List.of(member(h)));
+        return new EndpointsChanged(EndpointUpdateKind.DELTA, endpoint == null ? List.of() : List.of(toEndpoint(endpoint)));
     }
 
-    /** Null once it is gone. */
+    /** The listed endpoint of this number; null if there is none. */
     WatchedEndpoint get(long id) {
-        return hosts.get(id);
+        return endpointsById.get(id);
     }
 
+    /** Number of listed endpoints. */
     int size() {
-        return hosts.size();
+        return endpointsById.size();
     }
 
-    /** How many of them are out by hand. */
-    int listedOut() {
-        return (int) hosts.values().stream().filter(h -> out.isOut(h.name())).count();
+    /** Number of listed endpoints that operators have drained. */
+    int drainedSize() {
+        return (int) endpointsById.values().stream().filter(endpoint -> drains.isDrained(endpoint.name())).count();
     }
 
-    boolean ready(long id) {
-        WatchedEndpoint h = hosts.get(id);
-        return h != null && h.state() == EndpointLifecycle.READY && !out.isOut(h.name());
+    /** Whether an endpoint may be used now: ready by the control feed and not drained by an operator. */
+    boolean isReady(long id) {
+        WatchedEndpoint endpoint = endpointsById.get(id);
+        return endpoint != null && endpoint.state() == EndpointLifecycle.READY && !drains.isDrained(endpoint.name());
     }
 }
--- a/src/main/java/pewtercourse/director/package-info.java
+++ b/src/main/java/pewtercourse/director/package-info.java
@@ -1,2 +1,2 @@
-/** The life of a request between client, decisions and caches, on the event loop. */
+/** Takes each request from its client through the routing engine to the caches and back, on the event loop. */
 package pewtercourse.director;
--- a/src/test/java/pewtercourse/director/AttemptOutcomesTest.java
+++ b/src/test/java/pewtercourse/director/AttemptOutcomesTest.java
@@ -16,14 +16,14 @@
 class AttemptOutcomesTest {
     private static final Set<AttemptOutcome> NEVER_RAN = EnumSet.of(
             AttemptOutcome.OVERLOADED, AttemptOutcome.MISS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED);
-    /** What may have run: an order must not be repeated after any of these. */
+    /** After these the request may have run: an order must not be repeated. */
     private static final Set<AttemptResult> MAY_HAVE_RUN =
             EnumSet.of(AttemptResult.SERVED, AttemptResult.NOT_MODIFIED, AttemptResult.ERROR, AttemptResult.MALFORMED, AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
 
     @ParameterizedTest
     @EnumSource(AttemptResult.class)
-    void onlyWhatProvesThatNothingRanSaysSo(AttemptResult end) {
-        assertEquals(!MAY_HAVE_RUN.contains(end), NEVER_RAN.contains(AttemptOutcomes.of(end)));
+    void reportsNeverRanOnlyForResultsThatProveIt(AttemptResult result) {
+        assertEquals(!MAY_HAVE_RUN.contains(result), NEVER_RAN.contains(AttemptOutcomes.fromResult(result)));
     }
 
     @ParameterizedTest
@@ -40,13 +40,13 @@
         "behind,10",
         "other,0"
     })
-    void notesGoByNameToTheSimulatorsNumbers(String word, int number) {
-        assertEquals(number, AttemptOutcomes.note(word).ordinal());
+    void parsesTheOutcomeHeaderToTheSimulatorsNumber(String outcomeHeader, int number) {
+        assertEquals(number, AttemptOutcomes.parseCacheStatus(outcomeHeader).ordinal());
     }
 
     @Test
-    void noWordIsNoNote() {
-        assertEquals(CacheStatus.UNKNOWN, AttemptOutcomes.note(null));
-        assertFalse(NEVER_RAN.contains(AttemptOutcomes.of(AttemptResult.RESET)));
+    void parsesAMissingOutcomeHeaderAsUnknown() {
+        assertEquals(CacheStatus.UNKNOWN, AttemptOutcomes.parseCacheStatus(null));
+        assertFalse(NEVER_RAN.contains(AttemptOutcomes.fromResult(AttemptResult.RESET)));
     }
 }
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -34,11 +34,12 @@
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 
-/** The life of a request against one HTTP server, on a port that the system gives, which plays all members. */
+/** Sends requests through a director to one HTTP server on a free port, which acts as every cache. */
 class DirectorTest {
     private final Vertx vertx = Vertx.vertx();
-    private final List<String> asked = new CopyOnWriteArrayList<>();
-    private final AtomicInteger out = new AtomicInteger(), outMost = new AtomicInteger();
+    private final List<String> receivedRequests = new CopyOnWriteArrayList<>();
+    private final AtomicInteger running = new AtomicInteger();
+    private final AtomicInteger maxRunning = new AtomicInteger();
     private Director director;
     private DirectorConfig config;
 
@@ -47,20 +48,20 @@
         vertx.close();
     }
 
-    /** {@code play} hears the request and how many came before it. */
-    private void start(BiConsumer<HttpServerRequest, Integer> play) throws Exception {
+    /** {@code onRequest} receives each request to a cache and the number of those before it. */
+    private void start(BiConsumer<HttpServerRequest, Integer> onRequest) throws Exception {
         AtomicInteger count = new AtomicInteger();
         HttpServer server = vertx.createHttpServer(
                 new HttpServerOptions().setHost("127.0.0.1").setPort(0));
         server.requestHandler(r -> {
-            asked.add(r.method() + " " + r.uri());
-            outMost.accumulateAndGet(out.incrementAndGet(), Math::max);
-            r.response().endHandler(v -> out.decrementAndGet());
-            r.connection().closeHandler(v -> out.decrementAndGet());
-            r.body().onSuccess(b -> play.accept(r, count.getAndIncrement()));
+            receivedRequests.add(r.method() + " " + r.uri());
+            maxRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
+            r.response().endHandler(v -> running.decrementAndGet());
+            r.connection().closeHandler(v -> running.decrementAndGet());
+            r.body().onSuccess(b -> onRequest.accept(r, count.getAndIncrement()));
         });
         int port =
-                get(server.listen().toCompletionStage().toCompletableFuture()).actualPort();
+                await(server.listen().toCompletionStage().toCompletableFuture()).actualPort();
         JsonObject json = ExampleConfig.json();
         json.remove("feed");
         JsonArray hosts = json.getJsonObject("known")
@@ -70,85 +71,85 @@
                 .getJsonArray("hosts");
         hosts.forEach(h -> ((JsonObject) h).put("dial", "127.0.0.1:" + port));
         config = DirectorConfig.read(Map.of(), json);
-        CompletableFuture<Director> made = new CompletableFuture<>();
+        CompletableFuture<Director> started = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
-            Director d = new Director(vertx, config);
-            d.start();
-            made.complete(d);
+            Director newDirector = new Director(vertx, config);
+            newDirector.start();
+            started.complete(newDirector);
         });
-        director = get(made);
+        director = await(started);
     }
 
-    private Answer ask(String cls, String known, double deadlineMs) throws Exception {
-        return get(begin(cls, known, deadlineMs));
+    private Answer sendAndWait(String className, String known, double deadlineMs) throws Exception {
+        return await(send(className, known, deadlineMs));
     }
 
-    private CompletableFuture<Answer> begin(String cls, String known, double deadlineMs) {
+    private CompletableFuture<Answer> send(String className, String known, double deadlineMs) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         vertx.runOnContext(v -> director.handle(
                 new ClientRequest(
                         "9b1f03aa5c7e2d41",
-                        cls,
+                        className,
                         "7f3a9c21e0b4d655",
                         3,
                         17,
                         10,
                         known,
-                        Buffer.buffer(cls.equals("place-order") ? "two couscous" : ""),
+                        Buffer.buffer(className.equals("place-order") ? "two couscous" : ""),
                         director.clock().getAsLong(),
                         deadlineMs),
                 answer::complete));
         return answer;
     }
 
-    private static <T> T get(CompletableFuture<T> f) throws Exception {
-        return f.get(30, TimeUnit.SECONDS);
+    private static <T> T await(CompletableFuture<T> future) throws Exception {
+        return future.get(30, TimeUnit.SECONDS);
     }
 
-    // The director of a warm-up that ran out of time: its requests were told as unanswered seconds later.
+    // Guards against a warm-up that runs out of time and whose requests are logged as unanswered seconds later.
     @Test
-    void whatIsOpenWhenItStopsIsAnsweredAtOnce() throws Exception {
+    void failsOpenRequestsAtOnceWhenItStops() throws Exception {
         CompletableFuture<Void> reached = new CompletableFuture<>();
         start((r, n) -> reached.complete(null));
-        CompletableFuture<Answer> answer = begin("menu-page", null, 60_000);
-        get(reached);
+        CompletableFuture<Answer> answer = send("menu-page", null, 60_000);
+        await(reached);
         vertx.runOnContext(v -> director.stop());
-        assertEquals(Answer.Kind.FAILED, get(answer).kind());
+        assertEquals(Answer.Kind.FAILED, await(answer).kind());
         CompletableFuture<Integer> open = new CompletableFuture<>();
         vertx.runOnContext(v -> open.complete(director.openRequests()));
-        assertEquals(0, get(open));
+        assertEquals(0, await(open));
     }
 
     @Test
-    void theBytesOfACacheAreServed() throws Exception {
+    void servesTheBytesOfACache() throws Exception {
         start((r, n) -> r.response().putHeader("ETag", "abc").end("menu"));
-        Answer a = ask("menu-page", null, 20_000);
-        assertEquals(Answer.Kind.SERVED, a.kind());
-        assertEquals("menu", a.body().toString());
-        assertEquals("abc", a.tag());
-        assertEquals(List.of("GET /o/menu-page/7f3a9c21e0b4d655/3"), asked);
+        Answer answer = sendAndWait("menu-page", null, 20_000);
+        assertEquals(Answer.Kind.SERVED, answer.kind());
+        assertEquals("menu", answer.body().toString());
+        assertEquals("abc", answer.tag());
+        assertEquals(List.of("GET /o/menu-page/7f3a9c21e0b4d655/3"), receivedRequests);
     }
 
     @Test
-    void aCopyThatHoldsIsToldWithoutBytes() throws Exception {
+    void confirmsACurrentCopyWithoutBytes() throws Exception {
         start((r, n) -> r.response()
                 .setStatusCode("abc".equals(r.getHeader("If-None-Match")) ? 304 : 500)
                 .putHeader("ETag", "abc")
                 .end());
-        Answer a = ask("menu-page", "abc", 20_000);
-        assertEquals(Answer.Kind.SAME, a.kind());
-        assertEquals(0, a.body().length());
+        Answer answer = sendAndWait("menu-page", "abc", 20_000);
+        assertEquals(Answer.Kind.SAME, answer.kind());
+        assertEquals(0, answer.body().length());
     }
 
     @Test
-    void anOrderWhoseConnectionBreaksIsNeitherRepeatedNorRefused() throws Exception {
+    void failsAnOrderWhoseConnectionBreaksWithoutRepeatingIt() throws Exception {
         start((r, n) -> r.connection().close());
-        assertEquals(Answer.Kind.FAILED, ask("place-order", null, 20_000).kind());
-        assertEquals(List.of("GET /o/place-order/7f3a9c21e0b4d655/3"), asked);
+        assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 20_000).kind());
+        assertEquals(List.of("GET /o/place-order/7f3a9c21e0b4d655/3"), receivedRequests);
     }
 
     @Test
-    void whatIsSafeIsTriedAgainOneAttemptAtATime() throws Exception {
+    void retriesASafeRequestOneAttemptAtATime() throws Exception {
         start((r, n) -> {
             if (n < 2) {
                 r.connection().close();
@@ -156,40 +157,40 @@
                 r.response().end("menu");
             }
         });
-        assertEquals("menu", ask("menu-page", null, 20_000).body().toString());
-        assertEquals(3, asked.size());
-        assertEquals(1, outMost.get());
+        assertEquals("menu", sendAndWait("menu-page", null, 20_000).body().toString());
+        assertEquals(3, receivedRequests.size());
+        assertEquals(1, maxRunning.get());
     }
 
     @Test
-    void anAnswerThatBreaksOffIsNotServed() throws Exception {
+    void doesNotServeAnIncompleteResponse() throws Exception {
         start((r, n) -> {
             r.response().putHeader("Content-Length", "100");
             r.response().write("half").onComplete(v -> r.connection().close());
         });
-        Answer a = ask("menu-page", null, 20_000);
+        Answer answer = sendAndWait("menu-page", null, 20_000);
         assertTrue(
-                a.kind() == Answer.Kind.REFUSED || a.kind() == Answer.Kind.FAILED,
-                a.kind().name());
-        assertTrue(asked.size() <= 6, "at most six attempts: " + asked);
+                answer.kind() == Answer.Kind.REFUSED || answer.kind() == Answer.Kind.FAILED,
+                answer.kind().name());
+        assertTrue(receivedRequests.size() <= 6, "at most six attempts: " + receivedRequests);
     }
 
     @Test
-    void aSilentCacheEndsAtTheClientsDeadline() throws Exception {
+    void failsARequestToASilentCacheAtItsDeadline() throws Exception {
         start((r, n) -> {});
-        assertEquals(Answer.Kind.FAILED, ask("place-order", null, 200).kind());
-        assertEquals(1, asked.size());
+        assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 200).kind());
+        assertEquals(1, receivedRequests.size());
     }
 
-    // A director that ends in the moments after a client's time would leave its request without any answer.
+    // A director that ends just after a client's deadline would leave the request without any answer.
     @Test
-    void whatCannotBeInTimeIsGivenUpWhileItsClientStillWaits() throws Exception {
-        CompletableFuture<Integer> told = new CompletableFuture<>();
-        start((r, n) -> told.complete(Integer.valueOf(r.getHeader("Timeout-Ms"))));
-        assertEquals(Answer.Kind.FAILED, ask("place-order", null, 1_000).kind());
-        assertTrue(get(told) <= 960, "the attempt may last " + get(told) + " of the client's 1000 ms");
-        for (double deadline : new double[] {1, 200, 2_500, 5_000, 60_000}) {
-            long expires = ProxiedRequest.expires(new ClientRequest(
+    void failsALateRequestBeforeTheClientsDeadline() throws Exception {
+        CompletableFuture<Integer> timeoutMs = new CompletableFuture<>();
+        start((r, n) -> timeoutMs.complete(Integer.valueOf(r.getHeader("Timeout-Ms"))));
+        assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 1_000).kind());
+        assertTrue(await(timeoutMs) <= 960, "the attempt may last " + await(timeoutMs) + " of the client's 1000 ms");
+        for (double deadlineMs : new double[] {1, 200, 2_500, 5_000, 60_000}) {
+            long requestDeadline = ProxiedRequest.deadlineOf(new ClientRequest(
                     "9b1f03aa5c7e2d41",
                     "menu-page",
                     "7f3a9c21e0b4d655",
@@ -199,37 +200,38 @@
                     null,
                     Buffer.buffer(),
                     7_000_000,
-                    deadline));
-            long spared = 7_000_000 + (long) (deadline * 1000) - expires;
-            assertEquals(Math.min(100_000, 40 * deadline), spared, 1, "of " + deadline + " ms");
+                    deadlineMs));
+            long marginMicros = 7_000_000 + (long) (deadlineMs * 1000) - requestDeadline;
+            assertEquals(Math.min(100_000, 40 * deadlineMs), marginMicros, 1, "of " + deadlineMs + " ms");
         }
     }
 
     @Test
-    void anIdThatIsOpenAlreadyFailsAndLeavesTheOpenRequestAlone() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        start((r, n) -> held.complete(r));
-        CompletableFuture<Answer> first = begin("place-order", null, 20_000);
-        HttpServerRequest r = get(held);
-        assertEquals(Answer.Kind.FAILED, ask("place-order", null, 1).kind());
-        // Past the twin's deadline and backstop, when a timer of its own would have ended the first.
-        CompletableFuture<Void> later = new CompletableFuture<>();
-        vertx.setTimer(100, t -> later.complete(null));
-        get(later);
-        vertx.runOnContext(v -> r.response().end("order"));
-        assertEquals("order", get(first).body().toString());
+    void failsADuplicateOfAnOpenIdAndKeepsTheOpenRequest() throws Exception {
+        CompletableFuture<HttpServerRequest> openRequest = new CompletableFuture<>();
+        start((r, n) -> openRequest.complete(r));
+        CompletableFuture<Answer> first = send("place-order", null, 20_000);
+        HttpServerRequest cacheRequest = await(openRequest);
+        assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 1).kind());
+        // Waits past the deadline and the backstop of the duplicate: a timer of its own would fail the open
+        // request.
+        CompletableFuture<Void> waited = new CompletableFuture<>();
+        vertx.setTimer(100, t -> waited.complete(null));
+        await(waited);
+        vertx.runOnContext(v -> cacheRequest.response().end("order"));
+        assertEquals("order", await(first).body().toString());
     }
 
     @Test
-    void anIdThatWasAnsweredIsNotServedAgain() throws Exception {
+    void failsARequestWhoseIdWasAnswered() throws Exception {
         start((r, n) -> r.response().end("menu"));
-        assertEquals(Answer.Kind.SERVED, ask("menu-page", null, 20_000).kind());
-        assertEquals(Answer.Kind.FAILED, ask("menu-page", null, 20_000).kind());
-        assertEquals(1, asked.size());
+        assertEquals(Answer.Kind.SERVED, sendAndWait("menu-page", null, 20_000).kind());
+        assertEquals(Answer.Kind.FAILED, sendAndWait("menu-page", null, 20_000).kind());
+        assertEquals(1, receivedRequests.size());
     }
 
     @Test
-    void whatIsWithdrawnAtOnceTakesNoRoom() throws Exception {
+    void doesNotRouteRequestsThatAreWithdrawnAtOnce() throws Exception {
         start((r, n) -> r.response().end("menu"));
         CompletableFuture<Integer> open = new CompletableFuture<>();
         vertx.runOnContext(v -> {
@@ -251,24 +253,24 @@
             }
             open.complete(director.openRequests());
         });
-        assertEquals(0, get(open));
-        assertEquals(Answer.Kind.SERVED, ask("menu-page", null, 20_000).kind());
-        assertEquals(1, asked.size(), "only what is still wanted: " + asked);
+        assertEquals(0, await(open));
+        assertEquals(Answer.Kind.SERVED, sendAndWait("menu-page", null, 20_000).kind());
+        assertEquals(1, receivedRequests.size(), "only the request that was not withdrawn: " + receivedRequests);
     }
 
-    /** Caches that answer when the test lets them. */
+    /** Stands in for caches: a test completes their connections and responses. */
     private static final class ScriptedTransport implements Transport {
-        final List<Promise<CacheResponse>> asked = new ArrayList<>();
-        final List<Promise<Void>> dials = new ArrayList<>(); // Where the test lets connections come up.
-        boolean slow;
+        final List<Promise<CacheResponse>> exchanges = new ArrayList<>();
+        final List<Promise<Void>> connects = new ArrayList<>(); // Used if holdsConnects is set.
+        boolean holdsConnects;
 
         @Override
-        public Future<CacheConnection> connect(InetSocketAddress to, long timeoutMs) {
-            if (!slow) {
+        public Future<CacheConnection> connect(InetSocketAddress address, long timeoutMs) {
+            if (!holdsConnects) {
                 return Future.succeededFuture(connection());
             }
-            dials.add(Promise.promise());
-            return dials.get(dials.size() - 1).future().map(v -> connection());
+            connects.add(Promise.promise());
+            return connects.get(connects.size() - 1).future().map(v -> connection());
         }
 
         private CacheConnection connection() {
@@ -277,8 +279,8 @@
 
                 @Override
                 public Future<CacheResponse> exchange(CacheRequest request, long timeoutMs) {
-                    asked.add(Promise.promise());
-                    return asked.get(asked.size() - 1).future();
+                    exchanges.add(Promise.promise());
+                    return exchanges.get(exchanges.size() - 1).future();
                 }
 
                 @Override
@@ -287,7 +289,7 @@
                 }
 
                 @Override
-                public void onClose(Runnable then) {}
+                public void onClose(Runnable listener) {}
 
                 @Override
                 public void close() {
@@ -297,8 +299,8 @@
         }
     }
 
-    private <T> T onLoop(Supplier<T> what) throws Exception {
-        return EventLoopCalls.call(vertx, what);
+    private <T> T onLoop(Supplier<T> code) throws Exception {
+        return EventLoopCalls.call(vertx, code);
     }
 
     private ScriptedTransport startScripted() throws Exception {
@@ -307,14 +309,14 @@
         config = DirectorConfig.read(Map.of(), json);
         ScriptedTransport caches = new ScriptedTransport();
         director = onLoop(() -> {
-            Director d = new Director(vertx, config, caches);
-            d.start();
-            return d;
+            Director newDirector = new Director(vertx, config, caches);
+            newDirector.start();
+            return newDirector;
         });
         return caches;
     }
 
-    private ClientRequest page(long id, double deadlineMs) {
+    private ClientRequest menuPage(long id, double deadlineMs) {
         return new ClientRequest(
                 String.format("%016x", id),
                 "menu-page",
@@ -328,110 +330,111 @@
                 deadlineMs);
     }
 
-    // The module orders one more attempt for it in the batch in which it also hears that the client has gone: that
-    // attempt
-    // was dropped without a word, and took up room at its cache for good.
+    // Guards against an attempt that is dropped without a report to the router and counts against its cache's
+    // limit for good. It came about where the router ordered one more attempt in the batch in which it learned
+    // of the disconnect.
     @Test
-    void aClientThatLeavesAsItsAttemptEndsTakesUpNoRoom() throws Exception {
+    void freesTheCapacityOfAClientThatDisconnectsAsItsAttemptFinishes() throws Exception {
         ScriptedTransport caches = startScripted();
         for (int i = 0; i < 400; i++) {
             long id = 1_000 + i;
-            Runnable gone = onLoop(() -> director.handle(page(id, 20_000), a -> {}));
-            int n = i;
-            onLoop(() -> caches.asked.size()); // The module has sent it on.
+            Runnable onDisconnect = onLoop(() -> director.handle(menuPage(id, 20_000), a -> {}));
+            int index = i;
+            onLoop(() -> caches.exchanges.size()); // By now the router has ordered its attempt.
             onLoop(() -> {
-                assertEquals(n + 1, caches.asked.size(), "one attempt for each client");
-                caches.asked.get(n).complete(CacheResponse.of(AttemptResult.MISS));
-                gone.run();
+                assertEquals(index + 1, caches.exchanges.size(), "one attempt for each client");
+                caches.exchanges.get(index).complete(CacheResponse.of(AttemptResult.MISS));
+                onDisconnect.run();
                 return null;
             });
-            onLoop(() -> null); // The module has heard both.
-            onLoop(() -> null); // And how the attempt ended that it had ordered meanwhile.
+            onLoop(() -> null); // By now the router has handled both events.
+            onLoop(() -> null); // And the result of the attempt that it ordered in between.
             assertEquals(0, onLoop(director::openRequests));
         }
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        onLoop(() -> director.handle(page(7, 20_000), answer::complete));
+        onLoop(() -> director.handle(menuPage(7, 20_000), answer::complete));
         onLoop(() -> null);
         onLoop(() -> {
-            assertEquals(401, caches.asked.size(), "the caches have room for one more");
-            caches.asked.get(400).complete(new CacheResponse(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
+            assertEquals(401, caches.exchanges.size(), "the caches have capacity for one more");
+            caches.exchanges.get(400).complete(new CacheResponse(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
             return null;
         });
-        assertEquals(Answer.Kind.SERVED, get(answer).kind());
+        assertEquals(Answer.Kind.SERVED, await(answer).kind());
     }
 
-    // After a late turn the sockets are read in any order: the client's close may stand behind the connection's coming
-    // up.
+    // After a long turn the sockets are read in any order: the client's close may be read after the connection
+    // to the cache is established.
     @Test
-    void aClientThatLeavesAsItsConnectionComesUpIsNotSentOn() throws Exception {
+    void sendsNothingForAClientThatDisconnectsAsItsConnectionIsEstablished() throws Exception {
         ScriptedTransport caches = startScripted();
-        caches.slow = true;
-        Runnable gone = onLoop(() -> director.handle(page(1, 20_000), a -> {}));
+        caches.holdsConnects = true;
+        Runnable onDisconnect = onLoop(() -> director.handle(menuPage(1, 20_000), a -> {}));
         onLoop(() -> null);
         onLoop(() -> {
-            caches.dials.get(0).complete();
-            gone.run();
+            caches.connects.get(0).complete();
+            onDisconnect.run();
             return null;
         });
         onLoop(() -> null);
         onLoop(() -> null);
-        assertEquals(0, onLoop(() -> caches.asked.size()), "sent on for a client that had gone");
+        assertEquals(0, onLoop(() -> caches.exchanges.size()), "sent for a client that had disconnected");
         assertEquals(0, onLoop(director::openRequests));
     }
 
-    // A turn that took too long leaves much to do: what is due comes first, and the rest doesn't come in one piece.
+    // After a long turn many events wait: expired requests are answered first, and the rest comes in several
+    // batches.
     @Test
-    void afterALateTurnWhatIsDueIsAnsweredFirst() throws Exception {
+    void answersExpiredRequestsFirstAfterALateTurn() throws Exception {
         ScriptedTransport caches = startScripted();
-        AtomicInteger askedWhenAnswered = new AtomicInteger(-1);
-        CompletableFuture<Answer> due = new CompletableFuture<>();
-        onLoop(() -> director.handle(page(1, 100), a -> {
-            askedWhenAnswered.set(caches.asked.size());
-            due.complete(a);
+        AtomicInteger exchangesWhenAnswered = new AtomicInteger(-1);
+        CompletableFuture<Answer> expired = new CompletableFuture<>();
+        onLoop(() -> director.handle(menuPage(1, 100), a -> {
+            exchangesWhenAnswered.set(caches.exchanges.size());
+            expired.complete(a);
         }));
         onLoop(() -> null);
-        int before = onLoop(() -> caches.asked.size());
+        int before = onLoop(() -> caches.exchanges.size());
         onLoop(() -> {
             for (int i = 0; i < 600; i++) {
-                director.handle(page(1_000 + i, 20_000), a -> {});
+                director.handle(menuPage(1_000 + i, 20_000), a -> {});
             }
-            long until = director.clock().getAsLong() + 150_000;
-            while (director.clock().getAsLong() < until) {
+            long busyUntil = director.clock().getAsLong() + 150_000;
+            while (director.clock().getAsLong() < busyUntil) {
                 Thread.onSpinWait();
             }
             return null;
         });
-        get(due);
-        assertEquals(before, askedWhenAnswered.get(), "others were sent on before it");
+        await(expired);
+        assertEquals(before, exchangesWhenAnswered.get(), "other requests were sent before it was answered");
     }
 
-    // ---- Settings that change ----
+    // ---- Reloads ----
 
     private void reload(java.util.function.Consumer<JsonObject> change) throws Exception {
         JsonObject json = config.source().copy();
         change.accept(json.getJsonObject("settings"));
-        CompletableFuture<Void> done = new CompletableFuture<>();
+        CompletableFuture<Void> reloaded = new CompletableFuture<>();
         vertx.runOnContext(v -> {
             director.reload(DirectorConfig.read(Map.of(), json));
-            done.complete(null);
+            reloaded.complete(null);
         });
-        get(done);
+        await(reloaded);
     }
 
     @Test
-    void classesComeAndGoAndWhatIsUnderWayKeepsItsClass() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
+    void keepsTheClassOfAnOpenRequestWhenClassesChange() throws Exception {
+        CompletableFuture<HttpServerRequest> openRequest = new CompletableFuture<>();
         start((r, n) -> {
             if (n == 0) {
-                held.complete(r);
+                openRequest.complete(r);
             } else {
-                r.connection().close(); // What is safe to repeat would be repeated.
+                r.connection().close(); // A safe request would be retried.
             }
         });
-        CompletableFuture<Answer> first = begin("menu-page", null, 20_000);
-        HttpServerRequest r = get(held);
+        CompletableFuture<Answer> first = send("menu-page", null, 20_000);
+        HttpServerRequest cacheRequest = await(openRequest);
         reload(s -> {
-            s.getJsonArray("Classes").remove(1); // menu-page has gone, and its place is free.
+            s.getJsonArray("Classes").remove(1); // menu-page is removed, and its index is free.
             s.getJsonArray("Classes")
                     .add(new JsonObject()
                             .put("Name", "menu-v2")
@@ -439,35 +442,35 @@
                             .put("Aim", 400)
                             .put("Deadline", 3_000));
         });
-        vertx.runOnContext(v -> r.connection().close());
-        Answer a = get(first);
-        int asks = asked.size();
-        assertTrue(asks > 1, "safe to repeat when it came, so it was: " + asked);
-        assertTrue(a.kind() == Answer.Kind.REFUSED || a.kind() == Answer.Kind.FAILED);
+        vertx.runOnContext(v -> cacheRequest.connection().close());
+        Answer answer = await(first);
+        int requestsBefore = receivedRequests.size();
+        assertTrue(requestsBefore > 1, "retried, as it was safe to repeat when it arrived: " + receivedRequests);
+        assertTrue(answer.kind() == Answer.Kind.REFUSED || answer.kind() == Answer.Kind.FAILED);
         assertEquals(
                 Answer.Kind.FAILED,
-                begin("menu-page", 2).get(30, TimeUnit.SECONDS).kind());
-        assertEquals(asks, asked.size(), "its class has gone");
+                send("menu-page", 2).get(30, TimeUnit.SECONDS).kind());
+        assertEquals(requestsBefore, receivedRequests.size(), "its class was removed");
         assertEquals(
                 Answer.Kind.FAILED,
-                begin("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
-        assertEquals(asks + 1, asked.size(), "must not run twice: " + asked);
+                send("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
+        assertEquals(requestsBefore + 1, receivedRequests.size(), "an order must not run twice: " + receivedRequests);
     }
 
     @Test
-    void fewerAttemptsCountAtOnce() throws Exception {
+    void appliesALowerAttemptLimitAtOnce() throws Exception {
         start((r, n) -> r.connection().close());
         reload(s -> s.getJsonObject("Permissions").put("TryLimit", 1));
-        begin("menu-page", 4).get(30, TimeUnit.SECONDS);
-        assertEquals(1, asked.size());
+        send("menu-page", 4).get(30, TimeUnit.SECONDS);
+        assertEquals(1, receivedRequests.size());
     }
 
-    private CompletableFuture<Answer> begin(String cls, long id) {
+    private CompletableFuture<Answer> send(String className, long id) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         vertx.runOnContext(v -> director.handle(
                 new ClientRequest(
                         String.format("%016x", id),
-                        cls,
+                        className,
                         "7f3a9c21e0b4d655",
                         0,
                         17,
@@ -481,9 +484,9 @@
     }
 
     @Test
-    void aClassThatTheSettingsLackFails() throws Exception {
+    void failsARequestOfAnUnknownClass() throws Exception {
         start((r, n) -> {});
-        assertEquals(Answer.Kind.FAILED, ask("no-such-class", null, 20_000).kind());
-        assertEquals(0, asked.size());
+        assertEquals(Answer.Kind.FAILED, sendAndWait("no-such-class", null, 20_000).kind());
+        assertEquals(0, receivedRequests.size());
     }
 }
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -30,13 +30,13 @@
 import pewtercourse.discovery.WatchEvent;
 import pewtercourse.discovery.WatchedEndpoint;
 
-/** Calls by hand among events of the feed, in any order, against who may be used. */
+/** Mixes operators' calls with events of the control feed, in any order, and checks which endpoints may be used. */
 class ServiceRegistryModelTest {
-    private record Step(int kind, int host) {}
+    private record Step(int kind, int endpoint) {}
 
     private static final Timers NO_TIMERS = new Timers() {
         @Override
-        public long set(long delayMs, Runnable then) {
+        public long set(long delayMs, Runnable task) {
             return 0;
         }
 
@@ -46,89 +46,89 @@
 
     private long now = 1_000_000;
     private ServiceRegistry registry;
-    private final Map<Long, Endpoint> module = new HashMap<>(); // What the module was last told.
+    private final Map<Long, Endpoint> routerEndpoints = new HashMap<>(); // As the router sees them.
 
-    // The same object plays all tries of a property.
+    // One instance of the class runs all tries of a property.
     @BeforeTry
-    void begin() throws Exception {
-        module.clear();
+    void reset() throws Exception {
+        routerEndpoints.clear();
         now = 1_000_000;
-        DirectorConfig c = ExampleConfig.read();
-        registry = new ServiceRegistry(c.site(), new ConnectionPool(null, NO_TIMERS, () -> now, 1, 1));
+        DirectorConfig config = ExampleConfig.read();
+        registry = new ServiceRegistry(config.site(), new ConnectionPool(null, NO_TIMERS, () -> now, 1, 1));
     }
 
-    private static WatchedEndpoint host(int i, EndpointLifecycle state, long started) {
+    private static WatchedEndpoint endpoint(int i, EndpointLifecycle lifecycle, long startedMs) {
         return new WatchedEndpoint(
-                i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, state, 1, started);
+                i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, lifecycle, 1, startedMs);
     }
 
-    private void hear(EndpointsChanged l) {
-        if (l == null) {
+    private void applyToRouter(EndpointsChanged change) {
+        if (change == null) {
             return;
         }
-        if (l.kind() == EndpointUpdateKind.SNAPSHOT) {
-            module.clear();
+        if (change.kind() == EndpointUpdateKind.SNAPSHOT) {
+            routerEndpoints.clear();
         }
-        l.endpoints().forEach(m -> module.put(m.id(), m));
+        change.endpoints().forEach(endpoint -> routerEndpoints.put(endpoint.id(), endpoint));
     }
 
-    private boolean used(int i) {
-        Endpoint m = module.get((long) i);
-        return m != null && m.lifecycle() == EndpointLifecycle.READY;
+    private boolean isUsable(int i) {
+        Endpoint endpoint = routerEndpoints.get((long) i);
+        return endpoint != null && endpoint.lifecycle() == EndpointLifecycle.READY;
     }
 
     @Property(tries = 500, seed = "7")
-    void whoIsOutIsNeverUsedAndWhoIsBackIsCold(@ForAll("steps") List<Step> steps) {
+    void neverUsesADrainedEndpointAndWarmsUpAReinstatedOne(@ForAll("steps") List<Step> steps) {
         Map<Integer, WatchedEndpoint> listed = new HashMap<>();
-        Set<Integer> out = new HashSet<>();
-        Map<Integer, Long> back = new HashMap<>();
-        long number = 0;
-        for (Step s : steps) {
+        Set<Integer> drained = new HashSet<>();
+        Map<Integer, Long> reinstatedAt = new HashMap<>();
+        long eventNumber = 0;
+        for (Step step : steps) {
             now += 1_000;
-            int i = s.host;
-            switch (s.kind) {
+            int i = step.endpoint;
+            switch (step.kind) {
                 case 0, 1, 2 -> {
-                    EndpointLifecycle state = EndpointLifecycle.values()[s.kind];
-                    WatchedEndpoint h = host(i, state, s.host % 2 == 0 ? now : 0); // Some tell no new start.
-                    if (state == EndpointLifecycle.GONE) {
+                    EndpointLifecycle lifecycle = EndpointLifecycle.values()[step.kind];
+                    WatchedEndpoint endpoint = endpoint(i, lifecycle, step.endpoint % 2 == 0 ? now : 0); // Some have no start time.
+                    if (lifecycle == EndpointLifecycle.GONE) {
                         listed.remove(i);
-                        back.remove(i);
+                        reinstatedAt.remove(i);
                     } else {
-                        listed.put(i, h);
+                        listed.put(i, endpoint);
                     }
-                    hear(registry.apply(new WatchEvent.EndpointUpdate(++number, false, List.of(h))));
+                    applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(++eventNumber, false, List.of(endpoint))));
                 }
                 case 3 -> {
-                    back.keySet().retainAll(listed.keySet());
-                    hear(registry.apply(
-                            new WatchEvent.EndpointUpdate(++number, true, new ArrayList<>(listed.values()))));
+                    reinstatedAt.keySet().retainAll(listed.keySet());
+                    applyToRouter(registry.apply(
+                            new WatchEvent.EndpointUpdate(++eventNumber, true, new ArrayList<>(listed.values()))));
                 }
                 case 4 -> {
-                    assertEquals(listed.containsKey(i) || out.contains(i), registry.knows("s-" + i));
+                    assertEquals(listed.containsKey(i) || drained.contains(i), registry.knowsEndpoint("s-" + i));
                     if (listed.containsKey(i)) {
-                        hear(registry.takeOut("s-" + i, now));
-                        out.add(i);
+                        applyToRouter(registry.drainEndpoint("s-" + i, now));
+                        drained.add(i);
                     }
                 }
                 default -> {
-                    if (out.remove(i)) {
-                        back.put(
+                    if (drained.remove(i)) {
+                        reinstatedAt.put(
                                 i,
                                 listed.containsKey(i) && listed.get(i).startedMs() > 0
                                         ? listed.get(i).startedMs()
                                         : now);
                     }
-                    hear(registry.putBack("s-" + i, now));
+                    applyToRouter(registry.reinstateEndpoint("s-" + i, now));
                 }
             }
             for (int k = 0; k < 4; k++) {
-                WatchedEndpoint h = listed.get(k);
-                boolean usable = h != null && h.state() == EndpointLifecycle.READY && !out.contains(k);
-                assertEquals(usable, used(k), "told to the module: " + k);
-                assertEquals(usable, registry.ready(k), "for what waits for a connection: " + k);
-                if (usable && back.containsKey(k) && h.startedMs() == 0) {
+                WatchedEndpoint endpoint = listed.get(k);
+                boolean usable = endpoint != null && endpoint.state() == EndpointLifecycle.READY && !drained.contains(k);
+                assertEquals(usable, isUsable(k), "usable by the router: " + k);
+                assertEquals(usable, registry.isReady(k), "usable by an attempt that waits for its connection: " + k);
+                if (usable && reinstatedAt.containsKey(k) && endpoint.startedMs() == 0) {
                     assertTrue(
-                            module.get((long) k).startedAt() >= back.get(k) * 1000, "back, and taken for warm: " + k);
+                            routerEndpoints.get((long) k).startedAt() >= reinstatedAt.get(k) * 1000, "reinstated without slow start: " + k);
                 }
             }
         }
@@ -145,20 +145,20 @@
     }
 
     @Example
-    void twoCallsOutAndOneBackAndAStartThatTheFeedTells() {
-        hear(registry.apply(new WatchEvent.EndpointUpdate(1, true, List.of(host(1, EndpointLifecycle.READY, 0)))));
-        hear(registry.takeOut("s-1", now));
-        hear(registry.takeOut("s-1", now + 5));
-        assertFalse(used(1));
-        hear(registry.apply(new WatchEvent.EndpointUpdate(2, false, List.of(host(1, EndpointLifecycle.GONE, 0)))));
-        assertTrue(registry.knows("s-1"), "out, though it is not listed now");
-        hear(registry.apply(
-                new WatchEvent.EndpointUpdate(3, false, List.of(host(1, EndpointLifecycle.READY, now + 2_000)))));
-        assertFalse(used(1), "listed anew, and still out");
-        hear(registry.putBack("s-1", now + 9_000));
-        assertTrue(used(1));
-        assertEquals((now + 2_000) * 1000, module.get(1L).startedAt());
-        hear(registry.putBack("s-1", now + 9_500));
-        assertEquals((now + 2_000) * 1000, module.get(1L).startedAt(), "a second call back changes nothing");
+    void oneReinstatementEndsARepeatedDrainAndKeepsTheListedStart() {
+        applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(1, true, List.of(endpoint(1, EndpointLifecycle.READY, 0)))));
+        applyToRouter(registry.drainEndpoint("s-1", now));
+        applyToRouter(registry.drainEndpoint("s-1", now + 5));
+        assertFalse(isUsable(1));
+        applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(2, false, List.of(endpoint(1, EndpointLifecycle.GONE, 0)))));
+        assertTrue(registry.knowsEndpoint("s-1"), "drained, though it is not listed");
+        applyToRouter(registry.apply(
+                new WatchEvent.EndpointUpdate(3, false, List.of(endpoint(1, EndpointLifecycle.READY, now + 2_000)))));
+        assertFalse(isUsable(1), "listed again, and still drained");
+        applyToRouter(registry.reinstateEndpoint("s-1", now + 9_000));
+        assertTrue(isUsable(1));
+        assertEquals((now + 2_000) * 1000, routerEndpoints.get(1L).startedAt());
+        applyToRouter(registry.reinstateEndpoint("s-1", now + 9_500));
+        assertEquals((now + 2_000) * 1000, routerEndpoints.get(1L).startedAt(), "a second reinstatement changes nothing");
     }
 }
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -29,60 +29,63 @@
 import pewtercourse.front.ClientRequest;
 
 /**
- * Requests at caches that break in every way, some of whose clients leave: each is answered once, and then no request, no
- * connection in use and no timer is left. Caches are real sockets; the ways are drawn from a seed.
+ * Sends requests to caches that fail in many ways, while some clients disconnect: each request is answered
+ * once, and in the end no request, busy connection or timer is left. The caches are real sockets; their
+ * failures are drawn from a seed.
  */
 class StormTest {
-    private static final int REQUESTS = 400, WAIT_SECONDS = 60;
-    private static final int SPREAD_MS = 400;
-    // Of clients whose caches may stay silent; and of others, far over the time in which a test looks: a timer that is
-    // not
-    // cancelled with its request is still there then.
-    private static final double SHORT_DEADLINE_MS = 400, LONG_DEADLINE_MS = 600_000;
-    // The module's own, which comes again and again.
-    private static final int STANDING_TIMERS = 1;
+    private static final int REQUESTS = 400;
+    private static final int WAIT_SECONDS = 60;
+    private static final int ARRIVAL_SPREAD_MS = 400;
+    // For runs in which caches may stay silent.
+    private static final double SHORT_DEADLINE_MS = 400;
+    // For the other runs: longer than a test waits, so that a timer that is not cancelled with its request is
+    // noticed.
+    private static final double LONG_DEADLINE_MS = 600_000;
+    // The periodic timer of the router.
+    private static final int ROUTER_TIMERS = 1;
 
     private final Vertx vertx = Vertx.vertx();
-    private final Set<NetSocket> atCaches = new HashSet<>();
+    private final Set<NetSocket> cacheSockets = new HashSet<>();
     private CountingTimers timers;
     private Director director;
     private int answers;
-    private boolean silentCaches;
+    private boolean cachesMayStaySilent;
 
-    /** The library's timers, those counted that have neither fired nor been cancelled. */
+    /** Keeps the ids of the timers that have neither fired nor been cancelled. */
     private static final class CountingTimers implements Timers {
-        private final Timers library;
-        private final Set<Long> waiting = new HashSet<>();
+        private final Timers delegate;
+        private final Set<Long> pending = new HashSet<>();
 
-        CountingTimers(Timers library) {
-            this.library = library;
+        CountingTimers(Timers delegate) {
+            this.delegate = delegate;
         }
 
         @Override
-        public long set(long delayMs, Runnable then) {
+        public long set(long delayMs, Runnable task) {
             long[] id = new long[1];
-            id[0] = library.set(delayMs, () -> {
-                waiting.remove(id[0]);
-                then.run();
+            id[0] = delegate.set(delayMs, () -> {
+                pending.remove(id[0]);
+                task.run();
             });
-            waiting.add(id[0]);
+            pending.add(id[0]);
             return id[0];
         }
 
         @Override
         public void cancel(long timer) {
-            waiting.remove(timer);
-            library.cancel(timer);
+            pending.remove(timer);
+            delegate.cancel(timer);
         }
 
         @Override
-        public void afterReads(Runnable then) {
-            library.afterReads(then);
+        public void afterReads(Runnable task) {
+            delegate.afterReads(task);
         }
     }
 
-    private <T> T onLoop(Supplier<T> what) throws Exception {
-        return EventLoopCalls.call(vertx, what);
+    private <T> T onLoop(Supplier<T> code) throws Exception {
+        return EventLoopCalls.call(vertx, code);
     }
 
     @BeforeEach
@@ -106,9 +109,9 @@
         DirectorConfig config = DirectorConfig.read(Map.of(), json);
         director = onLoop(() -> {
             timers = new CountingTimers(Timers.of(vertx));
-            Director made = new Director(vertx, config, new HttpTransport(vertx), timers);
-            made.start();
-            return made;
+            Director started = new Director(vertx, config, new HttpTransport(vertx), timers);
+            started.start();
+            return started;
         });
     }
 
@@ -118,30 +121,30 @@
     }
 
     private void accept(NetSocket socket) {
-        atCaches.add(socket);
-        socket.closeHandler(v -> atCaches.remove(socket));
+        cacheSockets.add(socket);
+        socket.closeHandler(v -> cacheSockets.remove(socket));
         socket.exceptionHandler(e -> {});
-        socket.handler(request -> misbehave(socket, new Random(request.hashCode() + atCaches.size())));
+        socket.handler(request -> misbehave(socket, new Random(request.hashCode() + cacheSockets.size())));
     }
 
     private void misbehave(NetSocket socket, Random random) {
-        String whole = "HTTP/1.1 200 OK\r\nETag: t\r\nOutcome: mem\r\nContent-Length: 4\r\n\r\nmenu";
+        String response = "HTTP/1.1 200 OK\r\nETag: t\r\nOutcome: mem\r\nContent-Length: 4\r\n\r\nmenu";
         switch (random.nextInt(9)) {
             case 0 -> socket.write("HTTP/1.1 503 Service Unavailable\r\nNever-Ran: 1\r\nContent-Length: 0\r\n\r\n");
-            case 1 -> breakOff(socket.write("HTTP/1.1 200 O"), socket);
+            case 1 -> stopResponding(socket.write("HTTP/1.1 200 O"), socket);
             case 2 -> socket.end(Buffer.buffer("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"));
             case 3 -> socket.close();
-            case 4 -> socket.write(whole + whole);
+            case 4 -> socket.write(response + response);
             case 5 -> socket.write("noise\r\n\r\n");
-            case 6 -> socket.end(Buffer.buffer(whole));
-            case 7 -> breakOff(Future.succeededFuture(), socket);
-            default -> socket.write(whole);
+            case 6 -> socket.end(Buffer.buffer(response));
+            case 7 -> stopResponding(Future.succeededFuture(), socket);
+            default -> socket.write(response);
         }
     }
 
-    // Says no more, or closes.
-    private void breakOff(Future<Void> written, NetSocket socket) {
-        if (!silentCaches) {
+    // Stays silent from now on, or closes the connection, by the kind of run.
+    private void stopResponding(Future<Void> written, NetSocket socket) {
+        if (!cachesMayStaySilent) {
             written.onComplete(v -> socket.close());
         }
     }
@@ -157,50 +160,50 @@
                 null,
                 Buffer.buffer(),
                 director.clock().getAsLong(),
-                silentCaches ? SHORT_DEADLINE_MS : LONG_DEADLINE_MS);
+                cachesMayStaySilent ? SHORT_DEADLINE_MS : LONG_DEADLINE_MS);
     }
 
-    /** Of the clients some leave, at once or after a while; returns how many stay. */
-    private int ask(Random random) {
-        int stay = 0;
+    /** Sends the requests; some clients disconnect soon after. Returns the number of those that do not. */
+    private int sendRequests(Random random) {
+        int remainingClients = 0;
         for (int i = 0; i < REQUESTS; i++) {
             ClientRequest request = request(i, random);
-            int when = random.nextInt(SPREAD_MS);
-            boolean leaves = random.nextInt(5) == 0;
-            stay += leaves ? 0 : 1;
-            vertx.setTimer(1 + when, t -> {
-                Runnable gone = director.handle(request, answer -> answers += leaves ? 0 : 1);
-                if (leaves) {
-                    vertx.setTimer(1 + when % 40, u -> gone.run());
+            int arrivalMs = random.nextInt(ARRIVAL_SPREAD_MS);
+            boolean disconnects = random.nextInt(5) == 0;
+            remainingClients += disconnects ? 0 : 1;
+            vertx.setTimer(1 + arrivalMs, t -> {
+                Runnable onDisconnect = director.handle(request, answer -> answers += disconnects ? 0 : 1);
+                if (disconnects) {
+                    vertx.setTimer(1 + arrivalMs % 40, u -> onDisconnect.run());
                 }
             });
         }
-        return stay;
+        return remainingClients;
     }
 
-    private void until(String what, Supplier<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (!onLoop(holds)) {
+    private void waitFor(String what, Supplier<Boolean> condition) throws Exception {
+        long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (!onLoop(condition)) {
             assertTrue(
-                    System.nanoTime() < end,
-                    () -> "never came: " + what + "; open " + director.openRequests() + ", timers " + timers.waiting.size()
-                            + ", answers " + answers + ", connections " + atCaches.size());
+                    System.nanoTime() < giveUpAt,
+                    () -> "timed out waiting for " + what + "; open " + director.openRequests() + ", timers " + timers.pending.size()
+                            + ", answers " + answers + ", connections " + cacheSockets.size());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "3, true", "1, false", "2, false", "3, false"})
-    void afterAStormNothingIsLeftOver(long seed, boolean silent) throws Exception {
-        onLoop(() -> silentCaches = silent);
-        int stay = onLoop(() -> ask(new Random(seed)));
-        until("an answer for each that stays", () -> answers >= stay && director.openRequests() == 0);
-        until("no timer but the module's", () -> timers.waiting.size() <= STANDING_TIMERS);
-        assertEquals(stay, answers, "one answer each");
+    void answersEachRequestOnceAndLeavesNothingOpen(long seed, boolean mayStaySilent) throws Exception {
+        onLoop(() -> cachesMayStaySilent = mayStaySilent);
+        int remainingClients = onLoop(() -> sendRequests(new Random(seed)));
+        waitFor("an answer for each client that stayed", () -> answers >= remainingClients && director.openRequests() == 0);
+        waitFor("no timer but the router's", () -> timers.pending.size() <= ROUTER_TIMERS);
+        assertEquals(remainingClients, answers, "one answer for each client that stayed");
         assertEquals(0, onLoop(director::openRequests));
         int idle = onLoop(director.pool::idleConnections);
-        until(
-                "no connection but idle ones",
-                () -> atCaches.size() <= director.pool.idleConnections() && director.pool.connections() == director.pool.idleConnections());
+        waitFor(
+                "only idle connections",
+                () -> cacheSockets.size() <= director.pool.idleConnections() && director.pool.connections() == director.pool.idleConnections());
         assertTrue(idle <= REQUESTS);
     }
 }
