--- a/src/main/java/pewtercourse/cache/CacheRequest.java
+++ b/src/main/java/pewtercourse/cache/CacheRequest.java
@@ -7,6 +7,10 @@
  * A request to a cache.
  *
  * @param id                  correlation id of the client's request
+ * @param className           class of the request
+ * @param object              key of the object
+ * @param part                number of the object's part
+ * @param body                body of the client's request; may be empty
  * @param fillSource          name of the endpoint that a miss is filled from; null for no fill
  * @param retentionRank       0: the object is not to be stored; 1 to 3: how much its copy is worth
  * @param maxAgeMs            maximum age of a copy that may be served; 0: as long as copies of the class are
