--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -82,7 +82,8 @@
         }
         long remainingMicros = deadline - clock.getAsLong();
         timer = timers.set(
-                Timers.millis(Math.min(connectTimeoutMicros, remainingMicros)), () -> finish(CacheResponse.of(AttemptResult.CONNECT_TIMEOUT)));
+                Timers.millis(Math.min(connectTimeoutMicros, remainingMicros)),
+                () -> finish(CacheResponse.of(AttemptResult.CONNECT_TIMEOUT)));
         // After a long turn of the event loop the client's close may still be unread when the connection is
         // established: it is read first.
         connecting.onComplete(result -> timers.afterReads(() -> onConnected(result)));
@@ -120,7 +121,8 @@
         // reused one.
         connection
                 .exchange(request, Math.max(1, remainingMicros / 1000))
-                .onComplete(exchanged -> finish(exchanged.succeeded() ? exchanged.result() : CacheResponse.of(AttemptResult.RESET)));
+                .onComplete(exchanged ->
+                        finish(exchanged.succeeded() ? exchanged.result() : CacheResponse.of(AttemptResult.RESET)));
     }
 
     /** Cancels the attempt, if it has not finished; its result is reported like any other. */
--- a/src/main/java/pewtercourse/cache/AttemptResult.java
+++ b/src/main/java/pewtercourse/cache/AttemptResult.java
@@ -1,7 +1,7 @@
 package pewtercourse.cache;
 
 /** How an attempt at a cache ended. The names of the constants are logged. */
-public enum End {
+public enum AttemptResult {
     /** 200 with a complete body. */
     SERVED,
     /** 304: the copy that the client holds is current. */
--- a/src/main/java/pewtercourse/cache/CacheResponse.java
+++ b/src/main/java/pewtercourse/cache/CacheResponse.java
@@ -22,9 +22,13 @@
      * @param neverRan whether the cache states that the request did not run
      * @param length   value of the header Content-Length, or null
      */
-    static CacheResponse decode(int status, boolean neverRan, String length, Buffer body, String tag, String outcomeHeader) {
+    static CacheResponse decode(
+            int status, boolean neverRan, String length, Buffer body, String tag, String outcomeHeader) {
         AttemptResult result = switch (status) {
-            case 200 -> length != null && !length.equals(String.valueOf(body.length())) ? AttemptResult.MALFORMED : AttemptResult.SERVED;
+            case 200 ->
+                length != null && !length.equals(String.valueOf(body.length()))
+                        ? AttemptResult.MALFORMED
+                        : AttemptResult.SERVED;
             case 304 -> AttemptResult.NOT_MODIFIED;
             case 404 -> AttemptResult.MISS;
             case 503 -> neverRan ? AttemptResult.FULL : AttemptResult.ERROR;
--- a/src/main/java/pewtercourse/cache/ConnectionPool.java
+++ b/src/main/java/pewtercourse/cache/ConnectionPool.java
@@ -115,8 +115,7 @@
             connection.close();
             return;
         }
-        timers.set(
-                SETTLE_MS, () -> timers.set(SECOND_SETTLE_MS, () -> keepIdle(cacheId, generation, connection)));
+        timers.set(SETTLE_MS, () -> timers.set(SECOND_SETTLE_MS, () -> keepIdle(cacheId, generation, connection)));
     }
 
     /** Keeps a connection that carries no request for reuse, or closes it if its cache was removed. */
--- a/src/main/java/pewtercourse/cache/ResponseReader.java
+++ b/src/main/java/pewtercourse/cache/ResponseReader.java
@@ -54,14 +54,16 @@
         // cost more than the decoder itself.
         List<Object> read(byte[] bytes) {
             unread = unread.isReadable()
-                    ? HEAP_ALLOCATOR.heapBuffer(unread.readableBytes() + bytes.length)
+                    ? HEAP_ALLOCATOR
+                            .heapBuffer(unread.readableBytes() + bytes.length)
                             .writeBytes(unread)
                             .writeBytes(bytes)
                     : Unpooled.wrappedBuffer(bytes);
             List<Object> parts = new ArrayList<>(4);
             try {
                 for (int previousBytes = -1, previousParts = 0;
-                        unread.isReadable() && (previousBytes != unread.readableBytes() || previousParts != parts.size()); ) {
+                        unread.isReadable()
+                                && (previousBytes != unread.readableBytes() || previousParts != parts.size()); ) {
                     previousBytes = unread.readableBytes();
                     previousParts = parts.size();
                     decode(null, unread, parts);
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -421,8 +421,7 @@
         if (!overflowRouter.diverting()) {
             return null;
         }
-        boolean unconditional =
-                requestClass.idempotency() == Idempotency.NON_IDEMPOTENT || requestClass.uncacheable();
+        boolean unconditional = requestClass.idempotency() == Idempotency.NON_IDEMPOTENT || requestClass.uncacheable();
         return overflowRouter.choose(
                 now,
                 new OverflowRequest(
@@ -500,7 +499,8 @@
     private void execute(RouterEventQueue queue, RouterAction action) {
         if (action instanceof StartTimer timer) {
             timers.set(
-                    Timers.millis(timer.dueAt() - clock.getAsLong()), () -> queue.enqueue(new TimerFired(timer.name())));
+                    Timers.millis(timer.dueAt() - clock.getAsLong()),
+                    () -> queue.enqueue(new TimerFired(timer.name())));
         } else if (action instanceof SendGossip gossip) {
             gossipSocket.send(gossip.router(), gossip.payload());
         } else if (action instanceof SendAttempt send) {
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -237,8 +237,7 @@
         }
     }
 
-    private AttemptFinished attemptFinished(
-            int number, SendAttempt send, AttemptResult result, String outcomeHeader) {
+    private AttemptFinished attemptFinished(int number, SendAttempt send, AttemptResult result, String outcomeHeader) {
         return new AttemptFinished(
                 id,
                 number,
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -68,10 +68,17 @@
     // A router sees an endpoint that an operator drained as DRAINING, so that the same rules apply to it, as a
     // target of requests and as a fill source.
     private Endpoint toEndpoint(WatchedEndpoint endpoint) {
-        EndpointLifecycle lifecycle =
-                drains.isDrained(endpoint.name()) && endpoint.state() == EndpointLifecycle.READY ? EndpointLifecycle.DRAINING : endpoint.state();
+        EndpointLifecycle lifecycle = drains.isDrained(endpoint.name()) && endpoint.state() == EndpointLifecycle.READY
+                ? EndpointLifecycle.DRAINING
+                : endpoint.state();
         return settings.member(
-                endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), lifecycle, endpoint.weight(), drains.lastStart(endpoint.name(), endpoint.startedMs()) * 1000);
+                endpoint.id(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
+                lifecycle,
+                endpoint.weight(),
+                drains.lastStart(endpoint.name(), endpoint.startedMs()) * 1000);
     }
 
     private void remove(long id) {
@@ -120,7 +127,8 @@
     private Map<String, Integer> countReady(boolean countCaches) {
         Map<String, Integer> readyByZone = new HashMap<>();
         endpointsById.values().stream()
-                .filter(endpoint -> isReady(endpoint.id()) && (countCaches ? settings.isCache(endpoint.kind()) : settings.isParent(endpoint.kind())))
+                .filter(endpoint -> isReady(endpoint.id())
+                        && (countCaches ? settings.isCache(endpoint.kind()) : settings.isParent(endpoint.kind())))
                 .forEach(endpoint -> readyByZone.merge(endpoint.zone(), 1, Integer::sum));
         return readyByZone;
     }
@@ -136,7 +144,9 @@
      */
     EndpointsChanged reinstateEndpoint(String name, long nowMs) {
         WatchedEndpoint endpoint = endpointNamed(name);
-        return drains.reinstate(name, endpoint == null ? 0 : endpoint.startedMs(), nowMs) ? reportChange(endpoint) : null;
+        return drains.reinstate(name, endpoint == null ? 0 : endpoint.startedMs(), nowMs)
+                ? reportChange(endpoint)
+                : null;
     }
 
     /** Adopts the drains and reinstatements of another process; returns the event for a router. */
@@ -158,7 +168,8 @@
         if (endpoint != null) {
             pool.closeIdleConnections(endpoint.id(), false);
         }
-        return new EndpointsChanged(EndpointUpdateKind.DELTA, endpoint == null ? List.of() : List.of(toEndpoint(endpoint)));
+        return new EndpointsChanged(
+                EndpointUpdateKind.DELTA, endpoint == null ? List.of() : List.of(toEndpoint(endpoint)));
     }
 
     /** The listed endpoint of this number; null if there is none. */
@@ -173,7 +184,9 @@
 
     /** Number of listed endpoints that operators have drained. */
     int drainedSize() {
-        return (int) endpointsById.values().stream().filter(endpoint -> drains.isDrained(endpoint.name())).count();
+        return (int) endpointsById.values().stream()
+                .filter(endpoint -> drains.isDrained(endpoint.name()))
+                .count();
     }
 
     /** Whether an endpoint may be used now: ready by the control feed and not drained by an operator. */
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -407,11 +407,19 @@
         }
 
         private void ended(
-                Desk desk, SendAttempt s, int number, long mark, long began, long at, AttemptResult end, CacheStatus note) {
+                Desk desk,
+                SendAttempt s,
+                int number,
+                long mark,
+                long began,
+                long at,
+                AttemptResult end,
+                CacheStatus note) {
             at(at, () -> close(desk, s, number, mark, began, end, note));
         }
 
-        private void close(Desk desk, SendAttempt s, int number, long mark, long began, AttemptResult end, CacheStatus note) {
+        private void close(
+                Desk desk, SendAttempt s, int number, long mark, long began, AttemptResult end, CacheStatus note) {
             long[] is = out.get(s.requestId());
             if (is == null || is[1] != mark) {
                 return;
--- a/src/test/java/pewtercourse/cache/AttemptModelTest.java
+++ b/src/test/java/pewtercourse/cache/AttemptModelTest.java
@@ -31,8 +31,12 @@
  */
 class AttemptModelTest {
     private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress("127.0.0.1", 9);
-    private static final Set<AttemptResult> NOTHING_WRITTEN =
-            EnumSet.of(AttemptResult.REFUSED, AttemptResult.CONNECT_TIMEOUT, AttemptResult.NO_DESCRIPTOR, AttemptResult.OVERTAKEN, AttemptResult.CANCELLED_UNSENT);
+    private static final Set<AttemptResult> NOTHING_WRITTEN = EnumSet.of(
+            AttemptResult.REFUSED,
+            AttemptResult.CONNECT_TIMEOUT,
+            AttemptResult.NO_DESCRIPTOR,
+            AttemptResult.OVERTAKEN,
+            AttemptResult.CANCELLED_UNSENT);
     private static final int MAX_CONNECTIONS = 4;
     private static final long MAX_IDLE_MICROS = 40_000;
 
@@ -153,14 +157,19 @@
 
         FakeConnection busyConnectionOf(TrackedAttempt tracked) {
             return connections.stream()
-                    .filter(connection -> connection.response != null && !connection.response.future().isComplete() && connection.open && connection.cache == tracked.cache)
+                    .filter(connection -> connection.response != null
+                            && !connection.response.future().isComplete()
+                            && connection.open
+                            && connection.cache == tracked.cache)
                     .findFirst()
                     .orElse(null);
         }
 
         void completeConnect(int i, boolean succeeds) {
             TrackedAttempt tracked = pickAttempt(i);
-            if (tracked == null || tracked.connecting == null || tracked.connecting.future().isComplete()) {
+            if (tracked == null
+                    || tracked.connecting == null
+                    || tracked.connecting.future().isComplete()) {
                 return;
             }
             boolean finishedBefore = tracked.result != null;
@@ -179,7 +188,9 @@
             FakeConnection connection = pickBusyConnection(i);
             if (connection != null) {
                 connection.response.complete(CacheResponse.of(result));
-                assertTrue(connection.open == (result != AttemptResult.MALFORMED), "kept only after a well-formed response");
+                assertTrue(
+                        connection.open == (result != AttemptResult.MALFORMED),
+                        "kept only after a well-formed response");
             }
         }
 
@@ -190,11 +201,15 @@
         void breakBusyConnection(int i) {
             FakeConnection connection = pickBusyConnection(i);
             if (connection != null) {
-                long resets = attempts.stream().filter(tracked -> tracked.result == AttemptResult.RESET).count();
+                long resets = attempts.stream()
+                        .filter(tracked -> tracked.result == AttemptResult.RESET)
+                        .count();
                 connection.close();
                 assertEquals(
                         resets + 1,
-                        attempts.stream().filter(tracked -> tracked.result == AttemptResult.RESET).count());
+                        attempts.stream()
+                                .filter(tracked -> tracked.result == AttemptResult.RESET)
+                                .count());
             }
         }
 
@@ -219,7 +234,11 @@
             if (tracked != null) {
                 AttemptResult before = tracked.result;
                 tracked.attempt.cancel();
-                assertTrue(before != null ? tracked.result == before : tracked.result == AttemptResult.CANCELLED || tracked.result == AttemptResult.CANCELLED_UNSENT);
+                assertTrue(
+                        before != null
+                                ? tracked.result == before
+                                : tracked.result == AttemptResult.CANCELLED
+                                        || tracked.result == AttemptResult.CANCELLED_UNSENT);
             }
         }
 
@@ -238,7 +257,8 @@
                     connections.stream()
                             .noneMatch(connection -> connection.cache == cache
                                     && connection.open
-                                    && (connection.response == null || connection.response.future().isComplete())),
+                                    && (connection.response == null
+                                            || connection.response.future().isComplete())),
                     "idle connections to a removed cache");
             pool.addCache(cache);
         }
@@ -249,18 +269,21 @@
 
         private FakeConnection pickBusyConnection(int i) {
             List<FakeConnection> busy = connections.stream()
-                    .filter(connection ->
-                            connection.open && connection.response != null && !connection.response.future().isComplete())
+                    .filter(connection -> connection.open
+                            && connection.response != null
+                            && !connection.response.future().isComplete())
                     .toList();
             return busy.isEmpty() ? null : busy.get(i % busy.size());
         }
 
         void checkInvariants() {
             long busy = connections.stream()
-                    .filter(connection ->
-                            connection.open && connection.response != null && !connection.response.future().isComplete())
+                    .filter(connection -> connection.open
+                            && connection.response != null
+                            && !connection.response.future().isComplete())
                     .count();
-            long running = attempts.stream().filter(tracked -> tracked.result == null).count();
+            long running =
+                    attempts.stream().filter(tracked -> tracked.result == null).count();
             long connecting = attempts.stream()
                     .filter(tracked -> tracked.result == null
                             && tracked.connecting != null
@@ -268,7 +291,9 @@
                     .count();
             assertEquals(running - connecting, busy, "a connection is busy only for a running attempt");
             assertEquals(running, timers.size(), "one timer for each running attempt and no other");
-            assertTrue(connections.stream().filter(FakeConnection::isOpen).count() <= MAX_CONNECTIONS, "too many connections");
+            assertTrue(
+                    connections.stream().filter(FakeConnection::isOpen).count() <= MAX_CONNECTIONS,
+                    "too many connections");
         }
     }
 
@@ -284,20 +309,38 @@
     @Provide
     Arbitrary<ActionChain<Model>> chains() {
         Arbitrary<Integer> index = Arbitraries.integers().between(0, 20);
-        Arbitrary<AttemptResult> results = Arbitraries.of(AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.FULL, AttemptResult.ERROR, AttemptResult.MALFORMED);
+        Arbitrary<AttemptResult> results = Arbitraries.of(
+                AttemptResult.SERVED,
+                AttemptResult.MISS,
+                AttemptResult.FULL,
+                AttemptResult.ERROR,
+                AttemptResult.MALFORMED);
         return ActionChain.startWith(Model::new)
                 .withAction(6, step(index.map(i -> Transformer.mutate("start", m -> m.start(i % 2)))))
-                .withAction(6, step(index.map(i -> Transformer.mutate("complete connect " + i, m -> m.completeConnect(i, i % 4 > 0)))))
+                .withAction(
+                        6,
+                        step(index.map(i ->
+                                Transformer.mutate("complete connect " + i, m -> m.completeConnect(i, i % 4 > 0)))))
                 .withAction(
                         5,
-                        step(index.flatMap(i ->
-                                results.map(result -> Transformer.mutate("respond " + result, m -> m.respond(i, result))))))
-                .withAction(2, step(index.map(i -> Transformer.mutate("break busy connection " + i, m -> m.breakBusyConnection(i)))))
-                .withAction(2, step(index.map(i -> Transformer.mutate("break idle connection " + i, m -> m.breakIdleConnection(i)))))
+                        step(index.flatMap(i -> results.map(
+                                result -> Transformer.mutate("respond " + result, m -> m.respond(i, result))))))
+                .withAction(
+                        2,
+                        step(index.map(
+                                i -> Transformer.mutate("break busy connection " + i, m -> m.breakBusyConnection(i)))))
+                .withAction(
+                        2,
+                        step(index.map(
+                                i -> Transformer.mutate("break idle connection " + i, m -> m.breakIdleConnection(i)))))
                 .withAction(2, step(index.map(i -> Transformer.mutate("fire timer " + i, m -> m.fireTimer(i)))))
                 .withAction(2, step(index.map(i -> Transformer.mutate("cancel " + i, m -> m.cancel(i)))))
-                .withAction(1, step(index.map(i -> Transformer.mutate("break precondition " + i, m -> m.breakPrecondition(i)))))
-                .withAction(1, step(index.map(i -> Transformer.mutate("replace cache " + i, m -> m.replaceCache(i % 2)))))
+                .withAction(
+                        1,
+                        step(index.map(
+                                i -> Transformer.mutate("break precondition " + i, m -> m.breakPrecondition(i)))))
+                .withAction(
+                        1, step(index.map(i -> Transformer.mutate("replace cache " + i, m -> m.replaceCache(i % 2)))))
                 .withAction(3, step(index.map(i -> Transformer.mutate("settle all", Model::settleAll))))
                 .withAction(1, step(index.map(i -> Transformer.mutate("later", m -> m.now += 6_000))))
                 .withMaxTransformations(60);
@@ -367,13 +410,17 @@
     void neverServesAnIncompleteResponse() {
         Buffer body = Buffer.buffer("1234");
         assertEquals(
-                AttemptResult.SERVED, CacheResponse.decode(200, false, "4", body, "t", "mem").result());
+                AttemptResult.SERVED,
+                CacheResponse.decode(200, false, "4", body, "t", "mem").result());
         assertEquals(
                 AttemptResult.MALFORMED,
                 CacheResponse.decode(200, false, "5", body, "t", "mem").result());
         assertEquals(
-                AttemptResult.ERROR, CacheResponse.decode(503, false, "0", body, null, null).result());
-        assertEquals(AttemptResult.FULL, CacheResponse.decode(503, true, "0", body, null, null).result());
+                AttemptResult.ERROR,
+                CacheResponse.decode(503, false, "0", body, null, null).result());
+        assertEquals(
+                AttemptResult.FULL,
+                CacheResponse.decode(503, true, "0", body, null, null).result());
         assertTrue(NOTHING_WRITTEN.contains(AttemptResult.REFUSED));
     }
 }
--- a/src/test/java/pewtercourse/cache/HttpTransportTest.java
+++ b/src/test/java/pewtercourse/cache/HttpTransportTest.java
@@ -35,7 +35,8 @@
             HttpTransport transport = new HttpTransport(vertx);
             Future<CacheConnection> withLongTimeout = transport.connect(listener.address(), LONG_TIMEOUT_MS);
             Future<CacheConnection> withShortTimeout = transport.connect(listener.address(), SHORT_TIMEOUT_MS);
-            CompletableFuture<CacheConnection> failing = withShortTimeout.toCompletionStage().toCompletableFuture();
+            CompletableFuture<CacheConnection> failing =
+                    withShortTimeout.toCompletionStage().toCompletableFuture();
             assertThrows(ExecutionException.class, () -> failing.get(WAIT_SECONDS, TimeUnit.SECONDS));
             assertFalse(withLongTimeout.isComplete());
         }
--- a/src/test/java/pewtercourse/director/AttemptOutcomesTest.java
+++ b/src/test/java/pewtercourse/director/AttemptOutcomesTest.java
@@ -17,8 +17,14 @@
     private static final Set<AttemptOutcome> NEVER_RAN = EnumSet.of(
             AttemptOutcome.OVERLOADED, AttemptOutcome.MISS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.SUPERSEDED);
     /** After these the request may have run: an order must not be repeated. */
-    private static final Set<AttemptResult> MAY_HAVE_RUN =
-            EnumSet.of(AttemptResult.SERVED, AttemptResult.NOT_MODIFIED, AttemptResult.ERROR, AttemptResult.MALFORMED, AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
+    private static final Set<AttemptResult> MAY_HAVE_RUN = EnumSet.of(
+            AttemptResult.SERVED,
+            AttemptResult.NOT_MODIFIED,
+            AttemptResult.ERROR,
+            AttemptResult.MALFORMED,
+            AttemptResult.RESET,
+            AttemptResult.TIMEOUT,
+            AttemptResult.CANCELLED);
 
     @ParameterizedTest
     @EnumSource(AttemptResult.class)
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -144,7 +144,8 @@
     @Test
     void failsAnOrderWhoseConnectionBreaksWithoutRepeatingIt() throws Exception {
         start((r, n) -> r.connection().close());
-        assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 20_000).kind());
+        assertEquals(
+                Answer.Kind.FAILED, sendAndWait("place-order", null, 20_000).kind());
         assertEquals(List.of("GET /o/place-order/7f3a9c21e0b4d655/3"), receivedRequests);
     }
 
@@ -356,7 +357,9 @@
         onLoop(() -> null);
         onLoop(() -> {
             assertEquals(401, caches.exchanges.size(), "the caches have capacity for one more");
-            caches.exchanges.get(400).complete(new CacheResponse(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
+            caches.exchanges
+                    .get(400)
+                    .complete(new CacheResponse(AttemptResult.SERVED, Buffer.buffer("menu"), "t", "mem"));
             return null;
         });
         assertEquals(Answer.Kind.SERVED, await(answer).kind());
@@ -452,8 +455,7 @@
                 send("menu-page", 2).get(30, TimeUnit.SECONDS).kind());
         assertEquals(requestsBefore, receivedRequests.size(), "its class was removed");
         assertEquals(
-                Answer.Kind.FAILED,
-                send("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
+                Answer.Kind.FAILED, send("menu-v2", 3).get(30, TimeUnit.SECONDS).kind());
         assertEquals(requestsBefore + 1, receivedRequests.size(), "an order must not run twice: " + receivedRequests);
     }
 
@@ -486,7 +488,8 @@
     @Test
     void failsARequestOfAnUnknownClass() throws Exception {
         start((r, n) -> {});
-        assertEquals(Answer.Kind.FAILED, sendAndWait("no-such-class", null, 20_000).kind());
+        assertEquals(
+                Answer.Kind.FAILED, sendAndWait("no-such-class", null, 20_000).kind());
         assertEquals(0, receivedRequests.size());
     }
 }
--- a/src/test/java/pewtercourse/director/MetricsModelTest.java
+++ b/src/test/java/pewtercourse/director/MetricsModelTest.java
@@ -52,7 +52,8 @@
                 answersAtOnce[0] = step == 3;
                 long id = ++lastId;
                 Runnable onDisconnect = counted.handle(
-                        new ClientRequest("9b1f03aa5c7e2d41", className, "o", 0, 0, 1, null, Buffer.buffer(), 0, 1), answer -> {
+                        new ClientRequest("9b1f03aa5c7e2d41", className, "o", 0, 0, 1, null, Buffer.buffer(), 0, 1),
+                        answer -> {
                             if (open.stream().anyMatch(request -> request.id == id) || answersAtOnce[0]) {
                                 received.merge(className + answer.kind(), 1, Integer::sum);
                             }
@@ -73,15 +74,19 @@
                 request.answer.accept(ANSWERS[0]); // Too late.
             }
             assertEquals(
-                    open.stream().filter(request -> !request.className.equals("no-such-class")).count(), metrics.openRequests());
+                    open.stream()
+                            .filter(request -> !request.className.equals("no-such-class"))
+                            .count(),
+                    metrics.openRequests());
         }
         String text = metrics.format(new Metrics.GaugeValues(7, 12, 2, 1, 3));
         for (String className : List.of("menu-media", "menu-page")) {
             int served = received.getOrDefault(className + "SERVED", 0) + received.getOrDefault(className + "SAME", 0);
             assertTrue(text.contains("operations." + className + ".fulfilled=" + served + "\n"), text);
-            assertTrue(
-                    text.contains("operations." + className + ".throttled=" + received.getOrDefault(className + "REFUSED", 0) + "\n"));
-            assertTrue(text.contains("operations." + className + ".faulted=" + received.getOrDefault(className + "FAILED", 0) + "\n"));
+            assertTrue(text.contains("operations." + className + ".throttled="
+                    + received.getOrDefault(className + "REFUSED", 0) + "\n"));
+            assertTrue(text.contains(
+                    "operations." + className + ".faulted=" + received.getOrDefault(className + "FAILED", 0) + "\n"));
         }
         assertTrue(!text.contains("no-such-class"), "counted a class that the settings lack");
         assertTrue(
--- a/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
+++ b/src/test/java/pewtercourse/director/ServiceRegistryModelTest.java
@@ -59,7 +59,15 @@
 
     private static WatchedEndpoint endpoint(int i, EndpointLifecycle lifecycle, long startedMs) {
         return new WatchedEndpoint(
-                i, "s-" + i, new InetSocketAddress("127.0.0.1", 9000 + i), "edge-1", "small-box", 0, lifecycle, 1, startedMs);
+                i,
+                "s-" + i,
+                new InetSocketAddress("127.0.0.1", 9000 + i),
+                "edge-1",
+                "small-box",
+                0,
+                lifecycle,
+                1,
+                startedMs);
     }
 
     private void applyToRouter(EndpointsChanged change) {
@@ -89,14 +97,16 @@
             switch (step.kind) {
                 case 0, 1, 2 -> {
                     EndpointLifecycle lifecycle = EndpointLifecycle.values()[step.kind];
-                    WatchedEndpoint endpoint = endpoint(i, lifecycle, step.endpoint % 2 == 0 ? now : 0); // Some have no start time.
+                    WatchedEndpoint endpoint =
+                            endpoint(i, lifecycle, step.endpoint % 2 == 0 ? now : 0); // Some have no start time.
                     if (lifecycle == EndpointLifecycle.GONE) {
                         listed.remove(i);
                         reinstatedAt.remove(i);
                     } else {
                         listed.put(i, endpoint);
                     }
-                    applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(++eventNumber, false, List.of(endpoint))));
+                    applyToRouter(
+                            registry.apply(new WatchEvent.EndpointUpdate(++eventNumber, false, List.of(endpoint))));
                 }
                 case 3 -> {
                     reinstatedAt.keySet().retainAll(listed.keySet());
@@ -123,12 +133,14 @@
             }
             for (int k = 0; k < 4; k++) {
                 WatchedEndpoint endpoint = listed.get(k);
-                boolean usable = endpoint != null && endpoint.state() == EndpointLifecycle.READY && !drained.contains(k);
+                boolean usable =
+                        endpoint != null && endpoint.state() == EndpointLifecycle.READY && !drained.contains(k);
                 assertEquals(usable, isUsable(k), "usable by the router: " + k);
                 assertEquals(usable, registry.isReady(k), "usable by an attempt that waits for its connection: " + k);
                 if (usable && reinstatedAt.containsKey(k) && endpoint.startedMs() == 0) {
                     assertTrue(
-                            routerEndpoints.get((long) k).startedAt() >= reinstatedAt.get(k) * 1000, "reinstated without slow start: " + k);
+                            routerEndpoints.get((long) k).startedAt() >= reinstatedAt.get(k) * 1000,
+                            "reinstated without slow start: " + k);
                 }
             }
         }
@@ -146,11 +158,13 @@
 
     @Example
     void oneReinstatementEndsARepeatedDrainAndKeepsTheListedStart() {
-        applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(1, true, List.of(endpoint(1, EndpointLifecycle.READY, 0)))));
+        applyToRouter(registry.apply(
+                new WatchEvent.EndpointUpdate(1, true, List.of(endpoint(1, EndpointLifecycle.READY, 0)))));
         applyToRouter(registry.drainEndpoint("s-1", now));
         applyToRouter(registry.drainEndpoint("s-1", now + 5));
         assertFalse(isUsable(1));
-        applyToRouter(registry.apply(new WatchEvent.EndpointUpdate(2, false, List.of(endpoint(1, EndpointLifecycle.GONE, 0)))));
+        applyToRouter(registry.apply(
+                new WatchEvent.EndpointUpdate(2, false, List.of(endpoint(1, EndpointLifecycle.GONE, 0)))));
         assertTrue(registry.knowsEndpoint("s-1"), "drained, though it is not listed");
         applyToRouter(registry.apply(
                 new WatchEvent.EndpointUpdate(3, false, List.of(endpoint(1, EndpointLifecycle.READY, now + 2_000)))));
@@ -159,6 +173,7 @@
         assertTrue(isUsable(1));
         assertEquals((now + 2_000) * 1000, routerEndpoints.get(1L).startedAt());
         applyToRouter(registry.reinstateEndpoint("s-1", now + 9_500));
-        assertEquals((now + 2_000) * 1000, routerEndpoints.get(1L).startedAt(), "a second reinstatement changes nothing");
+        assertEquals(
+                (now + 2_000) * 1000, routerEndpoints.get(1L).startedAt(), "a second reinstatement changes nothing");
     }
 }
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -186,8 +186,8 @@
         while (!onLoop(condition)) {
             assertTrue(
                     System.nanoTime() < giveUpAt,
-                    () -> "timed out waiting for " + what + "; open " + director.openRequests() + ", timers " + timers.pending.size()
-                            + ", answers " + answers + ", connections " + cacheSockets.size());
+                    () -> "timed out waiting for " + what + "; open " + director.openRequests() + ", timers "
+                            + timers.pending.size() + ", answers " + answers + ", connections " + cacheSockets.size());
         }
     }
 
@@ -196,14 +196,17 @@
     void answersEachRequestOnceAndLeavesNothingOpen(long seed, boolean mayStaySilent) throws Exception {
         onLoop(() -> cachesMayStaySilent = mayStaySilent);
         int remainingClients = onLoop(() -> sendRequests(new Random(seed)));
-        waitFor("an answer for each client that stayed", () -> answers >= remainingClients && director.openRequests() == 0);
+        waitFor(
+                "an answer for each client that stayed",
+                () -> answers >= remainingClients && director.openRequests() == 0);
         waitFor("no timer but the router's", () -> timers.pending.size() <= ROUTER_TIMERS);
         assertEquals(remainingClients, answers, "one answer for each client that stayed");
         assertEquals(0, onLoop(director::openRequests));
         int idle = onLoop(director.pool::idleConnections);
         waitFor(
                 "only idle connections",
-                () -> cacheSockets.size() <= director.pool.idleConnections() && director.pool.connections() == director.pool.idleConnections());
+                () -> cacheSockets.size() <= director.pool.idleConnections()
+                        && director.pool.connections() == director.pool.idleConnections());
         assertTrue(idle <= REQUESTS);
     }
 }
