--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/Agreement.java
@@ -29,7 +29,7 @@
         this.director = director;
         this.cluster = new ClusterMember(vertx, config, this);
         if (config.sites() != null) {
-            director.sites(config.sites());
+            director.setSites(config.sites());
         }
     }
 
@@ -149,7 +149,7 @@
 
     /** A new file of sites, already checked. */
     void sites(Sites to) {
-        director.sites(to);
+        director.setSites(to);
         cluster.updateSites(to);
     }
 
@@ -184,12 +184,12 @@
 
     @Override
     public void failoverChanged(FailoverState failover, Set<String> absent) {
-        director.follow(failover, absent);
+        director.applyFailoverState(failover, absent);
     }
 
     @Override
     public void drainsChanged(Map<String, Long> out, Map<String, Long> back) {
-        director.follow(new OperatorState(ProcessHandle.current().pid(), false, out, back));
+        director.applyOperatorState(new OperatorState(ProcessHandle.current().pid(), false, out, back));
     }
 
     @Override
@@ -206,12 +206,12 @@
     public void setQuotaFactor(double factor) {
         if (factor != part) {
             part = factor;
-            director.part(factor);
+            director.setQuotaFactor(factor);
         }
     }
 
     @Override
     public double wantedQuota() {
-        return director.coldWanted();
+        return director.wantedQuota();
     }
 }
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -11,7 +11,7 @@
 import pewtercourse.config.ClusterConfig;
 import pewtercourse.config.DirectorConfig;
 import pewtercourse.director.Director;
-import pewtercourse.director.Figures;
+import pewtercourse.director.Metrics;
 import pewtercourse.failover.Sites;
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
@@ -38,7 +38,7 @@
     private final Warmup warmup;
     private final FastCgiServer front;
     private final Drain drain = new Drain();
-    private final Figures figures = new Figures();
+    private final Metrics metrics = new Metrics();
     private final RequestHandler turnedAway;
     private final InheritedSocket inherited;
     private final FrontTransport transport;
@@ -57,15 +57,15 @@
         this.warmup = new Warmup(
                 vertx,
                 config,
-                figures.count(director, director::knowsClass),
-                figures.count(Warmup.REFUSING, director::knowsClass));
-        this.turnedAway = figures.count(
+                metrics.countRequests(director, director::knowsClass),
+                metrics.countRequests(Warmup.REFUSING, director::knowsClass));
+        this.turnedAway = metrics.countRequests(
                 (request, answer) -> {
                     answer.accept(Answer.refused(HOLD_OFF_MS));
                     return () -> {};
                 },
                 director::knowsClass);
-        figures.show(config.site().classes().keySet());
+        metrics.registerClasses(config.site().classes().keySet());
         this.front = new FastCgiServer(vertx, new Gate(), director.clock(), config.front());
         this.state = config.stateFolder() == null ? null : new StateFile(config.stateFolder());
     }
@@ -73,7 +73,7 @@
     Future<Void> start() {
         boolean upgrade = takeOver();
         director.start();
-        director.onPeerHeard(upgrade ? () -> {} : warmup::missed);
+        director.onPeerMessage(upgrade ? () -> {} : warmup::missed);
         SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
         transport.frontNext();
         return front.listen(at)
@@ -144,7 +144,7 @@
 
     private void heed(OperatorState told) {
         if (agreement == null) {
-            director.follow(told); // In a cluster what was agreed there counts.
+            director.applyOperatorState(told); // In a cluster what was agreed there counts.
         }
         if (told.standby() != drain.has(Drain.Cause.STANDBY)) {
             standby(told.standby());
@@ -161,7 +161,7 @@
         Log.info(
                 on ? "operator.standby" : "operator.active",
                 "open",
-                director.open(),
+                director.openRequests(),
                 "connections",
                 front.connections());
         if (on) {
@@ -193,7 +193,7 @@
 
     @Override
     public String metrics() {
-        String own = figures.text(director.gauges(accepted, invalid));
+        String own = metrics.format(director.gaugeValues(accepted, invalid));
         return agreement == null ? own : own + agreement.figures();
     }
 
@@ -205,10 +205,10 @@
     @Override
     public Future<Verdict> enterMaintenance(String target) {
         follow();
-        if (agreement != null && director.knows(target)) {
+        if (agreement != null && director.knowsEndpoint(target)) {
             return agreement.takeOut(target);
         }
-        boolean known = director.takeOut(target);
+        boolean known = director.drainEndpoint(target);
         write();
         Log.info("operator.out", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
@@ -217,10 +217,10 @@
     @Override
     public Future<Verdict> exitMaintenance(String target) {
         follow();
-        if (agreement != null && director.knows(target)) {
+        if (agreement != null && director.knowsEndpoint(target)) {
             return agreement.putBack(target);
         }
-        boolean known = director.putBack(target);
+        boolean known = director.reinstateEndpoint(target);
         write();
         Log.info("operator.in", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
@@ -289,7 +289,7 @@
 
     /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
     boolean finished() {
-        return refuses() && director.open() == 0 && (agreement == null || agreement.handedOn());
+        return refuses() && director.openRequests() == 0 && (agreement == null || agreement.handedOn());
     }
 
     /** Client connections whose last bytes may not have been read yet. */
@@ -299,7 +299,7 @@
 
     /** Answers as failed what is open: its time to be served is over. */
     void giveUp() {
-        director.giveUp();
+        director.failOpenRequests();
     }
 
     void reloadsBy(Reloader to) {
@@ -315,7 +315,7 @@
     void reload(DirectorConfig to) {
         accepted++;
         config = to;
-        figures.show(to.site().classes().keySet());
+        metrics.registerClasses(to.site().classes().keySet());
         director.reload(to);
     }
 
@@ -325,6 +325,6 @@
     }
 
     int open() {
-        return director.open();
+        return director.openRequests();
     }
 }
--- /dev/null
+++ b/src/main/java/pewtercourse/director/Metrics.java
@@ -0,0 +1,131 @@
+package pewtercourse.director;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import pewtercourse.front.Answer;
+import pewtercourse.front.ClientRequest;
+import pewtercourse.front.RequestHandler;
+
+/**
+ * Counts requests and formats the metrics that operators read. A request is open from the moment it is passed
+ * on until it is answered or its client disconnects; a disconnect counts as failed. No other class counts
+ * requests. Opens no sockets; confined to the event loop.
+ */
+public final class Metrics {
+    /**
+     * Current values of the metrics that other components keep.
+     *
+     * @param requestsWritten number of requests written to caches
+     * @param registryEntries number of listed endpoints
+     * @param outOfRotation   number of endpoints that are drained or ejected
+     * @param acceptedConfigs number of reloaded configurations that were accepted
+     * @param invalidConfigs  number of reloaded configurations that were invalid
+     */
+    public record GaugeValues(
+            long requestsWritten, int registryEntries, int outOfRotation, long acceptedConfigs, long invalidConfigs) {}
+
+    private static final class ClassCounters {
+        long fulfilled;
+        long throttled;
+        long faulted;
+    }
+
+    private final Map<String, ClassCounters> countersByClass = new TreeMap<>();
+    private int openRequests;
+
+    /** Adds classes of requests: their counters are reported from now on, even while they are 0. */
+    public void registerClasses(Iterable<String> classNames) {
+        classNames.forEach(className -> countersByClass.computeIfAbsent(className, name -> new ClassCounters()));
+    }
+
+    /**
+     * Returns a handler that counts the requests that it passes on to {@code handler}. Requests of a class that
+     * is not known are passed on without being counted, because faulty clients can send any name.
+     */
+    public RequestHandler countRequests(RequestHandler handler, Predicate<String> isKnownClass) {
+        return new RequestHandler() {
+            @Override
+            public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
+                if (!isKnownClass.test(request.className())) {
+                    return handler.handle(request, answer);
+                }
+                registerClasses(List.of(request.className()));
+                CountedRequest counted = new CountedRequest(countersByClass.get(request.className()));
+                Runnable onDisconnect = handler.handle(request, finalAnswer -> {
+                    counted.finish(finalAnswer.kind());
+                    answer.accept(finalAnswer);
+                });
+                return () -> {
+                    counted.finish(Answer.Kind.FAILED); // The client disconnected before it was answered.
+                    onDisconnect.run();
+                };
+            }
+
+            @Override
+            public boolean ready() {
+                return handler.ready();
+            }
+        };
+    }
+
+    private final class CountedRequest {
+        private final ClassCounters counters;
+        private boolean finished;
+
+        CountedRequest(ClassCounters counters) {
+            this.counters = counters;
+            openRequests++;
+        }
+
+        boolean close() {
+            boolean first = !finished;
+            openRequests -= first ? 1 : 0;
+            finished = true;
+            return first;
+        }
+
+        void finish(Answer.Kind kind) {
+            if (!close()) {
+                return; // It was counted when it finished before.
+            }
+            switch (kind) {
+                case SERVED, SAME -> counters.fulfilled++;
+                case REFUSED -> counters.throttled++;
+                case FAILED -> counters.faulted++;
+            }
+        }
+    }
+
+    /** Number of requests that are neither answered nor disconnected. */
+    public int openRequests() {
+        return openRequests;
+    }
+
+    /** Formats all metrics, one NAME=VALUE a line. */
+    public String format(GaugeValues gauges) {
+        StringBuilder text = new StringBuilder();
+        countersByClass.forEach((className, counters) -> {
+            String prefix = "operations." + className + '.';
+            appendLine(
+                    appendLine(
+                            appendLine(text, prefix + "fulfilled", counters.fulfilled),
+                            prefix + "throttled",
+                            counters.throttled),
+                    prefix + "faulted",
+                    counters.faulted);
+        });
+        appendLine(text, "relayed", gauges.requestsWritten());
+        appendLine(text, "open_requests", openRequests);
+        appendLine(text, "registry_entries", gauges.registryEntries());
+        appendLine(text, "out_of_rotation", gauges.outOfRotation());
+        appendLine(text, "cfg_accepted", gauges.acceptedConfigs());
+        return appendLine(text, "cfg_invalid", gauges.invalidConfigs()).toString();
+    }
+
+    private static StringBuilder appendLine(StringBuilder text, String name, long value) {
+        return text.append(name).append('=').append(value).append('\n');
+    }
+}
