--- a/src/main/java/pewtercourse/raft/Codec.java
+++ b/src/main/java/pewtercourse/raft/Codec.java
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 import pewtercourse.raft.wire.Wire;
 
-/** Between the records of this package and their protobuf form, on the wire and on disk. */
+/** Converts the records of this package to and from the protobuf messages that are sent and stored. */
 public final class Codec {
     private Codec() {}
 
     // ---- Memberships and entries ----
 
-    /** The members in the order of their names. */
+    /** Encodes a membership; the members are in the order of their names. */
     public static Wire.Members encode(Membership membership) {
         Wire.Members.Builder members = Wire.Members.newBuilder();
         membership
@@ -26,17 +26,17 @@
         return members.build();
     }
 
-    /** The members by their names. */
+    /** Decodes a membership. */
     public static Membership decode(Wire.Members members) {
-        Map<String, Membership.Member> all = new TreeMap<>();
+        Map<String, Membership.Member> membersByName = new TreeMap<>();
         members.getMemberList()
-                .forEach(member -> all.put(
+                .forEach(member -> membersByName.put(
                         member.getName(),
                         new Membership.Member(member.getAddress(), member.getIncarnation(), member.getVoter())));
-        return new Membership(all);
+        return new Membership(membersByName);
     }
 
-    /** An entry of any kind. */
+    /** Encodes an entry of any kind. */
     public static Wire.Entry encode(Entry entry) {
         Wire.Entry.Builder encoded =
                 Wire.Entry.newBuilder().setIndex(entry.index()).setTerm(entry.term());
@@ -48,7 +48,7 @@
         return encoded.build();
     }
 
-    /** An entry of any kind. */
+    /** Decodes an entry of any kind. */
     public static Entry decode(Wire.Entry entry) {
         return switch (entry.getWhatCase()) {
             case COMMAND ->
@@ -65,14 +65,14 @@
 
     // ---- Messages ----
 
-    /** The message as the body of a frame. */
+    /** Encodes a message as the body of a frame. */
     public static Wire.Frame encode(Message message) {
         Encoder encoder = new Encoder();
         message.dispatch(encoder);
         return encoder.frame.build();
     }
 
-    /** Empty for a frame that is no message of Raft. */
+    /** Decodes a frame; the result is empty if its body is not a Raft message. */
     public static Optional<Message> decode(Wire.Frame frame) {
         return Optional.ofNullable(
                 switch (frame.getBodyCase()) {
@@ -131,7 +131,7 @@
         return new Message.SnapshotReply(reply.getTerm(), reply.getLastIndex(), reply.getNext(), reply.getSeq());
     }
 
-    /** Puts one message into a frame. */
+    /** Encodes one message into a frame. */
     private static final class Encoder implements Message.Handler {
         private final Wire.Frame.Builder frame = Wire.Frame.newBuilder();
 
@@ -183,8 +183,8 @@
                     .setLastTerm(chunk.lastTerm())
                     .setMembers(encode(chunk.members()))
                     .setOffset(chunk.offset())
-                    .setPart(ByteString.copyFrom(chunk.part()))
-                    .setTotal(chunk.total())
+                    .setPart(ByteString.copyFrom(chunk.data()))
+                    .setTotal(chunk.totalBytes())
                     .setSeq(chunk.sequence()));
         }
 
--- a/src/main/java/pewtercourse/raft/Election.java
+++ b/src/main/java/pewtercourse/raft/Election.java
@@ -5,18 +5,18 @@
 import java.util.Set;
 
 /**
- * Elections, by both sides: the timer that starts one, the candidate's requests and count of votes, and this member's
- * own vote. A pre-vote comes first (dissertation, 9.6), so that a member that was cut off doesn't raise the term of the
- * others when it comes back.
+ * Handles elections: the election timer, the campaign of this member as a candidate, and its votes for other
+ * candidates. A campaign starts with a pre-vote (dissertation, 9.6), so that a member that was partitioned from the
+ * others does not raise their term when it reconnects.
  */
 final class Election {
-    /** How a candidacy starts. */
+    /** The type of a campaign. */
     enum Campaign {
-        /** Asks whether it could win, and changes nothing. */
+        /** Asks the voters whether this member could win an election; changes no term or vote. */
         PRE_VOTE,
-        /** After a majority has said so in the pre-vote. */
+        /** An election after a majority has granted the pre-vote. */
         ELECTION,
-        /** By the wish of the leader, so that a living leader is no reason to reject it. */
+        /** An election at the leader's request, which voters accept although they have an active leader. */
         TRANSFER
     }
 
@@ -35,25 +35,26 @@
         this.random = random;
     }
 
-    // ---- Timer ----
+    // ---- Election timer ----
 
-    /** When this member stands for election unless a leader sends something before. */
+    /** The time at which this member starts a campaign unless it receives a message of a leader before. */
     long timeoutAt() {
         return timeoutAt;
     }
 
     void resetTimer(long now) {
         RaftSettings settings = state.settings();
-        long spread = settings.maxElectionTimeoutMicros() - settings.minElectionTimeoutMicros();
-        timeoutAt = now + settings.minElectionTimeoutMicros() + (long) (random.nextDouble() * spread);
+        long rangeMicros = settings.maxElectionTimeoutMicros() - settings.minElectionTimeoutMicros();
+        timeoutAt = now + settings.minElectionTimeoutMicros() + (long) (random.nextDouble() * rangeMicros);
     }
 
-    void leaderContact(long now) {
+    /** Records a message of the leader. */
+    void onLeaderContact(long now) {
         lastLeaderContact = now;
         resetTimer(now);
     }
 
-    // ---- The candidate ----
+    // ---- Candidate ----
 
     void campaign(long now, Campaign campaign) {
         if (!state.membership().isSelfVoter()) {
@@ -67,10 +68,10 @@
         resetTimer(now);
         long requestedTerm = state.term() + 1;
         if (!preVote) {
-            state.startOwnTerm();
+            state.startTermWithVoteForSelf();
         }
         if (state.members().isQuorum(votes)) {
-            won(now, preVote);
+            finishWonCampaign(now, preVote);
             return;
         }
         RaftLog log = state.log();
@@ -95,24 +96,24 @@
         if (reply.nonMember()) {
             state.membership().reportNonMember();
         }
-        if (!answersThisCampaign(reply)
+        if (!isReplyToCurrentCampaign(reply)
                 || !reply.granted()
                 || !state.members().isVoter(sender.name(), sender.incarnation())) {
             return;
         }
         votes.add(sender.name());
         if (state.members().isQuorum(votes)) {
-            won(now, reply.preVote());
+            finishWonCampaign(now, reply.preVote());
         }
     }
 
-    private boolean answersThisCampaign(Message.VoteReply reply) {
+    private boolean isReplyToCurrentCampaign(Message.VoteReply reply) {
         return reply.preVote()
                 ? state.role() == Raft.Role.PRE_CANDIDATE && reply.term() == state.term() + 1
                 : state.role() == Raft.Role.CANDIDATE && reply.term() == state.term();
     }
 
-    private void won(long now, boolean preVote) {
+    private void finishWonCampaign(long now, boolean preVote) {
         if (preVote) {
             campaign(now, Campaign.ELECTION);
         } else {
@@ -120,35 +121,37 @@
         }
     }
 
-    // ---- The voter ----
+    // ---- Voter ----
 
-    /** {@code leads}: whether this member leads and a majority has answered it of late. */
-    void receive(long now, Sender sender, Message.VoteRequest request, boolean leads) {
-        // A member that no longer hears its leader must not unseat one that the others hear (dissertation, 4.2.3).
-        boolean leaderAlive =
-                leads || now - lastLeaderContact < state.settings().minElectionTimeoutMicros();
+    /** {@code isActiveLeader}: whether this member is the leader and a majority has replied to it recently. */
+    void receive(long now, Sender sender, Message.VoteRequest request, boolean isActiveLeader) {
+        // A member that has lost contact with the leader must not depose it while others have contact
+        // (dissertation, 4.2.3).
+        boolean leaderActive =
+                isActiveLeader || now - lastLeaderContact < state.settings().minElectionTimeoutMicros();
         if (request.preVote()) {
-            replyToPreVote(sender, request, leaderAlive);
-        } else if (!leaderAlive || request.transfer()) {
-            vote(now, sender, request);
+            replyToPreVote(sender, request, leaderActive);
+        } else if (!leaderActive || request.transfer()) {
+            replyToVote(now, sender, request);
         }
     }
 
-    private void replyToPreVote(Sender sender, Message.VoteRequest request, boolean leaderAlive) {
-        boolean granted = !leaderAlive && request.term() > state.term() && isUpToDate(request);
+    private void replyToPreVote(Sender sender, Message.VoteRequest request, boolean leaderActive) {
+        boolean granted = !leaderActive && request.term() > state.term() && isUpToDate(request);
         boolean nonMember = !state.membership().committed().contains(sender.name(), sender.incarnation())
                 && state.log().commitIndex() > request.lastIndex();
-        // A granted vote has the term that was asked for, a rejected one this member's, so that a late asker learns it.
+        // A granted pre-vote has the requested term. A rejected one has this member's term, so that a candidate
+        // that lags behind learns the term.
         long term = granted ? request.term() : state.term();
         state.outbox().send(sender.name(), new Message.VoteReply(term, granted, true, nonMember));
     }
 
-    private void vote(long now, Sender sender, Message.VoteRequest request) {
+    private void replyToVote(long now, Sender sender, Message.VoteRequest request) {
         if (request.term() > state.term()) {
             transitions.stepDown(now, request.term(), null);
         }
-        boolean voteFree = state.votedFor() == null || state.votedFor().equals(sender.name());
-        boolean granted = request.term() == state.term() && isUpToDate(request) && voteFree;
+        boolean canVoteForCandidate = state.votedFor() == null || state.votedFor().equals(sender.name());
+        boolean granted = request.term() == state.term() && isUpToDate(request) && canVoteForCandidate;
         if (granted) {
             state.voteFor(sender.name());
             resetTimer(now);
--- a/src/main/java/pewtercourse/raft/Entry.java
+++ b/src/main/java/pewtercourse/raft/Entry.java
@@ -1,47 +1,47 @@
 package pewtercourse.raft;
 
 /**
- * One entry of the log.
+ * An entry of the log.
  *
- * @param index its place in the log, from 1
- * @param term of the leader that appended it
- * @param kind which of the following it has
- * @param command for the state machine, empty in other kinds
- * @param members the new membership, null in other kinds
+ * @param index the position in the log; the first entry has index 1
+ * @param term the term of the leader that appended the entry
+ * @param kind which kind of content the entry has
+ * @param command the command for the state machine; empty unless the kind is {@link Kind#COMMAND}
+ * @param members the new membership; null unless the kind is {@link Kind#MEMBERS}
  */
 public record Entry(long index, long term, Kind kind, byte[] command, Membership members) {
     private static final byte[] NO_COMMAND = {};
     private static final int HEADER_BYTES = 32;
     private static final int MEMBER_BYTES = 64;
 
-    /** What an entry holds. */
+    /** The kind of content of an entry. */
     public enum Kind {
-        /** Nothing, as at the start of a term. */
+        /** No content. A leader appends such an entry at the start of its term. */
         EMPTY,
         /** A command for the state machine. */
         COMMAND,
-        /** A change of the membership. */
+        /** The membership after a change. */
         MEMBERS
     }
 
-    /** With which a leader begins its term. */
+    /** Returns the entry that a leader appends at the start of its term. */
     static Entry empty(long index, long term) {
         return new Entry(index, term, Kind.EMPTY, NO_COMMAND, null);
     }
 
-    /** A command for the state machine. */
+    /** Returns an entry with a command for the state machine. */
     public static Entry command(long index, long term, byte[] command) {
         return new Entry(index, term, Kind.COMMAND, command, null);
     }
 
-    /** A change of the membership. */
+    /** Returns an entry with a new membership. */
     public static Entry members(long index, long term, Membership members) {
         return new Entry(index, term, Kind.MEMBERS, NO_COMMAND, members);
     }
 
-    /** About how many bytes it takes in a message or on disk. */
-    public int size() {
-        int members = this.members == null ? 0 : this.members.all().size();
-        return HEADER_BYTES + command.length + MEMBER_BYTES * members;
+    /** The approximate size of the entry in a message or on disk. */
+    public int approximateBytes() {
+        int memberCount = members == null ? 0 : members.all().size();
+        return HEADER_BYTES + command.length + MEMBER_BYTES * memberCount;
     }
 }
--- a/src/main/java/pewtercourse/raft/IncomingSnapshot.java
+++ b/src/main/java/pewtercourse/raft/IncomingSnapshot.java
@@ -2,36 +2,37 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** A snapshot that comes from the leader in parts. */
+/** Assembles a snapshot from the chunks that the leader sends. */
 final class IncomingSnapshot {
-    private ByteArrayOutputStream bytes; // Null: none is on its way.
+    private ByteArrayOutputStream received; // Null while no snapshot is being received.
     private long lastIndex;
     private long lastTerm;
 
     /**
-     * Takes a part, and returns how many bytes are there. A part of another snapshot starts that one; a part that is not
-     * the next, or of a snapshot of more than {@code maxBytes}, is ignored.
+     * Adds a chunk and returns the number of bytes received so far. A chunk of another snapshot discards the bytes of
+     * the earlier one. A chunk is ignored if it is not the next one, or if its snapshot is larger than {@code
+     * maxBytes}.
      */
     int add(Message.SnapshotChunk chunk, long maxBytes) {
-        if (bytes == null || lastIndex != chunk.lastIndex() || lastTerm != chunk.lastTerm()) {
-            bytes = new ByteArrayOutputStream();
+        if (received == null || lastIndex != chunk.lastIndex() || lastTerm != chunk.lastTerm()) {
+            received = new ByteArrayOutputStream();
             lastIndex = chunk.lastIndex();
             lastTerm = chunk.lastTerm();
         }
-        if (chunk.offset() == bytes.size() && chunk.total() <= maxBytes) {
-            bytes.writeBytes(chunk.part());
+        if (chunk.offset() == received.size() && chunk.totalBytes() <= maxBytes) {
+            received.writeBytes(chunk.data());
         }
-        return bytes.size();
+        return received.size();
     }
 
-    /** All bytes that have come; the next part starts anew. */
+    /** Returns the bytes received, and discards them here: the next chunk starts a new snapshot. */
     byte[] take() {
-        byte[] taken = bytes.toByteArray();
+        byte[] taken = received.toByteArray();
         discard();
         return taken;
     }
 
     void discard() {
-        bytes = null;
+        received = null;
     }
 }
--- a/src/main/java/pewtercourse/raft/Leader.java
+++ b/src/main/java/pewtercourse/raft/Leader.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /**
- * What a member does while it leads: takes entries in, commits what a majority has saved, confirms reads, and steps down
- * when a majority no longer answers (dissertation, 6.2).
+ * Implements the leader role: appends entries, commits those that a majority has saved, confirms reads, and steps down
+ * when it has lost contact with a majority (dissertation, 6.2).
  */
 final class Leader {
     private final RaftState state;
@@ -32,18 +32,21 @@
         return reads;
     }
 
-    // ---- Its term ----
+    // ---- Term ----
 
-    /** This member was elected. An entry of its own term lets it find out what is committed (Raft, section 8). */
+    /**
+     * Starts the term of this member after its election. Appends an empty entry: once an entry of its own term is
+     * committed, the leader knows which earlier entries are committed (Raft, section 8).
+     */
     void start(long now) {
-        tracker.start(now);
+        tracker.reset(now);
         firstIndexOfTerm = state.log().lastIndex() + 1;
         append(now, Entry.empty(firstIndexOfTerm, state.term()));
         heartbeatDue = now + state.settings().heartbeatMicros();
     }
 
     void stop() {
-        reads.fail();
+        reads.failAll();
         tracker.clear();
         transfer.cancel();
     }
@@ -52,9 +55,9 @@
         return heartbeatDue;
     }
 
-    /** True if heartbeats went out. */
+    /** Handles the passage of time; returns whether heartbeats were sent. */
     boolean tick(long now) {
-        transfer.expire(now);
+        transfer.cancelIfExpired(now);
         if (!tracker.isQuorumActive(now)) {
             transitions.stepDown(now, state.term(), null);
             return false;
@@ -67,19 +70,19 @@
         return true;
     }
 
-    /** Whether a majority answers, so that this member still leads as far as it can know. */
+    /** Whether this member is the leader and a majority has replied to it recently. */
     boolean isActive(long now) {
         return state.isLeader() && tracker.isQuorumActive(now);
     }
 
-    /** Whether an entry of this term is committed. */
+    /** Whether an entry of the current term is committed. */
     boolean hasCommittedInTerm() {
         return state.log().commitIndex() >= firstIndexOfTerm;
     }
 
     // ---- Requests ----
 
-    /** Why nothing can be appended now, or null. */
+    /** Returns the reason why nothing can be appended now, or null if entries can be appended. */
     Raft.Rejection rejection(long now) {
         if (!isActive(now)) {
             return Raft.Rejection.NOT_LEADER;
@@ -94,13 +97,13 @@
     void append(long now, Entry entry) {
         state.append(entry);
         if (entry.kind() == Entry.Kind.MEMBERS) {
-            tracker.membershipChanged();
+            tracker.onMembershipChanged();
         }
         replicator.sendEntries(now);
         advanceCommit(now);
     }
 
-    /** Null, or why it is rejected. */
+    /** Starts a leadership transfer; returns the reason if it is rejected, otherwise null. */
     Raft.Rejection transfer(long now, String target) {
         if (!state.isLeader()) {
             return Raft.Rejection.NOT_LEADER;
@@ -112,7 +115,7 @@
         return null;
     }
 
-    /** Null, or why it is rejected. */
+    /** Starts a linearizable read; returns the reason if it is rejected, otherwise null. */
     Raft.Rejection read(long now, long id) {
         if (!state.isLeader()) {
             return Raft.Rejection.NOT_LEADER;
@@ -120,7 +123,8 @@
         if (reads.size() >= state.settings().replication().maxUncommitted()) {
             return Raft.Rejection.BUSY;
         }
-        // Before its first own entry is committed a leader may not know all that is (Raft, section 8).
+        // Until an entry of its own term is committed, the leader may not know all committed entries (Raft,
+        // section 8).
         long index = Math.max(state.log().commitIndex(), firstIndexOfTerm);
         reads.add(id, index, replicator.nextSequence());
         replicator.sendToAll(now);
@@ -128,32 +132,33 @@
         return null;
     }
 
-    // ---- Answers ----
+    // ---- Replies ----
 
-    /** Whether this is an answer to this leader from another incarnation than that in the log. */
+    /** Whether a reply of this term comes from a member whose incarnation is not the one in the log. */
     boolean isFromNewIncarnation(Sender sender, long term) {
-        Progress member = addressee(sender, term);
-        return member != null && member.incarnation() != sender.incarnation();
+        Progress progress = progressOfReply(sender, term);
+        return progress != null && progress.incarnation() != sender.incarnation();
     }
 
-    private Progress addressee(Sender sender, long term) {
+    // Null unless this member is the leader of the reply's term and the sender is one of the other members.
+    private Progress progressOfReply(Sender sender, long term) {
         return state.isLeader() && term == state.term() ? tracker.get(sender.name()) : null;
     }
 
     void receive(long now, Sender sender, Message.AppendReply reply) {
-        if (addressee(sender, reply.term()) == null) {
+        if (progressOfReply(sender, reply.term()) == null) {
             return;
         }
         replicator.receive(now, sender.name(), reply);
         advanceCommit(now);
         confirmReads();
         if (transfer.isTarget(sender.name())) {
-            transfer.proceed(now);
+            transfer.sendNext(now);
         }
     }
 
     void receive(long now, Sender sender, Message.SnapshotReply reply) {
-        if (addressee(sender, reply.term()) == null) {
+        if (progressOfReply(sender, reply.term()) == null) {
             return;
         }
         replicator.receive(now, sender.name(), reply);
@@ -162,20 +167,21 @@
     }
 
     /**
-     * Commits what a majority has saved. Only an entry of the own term shows that (Raft, 5.4.2): one of an earlier term
-     * can be overwritten although a majority has it.
+     * Commits the entries that a majority has saved. Only an entry of the current term is committed by counting (Raft,
+     * 5.4.2): an entry of an earlier term can be overwritten although a majority has saved it.
      */
     void advanceCommit(long now) {
-        long committed = highestSavedByQuorum();
-        if (committed == state.log().commitIndex()) {
+        long committedIndex = highestSavedByQuorum();
+        if (committedIndex == state.log().commitIndex()) {
             return;
         }
-        state.log().commitTo(committed);
+        state.log().commitTo(committedIndex);
         confirmReads();
-        // At once: a member that has asked for something would else learn of it only with the next heartbeat.
+        // Sent at once: otherwise the member whose command is committed would learn of it only with the next
+        // heartbeat.
         replicator.sendCommitIndex(now);
         if (!state.membership().isChangePending() && !state.membership().isSelfVoter()) {
-            transitions.stepDown(now, state.term(), null); // It has committed its own removal.
+            transitions.stepDown(now, state.term(), null); // The removal of this member is committed.
         }
     }
 
@@ -192,18 +198,18 @@
     }
 
     private boolean isSavedByQuorum(long index) {
-        Set<String> saved = tracker.votersWith(member -> member.matchIndex() >= index);
+        Set<String> votersWithEntry = tracker.votersMatching(progress -> progress.matchIndex() >= index);
         if (state.outbox().savedIndex() >= index) {
-            saved.add(state.self());
+            votersWithEntry.add(state.self());
         }
-        return state.members().isQuorum(saved);
+        return state.members().isQuorum(votersWithEntry);
     }
 
     private void confirmReads() {
         reads.confirm(state.log().commitIndex(), sequence -> {
-            Set<String> confirmed = tracker.votersWith(member -> member.hasConfirmed(sequence));
-            confirmed.add(state.self());
-            return state.members().isQuorum(confirmed);
+            Set<String> confirmingVoters = tracker.votersMatching(progress -> progress.hasConfirmed(sequence));
+            confirmingVoters.add(state.self());
+            return state.members().isQuorum(confirmingVoters);
         });
     }
 }
--- a/src/main/java/pewtercourse/raft/LeadershipTransfer.java
+++ b/src/main/java/pewtercourse/raft/LeadershipTransfer.java
@@ -1,14 +1,15 @@
 package pewtercourse.raft;
 
 /**
- * The transfer of leadership to another member (dissertation, 3.10). The leader takes nothing in meanwhile, for one
- * election timeout at most; once the target has the whole log it is told to stand for election at once.
+ * Transfers the leadership to another member (dissertation, 3.10). Once the target has the complete log, the leader
+ * requests it to start an election at once. Meanwhile the leader accepts no proposals; the transfer is abandoned after
+ * the longest election timeout.
  */
 final class LeadershipTransfer {
     private final RaftState state;
     private final ProgressTracker tracker;
     private final LogReplicator replicator;
-    private String target; // Null: none is under way.
+    private String target; // Null while no transfer is in progress.
     private long deadline;
 
     LeadershipTransfer(RaftState state, ProgressTracker tracker, LogReplicator replicator) {
@@ -25,31 +26,33 @@
         return name.equals(target);
     }
 
-    /** Whether a transfer to this member can start: it is another voter, and answered of late. */
+    /** Whether a transfer to this member can start: it is another voter that has replied recently. */
     boolean isEligible(long now, String name) {
-        Progress member = tracker.get(name);
-        return member != null
-                && tracker.isVoter(name, member)
-                && member.isActive(now, state.settings().maxElectionTimeoutMicros());
+        Progress progress = tracker.get(name);
+        return progress != null
+                && tracker.isVoter(name, progress)
+                && progress.isActive(now, state.settings().maxElectionTimeoutMicros());
     }
 
     void start(long now, String name) {
         target = name;
         deadline = now + state.settings().maxElectionTimeoutMicros();
-        proceed(now);
+        sendNext(now);
     }
 
-    /** The target may have caught up. */
-    void proceed(long now) {
-        Progress member = tracker.get(target);
-        if (member.matchIndex() == state.log().lastIndex()) {
+    /**
+     * Sends the target the request to start an election if its log is complete, otherwise the entries that it lacks.
+     */
+    void sendNext(long now) {
+        Progress progress = tracker.get(target);
+        if (progress.matchIndex() == state.log().lastIndex()) {
             state.outbox().send(target, new Message.TimeoutNow(state.term()));
         } else {
-            replicator.sendEntries(now, target, member);
+            replicator.sendEntries(now, target, progress);
         }
     }
 
-    void expire(long now) {
+    void cancelIfExpired(long now) {
         if (isInProgress() && now >= deadline) {
             target = null;
         }
--- a/src/main/java/pewtercourse/raft/LogReceiver.java
+++ b/src/main/java/pewtercourse/raft/LogReceiver.java
@@ -2,14 +2,14 @@
 
 import java.util.Optional;
 
-/** What a follower does with what its leader sends: entries and heartbeats, and snapshots in parts. */
+/** Handles the leader's messages on a follower: entries, heartbeats and snapshot chunks. */
 final class LogReceiver {
     private final RaftState state;
     private final RoleTransitions transitions;
     private final IncomingSnapshot incoming = new IncomingSnapshot();
-    private Snapshot pendingSnapshot; // To replace the state machine's state; null: none is.
+    private Snapshot pendingSnapshot; // The state machine has to load it next; null if there is none.
 
-    /** {@code recovered}: with which the state machine begins. */
+    /** {@code recovered}: the snapshot found on disk, which the state machine has to load first. */
     LogReceiver(RaftState state, RoleTransitions transitions, Snapshot recovered) {
         this.state = state;
         this.transitions = transitions;
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The snapshot with which the state machine has to go on, once. */
+    /** Returns a snapshot that the state machine has to load, if there is one; each snapshot is returned once. */
     Optional<Snapshot> takePendingSnapshot() {
         Optional<Snapshot> taken = Optional.ofNullable(pendingSnapshot);
         pendingSnapshot = null;
@@ -33,23 +33,23 @@
         transitions.followLeader(now, from);
         RaftLog log = state.log();
         if (request.prevIndex() >= log.baseIndex() && log.term(request.prevIndex()) != request.prevTerm()) {
-            // The next attempt goes back by a whole term at once.
-            long candidate = log.lastIndexNotAfterTerm(request.prevIndex() - 1, request.prevTerm());
-            replyAppend(from, false, Math.max(log.commitIndex(), candidate), request.sequence());
+            // The hint skips all entries of later terms, so that the leader does not probe each of them.
+            long hint = log.lastIndexNotAfterTerm(request.prevIndex() - 1, request.prevTerm());
+            replyAppend(from, false, Math.max(log.commitIndex(), hint), request.sequence());
             return;
         }
         request.entries().forEach(this::append);
-        long lastOfRequest = request.prevIndex() + request.entries().size();
-        long match = Math.max(lastOfRequest, Math.min(log.commitIndex(), log.lastIndex()));
-        log.commitTo(Math.min(request.commit(), match));
-        replyAppend(from, true, match, request.sequence());
+        long lastRequestIndex = request.prevIndex() + request.entries().size();
+        long matchIndex = Math.max(lastRequestIndex, Math.min(log.commitIndex(), log.lastIndex()));
+        log.commitTo(Math.min(request.commit(), matchIndex));
+        replyAppend(from, true, matchIndex, request.sequence());
     }
 
     private void append(Entry entry) {
         RaftLog log = state.log();
         long index = entry.index();
         if (index <= log.commitIndex() || index <= log.baseIndex()) {
-            return; // Committed before, so it is the same.
+            return; // A committed entry never differs from the leader's.
         }
         if (index <= log.lastIndex()) {
             if (log.term(index) == entry.term()) {
@@ -60,9 +60,9 @@
         state.append(entry);
     }
 
-    // Held back until what it tells of is saved.
-    private void replyAppend(String to, boolean accepted, long index, long sequence) {
-        state.outbox().sendAfterSave(to, new Message.AppendReply(state.term(), accepted, index, sequence));
+    // The reply is deferred until the log that it describes is saved.
+    private void replyAppend(String leader, boolean accepted, long index, long sequence) {
+        state.outbox().sendAfterSave(leader, new Message.AppendReply(state.term(), accepted, index, sequence));
     }
 
     void receive(long now, String from, Message.SnapshotChunk chunk) {
@@ -71,27 +71,27 @@
             return;
         }
         transitions.followLeader(now, from);
-        if (state.log().has(chunk.lastIndex(), chunk.lastTerm())) {
+        if (state.log().isKnownToContain(chunk.lastIndex(), chunk.lastTerm())) {
             incoming.discard();
             state.log().commitTo(chunk.lastIndex());
-            replySnapshot(from, chunk, chunk.total());
+            replySnapshot(from, chunk, chunk.totalBytes());
             return;
         }
-        int received = incoming.add(chunk, state.settings().snapshots().maxBytes());
-        if (received < chunk.total()) {
-            replySnapshot(from, chunk, received);
+        int receivedBytes = incoming.add(chunk, state.settings().snapshots().maxBytes());
+        if (receivedBytes < chunk.totalBytes()) {
+            replySnapshot(from, chunk, receivedBytes);
             return;
         }
         Snapshot snapshot = new Snapshot(chunk.lastIndex(), chunk.lastTerm(), chunk.members(), incoming.take());
         state.reset(snapshot);
         pendingSnapshot = snapshot;
-        replySnapshot(from, chunk, chunk.total());
+        replySnapshot(from, chunk, chunk.totalBytes());
     }
 
-    // Held back until what it tells of is saved.
-    private void replySnapshot(String to, Message.SnapshotChunk chunk, long nextOffset) {
+    // The reply is deferred until the log that it describes is saved.
+    private void replySnapshot(String leader, Message.SnapshotChunk chunk, long nextOffset) {
         state.outbox()
                 .sendAfterSave(
-                        to, new Message.SnapshotReply(state.term(), chunk.lastIndex(), nextOffset, chunk.sequence()));
+                        leader, new Message.SnapshotReply(state.term(), chunk.lastIndex(), nextOffset, chunk.sequence()));
     }
 }
--- a/src/main/java/pewtercourse/raft/LogReplicator.java
+++ b/src/main/java/pewtercourse/raft/LogReplicator.java
@@ -3,9 +3,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Sends the leader's log to the other members: entries, or the snapshot in parts to those whose next entry is gone. */
+/**
+ * Sends the leader's log to the other members: entries or, if the next entry was compacted away, the snapshot in
+ * chunks.
+ */
 final class LogReplicator {
-    private static final int OVERDUE_HEARTBEATS = 2; // A message that is not answered for so long counts as lost.
+    private static final int LOST_AFTER_HEARTBEATS = 2; // A message that is unanswered for longer is lost.
 
     private final RaftState state;
     private final ProgressTracker tracker;
@@ -16,54 +19,54 @@
         this.tracker = tracker;
     }
 
-    /** That of the next message; a member that answers it, or a later one, follows this leader still. */
+    /** The sequence number of the next message. A reply to it or to a later one shows that its sender still follows. */
     long nextSequence() {
         return sequence + 1;
     }
 
     // ---- Requests ----
 
-    /** Sends what each member lacks, as far as its window allows. */
+    /** Sends each member the entries that it lacks, as far as its limit of messages in flight allows. */
     void sendEntries(long now) {
-        tracker.forEach((name, member) -> sendEntries(now, name, member));
+        tracker.forEach((name, progress) -> sendEntries(now, name, progress));
     }
 
-    void sendEntries(long now, String name, Progress member) {
-        send(now, name, member, false);
+    void sendEntries(long now, String name, Progress progress) {
+        send(now, name, progress, false);
     }
 
-    /** Sends to each member, also if it lacks nothing. */
+    /** Sends a message to each member, also to those that lack no entries. */
     void sendToAll(long now) {
-        tracker.forEach((name, member) -> send(now, name, member, true));
+        tracker.forEach((name, progress) -> send(now, name, progress, true));
     }
 
-    /** Sends the commit index at once, but to members that receive a snapshot. */
+    /** Sends the commit index to each member that is not receiving a snapshot. */
     void sendCommitIndex(long now) {
-        tracker.forEach((name, member) -> send(now, name, member, !member.isReceivingSnapshot()));
+        tracker.forEach((name, progress) -> send(now, name, progress, !progress.isReceivingSnapshot()));
     }
 
-    /** Sends to each member, and anew what was not answered. */
+    /** Sends a message to each member. Where a message counts as lost, starts again after the match index. */
     void sendHeartbeats(long now) {
-        long timeout = OVERDUE_HEARTBEATS * state.settings().heartbeatMicros();
-        tracker.forEach((name, member) -> {
-            if (member.isSendOverdue(now, timeout)) {
-                member.probeFrom(member.matchIndex() + 1);
+        long timeoutMicros = LOST_AFTER_HEARTBEATS * state.settings().heartbeatMicros();
+        tracker.forEach((name, progress) -> {
+            if (progress.isReplyOverdue(now, timeoutMicros)) {
+                progress.probeFrom(progress.matchIndex() + 1);
             }
-            send(now, name, member, true);
+            send(now, name, progress, true);
         });
     }
 
-    /** {@code always}: also without entries, as a heartbeat. */
-    private void send(long now, String name, Progress member, boolean always) {
+    // sendIfEmpty: whether to send a message even if it has no entries, as a heartbeat.
+    private void send(long now, String name, Progress progress, boolean sendIfEmpty) {
         RaftLog log = state.log();
-        long prevIndex = member.nextIndex() - 1;
+        long prevIndex = progress.nextIndex() - 1;
         long prevTerm = prevIndex < log.baseIndex() ? RaftLog.UNKNOWN_TERM : log.term(prevIndex);
         if (prevTerm == RaftLog.UNKNOWN_TERM) {
-            sendSnapshotPart(now, name, member, always);
+            sendSnapshotChunk(now, name, progress, sendIfEmpty);
             return;
         }
-        List<Entry> entries = nextEntries(member);
-        if (entries.isEmpty() && !always) {
+        List<Entry> entries = nextEntries(progress);
+        if (entries.isEmpty() && !sendIfEmpty) {
             return;
         }
         state.outbox()
@@ -71,32 +74,32 @@
                         name,
                         new Message.AppendRequest(
                                 state.term(), prevIndex, prevTerm, entries, log.commitIndex(), ++sequence));
-        if (!entries.isEmpty() && member.sentEntries(now, entries.size())) {
-            send(now, name, member, false);
+        if (!entries.isEmpty() && progress.onEntriesSent(now, entries.size())) {
+            send(now, name, progress, false);
         }
     }
 
-    private List<Entry> nextEntries(Progress member) {
+    private List<Entry> nextEntries(Progress progress) {
         RaftSettings.Replication limits = state.settings().replication();
-        if (!member.maySend(limits.maxInFlight())) {
+        if (!progress.canSend(limits.maxInFlight())) {
             return List.of();
         }
         RaftLog log = state.log();
-        return log.slice(member.nextIndex(), log.lastIndex(), limits.maxBatchEntries(), limits.maxBatchBytes());
+        return log.slice(progress.nextIndex(), log.lastIndex(), limits.maxBatchEntries(), limits.maxBatchBytes());
     }
 
-    /** {@code always}: also if this part is on its way already. */
-    private void sendSnapshotPart(long now, String name, Progress member, boolean always) {
+    // sendAgain: whether to send the current chunk even if it was sent already.
+    private void sendSnapshotChunk(long now, String name, Progress progress, boolean sendAgain) {
         Snapshot snapshot = state.log().snapshot();
-        if (!member.isReceivingSnapshot(snapshot.index())) {
-            member.startSnapshot(snapshot.index());
-        } else if (!always) {
+        if (!progress.isReceivingSnapshot(snapshot.index())) {
+            progress.startSnapshot(snapshot.index());
+        } else if (!sendAgain) {
             return;
         }
-        int from = (int) member.snapshotOffset();
-        int to = Math.min(
-                snapshot.state().length, from + state.settings().snapshots().partBytes());
-        member.sentSnapshotPart(now);
+        int startOffset = (int) progress.snapshotOffset();
+        int endOffset = Math.min(
+                snapshot.state().length, startOffset + state.settings().snapshots().chunkBytes());
+        progress.onSnapshotChunkSent(now);
         state.outbox()
                 .send(
                         name,
@@ -105,38 +108,38 @@
                                 snapshot.index(),
                                 snapshot.term(),
                                 snapshot.members(),
-                                from,
-                                Arrays.copyOfRange(snapshot.state(), from, to),
+                                startOffset,
+                                Arrays.copyOfRange(snapshot.state(), startOffset, endOffset),
                                 snapshot.state().length,
                                 ++sequence));
     }
 
-    // ---- Answers ----
+    // ---- Replies ----
 
     void receive(long now, String from, Message.AppendReply reply) {
-        Progress member = tracker.get(from);
-        member.answered(now, reply.sequence());
+        Progress progress = tracker.get(from);
+        progress.onReply(now, reply.sequence());
         if (reply.accepted()) {
-            member.accepted(reply.index(), sequence);
+            progress.onAccepted(reply.index(), sequence);
         } else {
-            member.rejected(reply.index(), reply.sequence());
+            progress.onRejected(reply.index(), reply.sequence());
         }
-        sendEntries(now, from, member);
+        sendEntries(now, from, progress);
     }
 
     void receive(long now, String from, Message.SnapshotReply reply) {
-        Progress member = tracker.get(from);
-        member.answered(now, reply.sequence());
-        if (!member.isReceivingSnapshot(reply.lastIndex())) {
+        Progress progress = tracker.get(from);
+        progress.onReply(now, reply.sequence());
+        if (!progress.isReceivingSnapshot(reply.lastIndex())) {
             return;
         }
         Snapshot snapshot = state.log().snapshot();
         if (reply.nextOffset() >= snapshot.state().length && snapshot.index() == reply.lastIndex()) {
-            member.installedSnapshot(reply.lastIndex(), sequence);
-            sendEntries(now, from, member);
-        } else if (reply.nextOffset() != member.snapshotOffset()) {
-            member.continueSnapshot(Math.min(reply.nextOffset(), snapshot.state().length));
-            sendSnapshotPart(now, from, member, true);
+            progress.onSnapshotInstalled(reply.lastIndex(), sequence);
+            sendEntries(now, from, progress);
+        } else if (reply.nextOffset() != progress.snapshotOffset()) {
+            progress.continueSnapshotFrom(Math.min(reply.nextOffset(), snapshot.state().length));
+            sendSnapshotChunk(now, from, progress, true);
         }
     }
 }
--- a/src/main/java/pewtercourse/raft/MembershipState.java
+++ b/src/main/java/pewtercourse/raft/MembershipState.java
@@ -1,12 +1,12 @@
 package pewtercourse.raft;
 
-/** Who belongs to the group by this member's log, and whether this member itself still does. */
+/** The membership in this member's log, and whether this member is still part of it. */
 final class MembershipState {
     private final RaftLog log;
     private final String self;
     private final long incarnation;
     private Membership latest;
-    private long latestIndex; // Of the entry, or the snapshot, that has it.
+    private long latestIndex; // The index of the entry or snapshot that contains the latest membership.
     private boolean reportedNonMember;
 
     MembershipState(RaftLog log, String self, long incarnation) {
@@ -16,23 +16,26 @@
         reload();
     }
 
-    /** The log has changed. A membership counts from when it is in the log, committed or not (dissertation, 4.1). */
+    /**
+     * Reads the latest membership again after a change of the log. A membership is effective as soon as it is in the
+     * log, committed or not (dissertation, 4.1).
+     */
     void reload() {
         latestIndex = log.membershipIndex(log.lastIndex());
         latest = log.membersAt(log.lastIndex());
     }
 
-    /** As of the log's end. */
+    /** The membership at the end of the log. */
     Membership latest() {
         return latest;
     }
 
-    /** As of what this member knows to be committed. */
+    /** The membership at the commit index that this member knows. */
     Membership committed() {
         return isChangePending() ? log.membersAt(log.commitIndex()) : latest;
     }
 
-    /** Whether the last change is not committed yet. */
+    /** Whether the last membership change is not committed yet. */
     boolean isChangePending() {
         return latestIndex > log.commitIndex();
     }
@@ -41,25 +44,28 @@
         return latest.isVoter(self, incarnation);
     }
 
-    /** Whether a member has a vote both by what is committed and by the log's end, for the same incarnation. */
+    /** Whether the member is a voter, with the same incarnation, in both the committed and the latest membership. */
     boolean isCommittedVoter(String name) {
         Membership.Member member = latest.all().get(name);
         return member != null && member.voter() && committed().isVoter(name, member.incarnation());
     }
 
-    /** Whether this member was removed, by its own log or by what another member told. */
+    /** Whether this member was removed, according to its own log or to a report of another member. */
     boolean isNonMember() {
         return reportedNonMember
                 || !isChangePending() && !latest.all().isEmpty() && !latest.contains(self, incarnation);
     }
 
-    /** Another member has told that this one is none by what it knows to be committed. */
+    /** Another member has reported that its committed membership does not contain this member. */
     void reportNonMember() {
         reportedNonMember = true;
     }
 
-    /** A leader has sent something, or this member was elected: what was reported before is out of date. */
-    void clearReport() {
+    /**
+     * Forgets an earlier report: a message of a leader, or this member's own election, shows that the report is
+     * outdated.
+     */
+    void clearNonMemberReport() {
         reportedNonMember = false;
     }
 }
--- a/src/main/java/pewtercourse/raft/Message.java
+++ b/src/main/java/pewtercourse/raft/Message.java
@@ -2,58 +2,62 @@
 
 import java.util.List;
 
-/** What members send to one another. {@code term} is the sender's, but in a pre-vote, which names the next one. */
+/**
+ * A message between members. The component {@code term} is the sender's current term, except in pre-vote requests and
+ * granted pre-votes, where it is the term that follows the candidate's.
+ */
 public sealed interface Message {
-    /** The sender's term, or that which a pre-vote asks for. */
+    /** The sender's term or, in a pre-vote, the term that the candidate would start. */
     long term();
 
-    /** Calls the handler's method for this type of message. */
+    /** Calls the method of the handler for this type of message. */
     void dispatch(Handler handler);
 
-    /** Whether the sender is in {@link #term}, so that a member in a lower one has to adopt it. */
+    /** Whether the message shows that {@link #term} has started, so that a receiver in a lower term has to adopt it. */
     default boolean provesTerm() {
         return true;
     }
 
-    /** Whether only the leader of {@link #term} sends it. */
+    /** Whether only the leader of {@link #term} sends this type of message. */
     default boolean isFromLeader() {
         return false;
     }
 
-    /** One method for each type of message. */
+    /** Receives messages: one method for each type. */
     interface Handler {
-        /** A candidate asks for a vote. */
+        /** Handles a candidate's request for a vote. */
         void receive(VoteRequest request);
 
-        /** A voter's answer. */
+        /** Handles a voter's reply. */
         void receive(VoteReply reply);
 
-        /** The leader's entries, or its heartbeat. */
+        /** Handles entries or a heartbeat of the leader. */
         void receive(AppendRequest request);
 
-        /** A follower's answer to entries or a heartbeat. */
+        /** Handles a follower's reply to entries or a heartbeat. */
         void receive(AppendReply reply);
 
-        /** A part of the leader's snapshot. */
+        /** Handles a chunk of the leader's snapshot. */
         void receive(SnapshotChunk chunk);
 
-        /** A follower's answer to a part of the snapshot. */
+        /** Handles a follower's reply to a snapshot chunk. */
         void receive(SnapshotReply reply);
 
-        /** The leader transfers its leadership. */
+        /** Handles the leader's request to start an election at once. */
         void receive(TimeoutNow request);
     }
 
     /**
-     * A candidate asks for a vote.
+     * A candidate's request for a vote.
      *
-     * @param lastIndex the last entry of the candidate's log
-     * @param lastTerm that entry's term
-     * @param preVote only asks whether it could win
-     * @param transfer the leader wishes it, so a living leader is no reason to reject it
+     * @param lastIndex the index of the last entry of the candidate's log
+     * @param lastTerm the term of that entry
+     * @param preVote whether this is a pre-vote, which only asks whether the candidate could win an election
+     * @param transfer whether the leader has started the election by a leadership transfer, so that voters accept the
+     *     request although they have an active leader
      */
     record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean transfer) implements Message {
-        /** Whether its term counts is for the voter to decide: a candidate must not unseat a living leader. */
+        /** The voter decides whether to adopt the term: a candidate must not depose an active leader. */
         @Override
         public boolean provesTerm() {
             return false;
@@ -66,12 +70,13 @@
     }
 
     /**
-     * The answer to a {@link VoteRequest}.
+     * The reply to a {@link VoteRequest}.
      *
-     * @param nonMember the candidate is no member by what the voter knows to be committed
+     * @param preVote whether this is the reply to a pre-vote
+     * @param nonMember whether the committed membership that the voter knows lacks the candidate
      */
     record VoteReply(long term, boolean granted, boolean preVote, boolean nonMember) implements Message {
-        /** A granted pre-vote has the term that was asked for, in which nobody is yet. */
+        /** A granted pre-vote has the requested term, which no member has started yet. */
         @Override
         public boolean provesTerm() {
             return !(preVote && granted);
@@ -84,12 +89,13 @@
     }
 
     /**
-     * Entries from the leader; none in a heartbeat.
+     * Entries of the leader; a heartbeat has none.
      *
-     * @param prevIndex the entry before the first of these
-     * @param prevTerm that entry's term
+     * @param prevIndex the index of the entry before the first of {@code entries}
+     * @param prevTerm the term of that entry
      * @param commit the leader's commit index
-     * @param sequence counts the leader's messages and comes back with the answer: it confirms reads
+     * @param sequence the leader's sequence number of this message, which the reply returns; the leader confirms reads
+     *     by it
      */
     record AppendRequest(long term, long prevIndex, long prevTerm, List<Entry> entries, long commit, long sequence)
             implements Message {
@@ -105,9 +111,11 @@
     }
 
     /**
-     * The answer to an {@link AppendRequest}.
+     * The reply to an {@link AppendRequest}.
      *
-     * @param index where accepted, the last entry known to equal the leader's; else the last one that could
+     * @param index if accepted, the index up to which the logs are known to match; if rejected, the highest index at
+     *     which they may match
+     * @param sequence the sequence number of the request
      */
     record AppendReply(long term, boolean accepted, long index, long sequence) implements Message {
         @Override
@@ -117,13 +125,15 @@
     }
 
     /**
-     * A part of the leader's snapshot.
+     * A chunk of the leader's snapshot.
      *
-     * @param lastIndex the last entry that the snapshot stands for
-     * @param lastTerm that entry's term
-     * @param members as of that entry
-     * @param offset of the part's first byte in the snapshot
-     * @param total bytes of the whole snapshot
+     * @param lastIndex the index of the last entry that the snapshot contains
+     * @param lastTerm the term of that entry
+     * @param members the membership at that entry
+     * @param offset the offset of {@code data} in the snapshot, in bytes
+     * @param data the bytes of this chunk
+     * @param totalBytes the size of the complete snapshot
+     * @param sequence as in {@link AppendRequest}
      */
     record SnapshotChunk(
             long term,
@@ -131,8 +141,8 @@
             long lastTerm,
             Membership members,
             long offset,
-            byte[] part,
-            long total,
+            byte[] data,
+            long totalBytes,
             long sequence)
             implements Message {
         @Override
@@ -147,9 +157,11 @@
     }
 
     /**
-     * The answer to a {@link SnapshotChunk}.
+     * The reply to a {@link SnapshotChunk}.
      *
-     * @param nextOffset the first byte that is missing; the total once the whole snapshot is saved
+     * @param lastIndex the index of the last entry that the snapshot contains
+     * @param nextOffset the offset of the first missing byte; the size of the snapshot once all of it is saved
+     * @param sequence the sequence number of the chunk
      */
     record SnapshotReply(long term, long lastIndex, long nextOffset, long sequence) implements Message {
         @Override
@@ -158,7 +170,7 @@
         }
     }
 
-    /** The leader transfers its leadership: the receiver stands for election at once. */
+    /** The leader's request that the receiver starts an election at once; it transfers the leadership. */
     record TimeoutNow(long term) implements Message {
         @Override
         public void dispatch(Handler handler) {
--- a/src/main/java/pewtercourse/raft/Outbox.java
+++ b/src/main/java/pewtercourse/raft/Outbox.java
@@ -6,133 +6,139 @@
 import java.util.List;
 
 /**
- * What a member has to save and to send. A message that relies on something unsaved is held back until the save that
- * has it is done.
+ * Collects the saves and messages of a member. A message that depends on unsaved state is deferred until the save that
+ * contains this state has completed.
  */
 final class Outbox {
-    private static final int MAX_HELD_MESSAGES = 1_024;
+    private static final int MAX_DEFERRED_MESSAGES = 1_024;
     private static final long NO_INDEX = Long.MAX_VALUE;
 
-    private record HeldMessage(long afterSave, Ready.OutgoingMessage message) {}
+    private record DeferredMessage(long requiredSave, Ready.OutgoingMessage message) {}
 
     private record LogEnd(long saveNumber, long index, long term) {}
 
     private final RaftLog log;
-    // What was handed out to be saved and is not done yet.
+    // The log ends of the saves that were taken and have not completed yet.
     private final Deque<LogEnd> pendingSaves = new ArrayDeque<>();
-    private long lastSave;
-    private long lastSaveDone;
+    private long lastTakenSave;
+    private long lastCompletedSave;
     private long savedIndex;
-    private long savedCommit; // As of the last save that was handed out.
-    // What the next save has to have.
-    private boolean stateUnsaved;
-    private boolean commitDue;
+    private long takenCommitIndex; // The commit index in the last save that was taken.
+    // What the next save has to contain.
+    private boolean hardStateUnsaved;
+    private boolean commitIndexDue;
     private Snapshot unsavedSnapshot;
-    private long unsavedFrom = NO_INDEX;
-    // What is to be sent.
-    private final Deque<HeldMessage> held = new ArrayDeque<>();
+    private long firstUnsavedIndex = NO_INDEX;
+    // Messages to send.
+    private final Deque<DeferredMessage> deferredMessages = new ArrayDeque<>();
     private List<Ready.OutgoingMessage> messages = new ArrayList<>();
 
-    /** All entries of the log are saved. */
+    /** Creates the outbox of a member whose log was read from disk, so that all entries are saved. */
     Outbox(RaftLog log) {
         this.log = log;
         this.savedIndex = log.lastIndex();
-        this.savedCommit = log.commitIndex();
+        this.takenCommitIndex = log.commitIndex();
     }
 
-    // ---- What is to be saved ----
+    // ---- Saves ----
 
-    /** The last entry that is saved, with all before it. */
+    /** The index up to which the log is saved. */
     long savedIndex() {
         return savedIndex;
     }
 
     /** The term or the vote has changed. */
-    void stateChanged() {
-        stateUnsaved = true;
+    void onHardStateChanged() {
+        hardStateUnsaved = true;
     }
 
-    void appended(long index) {
-        unsavedFrom = Math.min(unsavedFrom, index);
+    /** An entry was appended to the log. */
+    void onAppended(long index) {
+        firstUnsavedIndex = Math.min(firstUnsavedIndex, index);
     }
 
-    /** This entry and all behind it were removed from the log. */
-    void truncated(long from) {
-        savedIndex = Math.min(savedIndex, from - 1);
-        unsavedFrom = Math.min(unsavedFrom, from);
+    /** The entries from this index on were removed from the log. */
+    void onTruncated(long fromIndex) {
+        savedIndex = Math.min(savedIndex, fromIndex - 1);
+        firstUnsavedIndex = Math.min(firstUnsavedIndex, fromIndex);
     }
 
-    /** A snapshot from the leader stands for the whole log. */
-    void replaced(Snapshot snapshot) {
-        savedIndex = snapshot.index(); // Told to others only once the save that has it is done.
+    /** A snapshot of the leader has replaced the whole log. */
+    void onLogReplaced(Snapshot snapshot) {
+        savedIndex = snapshot.index(); // Replies that rely on it are deferred until the snapshot is saved.
         unsavedSnapshot = snapshot;
-        unsavedFrom = NO_INDEX;
+        firstUnsavedIndex = NO_INDEX;
     }
 
-    /** A snapshot of this member's own state is on disk. */
-    void compacted(Snapshot snapshot) {
+    /** A snapshot of this member's own state was written to disk. */
+    void onCompacted(Snapshot snapshot) {
         savedIndex = Math.max(savedIndex, snapshot.index());
     }
 
-    /** A higher commit index is by itself no reason to write at once: it is saved after some time, or with the next save. */
-    void saveCommitLater() {
-        commitDue |= log.commitIndex() > savedCommit;
+    /**
+     * Makes the next call of {@link #takeSave} save a higher commit index. The commit index alone does not cause a save
+     * when it changes; it is saved with other state, or at the next tick.
+     */
+    void requestCommitIndexSave() {
+        commitIndexDue |= log.commitIndex() > takenCommitIndex;
     }
 
-    /** What is to be saved now, or null. */
+    /** Returns the next save, or null if there is nothing to save. */
     Save takeSave(long term, String votedFor) {
-        if (!isUnsaved() && !commitDue) {
+        if (!hasUnsavedState() && !commitIndexDue) {
             return null;
         }
-        lastSave++;
-        pendingSaves.add(new LogEnd(lastSave, log.lastIndex(), log.lastTerm()));
-        Save save = new Save(lastSave, term, votedFor, log.commitIndex(), unsavedSnapshot, log.tail(unsavedFrom));
-        stateUnsaved = false;
-        commitDue = false;
-        savedCommit = log.commitIndex();
+        lastTakenSave++;
+        pendingSaves.add(new LogEnd(lastTakenSave, log.lastIndex(), log.lastTerm()));
+        Save save = new Save(lastTakenSave, term, votedFor, log.commitIndex(), unsavedSnapshot, log.tail(firstUnsavedIndex));
+        hardStateUnsaved = false;
+        commitIndexDue = false;
+        takenCommitIndex = log.commitIndex();
         unsavedSnapshot = null;
-        unsavedFrom = NO_INDEX;
+        firstUnsavedIndex = NO_INDEX;
         return save;
     }
 
-    private boolean isUnsaved() {
-        return stateUnsaved || unsavedSnapshot != null || unsavedFrom <= log.lastIndex();
+    private boolean hasUnsavedState() {
+        return hardStateUnsaved || unsavedSnapshot != null || firstUnsavedIndex <= log.lastIndex();
     }
 
-    /** The save with this number, and all before it, are on disk. */
-    void saved(long number) {
-        lastSaveDone = Math.max(lastSaveDone, number);
-        while (!pendingSaves.isEmpty() && pendingSaves.peek().saveNumber() <= lastSaveDone) {
+    /** The save with this number and all earlier ones have completed. */
+    void onSaved(long number) {
+        lastCompletedSave = Math.max(lastCompletedSave, number);
+        while (!pendingSaves.isEmpty() && pendingSaves.peek().saveNumber() <= lastCompletedSave) {
             LogEnd end = pendingSaves.poll();
-            // An end that was replaced since then was saved for nothing.
+            // The saved entries do not count if they were replaced in the log since then.
             if (end.index() > savedIndex && log.term(end.index()) == end.term()) {
                 savedIndex = end.index();
             }
         }
-        while (!held.isEmpty() && held.peek().afterSave() <= lastSaveDone) {
-            messages.add(held.poll().message());
+        while (!deferredMessages.isEmpty() && deferredMessages.peek().requiredSave() <= lastCompletedSave) {
+            messages.add(deferredMessages.poll().message());
         }
     }
 
-    // ---- What is to be sent ----
+    // ---- Messages ----
 
+    /** Sends a message that does not depend on unsaved state. */
     void send(String to, Message message) {
         messages.add(new Ready.OutgoingMessage(to, message));
     }
 
-    /** For a message that promises, or tells of, something that may not be on disk yet. */
+    /** Sends a message that depends on the current state, as soon as this state is saved. */
     void sendAfterSave(String to, Message message) {
-        long afterSave = isUnsaved() ? lastSave + 1 : lastSave;
-        if (afterSave <= lastSaveDone) {
+        long requiredSave = hasUnsavedState() ? lastTakenSave + 1 : lastTakenSave;
+        if (requiredSave <= lastCompletedSave) {
             send(to, message);
             return;
         }
-        held.add(new HeldMessage(afterSave, new Ready.OutgoingMessage(to, message)));
-        if (held.size() > MAX_HELD_MESSAGES) {
-            held.poll(); // As if the network had lost it.
+        deferredMessages.add(new DeferredMessage(requiredSave, new Ready.OutgoingMessage(to, message)));
+        if (deferredMessages.size() > MAX_DEFERRED_MESSAGES) {
+            deferredMessages.poll(); // Has the same effect as a message that the network loses.
         }
     }
 
+    /** Returns the messages that can be sent now, and removes them here. */
     List<Ready.OutgoingMessage> takeMessages() {
         List<Ready.OutgoingMessage> taken = messages;
         messages = new ArrayList<>();
--- a/src/main/java/pewtercourse/raft/Progress.java
+++ b/src/main/java/pewtercourse/raft/Progress.java
@@ -1,8 +1,9 @@
 package pewtercourse.raft;
 
 /**
- * What a leader knows of another member's log, as etcd's Progress. While it probes, one message at a time finds where
- * the logs meet; then up to {@link RaftSettings.Replication#maxInFlight} are sent ahead of their answers.
+ * The leader's view of another member's log, like etcd's Progress. While the leader probes, it sends one message with
+ * entries at a time until it finds the index up to which the logs match. Then it sends up to
+ * {@link RaftSettings.Replication#maxInFlight} messages before it waits for a reply.
  */
 final class Progress {
     private static final long NO_SNAPSHOT = -1;
@@ -10,20 +11,20 @@
     private final long incarnation;
     private long nextIndex;
     private long matchIndex;
-    private long matchSequence; // Later messages meet a member that has saved up to the match index.
-    private long lastActive;
+    private long matchSequence; // The last message that was sent before the match index was known.
+    private long lastActiveAt;
     private long confirmedSequence;
-    private long lastSent;
-    private int inFlight; // Messages with entries since the last answer.
+    private long lastSentAt;
+    private int inFlight; // Messages with entries that are not answered yet.
     private boolean probing = true;
     private boolean lostLog;
     private long snapshotOffset = NO_SNAPSHOT;
     private long snapshotIndex;
 
-    Progress(long incarnation, long nextIndex, long lastActive) {
+    Progress(long incarnation, long nextIndex, long lastActiveAt) {
         this.incarnation = incarnation;
         this.nextIndex = nextIndex;
-        this.lastActive = lastActive;
+        this.lastActiveAt = lastActiveAt;
     }
 
     // ---- Contact ----
@@ -32,70 +33,80 @@
         return incarnation;
     }
 
-    long lastActive() {
-        return lastActive;
+    long lastActiveAt() {
+        return lastActiveAt;
     }
 
-    boolean isActive(long now, long timeout) {
-        return now - lastActive <= timeout;
+    /** Whether the member has replied within the timeout. */
+    boolean isActive(long now, long timeoutMicros) {
+        return now - lastActiveAt <= timeoutMicros;
     }
 
-    /** The member answered the message with this sequence number. */
-    void answered(long now, long sequence) {
-        lastActive = now;
+    /** The member has replied to the message with this sequence number. */
+    void onReply(long now, long sequence) {
+        lastActiveAt = now;
         confirmedSequence = Math.max(confirmedSequence, sequence);
     }
 
+    /** Whether the member has replied to the message with this sequence number or to a later one. */
     boolean hasConfirmed(long sequence) {
         return confirmedSequence >= sequence;
     }
 
-    // ---- Its log ----
+    // ---- Log ----
 
-    /** The next entry to send. */
+    /** The index of the next entry to send. */
     long nextIndex() {
         return nextIndex;
     }
 
-    /** The last entry that the member has saved for certain. */
+    /** The highest index up to which the member is known to have saved the leader's log. */
     long matchIndex() {
         return matchIndex;
     }
 
-    /** The member lacks entries that it had said it had saved. */
+    /** Whether the member lacks entries that it has acknowledged as saved. */
     boolean lostLog() {
         return lostLog;
     }
 
-    boolean maySend(int maxInFlight) {
+    /** Whether another message with entries can be sent before the member replies. */
+    boolean canSend(int maxInFlight) {
         return inFlight < (probing ? 1 : maxInFlight);
     }
 
-    /** True if the following entries may go out before this message is answered. */
-    boolean sentEntries(long now, int count) {
+    /**
+     * A message with entries was sent; returns whether the entries after them may be sent before the member replies.
+     */
+    boolean onEntriesSent(long now, int entryCount) {
         inFlight++;
-        lastSent = now;
+        lastSentAt = now;
         if (!probing) {
-            nextIndex += count;
+            nextIndex += entryCount;
         }
         return !probing;
     }
 
-    /** Entries or a part of a snapshot are out, and nothing was sent since {@code timeout}: they may be lost. */
-    boolean isSendOverdue(long now, long timeout) {
-        return now - lastSent >= timeout && (inFlight > 0 || isReceivingSnapshot());
+    /** Whether the reply to the last entries or snapshot chunk is overdue, so that the message may be lost. */
+    boolean isReplyOverdue(long now, long timeoutMicros) {
+        return now - lastSentAt >= timeoutMicros && (inFlight > 0 || isReceivingSnapshot());
     }
 
+    /** Starts to probe, with the entry at this index as the next one to send. */
     void probeFrom(long index) {
         probing = true;
         inFlight = 0;
         nextIndex = index;
     }
 
-    /** {@code sequence}: of the last message that was sent to anyone. */
-    void accepted(long index, long sequence) {
+    /**
+     * The member's log matches up to {@code index}.
+     *
+     * @param sequence the sequence number of the last message that the leader has sent to any member
+     */
+    void onAccepted(long index, long sequence) {
         if (index > matchIndex) {
-            match(index, sequence);
+            setMatch(index, sequence);
             inFlight = matchIndex >= nextIndex - 1 ? 0 : Math.max(0, inFlight - 1);
         }
         nextIndex = Math.max(nextIndex, matchIndex + 1);
@@ -103,33 +114,40 @@
         probing = false;
     }
 
-    /** {@code hint}: the last entry that could be equal; {@code answered}: the message that this answers. */
-    void rejected(long hint, long answered) {
-        if (answered <= matchSequence) {
-            return; // Sent before the member saved what it has.
+    /**
+     * The member has rejected entries because the logs do not match before them.
+     *
+     * @param hintIndex the highest index at which the logs may match
+     * @param requestSequence the sequence number of the rejected message
+     */
+    void onRejected(long hintIndex, long requestSequence) {
+        if (requestSequence <= matchSequence) {
+            return; // The rejected message was sent before the match index was known.
         }
-        if (hint < matchIndex) {
+        if (hintIndex < matchIndex) {
             lostLog = true;
-        } else if (hint + 1 < nextIndex) {
-            probeFrom(hint + 1);
+        } else if (hintIndex + 1 < nextIndex) {
+            probeFrom(hintIndex + 1);
         }
     }
 
-    private void match(long index, long sequence) {
+    private void setMatch(long index, long sequence) {
         matchIndex = index;
         matchSequence = sequence;
     }
 
-    // ---- The snapshot on its way to it ----
+    // ---- Snapshot in flight ----
 
     boolean isReceivingSnapshot() {
         return snapshotOffset >= 0;
     }
 
+    /** Whether the member is receiving the snapshot with this index. */
     boolean isReceivingSnapshot(long index) {
         return isReceivingSnapshot() && snapshotIndex == index;
     }
 
+    /** The offset of the snapshot chunk that is sent next. */
     long snapshotOffset() {
         return snapshotOffset;
     }
@@ -139,17 +157,18 @@
         snapshotIndex = index;
     }
 
-    void sentSnapshotPart(long now) {
-        lastSent = now;
+    void onSnapshotChunkSent(long now) {
+        lastSentAt = now;
     }
 
-    void continueSnapshot(long offset) {
+    void continueSnapshotFrom(long offset) {
         snapshotOffset = offset;
     }
 
-    void installedSnapshot(long index, long sequence) {
+    /** The member has saved the whole snapshot. */
+    void onSnapshotInstalled(long index, long sequence) {
         snapshotOffset = NO_SNAPSHOT;
-        match(Math.max(matchIndex, index), sequence);
+        setMatch(Math.max(matchIndex, index), sequence);
         probeFrom(Math.max(matchIndex + 1, nextIndex));
     }
 }
--- a/src/main/java/pewtercourse/raft/ProgressTracker.java
+++ b/src/main/java/pewtercourse/raft/ProgressTracker.java
@@ -9,121 +9,128 @@
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
 
-/** The leader's {@link Progress} of each other member, and what a majority of the voters has. Empty but on a leader. */
+/**
+ * The leader's {@link Progress} of each other member, and queries about them. Empty unless this member is the leader.
+ */
 final class ProgressTracker {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final RaftState state;
-    private final Map<String, Progress> progress = new TreeMap<>();
+    private final Map<String, Progress> progressByMember = new TreeMap<>();
 
     ProgressTracker(RaftState state) {
         this.state = state;
     }
 
-    // ---- Which members ----
+    // ---- Tracked members ----
 
-    /** This member leads from now on, and all others count as active at first. */
-    void start(long now) {
-        progress.clear();
+    /** Tracks all other members at the start of this member's leadership; at first all of them count as active. */
+    void reset(long now) {
+        progressByMember.clear();
         state.members().all().forEach((name, member) -> track(name, member, now));
     }
 
     void clear() {
-        progress.clear();
+        progressByMember.clear();
     }
 
-    /** The membership has changed: forgets who has left, and starts anew with who has another incarnation. */
-    void membershipChanged() {
+    /** The membership has changed: drops removed members and resets the progress of those with a new incarnation. */
+    void onMembershipChanged() {
         Map<String, Membership.Member> members = state.members().all();
-        progress.keySet().retainAll(members.keySet());
+        progressByMember.keySet().retainAll(members.keySet());
         members.forEach((name, member) -> {
-            Progress known = progress.get(name);
-            if (known == null || known.incarnation() != member.incarnation()) {
-                track(name, member, known == null ? NEVER : known.lastActive());
+            Progress existing = progressByMember.get(name);
+            if (existing == null || existing.incarnation() != member.incarnation()) {
+                track(name, member, existing == null ? NEVER : existing.lastActiveAt());
             }
         });
     }
 
-    private void track(String name, Membership.Member member, long lastActive) {
+    private void track(String name, Membership.Member member, long lastActiveAt) {
         if (!name.equals(state.self())) {
             long nextIndex = state.log().lastIndex() + 1;
-            progress.put(name, new Progress(member.incarnation(), nextIndex, lastActive));
+            progressByMember.put(name, new Progress(member.incarnation(), nextIndex, lastActiveAt));
         }
     }
 
-    /** Null for this member itself, for who is no member, and wherever this member doesn't lead. */
+    /** Returns null for this member itself, for an unknown name, and if this member is not the leader. */
     Progress get(String name) {
-        return progress.get(name);
+        return progressByMember.get(name);
     }
 
-    /** In the order of the names. */
+    /** Calls the action for each other member, in the order of the names. */
     void forEach(BiConsumer<String, Progress> action) {
-        progress.forEach(action);
+        progressByMember.forEach(action);
     }
 
-    // ---- What they have ----
+    // ---- Quorums ----
 
-    /** Whether a majority of the voters, this member among them, has answered within the longest election timeout. */
+    /** Whether a majority of the voters, including this member, has replied within the longest election timeout. */
     boolean isQuorumActive(long now) {
-        long timeout = state.settings().maxElectionTimeoutMicros();
+        long timeoutMicros = state.settings().maxElectionTimeoutMicros();
         Set<String> active = new HashSet<>();
         active.add(state.self());
-        progress.forEach((name, member) -> {
-            if (member.isActive(now, timeout) && isVoter(name, member)) {
+        progressByMember.forEach((name, progress) -> {
+            if (progress.isActive(now, timeoutMicros) && isVoter(name, progress)) {
                 active.add(name);
             }
         });
         return state.members().isQuorum(active);
     }
 
-    /** The voters of whom this holds, but for those that lost their log: what they say counts no more. */
-    Set<String> votersWith(Predicate<Progress> condition) {
+    /**
+     * Returns the other voters that meet the condition, without those that lost their log: their replies do not count.
+     */
+    Set<String> votersMatching(Predicate<Progress> condition) {
         Set<String> names = new HashSet<>();
-        progress.forEach((name, member) -> {
-            if (!member.lostLog() && isVoter(name, member) && condition.test(member)) {
+        progressByMember.forEach((name, progress) -> {
+            if (!progress.lostLog() && isVoter(name, progress) && condition.test(progress)) {
                 names.add(name);
             }
         });
         return names;
     }
 
-    boolean isVoter(String name, Progress member) {
-        return state.members().isVoter(name, member.incarnation());
+    /** Whether the tracked incarnation of the member is a voter. */
+    boolean isVoter(String name, Progress progress) {
+        return state.members().isVoter(name, progress.incarnation());
     }
 
-    /** The voter that has most of the log and answered within the shortest election timeout. */
+    /** Returns the voter with the highest match index among those that replied within the shortest election timeout. */
     Optional<String> bestTransferCandidate(long now) {
-        long timeout = state.settings().minElectionTimeoutMicros();
-        return progress.entrySet().stream()
-                .filter(e -> isVoter(e.getKey(), e.getValue()) && e.getValue().isActive(now, timeout))
+        long timeoutMicros = state.settings().minElectionTimeoutMicros();
+        return progressByMember.entrySet().stream()
+                .filter(entry -> isVoter(entry.getKey(), entry.getValue())
+                        && entry.getValue().isActive(now, timeoutMicros))
                 .max(Map.Entry.comparingByValue(Comparator.comparingLong(Progress::matchIndex)))
                 .map(Map.Entry::getKey);
     }
 
     // ---- For status reports ----
 
-    /** By member, how many entries it lacks. */
+    /** The number of entries that each other member lacks. */
     Map<String, Long> lag() {
         Map<String, Long> lag = new TreeMap<>();
-        progress.forEach((name, member) -> lag.put(name, state.log().lastIndex() - member.matchIndex()));
+        progressByMember.forEach((name, progress) -> lag.put(name, state.log().lastIndex() - progress.matchIndex()));
         return lag;
     }
 
-    Set<String> withLostLog() {
+    /** The members that lack entries which they acknowledged as saved. */
+    Set<String> membersWithLostLog() {
         Set<String> names = new HashSet<>();
-        progress.forEach((name, member) -> {
-            if (member.lostLog()) {
+        progressByMember.forEach((name, progress) -> {
+            if (progress.lostLog()) {
                 names.add(name);
             }
         });
         return names;
     }
 
-    /** Other members, voters or not, that answered within the longest election timeout. */
+    /** The other members, voters and learners, that replied within the longest election timeout. */
     Set<String> recentlyActive(long now) {
         Set<String> names = new HashSet<>();
-        progress.forEach((name, member) -> {
-            if (member.isActive(now, state.settings().maxElectionTimeoutMicros())) {
+        progressByMember.forEach((name, progress) -> {
+            if (progress.isActive(now, state.settings().maxElectionTimeoutMicros())) {
                 names.add(name);
             }
         });
--- a/src/main/java/pewtercourse/raft/Raft.java
+++ b/src/main/java/pewtercourse/raft/Raft.java
@@ -8,50 +8,52 @@
 import java.util.Set;
 
 /**
- * One member of a group that replicates a log: Raft after Ongaro and Ousterhout, "In Search of an Understandable Consensus
- * Algorithm" (2014), with pre-vote, a leader that steps down without a majority, leadership transfer, changes of one
- * member at a time and confirmed reads after Ongaro's dissertation (2014: 9.6, 6.2, 3.10, 4.1, 6.4).
+ * One member of a group that replicates a log with Raft, as described by Ongaro and Ousterhout in "In Search of an
+ * Understandable Consensus Algorithm" (2014). Pre-vote, the leader that steps down without a majority, leadership
+ * transfer, membership changes by one member at a time, and linearizable reads follow Ongaro's dissertation (2014:
+ * sections 9.6, 6.2, 3.10, 4.1 and 6.4).
  *
- * <p>It knows neither sockets nor disk nor clock: messages, completed saves and {@code now} (microseconds of this
- * member's own monotonic clock) go in; {@link #take} tells what to save, send and apply. What relies on a save is held
- * back until {@link #saved} tells that it is done. For one thread at a time.
+ * <p>The class has no access to sockets, disk or clock. Its inputs are messages, completed saves and {@code now}, the
+ * time of this member's own monotonic clock in microseconds. Its outputs are the results of {@link #take}: what to
+ * save, send and apply. A message that depends on a save is deferred until {@link #saved} reports that the save has
+ * completed. The class is not thread-safe.
  *
- * <p>This class dispatches and carries out changes of role; {@link Election}, {@link Leader} and {@link LogReceiver} do
- * the work of each role on one {@link RaftState}.
+ * <p>This class dispatches the inputs and carries out changes of role. {@link Election}, {@link Leader} and {@link
+ * LogReceiver} implement the roles; they share one {@link RaftState}.
  */
 public final class Raft {
-    /** The role of a server by the Raft paper, with the pre-vote of the dissertation. */
+    /** The role of a server in the Raft paper, and that of a pre-vote in the dissertation. */
     public enum Role {
-        /** Follows a leader, or waits for one. */
+        /** Follows a leader, or waits for the election of one. */
         FOLLOWER,
-        /** Asks whether it could win an election. */
+        /** Runs a pre-vote: asks the voters whether it could win an election. */
         PRE_CANDIDATE,
-        /** Stands for election. */
+        /** Runs an election. */
         CANDIDATE,
-        /** Takes proposals in and replicates them. */
+        /** Accepts proposals and replicates them. */
         LEADER
     }
 
-    /** Why a request is rejected. */
+    /** The reason why a request is rejected. */
     public enum Rejection {
-        /** This member doesn't lead, or a majority no longer answers it. */
+        /** This member is not the leader, or has lost contact with a majority. */
         NOT_LEADER,
         /** Leadership is being transferred to another member. */
         TRANSFERRING,
-        /** Too many entries are uncommitted, or too many reads wait. */
+        /** Too many entries are uncommitted, or too many reads are pending. */
         BUSY,
-        /** A change of the membership is not committed yet, or the leader has committed nothing in its term. */
+        /** A membership change is not committed yet, or the leader has not committed an entry of its own term yet. */
         MEMBERSHIP_CHANGE_PENDING,
-        /** The member is unknown, doesn't answer, has no vote, or too few voters would be left. */
+        /** The member is unknown, does not reply, is not a voter, or its removal would leave too few voters. */
         INELIGIBLE_MEMBER
     }
 
     /**
-     * Where a proposal will stand in the log if it is committed, or why it was rejected.
+     * The index and term of a proposed entry, or the reason why the proposal was rejected.
      *
-     * @param index of the entry, -1 if rejected
-     * @param term of this member
-     * @param rejection null if the proposal was accepted
+     * @param index the index of the entry; -1 if the proposal was rejected
+     * @param term the current term of this member
+     * @param rejection the reason for the rejection; null if the proposal was accepted
      */
     public record ProposalResult(long index, long term, Rejection rejection) {
         static ProposalResult accepted(long index, long term) {
@@ -70,7 +72,14 @@
     private final MembershipChanges membershipChanges;
     private final LogReceiver receiver;
 
-    /** {@code saved}: what recovery found on disk. {@code random}: for election timeouts. */
+    /**
+     * Starts a member as a follower.
+     *
+     * @param self the name of this member
+     * @param saved the state recovered from disk
+     * @param now the current time
+     * @param random draws the election timeouts
+     */
     public Raft(RaftSettings settings, String self, Saved saved, long now, Random random) {
         Transitions transitions = new Transitions();
         this.incarnation = saved.incarnation();
@@ -84,75 +93,82 @@
 
     // ---- Status ----
 
-    /** This member's role now. */
+    /** The current role of this member. */
     public Role role() {
         return state.role();
     }
 
-    /** The leader of this member's term; null while none is known. */
+    /** The leader of the current term; null while it is not known. */
     public String leader() {
         return state.leader();
     }
 
-    /** The term that this member is in. */
+    /** The current term of this member. */
     public long term() {
         return state.term();
     }
 
-    /** The last entry that this member knows to be committed. */
+    /** The index of the last entry that this member knows to be committed. */
     public long commitIndex() {
         return state.log().commitIndex();
     }
 
-    /** The last entry of this member's log. */
+    /** The index of the last entry of this member's log. */
     public long lastIndex() {
         return state.log().lastIndex();
     }
 
-    /** The last entry that this member's snapshot stands for. */
+    /** The index of the last entry that this member's snapshot contains. */
     public long snapshotIndex() {
         return state.log().snapshot().index();
     }
 
-    /** Stands for this member's data folder, see {@link Membership}. */
+    /** The incarnation of this member's data folder, see {@link Membership}. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** The membership as of the log's end, which may not be committed yet. */
+    /** The membership at the end of the log, which may not be committed yet. */
     public Membership members() {
         return state.members();
     }
 
-    /** The membership as of what this member knows to be committed: without a change that is pending. */
+    /** The membership at the commit index that this member knows, without a pending change. */
     public Membership committedMembers() {
         return state.membership().committed();
     }
 
     /**
-     * Whether a member has a vote both by what is committed and by the log's end, for the same incarnation. Only then may
-     * another member be stopped in reliance on it: a promotion that is not committed can still be lost with the leader.
+     * Whether the member is a voter, with the same incarnation, in both the committed and the latest membership. Only
+     * such a voter may be relied on when another member is stopped: a promotion that is not committed is lost if the
+     * leader fails.
      */
     public boolean isCommittedVoter(String name) {
         return state.membership().isCommittedVoter(name);
     }
 
-    /** Whether the committed membership lacks this member, by its own log or by what others told. */
+    /** Whether this member was removed, according to its own log or to a report of another member. */
     public boolean isNonMember() {
         return state.membership().isNonMember();
     }
 
-    /** How many entries each other member lacks; empty but on a leader. */
+    /** The number of entries that each other member lacks; empty unless this member is the leader. */
     public Map<String, Long> lag() {
         return leader.tracker().lag();
     }
 
-    /** Who lacks what it had said it had saved, and counts no more until it is replaced; empty but on a leader. */
+    /**
+     * The members that lack entries which they acknowledged as saved. Their replies do not count until they are
+     * replaced. Empty unless this member is the leader.
+     */
     public Set<String> membersWithLostLog() {
-        return leader.tracker().withLostLog();
+        return leader.tracker().membersWithLostLog();
     }
 
-    /** The leader and who answered it within the longest election timeout; empty but on a leader. */
+    /**
+     * This member and the others that replied to it within the longest election timeout; empty unless this member is
+     * the leader.
+     */
     public Set<String> recentlyActive(long now) {
         Set<String> names = new HashSet<>();
         if (state.isLeader()) {
@@ -162,21 +178,27 @@
         return names;
     }
 
-    /** The voter that is best to transfer leadership to: it answers and lacks least. Empty but on a leader. */
+    /**
+     * The voter to which leadership is best transferred: of those that replied recently, the one that lacks the fewest
+     * entries. Empty unless this member is the leader.
+     */
     public Optional<String> bestTransferCandidate(long now) {
         return leader.tracker().bestTransferCandidate(now);
     }
 
-    /** When {@link #tick} has something to do next, by the caller's clock. */
+    /** The time at which {@link #tick} has to be called next. */
     public long wakeAt() {
         return state.isLeader() ? leader.heartbeatDue() : election.timeoutAt();
     }
 
     // ---- Inputs ----
 
-    /** Time has passed. After a pause of the process this must come before anything is proposed. */
+    /**
+     * Handles the passage of time. After a pause of the process the caller has to call this method before it proposes
+     * anything, so that a leader that has lost its majority steps down first.
+     */
     public void tick(long now) {
-        state.outbox().saveCommitLater();
+        state.outbox().requestCommitIndexSave();
         if (state.isLeader()) {
             if (leader.tick(now)) {
                 membershipChanges.promoteCaughtUpLearner(now);
@@ -186,7 +208,12 @@
         }
     }
 
-    /** A message has come. {@code incarnation}: of the sender's data folder. */
+    /**
+     * Handles a message.
+     *
+     * @param from the name of the sender
+     * @param senderIncarnation the incarnation of the sender's data folder
+     */
     public void receive(long now, String from, long senderIncarnation, Message message) {
         if (from.equals(state.self())) {
             return;
@@ -197,15 +224,18 @@
         message.dispatch(new Dispatcher(now, new Sender(from, senderIncarnation)));
     }
 
-    /** The save with this number, and all before it, are on disk. */
+    /** The save with this number and all earlier ones are on disk. */
     public void saved(long now, long number) {
-        state.outbox().saved(number);
+        state.outbox().onSaved(number);
         if (state.isLeader()) {
             leader.advanceCommit(now);
         }
     }
 
-    /** Takes a command in; it is committed once it is among the committed entries with the index and term returned. */
+    /**
+     * Proposes a command. The command is committed once {@link Ready#committed} contains an entry with the returned
+     * index and term.
+     */
     public ProposalResult propose(long now, byte[] command) {
         Rejection rejection = leader.rejection(now);
         if (rejection != null) {
@@ -215,54 +245,68 @@
         return ProposalResult.accepted(state.log().lastIndex(), state.term());
     }
 
-    /** Adds a member that learns first and votes once it has caught up; or gives a present member another address. */
+    /**
+     * Proposes to add a member, which starts as a learner and becomes a voter once its log has caught up. An existing
+     * member gets the new address and becomes a learner again.
+     *
+     * @param memberIncarnation the incarnation of the member's data folder; 0 if it is not known yet, so that the
+     *     member's first reply sets it
+     */
     public ProposalResult addMember(long now, String name, String address, long memberIncarnation) {
         return membershipChanges.add(now, name, address, memberIncarnation);
     }
 
-    /** Removes a member. */
+    /** Proposes to remove a member. */
     public ProposalResult removeMember(long now, String name) {
         return membershipChanges.remove(now, name);
     }
 
     /**
-     * Transfers leadership to a voter. For up to one election timeout nothing else is accepted.
+     * Starts to transfer leadership to a voter. Until the transfer ends, at the latest after the longest election
+     * timeout, proposals are rejected.
      *
-     * @return why it is rejected, or null
+     * @return the reason why the transfer is rejected, or null
      */
     public Rejection transferLeadership(long now, String target) {
         return leader.transfer(now, target);
     }
 
     /**
-     * Asks a majority whether this member still leads; {@link Ready#reads} has the answer under this id.
+     * Starts a linearizable read: asks a majority to confirm that this member is still the leader. {@link Ready#reads}
+     * returns the result under this id.
      *
-     * @return why it is rejected, or null
+     * @return the reason why the read is rejected, or null
      */
     public Rejection read(long now, long id) {
         return leader.read(now, id);
     }
 
-    /** A snapshot of the state after the entry {@code index}, which was applied; null if there is nothing new to take. */
-    public Snapshot snapshotAt(long index, byte[] applied) {
+    /**
+     * Creates a snapshot of the state machine at an applied entry.
+     *
+     * @param index the index of the last entry that the state contains
+     * @param encodedState the encoded state of the state machine
+     * @return null if the entry is not applied yet or an existing snapshot already contains it
+     */
+    public Snapshot snapshotAt(long index, byte[] encodedState) {
         RaftLog log = state.log();
         return index <= log.snapshot().index() || index > log.appliedIndex()
                 ? null
-                : new Snapshot(index, log.term(index), log.membersAt(index), applied);
+                : new Snapshot(index, log.term(index), log.membersAt(index), encodedState);
     }
 
-    /** The snapshot is on disk: the entries that it stands for may go. */
+    /** The snapshot is on disk: removes the entries that it contains, except for the trailing ones. */
     public void compacted(Snapshot snapshot) {
         RaftLog log = state.log();
         if (snapshot.index() > log.snapshot().index() && snapshot.index() <= log.appliedIndex()) {
             log.compact(snapshot, state.settings().snapshots().trailingEntries());
-            state.outbox().compacted(snapshot);
+            state.outbox().onCompacted(snapshot);
         }
     }
 
     // ---- Outputs ----
 
-    /** What is to be done now. */
+    /** Returns the actions that the caller has to carry out now, and clears them here. */
     public Ready take() {
         Save save = state.outbox().takeSave(state.term(), state.votedFor());
         Snapshot snapshot = receiver.takePendingSnapshot().orElse(null);
@@ -277,7 +321,7 @@
 
     // ---- Dispatch ----
 
-    /** Hands one message to the part that it is for. */
+    /** Dispatches one message to the class that handles it. */
     private final class Dispatcher implements Message.Handler {
         private final long now;
         private final Sender sender;
@@ -354,8 +398,8 @@
                 leader.stop();
                 state.setRole(Role.FOLLOWER, newLeader);
             }
-            state.membership().clearReport();
-            election.leaderContact(now);
+            state.membership().clearNonMemberReport();
+            election.onLeaderContact(now);
         }
 
         @Override
@@ -367,7 +411,7 @@
         @Override
         public void becomeLeader(long now) {
             state.setRole(Role.LEADER, state.self());
-            state.membership().clearReport();
+            state.membership().clearNonMemberReport();
             leader.start(now);
         }
     }
--- a/src/main/java/pewtercourse/raft/RaftLog.java
+++ b/src/main/java/pewtercourse/raft/RaftLog.java
@@ -3,33 +3,41 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries after the last snapshot, with how far they are committed and applied. */
+/**
+ * The log in memory: the last snapshot, the entries after it, the commit index and the index of the last applied entry.
+ */
 final class RaftLog {
-    /** The term of an index that the log doesn't reach. */
+    /** The term of an index that is not in the log. */
     static final long UNKNOWN_TERM = -1;
 
     private final ArrayList<Entry> entries = new ArrayList<>();
     private Snapshot snapshot;
-    // Of the entry before the first: the snapshot's last, or an older one while entries trail the snapshot.
+    // Index and term of the entry before the first one in memory. It is the snapshot's last entry, or an older
+    // one while trailing entries before the snapshot's index are retained.
     private long baseIndex;
     private long baseTerm;
     private long commitIndex;
     private long appliedIndex;
 
-    /** {@code commitIndex}: as it was saved; it may lag behind the snapshot, or be ahead of the entries. */
-    RaftLog(Snapshot snapshot, List<Entry> after, long commitIndex) {
+    /**
+     * Restores the log.
+     *
+     * @param commitIndex the saved commit index, which may be lower than the snapshot's index or higher than that of
+     *     the last entry
+     */
+    RaftLog(Snapshot snapshot, List<Entry> entriesAfterSnapshot, long commitIndex) {
         reset(snapshot);
-        after.forEach(this::append);
+        entriesAfterSnapshot.forEach(this::append);
         commitTo(commitIndex);
     }
 
-    // ---- What it holds ----
+    // ---- Contents ----
 
     Snapshot snapshot() {
         return snapshot;
     }
 
-    /** The first entry has the next index. */
+    /** The index before that of the first entry in memory. */
     long baseIndex() {
         return baseIndex;
     }
@@ -42,7 +50,9 @@
         return term(lastIndex());
     }
 
-    /** {@link #UNKNOWN_TERM} where there is no such entry, or only the snapshot has it. */
+    /**
+     * The term of an entry; {@link #UNKNOWN_TERM} after the end of the log and for entries that were compacted away.
+     */
     long term(long index) {
         if (index == baseIndex) {
             return baseTerm;
@@ -54,31 +64,34 @@
     }
 
     private Entry get(long index) {
-        return entries.get(position(index));
+        return entries.get(listPosition(index));
     }
 
-    private int position(long index) {
+    private int listPosition(long index) {
         return (int) (index - baseIndex - 1);
     }
 
-    /** Whether the log can tell that it has this entry, or has committed past it. */
-    boolean has(long index, long term) {
+    /** Whether the log is known to contain this entry: its term matches, or the index is committed already. */
+    boolean isKnownToContain(long index, long term) {
         return index <= commitIndex || term(index) == term;
     }
 
-    /** Whether a log that ends so has everything that this one has committed (Raft, 5.4.1). */
+    /** Whether a log with this last entry is at least as up to date as this one (Raft, 5.4.1). */
     boolean isUpToDate(long otherLastIndex, long otherLastTerm) {
         return otherLastTerm > lastTerm() || otherLastTerm == lastTerm() && otherLastIndex >= lastIndex();
     }
 
-    /** Entries of both bounds and those between, as far as the limits allow; one at least, if there is one. */
-    List<Entry> slice(long from, long to, int maxEntries, int maxBytes) {
+    /**
+     * Returns the entries from {@code firstIndex} to {@code endIndex}, both included, as far as the limits allow. The
+     * first entry is returned even if it exceeds {@code maxBytes}.
+     */
+    List<Entry> slice(long firstIndex, long endIndex, int maxEntries, int maxBytes) {
         List<Entry> slice = new ArrayList<>();
-        int bytes = 0;
-        for (long index = from; index <= Math.min(to, lastIndex()) && slice.size() < maxEntries; index++) {
+        int sliceBytes = 0;
+        for (long index = firstIndex; index <= Math.min(endIndex, lastIndex()) && slice.size() < maxEntries; index++) {
             Entry entry = get(index);
-            bytes += entry.size();
-            if (!slice.isEmpty() && bytes > maxBytes) {
+            sliceBytes += entry.approximateBytes();
+            if (!slice.isEmpty() && sliceBytes > maxBytes) {
                 break;
             }
             slice.add(entry);
@@ -86,12 +99,12 @@
         return slice;
     }
 
-    /** All entries from this index on that are not compacted away. */
-    List<Entry> tail(long from) {
-        return slice(Math.max(from, baseIndex + 1), lastIndex(), Integer.MAX_VALUE, Integer.MAX_VALUE);
+    /** Returns all entries from this index on that were not compacted away. */
+    List<Entry> tail(long firstIndex) {
+        return slice(Math.max(firstIndex, baseIndex + 1), lastIndex(), Integer.MAX_VALUE, Integer.MAX_VALUE);
     }
 
-    /** The last index, up to {@code index}, whose entry has no later term than {@code term}. */
+    /** Returns the highest index, at most {@code index}, whose entry has a term of at most {@code term}. */
     long lastIndexNotAfterTerm(long index, long term) {
         long candidate = Math.min(index, lastIndex());
         while (candidate > baseIndex && get(candidate).term() > term) {
@@ -100,15 +113,17 @@
         return candidate;
     }
 
-    /** The membership as of the last entry that changes it, up to {@code index}. */
+    /** Returns the membership that is in effect at {@code index}: that of the last change up to there. */
     Membership membersAt(long index) {
-        long change = membershipIndex(index);
-        return change == snapshot.index() ? snapshot.members() : get(change).members();
+        long changeIndex = membershipIndex(index);
+        return changeIndex == snapshot.index() ? snapshot.members() : get(changeIndex).members();
     }
 
-    /** The index of that entry, or of the snapshot. */
-    long membershipIndex(long upTo) {
-        for (long index = Math.min(upTo, lastIndex()); index > Math.max(baseIndex, snapshot.index()); index--) {
+    /**
+     * Returns the index of the last entry up to {@code endIndex} that changes the membership, or the snapshot's index.
+     */
+    long membershipIndex(long endIndex) {
+        for (long index = Math.min(endIndex, lastIndex()); index > Math.max(baseIndex, snapshot.index()); index--) {
             if (get(index).kind() == Entry.Kind.MEMBERS) {
                 return index;
             }
@@ -120,27 +135,30 @@
 
     void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " after " + lastIndex());
+            throw new IllegalArgumentException("entry " + entry.index() + " can't follow the last entry " + lastIndex());
         }
         entries.add(entry);
     }
 
-    /** Removes this entry and all behind it. */
-    void truncate(long from) {
-        entries.subList(position(from), entries.size()).clear();
+    /** Removes the entries from this index on. */
+    void truncate(long fromIndex) {
+        entries.subList(listPosition(fromIndex), entries.size()).clear();
     }
 
-    /** The snapshot stands for all up to its index from now on; {@code trailing} entries before that are kept. */
-    void compact(Snapshot newer, int trailing) {
-        long base = Math.max(baseIndex, newer.index() - trailing);
-        long term = term(base);
-        entries.subList(0, position(base) + 1).clear();
-        baseIndex = base;
-        baseTerm = term;
+    /**
+     * Replaces the entries up to the snapshot's index by the snapshot, but retains the last {@code trailingEntries} of
+     * them.
+     */
+    void compact(Snapshot newer, int trailingEntries) {
+        long newBaseIndex = Math.max(baseIndex, newer.index() - trailingEntries);
+        long newBaseTerm = term(newBaseIndex);
+        entries.subList(0, listPosition(newBaseIndex) + 1).clear();
+        baseIndex = newBaseIndex;
+        baseTerm = newBaseTerm;
         snapshot = newer;
     }
 
-    /** The snapshot stands for the whole log, and for what the state machine has applied. */
+    /** Replaces the whole log by a snapshot; its entries count as committed and applied. */
     void reset(Snapshot replacement) {
         entries.clear();
         snapshot = replacement;
@@ -150,7 +168,7 @@
         appliedIndex = replacement.index();
     }
 
-    // ---- Committed and applied ----
+    // ---- Committed and applied entries ----
 
     long commitIndex() {
         return commitIndex;
@@ -160,12 +178,12 @@
         return appliedIndex;
     }
 
-    /** Never goes back, nor past the log's end. */
+    /** Raises the commit index to {@code index}, but not beyond the end of the log. Never lowers it. */
     void commitTo(long index) {
         commitIndex = Math.max(commitIndex, Math.min(index, lastIndex()));
     }
 
-    /** Entries that are committed and not applied yet; they count as applied from now on. */
+    /** Returns the committed entries that were not applied yet, and marks them as applied. */
     List<Entry> takeCommitted() {
         List<Entry> committed = new ArrayList<>();
         while (appliedIndex < commitIndex) {
--- a/src/main/java/pewtercourse/raft/RaftSettings.java
+++ b/src/main/java/pewtercourse/raft/RaftSettings.java
@@ -1,13 +1,13 @@
 package pewtercourse.raft;
 
 /**
- * Times in microseconds, and bounds on what is under way.
+ * The settings of {@link Raft}: timeouts, and limits on replication and snapshots.
  *
- * @param heartbeatMicros how often a leader sends to each member
- * @param minElectionTimeoutMicros how long a member waits for its leader: drawn anew each time from here
- * @param maxElectionTimeoutMicros up to here
- * @param replication bounds on entries
- * @param snapshots bounds on snapshots
+ * @param heartbeatMicros the interval at which a leader sends heartbeats to each member
+ * @param minElectionTimeoutMicros the lower bound of the election timeout, which is drawn at random for each wait
+ * @param maxElectionTimeoutMicros the upper bound of the election timeout
+ * @param replication limits on entries
+ * @param snapshots limits on snapshots
  */
 public record RaftSettings(
         long heartbeatMicros,
@@ -16,32 +16,33 @@
         Replication replication,
         Snapshots snapshots) {
     /**
-     * Bounds on entries that are under way.
+     * Limits on entries that are in flight.
      *
-     * @param maxBatchBytes of the entries of one message; a single larger entry goes alone
-     * @param maxBatchEntries of one message
-     * @param maxInFlight messages with entries to one member before it has answered the first
-     * @param maxUncommitted entries that a leader accepts before it rejects further ones as {@link Raft.Rejection#BUSY};
-     *     also the reads that may wait
+     * @param maxBatchBytes the maximum size of the entries of one message; a single larger entry is sent alone
+     * @param maxBatchEntries the maximum number of entries of one message
+     * @param maxInFlight the maximum number of messages with entries to one member that are not answered yet
+     * @param maxUncommitted the maximum number of uncommitted entries: a leader rejects further proposals with
+     *     {@link Raft.Rejection#BUSY}. The same limit applies to pending reads.
      */
     public record Replication(int maxBatchBytes, int maxBatchEntries, int maxInFlight, int maxUncommitted) {
-        /** For networks of one region. */
+        /** The defaults, for networks within one region. */
         public static final Replication DEFAULT = new Replication(128 << 10, 256, 4, 4_096);
     }
 
     /**
-     * Bounds on snapshots.
+     * Limits on snapshots.
      *
-     * @param partBytes of a snapshot that one message carries
-     * @param maxBytes of the largest snapshot that a follower takes
-     * @param trailingEntries kept behind a snapshot for members that are a little late
+     * @param chunkBytes the maximum size of the part of a snapshot that one message carries
+     * @param maxBytes the size of the largest snapshot that a follower accepts
+     * @param trailingEntries the number of entries before a snapshot's index that are retained in memory, so that a
+     *     member that lags only a little does not need the snapshot
      */
-    public record Snapshots(int partBytes, long maxBytes, int trailingEntries) {
-        /** For states of some megabytes. */
+    public record Snapshots(int chunkBytes, long maxBytes, int trailingEntries) {
+        /** The defaults, for states of a few megabytes. */
         public static final Snapshots DEFAULT = new Snapshots(64 << 10, 64L << 20, 512);
     }
 
-    /** With the default bounds. */
+    /** Returns settings with these timeouts and the default limits. */
     public static RaftSettings of(long heartbeatMicros, long minElectionTimeoutMicros, long maxElectionTimeoutMicros) {
         return new RaftSettings(
                 heartbeatMicros,
--- a/src/main/java/pewtercourse/raft/RaftState.java
+++ b/src/main/java/pewtercourse/raft/RaftState.java
@@ -1,8 +1,8 @@
 package pewtercourse.raft;
 
 /**
- * The state of a server by the Raft paper, which elections, leader and follower share: who it is, its term and vote, its
- * role, its log and membership, and the outbox for what has to be saved and sent.
+ * The state of a server in the Raft paper, shared by the classes of all roles: name, term, vote, role, log and
+ * membership, and the outbox of saves and messages.
  */
 final class RaftState {
     private final RaftSettings settings;
@@ -11,9 +11,9 @@
     private final MembershipState membership;
     private final Outbox outbox;
     private long term;
-    private String votedFor; // Null: nobody in this term.
+    private String votedFor; // Null while this member has not voted in the term.
     private Raft.Role role = Raft.Role.FOLLOWER;
-    private String leader; // Null: not known.
+    private String leader; // Null while no leader is known.
 
     RaftState(RaftSettings settings, String self, Saved saved) {
         this.settings = settings;
@@ -41,7 +41,7 @@
         return membership;
     }
 
-    /** The membership as of the log's end, by which votes are counted. */
+    /** The membership at the end of the log, which decides what a majority is. */
     Membership members() {
         return membership.latest();
     }
@@ -54,7 +54,7 @@
         return term;
     }
 
-    /** Null while it has voted for nobody in this term. */
+    /** The candidate that this member voted for in the current term; null if it has not voted. */
     String votedFor() {
         return votedFor;
     }
@@ -67,33 +67,36 @@
         return role == Raft.Role.LEADER;
     }
 
-    /** Null while none is known. */
+    /** The leader of the current term; null while it is not known. */
     String leader() {
         return leader;
     }
 
-    /** Another member is in this term: it is saved before anything is said in it. No effect unless it is higher. */
+    /**
+     * Adopts the term of another member if it is higher than the current one. The term is saved before any message that
+     * depends on it is sent.
+     */
     void adoptTerm(long newTerm) {
         if (newTerm > term) {
             term = newTerm;
             votedFor = null;
-            outbox.stateChanged();
+            outbox.onHardStateChanged();
         }
     }
 
-    /** The vote of this term; it is saved before the answer goes out. */
+    /** Votes for the candidate in the current term. The vote is saved before the reply is sent. */
     void voteFor(String candidate) {
         if (votedFor == null) {
             votedFor = candidate;
-            outbox.stateChanged();
+            outbox.onHardStateChanged();
         }
     }
 
-    /** The next term begins, with this member's vote for itself. */
-    void startOwnTerm() {
+    /** Starts the next term and votes for this member itself. */
+    void startTermWithVoteForSelf() {
         term++;
         votedFor = self;
-        outbox.stateChanged();
+        outbox.onHardStateChanged();
     }
 
     void setRole(Raft.Role newRole, String newLeader) {
@@ -101,26 +104,26 @@
         leader = newLeader;
     }
 
-    /** Appends to the log; it is saved with the next save. */
+    /** Appends an entry to the log; the next save contains it. */
     void append(Entry entry) {
         log.append(entry);
-        outbox.appended(entry.index());
+        outbox.onAppended(entry.index());
         if (entry.kind() == Entry.Kind.MEMBERS) {
             membership.reload();
         }
     }
 
-    /** Removes this entry and all behind it, which another leader's entries replace. */
-    void truncate(long from) {
-        log.truncate(from);
-        outbox.truncated(from);
+    /** Removes the entries from this index on, which conflict with those of the current leader. */
+    void truncate(long fromIndex) {
+        log.truncate(fromIndex);
+        outbox.onTruncated(fromIndex);
         membership.reload();
     }
 
-    /** The snapshot replaces the whole log. */
+    /** Replaces the whole log by a snapshot of the leader. */
     void reset(Snapshot snapshot) {
         log.reset(snapshot);
-        outbox.replaced(snapshot);
+        outbox.onLogReplaced(snapshot);
         membership.reload();
     }
 }
--- a/src/main/java/pewtercourse/raft/ReadIndexQueue.java
+++ b/src/main/java/pewtercourse/raft/ReadIndexQueue.java
@@ -6,35 +6,42 @@
 import java.util.List;
 import java.util.function.LongPredicate;
 
-/** Linearizable reads that wait until a majority has confirmed the leader (ReadIndex; dissertation, 6.4). */
+/** The linearizable reads that wait until a majority has confirmed the leader (ReadIndex; dissertation, 6.4). */
 final class ReadIndexQueue {
     private record PendingRead(long id, long index, long sequence) {}
 
     private final Deque<PendingRead> pending = new ArrayDeque<>();
     private List<Ready.ReadResult> results = new ArrayList<>();
 
-    /** How many wait. */
+    /** The number of reads that wait. */
     int size() {
         return pending.size();
     }
 
-    /** Confirmed once {@code index} is committed and a majority has answered a message from {@code sequence} on. */
+    /**
+     * Adds a read. It is confirmed once the entry {@code index} is committed and a majority has replied to a message
+     * with a sequence number of at least {@code sequence}.
+     */
     void add(long id, long index, long sequence) {
         pending.add(new PendingRead(id, index, sequence));
     }
 
-    /** {@code quorumSince}: whether a majority has answered messages from a sequence number on. */
-    void confirm(long commitIndex, LongPredicate quorumSince) {
+    /**
+     * Confirms the reads whose conditions are met.
+     *
+     * @param isSequenceConfirmed whether a majority has replied to a message with this sequence number or a higher one
+     */
+    void confirm(long commitIndex, LongPredicate isSequenceConfirmed) {
         while (!pending.isEmpty()
                 && pending.peek().index() <= commitIndex
-                && quorumSince.test(pending.peek().sequence())) {
+                && isSequenceConfirmed.test(pending.peek().sequence())) {
             PendingRead read = pending.poll();
             results.add(new Ready.ReadResult(read.id(), read.index(), true));
         }
     }
 
-    /** This member leads no longer: nobody will confirm those that wait. */
-    void fail() {
+    /** Fails all waiting reads, because this member has lost leadership. */
+    void failAll() {
         pending.forEach(read -> results.add(new Ready.ReadResult(read.id(), read.index(), false)));
         pending.clear();
     }
--- a/src/main/java/pewtercourse/raft/RoleTransitions.java
+++ b/src/main/java/pewtercourse/raft/RoleTransitions.java
@@ -1,16 +1,24 @@
 package pewtercourse.raft;
 
-/** The changes of role that elections, leader and follower can bring about; {@link Raft} carries them out. */
+/** The changes of role that the classes of this package can request; {@link Raft} implements them. */
 interface RoleTransitions {
-    /** Becomes a follower in this term, or in its own one if that is not lower. {@code leader}: null if not known. */
+    /**
+     * Makes this member a follower in its current term or in {@code term}, whichever is higher.
+     *
+     * @param leader the leader of the term; null if it is not known
+     */
     void stepDown(long now, long term, String leader);
 
-    /** The leader of this member's term has sent something. */
+    /** Makes this member a follower of the leader of the current term, from which it has received a message. */
     void followLeader(long now, String leader);
 
-    /** This member stands for election: it leads no longer, and follows nobody. */
+    /**
+     * Makes this member a candidate without a known leader.
+     *
+     * @param candidacy {@link Raft.Role#PRE_CANDIDATE} or {@link Raft.Role#CANDIDATE}
+     */
     void becomeCandidate(Raft.Role candidacy);
 
-    /** A majority has voted for this member in its term. */
+    /** Makes this member the leader of its term, after a majority has voted for it. */
     void becomeLeader(long now);
 }
--- a/src/main/java/pewtercourse/raft/Save.java
+++ b/src/main/java/pewtercourse/raft/Save.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What has to be on disk before the messages that rely on it go out; {@link Raft} holds those back until
- * {@link Raft#saved}.
+ * State that has to be written to disk. {@link Raft} defers the messages that depend on it until {@link Raft#saved} is
+ * called with its number.
  *
- * @param number counts saves
+ * @param number the number of this save; numbers are consecutive
  * @param term the current term
- * @param votedFor for whom this member voted in it; null: nobody
- * @param commit the commit index; a member that starts alone goes by it
- * @param snapshot replaces all up to its index, and comes before the entries; null: none
- * @param entries replace those from the first one's index on
+ * @param votedFor the candidate that this member voted for in the term; null if it has not voted
+ * @param commit the commit index; after a restart the member starts from it before it has contact with the others
+ * @param snapshot replaces the whole stored log and is written before the entries; null if there is none
+ * @param entries replace all stored entries from the index of the first one on
  */
 public record Save(long number, long term, String votedFor, long commit, Snapshot snapshot, List<Entry> entries) {}
--- a/src/main/java/pewtercourse/raft/Saved.java
+++ b/src/main/java/pewtercourse/raft/Saved.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a member finds in its data folder.
+ * The state that a member recovers from its data folder.
  *
- * @param incarnation of the folder, see {@link Membership}
- * @param term the last term that it was in
- * @param votedFor for whom it voted in that term; null: nobody
- * @param commit the commit index as of the last save
- * @param snapshot the last one, {@link Snapshot#EMPTY} if there is none
- * @param entries those after the snapshot
+ * @param incarnation the incarnation of the folder, see {@link Membership}
+ * @param term the last saved term
+ * @param votedFor the candidate that the member voted for in that term; null if it did not vote
+ * @param commit the last saved commit index
+ * @param snapshot the last snapshot, {@link Snapshot#EMPTY} if there is none
+ * @param entries the entries after the snapshot
  */
 public record Saved(
         long incarnation, long term, String votedFor, long commit, Snapshot snapshot, List<Entry> entries) {}
--- a/src/main/java/pewtercourse/raft/Sender.java
+++ b/src/main/java/pewtercourse/raft/Sender.java
@@ -1,4 +1,9 @@
 package pewtercourse.raft;
 
-/** Who sent a message. {@code incarnation}: of its data folder, see {@link Membership}. */
+/**
+ * The sender of a message.
+ *
+ * @param name the member's name
+ * @param incarnation the incarnation of the member's data folder, see {@link Membership}
+ */
 record Sender(String name, long incarnation) {}
--- a/src/main/java/pewtercourse/raft/Snapshot.java
+++ b/src/main/java/pewtercourse/raft/Snapshot.java
@@ -1,14 +1,14 @@
 package pewtercourse.raft;
 
 /**
- * The state machine after an entry, in place of the log up to there.
+ * A snapshot of the state machine, which replaces all entries of the log up to its index.
  *
- * @param index the last entry that it has applied
- * @param term that entry's term
- * @param members the membership as of that entry
- * @param state in the state machine's own form
+ * @param index the index of the last entry that the state contains
+ * @param term the term of that entry
+ * @param members the membership at that entry
+ * @param state the encoded state of the state machine
  */
 public record Snapshot(long index, long term, Membership members, byte[] state) {
-    /** Of a member that has no log and knows of no group. */
+    /** The snapshot of a member that has an empty log and no membership yet. */
     public static final Snapshot EMPTY = new Snapshot(0, 0, Membership.EMPTY, new byte[0]);
 }
--- a/src/main/java/pewtercourse/raft/package-info.java
+++ b/src/main/java/pewtercourse/raft/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Replication of a log by Raft. Pure: messages, completed saves and the time go in; messages and what is to be saved come
- * out. {@link pewtercourse.raft.Raft} is the entry point; it hands each message to the part of its role:
- * {@code Election}, {@code Leader} (with {@code LogReplicator}, {@code LeadershipTransfer}, {@code ReadIndexQueue} and
- * {@code MembershipChanges}) or {@code LogReceiver} for followers.
+ * Replicates a log with the Raft algorithm. The package does no input or output of its own: its inputs are messages,
+ * completed saves and the time; its outputs are messages and saves. {@link pewtercourse.raft.Raft} is the entry point.
+ * It dispatches each message to the class that handles it: {@code Election}, {@code Leader} (with {@code
+ * LogReplicator}, {@code LeadershipTransfer}, {@code ReadIndexQueue} and {@code MembershipChanges}) or, on followers,
+ * {@code LogReceiver}.
  */
 package pewtercourse.raft;
