--- a/src/main/java/pewtercourse/raft/store/DataFolder.java
+++ b/src/main/java/pewtercourse/raft/store/DataFolder.java
@@ -11,8 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * The names of the files in a data folder: segments {@code log-NUMBER}, snapshots {@code snapshot-INDEX}, and a snapshot
- * that is being written, with a suffix. Files with any other name are somebody else's and left alone.
+ * The file names in a data folder: segments are named {@code log-NUMBER}, snapshots {@code snapshot-INDEX}, and a
+ * snapshot that is being written has the suffix {@value #PARTIAL_SUFFIX}. Files with other names do not belong to the
+ * store and are ignored.
  */
 record DataFolder(Path path) {
     private static final String LOCK = "lock";
@@ -33,62 +34,62 @@
         return path.resolve(SNAPSHOT_PREFIX + index);
     }
 
-    /** The snapshot of this index while it is being written. */
+    /** The file of the snapshot with this index while it is being written. */
     Path partialSnapshot(long index) {
         return path.resolve(SNAPSHOT_PREFIX + index + PARTIAL_SUFFIX);
     }
 
     /** The numbers of the segments, in ascending order. */
     List<Long> segmentNumbers() throws IOException {
-        return numbers(SEGMENT_PREFIX);
+        return numbersOfFiles(SEGMENT_PREFIX);
     }
 
     /** The indexes of the snapshots, in ascending order. */
     List<Long> snapshotIndexes() throws IOException {
-        return numbers(SNAPSHOT_PREFIX);
+        return numbersOfFiles(SNAPSHOT_PREFIX);
     }
 
-    /** Whether it is there and holds a segment or a snapshot. */
+    /** Whether the folder exists and contains a segment or a snapshot. */
     boolean holdsData() throws IOException {
         return Files.isDirectory(path)
                 && !(segmentNumbers().isEmpty() && snapshotIndexes().isEmpty());
     }
 
-    /** Deletes snapshots that were begun and never got their name: nothing relies on them. */
+    /** Deletes snapshots that were not completed and renamed; no saved state depends on them. */
     void deletePartialFiles() throws IOException {
-        for (Path file : list(name -> name.endsWith(PARTIAL_SUFFIX))) {
+        for (Path file : listFiles(name -> name.endsWith(PARTIAL_SUFFIX))) {
             Files.delete(file);
         }
     }
 
-    /** Syncs the folder itself: after this, files that were created, renamed or deleted in it stay so after a crash. */
+    /** Syncs the folder itself, so that the creation, renaming and deletion of its files survive a crash. */
     void sync() throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
 
-    private List<Long> numbers(String prefix) throws IOException {
+    private List<Long> numbersOfFiles(String prefix) throws IOException {
         List<Long> numbers = new ArrayList<>();
-        for (Path file : list(name -> name.startsWith(prefix))) {
-            String rest = file.getFileName().toString().substring(prefix.length());
-            if (rest.matches(NUMBER_PATTERN)) {
-                numbers.add(Long.parseLong(rest));
+        for (Path file : listFiles(name -> name.startsWith(prefix))) {
+            String suffix = file.getFileName().toString().substring(prefix.length());
+            if (suffix.matches(NUMBER_PATTERN)) {
+                numbers.add(Long.parseLong(suffix));
             }
         }
         numbers.sort(null);
         return numbers;
     }
 
-    private List<Path> list(Predicate<String> nameMatches) throws IOException {
-        List<Path> found = new ArrayList<>();
+    private List<Path> listFiles(Predicate<String> nameMatches) throws IOException {
+        List<Path> matching = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(path)) {
             for (Path file : files) {
                 if (nameMatches.test(file.getFileName().toString())) {
-                    found.add(file);
+                    matching.add(file);
                 }
             }
         }
-        return found;
+        return matching;
     }
 }
--- a/src/main/java/pewtercourse/raft/store/FolderLock.java
+++ b/src/main/java/pewtercourse/raft/store/FolderLock.java
@@ -7,7 +7,7 @@
 import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.StandardOpenOption;
 
-/** The exclusive use of a data folder by one store of one process, from its creation until it is closed. */
+/** A lock that gives one store of one process exclusive use of a data folder until the lock is closed. */
 final class FolderLock implements Closeable {
     private final FileChannel channel;
     private final FileLock lock;
@@ -17,7 +17,12 @@
         this.lock = lock;
     }
 
-    /** Fails with {@link StoreException.Reason#IN_USE} while another store has it, in this process or another. */
+    /**
+     * Acquires the lock of a folder.
+     *
+     * @throws StoreException with {@link StoreException.Reason#IN_USE} if another store has it, in this process or
+     *     another
+     */
     static FolderLock acquire(DataFolder folder) throws IOException {
         FileChannel channel = FileChannel.open(folder.lockFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -32,7 +37,8 @@
         }
     }
 
-    // Null, too, where a store of this process has the lock, which the library reports by an exception.
+    // Null if another process has the lock, or another store of this one, which the library reports by an
+    // exception.
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
--- a/src/main/java/pewtercourse/raft/store/FolderOwner.java
+++ b/src/main/java/pewtercourse/raft/store/FolderOwner.java
@@ -1,4 +1,7 @@
 package pewtercourse.raft.store;
 
-/** The member, and its cluster, to which a data folder belongs. The files name both, so that folders can't be mixed up. */
+/**
+ * The member that a data folder belongs to, and its cluster. The files contain both names, so that a member can't use
+ * the folder of another one by mistake.
+ */
 record FolderOwner(String cluster, String member) {}
--- a/src/main/java/pewtercourse/raft/store/HeaderCheck.java
+++ b/src/main/java/pewtercourse/raft/store/HeaderCheck.java
@@ -5,12 +5,12 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Refuses files in a format that this program does not read, and files of another member or cluster.
+ * Checks the headers of files: rejects unsupported format versions, and files of another member or cluster.
  *
- * @param owner whose files are accepted; empty: anybody's
+ * @param owner the owner whose files are accepted; empty if the files of any owner are accepted
  */
 record HeaderCheck(Optional<FolderOwner> owner) {
-    /** The version of the format of segments and snapshots that is written and read. */
+    /** The only version of the format of segments and snapshots that this program writes and reads. */
     static final int FORMAT_VERSION = 1;
 
     static HeaderCheck ownedBy(FolderOwner owner) {
@@ -21,7 +21,11 @@
         return new HeaderCheck(Optional.empty());
     }
 
-    /** Fails with a {@link StoreException} unless the segment with this head may be read. */
+    /**
+     * Checks the head of a segment.
+     *
+     * @throws StoreException if the segment must not be read
+     */
     void require(Path file, Wire.SegmentHead head) throws StoreException {
         requireVersion(file, head.getVersion());
         FolderOwner found = new FolderOwner(head.getCluster(), head.getMember());
@@ -30,7 +34,11 @@
         }
     }
 
-    /** Fails with a {@link StoreException} unless the snapshot may be read. It may come from any member of the cluster. */
+    /**
+     * Checks a snapshot, which may come from any member of the cluster.
+     *
+     * @throws StoreException if the snapshot must not be read
+     */
     void require(Path file, Wire.SnapshotFile snapshot) throws StoreException {
         requireVersion(file, snapshot.getVersion());
         if (owner.isPresent() && !owner.get().cluster().equals(snapshot.getCluster())) {
--- a/src/main/java/pewtercourse/raft/store/LogReader.java
+++ b/src/main/java/pewtercourse/raft/store/LogReader.java
@@ -12,8 +12,9 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Rebuilds the log from the newest snapshot and all segments, in the order in which they were written: an entry replaces
- * an earlier one of the same index and those behind it. Reading changes nothing in the folder. Each instance reads once.
+ * Rebuilds the log from the newest snapshot and from all segments, in the order in which they were written. An entry
+ * replaces any earlier entry with the same or a higher index. Reading does not change the folder. An instance is used
+ * for one read.
  */
 final class LogReader {
     private static final long FIRST_SEGMENT = 1;
@@ -22,10 +23,10 @@
     private final HeaderCheck check;
     private final Snapshot snapshot;
     private final List<Entry> entries = new ArrayList<>();
-    private final TreeMap<Long, Long> lastIndexes = new TreeMap<>();
+    private final TreeMap<Long, Long> lastIndexBySegment = new TreeMap<>();
     private long incarnation;
     private HardState hardState = HardState.INITIAL;
-    private boolean conflicting;
+    private boolean snapshotConflicts;
     private Optional<StoredLog.TornTail> tornTail = Optional.empty();
 
     private LogReader(DataFolder folder, HeaderCheck check) throws IOException {
@@ -34,31 +35,35 @@
         this.snapshot = new SnapshotFiles(folder).readNewest(check);
     }
 
-    /** Reads the folder of this member to go on from it; fails with a {@link StoreException} where a segment is missing. */
+    /**
+     * Reads the folder of this member so that the store can continue from it.
+     *
+     * @throws StoreException if a segment is missing
+     */
     static StoredLog read(DataFolder folder, FolderOwner owner) throws IOException {
         LogReader reader = new LogReader(folder, HeaderCheck.ownedBy(owner));
         List<Long> numbers = folder.segmentNumbers();
-        long expected = numbers.isEmpty() ? FIRST_SEGMENT : numbers.get(0);
+        long expectedNumber = numbers.isEmpty() ? FIRST_SEGMENT : numbers.get(0);
         for (long number : numbers) {
-            if (number != expected) {
-                throw StoreException.missingSegment(folder.path(), folder.segment(expected));
+            if (number != expectedNumber) {
+                throw StoreException.missingSegment(folder.path(), folder.segment(expectedNumber));
             }
-            expected++;
+            expectedNumber++;
             reader.readSegment(number, isNewest(number, numbers));
         }
-        return reader.storedLog(expected);
+        return reader.storedLog(expectedNumber);
     }
 
-    /** Reads the folder of any member for a look at it, also where a segment is missing. */
+    /** Reads the folder of any member for inspection, even if a segment is missing. */
     static StoredLog inspect(DataFolder folder) throws IOException {
         LogReader reader = new LogReader(folder, HeaderCheck.anyOwner());
         List<Long> numbers = folder.segmentNumbers();
-        long next = FIRST_SEGMENT;
+        long nextNumber = FIRST_SEGMENT;
         for (long number : numbers) {
-            next = number + 1;
+            nextNumber = number + 1;
             reader.readSegment(number, isNewest(number, numbers));
         }
-        return reader.storedLog(next);
+        return reader.storedLog(nextNumber);
     }
 
     private static boolean isNewest(long number, List<Long> numbers) {
@@ -72,18 +77,18 @@
         if (head.isPresent()) {
             check.require(file, head.get());
             incarnation = head.get().getIncarnation();
-            lastIndexes.put(number, readBatches(file, segment));
+            lastIndexBySegment.put(number, readBatches(file, segment));
         }
         if (segment.torn()) {
             tornTail = Optional.of(new StoredLog.TornTail(number, segment.offset()));
         }
     }
 
-    /** Returns the highest index in the segment. */
+    /** Applies the batches of a segment and returns the highest index of their entries. */
     private long readBatches(Path file, SegmentReader segment) throws IOException {
         long lastIndex = SegmentFiles.NO_ENTRY;
-        for (Optional<Wire.Batch> next = segment.readBatch(); next.isPresent(); next = segment.readBatch()) {
-            Wire.Batch batch = next.get();
+        for (Optional<Wire.Batch> read = segment.readBatch(); read.isPresent(); read = segment.readBatch()) {
+            Wire.Batch batch = read.get();
             if (batch.getTerm() < hardState.term()) {
                 throw StoreException.damaged(file, segment.offset());
             }
@@ -92,12 +97,12 @@
         return lastIndex;
     }
 
-    /** Returns the highest index in the batch. */
+    /** Applies a batch and returns the highest index of its entries. */
     private long apply(Path file, Wire.Batch batch) throws StoreException {
         hardState = hardState.after(batch.getTerm(), batch.getVotedFor(), batch.getCommit());
         if (batch.getResetTo() > 0) {
             entries.clear();
-            conflicting = false;
+            snapshotConflicts = false;
         }
         long lastIndex = SegmentFiles.NO_ENTRY;
         for (Wire.Entry stored : batch.getEntryList()) {
@@ -118,7 +123,7 @@
             entries.clear();
         }
         if (entry.index() == snapshot.index()) {
-            conflicting = entry.term() != snapshot.term();
+            snapshotConflicts = entry.term() != snapshot.term();
         }
         entries.add(entry);
     }
@@ -134,12 +139,13 @@
     }
 
     private StoredLog storedLog(long nextSegment) {
-        // A snapshot from the leader can be on disk without the batch that voids the entries it contradicts.
-        if (conflicting) {
+        // After a crash, a snapshot of the leader can be on disk without the batch that resets the log to it.
+        // Then the log may still contain entries that conflict with the snapshot.
+        if (snapshotConflicts) {
             entries.clear();
         }
         entries.removeIf(entry -> entry.index() <= snapshot.index());
         return new StoredLog(
-                incarnation, hardState, snapshot, entries, conflicting, lastIndexes, nextSegment, tornTail);
+                incarnation, hardState, snapshot, entries, snapshotConflicts, lastIndexBySegment, nextSegment, tornTail);
     }
 }
--- a/src/main/java/pewtercourse/raft/store/LogStore.java
+++ b/src/main/java/pewtercourse/raft/store/LogStore.java
@@ -16,14 +16,15 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The data folder of one member: its log in segments, its last snapshots and a lock.
+ * Stores the state of one member in its data folder: the log in segments, the last snapshots and a lock.
  *
- * <p>What is saved together is one batch, one record and one sync: after a crash all of it is there, or none. A torn
- * record at the very end was never reported as saved and is dropped; damage before data that was saved makes the folder
- * unusable, which a {@link StoreException} says.
+ * <p>State that is saved together is written as one record with one batch and synced once, so that after a crash either
+ * all or nothing of it is on disk. A torn record at the end of the newest segment was never reported as saved and is
+ * dropped. Damage before saved data makes the folder unusable; this is reported by a {@link StoreException}.
  *
- * <p>All calls block on the disk. They may come from any thread, but from one at a time. After an {@link IOException}
- * nothing more is written: the store is to be closed and opened anew, so that what is on disk decides.
+ * <p>All calls block on the disk. They may come from any thread, but only from one at a time. After an
+ * {@link IOException} the store rejects all further writes: it has to be closed and opened again, so that the state is
+ * recovered from disk.
  */
 public final class LogStore implements Closeable {
     private static final long BOOTSTRAP_SEGMENT_BYTES = 1 << 20;
@@ -39,7 +40,7 @@
     private long incarnation = NO_INCARNATION;
     private HardState hardState = HardState.INITIAL;
     private long lastIndex;
-    private boolean writable = true; // False during a write, and for good once one has failed.
+    private boolean writable = true; // False during a write, after a failed write and after close().
 
     private LogStore(DataFolder folder, FolderOwner owner, long maxSegmentBytes) throws IOException {
         this.folder = folder;
@@ -52,24 +53,25 @@
     }
 
     /**
-     * Opens the folder for this store alone, and creates it if need be; {@link #recover} comes next.
+     * Opens a folder exclusively, and creates it if it does not exist. The caller has to call {@link #recover} next.
      *
-     * @param maxSegmentBytes the size in bytes after which a new segment is begun
-     * @throws StoreException if another store has it open
+     * @param maxSegmentBytes the size of a segment, in bytes, above which a new one is started
+     * @throws StoreException if another store has the folder open
      */
     public static LogStore open(Path folder, String cluster, String member, long maxSegmentBytes) throws IOException {
         return new LogStore(new DataFolder(folder), new FolderOwner(cluster, member), maxSegmentBytes);
     }
 
-    /** Whether the folder is there and holds data of a cluster. */
+    /** Whether the folder exists and contains the data of a cluster. */
     public static boolean holdsData(Path folder) throws IOException {
         return new DataFolder(folder).holdsData();
     }
 
     /**
-     * Prepares the folder of a founding member. Each founding member gets the same membership, before any of them starts.
+     * Prepares the folder of a founding member. The folders of all founding members have to be prepared with the same
+     * membership before any of these members starts.
      *
-     * @throws StoreException if the folder holds data of a cluster already, which is left as it is
+     * @throws StoreException if the folder already contains the data of a cluster, which is not changed
      */
     public static void bootstrap(Path folder, String cluster, String member, Membership members) throws IOException {
         if (holdsData(folder)) {
@@ -83,9 +85,9 @@
     }
 
     /**
-     * Reads a folder for a look at it, without the lock and without changing anything.
+     * Reads a folder for inspection, without the lock and without changing any file.
      *
-     * @throws StoreException if it holds no data or damaged data
+     * @throws StoreException if the folder contains no data or damaged data
      */
     public static Saved inspect(Path folder) throws IOException {
         if (!holdsData(folder)) {
@@ -96,10 +98,10 @@
     }
 
     /**
-     * Reads what was saved and makes the folder ready for {@link #save}. An empty folder is that of a member that joins,
-     * and gets an incarnation of its own.
+     * Recovers the saved state and prepares the folder for {@link #save}. An empty folder belongs to a member that
+     * joins a cluster; its incarnation is drawn at random.
      *
-     * @throws StoreException if what is there must not be used
+     * @throws StoreException if the data in the folder must not be used
      */
     public Saved recover() throws IOException {
         folder.deletePartialFiles();
@@ -114,7 +116,7 @@
         incarnation = stored.incarnation() == NO_INCARNATION ? drawIncarnation() : stored.incarnation();
         hardState = stored.hardState();
         lastIndex = stored.lastIndex();
-        beginSegment(stored.conflicting() ? lastIndex : NO_RESET);
+        beginSegment(stored.snapshotConflicts() ? lastIndex : NO_RESET);
         return stored.toSaved(incarnation);
     }
 
@@ -127,11 +129,11 @@
         return drawn;
     }
 
-    /** Writes all of these in order and syncs once; on return they are on disk. */
-    public void save(List<Save> group) throws IOException {
+    /** Writes the saves in order and syncs once; on return they are on disk. */
+    public void save(List<Save> saves) throws IOException {
         startWriting();
         Wire.Batch.Builder batch = Wire.Batch.newBuilder();
-        for (Save save : group) {
+        for (Save save : saves) {
             if (save.snapshot() != null) {
                 append(batch);
                 batch.clear();
@@ -147,7 +149,7 @@
         writable = true;
     }
 
-    /** Writes a snapshot that this member has taken, and deletes the segments and snapshots that it makes obsolete. */
+    /** Writes a snapshot of this member's own state, and deletes the segments and snapshots that it makes obsolete. */
     public void saveSnapshot(Snapshot snapshot) throws IOException {
         startWriting();
         snapshots.write(owner.cluster(), snapshot);
@@ -157,7 +159,7 @@
 
     private void startWriting() throws IOException {
         if (!writable) {
-            throw new IOException("closed after an error");
+            throw new IOException("the store is closed or an earlier write has failed");
         }
         writable = false;
     }
@@ -189,7 +191,7 @@
         deleteObsoleteFiles();
     }
 
-    // A segment goes once the oldest of the retained snapshots covers it.
+    // A segment is obsolete once the oldest retained snapshot contains all its entries.
     private void deleteObsoleteFiles() throws IOException {
         OptionalLong oldestRetained = snapshots.oldestRetainedIndex();
         if (oldestRetained.isPresent()) {
--- a/src/main/java/pewtercourse/raft/store/RecordFormat.java
+++ b/src/main/java/pewtercourse/raft/store/RecordFormat.java
@@ -5,19 +5,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of one record in a file: the length of its content and a checksum, four bytes each and big-endian, then the
- * content. The checksum is the CRC-32C of the length and the content; it covers the length so that a run of zeros, as a
- * crash may leave it, is no valid record.
+ * Encodes and decodes the records of a file. A record consists of the length of its content and a checksum, each a
+ * big-endian number of four bytes, and the content. The checksum is the CRC-32C of the length and the content. It
+ * covers the length so that a run of zeros, which a crash may leave behind, is not a valid record.
  */
 final class RecordFormat {
-    /** Bytes before the content: the length and the checksum. */
+    /** The size of the length and the checksum, which precede the content. */
     static final int HEADER_BYTES = 2 * Integer.BYTES;
 
     private static final int MAX_CONTENT_BYTES = 80 << 20;
 
     private RecordFormat() {}
 
-    /** The record with this content, ready to be written. */
+    /** Returns the record with this content, ready to be written. */
     static ByteBuffer encode(byte[] content) {
         return ByteBuffer.allocate(HEADER_BYTES + content.length)
                 .putInt(content.length)
@@ -26,7 +26,7 @@
                 .flip();
     }
 
-    /** The content of the record at {@code offset}, or empty if no complete and undamaged record begins there. */
+    /** Returns the content of the record at {@code offset}; empty if no complete and undamaged record starts there. */
     static Optional<byte[]> decode(ByteBuffer file, int offset) {
         if (offset + HEADER_BYTES > file.limit()) {
             return Optional.empty();
@@ -41,7 +41,7 @@
         return checksum(content) == expectedChecksum ? Optional.of(content) : Optional.empty();
     }
 
-    /** Whether a complete record begins at {@code offset} or anywhere behind it. */
+    /** Whether a complete and undamaged record starts at {@code offset} or at any later position. */
     static boolean containsRecordFrom(ByteBuffer file, int offset) {
         for (int start = offset; start + HEADER_BYTES <= file.limit(); start++) {
             int length = file.getInt(start);
--- a/src/main/java/pewtercourse/raft/store/SegmentFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SegmentFiles.java
@@ -11,36 +11,37 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Writes the segments of a data folder: each begins with a head and the hard state, so that older segments can be deleted
- * once a snapshot covers their entries; then come batches. Owns the open file of the newest one.
+ * Writes the segments of a data folder. Each segment starts with a head and the hard state, so that older segments can
+ * be deleted once a snapshot contains their entries; batches follow. This class owns the open file of the newest
+ * segment.
  */
 final class SegmentFiles implements Closeable {
-    /** In place of the highest index of a segment without entries. */
+    /** Stands for the highest index in a segment without entries. */
     static final long NO_ENTRY = -1;
 
     private final DataFolder folder;
     private final FolderOwner owner;
-    private final TreeMap<Long, Long> lastIndexes = new TreeMap<>(); // By the segment's number.
+    private final TreeMap<Long, Long> lastIndexBySegment = new TreeMap<>(); // The highest index by segment number.
     private long nextNumber = 1;
     private long number;
     private long bytesWritten;
-    private FileChannel channel; // Null until the first segment is begun.
+    private FileChannel channel; // Null until the first segment is started.
 
     SegmentFiles(DataFolder folder, FolderOwner owner) {
         this.folder = folder;
         this.owner = owner;
     }
 
-    /** Goes on behind the segments that were read, without what a crash left of a record at their end. */
+    /** Continues after the segments that were read, and removes a torn record at the end of the newest one. */
     void continueFrom(StoredLog stored) throws IOException {
         if (stored.tornTail().isPresent()) {
-            cut(stored.tornTail().get());
+            removeTornTail(stored.tornTail().get());
         }
-        lastIndexes.putAll(stored.lastIndexes());
+        lastIndexBySegment.putAll(stored.lastIndexBySegment());
         nextNumber = stored.nextSegment();
     }
 
-    private void cut(StoredLog.TornTail tail) throws IOException {
+    private void removeTornTail(StoredLog.TornTail tail) throws IOException {
         Path file = folder.segment(tail.segment());
         if (tail.completeBytes() == 0) {
             Files.delete(file);
@@ -53,11 +54,11 @@
     }
 
     /**
-     * Begins the next segment; on return it is on disk.
+     * Starts the next segment; on return it is on disk.
      *
-     * @param incarnation the folder's
-     * @param hardState as last saved
-     * @param resetTo the index of a snapshot before which all that older segments hold is void, or 0
+     * @param incarnation the incarnation of the folder
+     * @param hardState the last saved hard state
+     * @param resetTo the index of a snapshot that replaces all entries of older segments; 0 if there is none
      */
     void begin(long incarnation, HardState hardState, long resetTo) throws IOException {
         close();
@@ -79,7 +80,7 @@
                 .toByteArray());
         channel.force(true);
         folder.sync();
-        lastIndexes.put(number, NO_ENTRY);
+        lastIndexBySegment.put(number, NO_ENTRY);
     }
 
     private Wire.SegmentHead head(long incarnation) {
@@ -92,10 +93,14 @@
                 .build();
     }
 
-    /** Adds a batch to the newest segment, to be synced later; {@code lastIndex} is that of the log after it. */
+    /**
+     * Appends a batch to the newest segment without syncing it.
+     *
+     * @param lastIndex the last index of the log after this batch
+     */
     void append(Wire.Batch batch, long lastIndex) throws IOException {
         write(batch.toByteArray());
-        lastIndexes.put(number, lastIndex);
+        lastIndexBySegment.put(number, lastIndex);
     }
 
     private void write(byte[] content) throws IOException {
@@ -106,7 +111,7 @@
         }
     }
 
-    /** Syncs the newest segment: on return, all that was appended is on disk. */
+    /** Syncs the newest segment; on return, all appended batches are on disk. */
     void sync() throws IOException {
         channel.force(false);
     }
@@ -116,10 +121,13 @@
         return bytesWritten;
     }
 
-    /** Deletes the oldest segments whose every entry a snapshot of this index covers, but never the newest one. */
+    /**
+     * Deletes the oldest segments whose entries are all contained in a snapshot of this index, except the newest
+     * segment.
+     */
     void deleteCoveredBy(long snapshotIndex) throws IOException {
-        while (lastIndexes.size() > 1 && lastIndexes.firstEntry().getValue() <= snapshotIndex) {
-            Files.deleteIfExists(folder.segment(lastIndexes.pollFirstEntry().getKey()));
+        while (lastIndexBySegment.size() > 1 && lastIndexBySegment.firstEntry().getValue() <= snapshotIndex) {
+            Files.deleteIfExists(folder.segment(lastIndexBySegment.pollFirstEntry().getKey()));
         }
     }
 
--- a/src/main/java/pewtercourse/raft/store/SegmentReader.java
+++ b/src/main/java/pewtercourse/raft/store/SegmentReader.java
@@ -9,8 +9,9 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Reads the records of one segment in order: its head, then batches. Only the newest segment may end in a torn record,
- * one that a crash cut off before it was synced; anything else that can't be read is damage. Reading changes nothing.
+ * Reads the records of one segment in order: its head, then its batches. Only the newest segment may end in a torn
+ * record, which a crash has cut off before it was synced. Anything else that can't be read is reported as damage.
+ * Reading does not change the file.
  */
 final class SegmentReader {
     private final Path file;
@@ -19,20 +20,20 @@
     private int offset;
     private boolean torn;
 
-    /** Opens a segment; {@code newest} says whether it has the highest number of its folder. */
+    /** Reads the file; {@code newest} is true for the segment with the highest number in its folder. */
     SegmentReader(Path file, boolean newest) throws IOException {
         this.file = file;
         this.newest = newest;
         this.bytes = ByteBuffer.wrap(Files.readAllBytes(file));
     }
 
-    /** The head, which has to be read first; empty if the process ended before it had written it. */
+    /** Reads the head, which has to be read first; empty if a crash has cut it off. */
     Optional<Wire.SegmentHead> readHead() throws IOException {
         Optional<byte[]> content = readRecord();
         return content.isEmpty() ? Optional.empty() : Optional.of(parseHead(content.get()));
     }
 
-    /** The next batch, or empty behind the last complete one. */
+    /** Reads the next batch; empty after the last complete one. */
     Optional<Wire.Batch> readBatch() throws IOException {
         if (torn || offset >= bytes.limit()) {
             return Optional.empty();
@@ -41,12 +42,12 @@
         return content.isEmpty() ? Optional.empty() : Optional.of(parseBatch(content.get()));
     }
 
-    /** The number of bytes, from the beginning of the file on, that complete records take which have been read. */
+    /** The size of the complete records that have been read, in bytes from the start of the file. */
     int offset() {
         return offset;
     }
 
-    /** Whether a torn record was met: what is behind {@link #offset} is to be cut off before the folder is written to. */
+    /** Whether a torn record starts at {@link #offset}. It has to be removed before the folder is written to. */
     boolean torn() {
         return torn;
     }
@@ -57,7 +58,8 @@
             offset += RecordFormat.HEADER_BYTES + content.get().length;
             return content;
         }
-        // A record is only begun once the one before it is synced: with a complete one behind it, this one was synced.
+        // A record is only written once the one before it is synced. If a complete record follows, this one was
+        // synced, so it is damaged.
         if (!newest || RecordFormat.containsRecordFrom(bytes, offset + 1)) {
             throw StoreException.damaged(file, offset);
         }
--- a/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
@@ -15,11 +15,12 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The snapshots in a data folder, one record in a file each. A snapshot is written under a temporary name, synced, and
- * renamed: one that has its name is complete. The last {@value #RETAINED} are retained.
+ * Reads and writes the snapshots in a data folder. Each file contains one record. A snapshot is written under a
+ * temporary name, synced, and renamed, so that a file with a snapshot's name is complete. The last {@value
+ * #RETAINED_SNAPSHOTS} snapshots are retained.
  */
 final class SnapshotFiles {
-    private static final int RETAINED = 2;
+    private static final int RETAINED_SNAPSHOTS = 2;
 
     private final DataFolder folder;
 
@@ -30,7 +31,7 @@
     /**
      * Writes a snapshot; on return it is on disk under its name.
      *
-     * @param cluster the name of the cluster that it belongs to
+     * @param cluster the name of this member's cluster
      */
     void write(String cluster, Snapshot snapshot) throws IOException {
         Path partial = folder.partialSnapshot(snapshot.index());
@@ -62,8 +63,10 @@
     }
 
     /**
-     * The snapshot of the highest index, or {@link Snapshot#NOTHING}. It was synced before it got its name: where it is
-     * damaged this fails, since falling back to an older one would be a guess.
+     * Reads the snapshot with the highest index; returns {@link Snapshot#EMPTY} if there is none.
+     *
+     * @throws StoreException if the snapshot is damaged. It was synced before it was renamed, so it is part of the
+     *     saved state; whether an older snapshot still leads to that state would be a guess
      */
     Snapshot readNewest(HeaderCheck check) throws IOException {
         List<Long> indexes = folder.snapshotIndexes();
@@ -82,15 +85,15 @@
                 stored.getState().toByteArray());
     }
 
-    /** The index of the oldest snapshot that is retained, or empty where there is none. */
+    /** The index of the oldest snapshot that is retained; empty if there is none. */
     OptionalLong oldestRetainedIndex() throws IOException {
         List<Long> indexes = folder.snapshotIndexes();
         return indexes.isEmpty()
                 ? OptionalLong.empty()
-                : OptionalLong.of(indexes.get(Math.max(0, indexes.size() - RETAINED)));
+                : OptionalLong.of(indexes.get(Math.max(0, indexes.size() - RETAINED_SNAPSHOTS)));
     }
 
-    /** Deletes the snapshots of lower indexes. */
+    /** Deletes the snapshots with lower indexes. */
     void deleteBefore(long index) throws IOException {
         for (long older : folder.snapshotIndexes()) {
             if (older < index) {
--- a/src/main/java/pewtercourse/raft/store/StoreException.java
+++ b/src/main/java/pewtercourse/raft/store/StoreException.java
@@ -5,30 +5,30 @@
 import java.util.OptionalLong;
 
 /**
- * A data folder that can't be used as it is. It says why, which file or folder is concerned and, for a damaged file, at
- * which byte; the message also tells an operator what to do.
+ * Reports a data folder that can't be used in its present state. The exception has the reason, the file or folder and,
+ * for a damaged file, the offset of the damage. Its message also tells an operator what to do.
  */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
     private static final String EMPTY_THE_FOLDER = "empty the folder and let the member learn anew";
 
-    /** Why a data folder can't be used. */
+    /** The reason why a data folder can't be used. */
     public enum Reason {
-        /** Another process, or another store of this one, has it open. */
+        /** Another process, or another store of this process, has the folder open. */
         IN_USE,
-        /** It was to be bootstrapped and holds a cluster's data already. */
+        /** The folder can't be bootstrapped, because it already contains the data of a cluster. */
         ALREADY_BOOTSTRAPPED,
-        /** It was to be inspected and holds no cluster's data. */
+        /** The folder can't be inspected, because it contains no data of a cluster. */
         NO_DATA,
         /** A file is damaged before data that was synced. */
         DAMAGED,
-        /** A segment between others is not there. */
+        /** A segment between two others is missing. */
         MISSING_SEGMENT,
-        /** Entries are missing between others, or between the snapshot and the first entry. */
+        /** Entries are missing between two others, or between the snapshot and the first entry. */
         MISSING_ENTRIES,
-        /** Another version of the program wrote it, in another format. */
+        /** Another version of the program has written a file in a format that this version does not read. */
         UNSUPPORTED_VERSION,
-        /** It belongs to another member or another cluster. */
+        /** A file belongs to another member or another cluster. */
         OTHER_OWNER
     }
 
@@ -111,17 +111,17 @@
                 Reason.OTHER_OWNER, file, "belongs to cluster '" + cluster + "': name the folder of this member");
     }
 
-    /** Why the folder can't be used. */
+    /** The reason why the folder can't be used. */
     public Reason reason() {
         return reason;
     }
 
-    /** The file that was found unusable, or the folder where no single file was. */
+    /** The unusable file, or the folder if no single file is the cause. */
     public Path file() {
         return file;
     }
 
-    /** Where in the file, in bytes from its beginning; empty where no place is to blame. */
+    /** The offset of the damage in the file, in bytes; empty if the reason is not damage. */
     public OptionalLong offset() {
         return offset < 0 ? OptionalLong.empty() : OptionalLong.of(offset);
     }
--- a/src/main/java/pewtercourse/raft/store/StoredLog.java
+++ b/src/main/java/pewtercourse/raft/store/StoredLog.java
@@ -8,44 +8,49 @@
 import pewtercourse.raft.Snapshot;
 
 /**
- * What the snapshots and segments of a data folder hold.
+ * The content of the snapshots and segments of a data folder.
  *
- * @param incarnation the folder's, 0 if no segment names one yet
- * @param hardState term, vote and commit index as last saved
- * @param snapshot the newest one
+ * @param incarnation the incarnation of the folder; 0 if no segment contains one yet
+ * @param hardState the last saved hard state
+ * @param snapshot the newest snapshot
  * @param entries the log after the snapshot
- * @param conflicting whether entries that contradict the snapshot were left out: the folder still has them, until a
- *     segment says that they are void
- * @param lastIndexes for each segment, by its number, the highest index in it, or {@link SegmentFiles#NO_ENTRY}
- * @param nextSegment the number of the next segment to be written
- * @param tornTail what is to be cut off before the folder is written to
+ * @param snapshotConflicts whether entries were left out because they conflict with the snapshot. The folder still
+ *     contains them, so the next segment has to reset the log
+ * @param lastIndexBySegment the highest index in each segment, or {@link SegmentFiles#NO_ENTRY}, by segment number
+ * @param nextSegment the number of the next segment to write
+ * @param tornTail a torn record that has to be removed before the folder is written to
  */
 record StoredLog(
         long incarnation,
         HardState hardState,
         Snapshot snapshot,
         List<Entry> entries,
-        boolean conflicting,
-        NavigableMap<Long, Long> lastIndexes,
+        boolean snapshotConflicts,
+        NavigableMap<Long, Long> lastIndexBySegment,
         long nextSegment,
         Optional<TornTail> tornTail) {
 
-    /** What a crash left of a record at the end of a segment, behind {@code completeBytes} of complete records. */
+    /**
+     * A record at the end of a segment that a crash has cut off.
+     *
+     * @param segment the number of the segment
+     * @param completeBytes the size of the complete records before the torn one
+     */
     record TornTail(long segment, int completeBytes) {}
 
-    /** The index of the last entry, or the snapshot's. */
+    /** The index of the last entry, or that of the snapshot if there are no entries. */
     long lastIndex() {
         return entries.isEmpty()
                 ? snapshot.index()
                 : entries.get(entries.size() - 1).index();
     }
 
-    /** Whether the log goes on right behind the snapshot, as it has to. */
+    /** Whether the first entry is the one that follows the snapshot, as it has to be. */
     boolean startsAfterSnapshot() {
         return entries.isEmpty() || entries.get(0).index() == snapshot.index() + 1;
     }
 
-    /** The form in which Raft starts from it, with the incarnation that counts from now on. */
+    /** Returns the state from which Raft starts, with the incarnation that the folder has from now on. */
     Saved toSaved(long currentIncarnation) {
         return new Saved(
                 currentIncarnation,
