--- a/src/main/java/pewtercourse/raft/store/StoreException.java
+++ b/src/main/java/pewtercourse/raft/store/StoreException.java
@@ -10,7 +10,8 @@
  */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
-    private static final String EMPTY_THE_FOLDER = "empty the folder and let the member learn anew";
+    private static final String EMPTY_THE_FOLDER = 
+            "empty the folder, so that the member copies the log from the others";
 
     /** The reason why a data folder can't be used. */
     public enum Reason {
@@ -49,16 +50,16 @@
 
     static StoreException inUse(Path folder) {
         return new StoreException(
-                Reason.IN_USE, folder, "is in use by another process: end it, or name another folder");
+                Reason.IN_USE, folder, "is in use by another process: stop that process, or configure another folder");
     }
 
     static StoreException alreadyBootstrapped(Path folder) {
         return new StoreException(
-                Reason.ALREADY_BOOTSTRAPPED, folder, "belongs to a cluster already: nothing was changed");
+                Reason.ALREADY_BOOTSTRAPPED, folder, "already contains the data of a cluster: nothing was changed");
     }
 
     static StoreException noData(Path folder) {
-        return new StoreException(Reason.NO_DATA, folder, "is no data folder of a cluster");
+        return new StoreException(Reason.NO_DATA, folder, "contains no data of a cluster");
     }
 
     static StoreException damaged(Path file, int offset) {
@@ -66,8 +67,7 @@
                 Reason.DAMAGED,
                 file,
                 offset,
-                "is damaged at byte " + offset + ", before data that was saved: keep a copy, " + EMPTY_THE_FOLDER
-                        + " from the others");
+                "is damaged at byte " + offset + ", before data that was saved: keep a copy, and " + EMPTY_THE_FOLDER);
     }
 
     static StoreException missingSegment(Path folder, Path segment) {
@@ -81,34 +81,35 @@
         return new StoreException(
                 Reason.MISSING_ENTRIES,
                 segment,
-                "goes on with entry " + nextIndex + " after " + lastIndex + ": " + EMPTY_THE_FOLDER);
+                "has entry " + nextIndex + " after entry " + lastIndex + ", so entries are missing: " + EMPTY_THE_FOLDER);
     }
 
     static StoreException missingEntriesAfterSnapshot(Path folder, long snapshotIndex, long firstIndex) {
         return new StoreException(
                 Reason.MISSING_ENTRIES,
                 folder,
-                "has entry " + firstIndex + " after snapshot " + snapshotIndex + ": " + EMPTY_THE_FOLDER);
+                "has entry " + firstIndex + " after snapshot " + snapshotIndex + ", so entries are missing: "
+                        + EMPTY_THE_FOLDER);
     }
 
     static StoreException unsupportedVersion(Path file, int version, int supported) {
         return new StoreException(
                 Reason.UNSUPPORTED_VERSION,
                 file,
-                "has version " + version + ", this program reads " + supported
-                        + ": start it with the program that wrote it");
+                "has format version " + version + ", but this program reads version " + supported
+                        + ": start the program version that wrote it");
     }
 
     static StoreException ofOtherMember(Path file, String cluster, String member) {
         return new StoreException(
                 Reason.OTHER_OWNER,
                 file,
-                "belongs to member '" + member + "' of cluster '" + cluster + "': name the folder of this member");
+                "belongs to member '" + member + "' of cluster '" + cluster + "': configure the folder of this member");
     }
 
     static StoreException ofOtherCluster(Path file, String cluster) {
         return new StoreException(
-                Reason.OTHER_OWNER, file, "belongs to cluster '" + cluster + "': name the folder of this member");
+                Reason.OTHER_OWNER, file, "belongs to cluster '" + cluster + "': configure the folder of this member");
     }
 
     /** The reason why the folder can't be used. */
--- a/src/test/java/pewtercourse/cluster/StorageFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/StorageFaultTest.java
@@ -71,7 +71,7 @@
         }
         member.start();
         assertEquals(UNUSABLE, member.process.waitFor());
-        await("told", () -> cluster.logged("empty the folder and let the member learn anew from the others"));
+        await("told", () -> cluster.logged("empty the folder, so that the member copies the log from the others"));
     }
 
     private static Path longestLogSegment(Path dataFolder) throws Exception {
--- a/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
@@ -221,7 +221,7 @@
             assertEquals(StoreException.Reason.DAMAGED, refused.reason(), place);
             assertEquals(file, refused.file());
             assertTrue(refused.offset().isPresent());
-            assertTrue(refused.getMessage().contains("learn anew"), refused.getMessage());
+            assertTrue(refused.getMessage().contains("so that the member copies the log from the others"), refused.getMessage());
         }
     }
 
