--- a/src/main/java/pewtercourse/raft/net/FrameCodec.java
+++ b/src/main/java/pewtercourse/raft/net/FrameCodec.java
@@ -7,18 +7,19 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The framing of messages on a connection: the length of the message in four bytes, big-endian, then the message. An
- * instance decodes what one connection receives and keeps the beginning of a frame until the rest has come.
+ * Encodes and decodes the frames of a connection. A frame consists of the length of the message, a big-endian number of
+ * four bytes, and the message. An instance decodes the bytes that one connection receives; it buffers an incomplete
+ * frame until the rest arrives.
  */
 final class FrameCodec {
-    /** The longest message that is accepted, in bytes. */
+    /** The maximum size of a message that is accepted. */
     static final int MAX_MESSAGE_BYTES = 4 << 20;
 
     private static final int LENGTH_BYTES = Integer.BYTES;
 
-    private Buffer incomplete = Buffer.buffer();
+    private Buffer incompleteFrame = Buffer.buffer();
 
-    /** The frame that carries this message. */
+    /** Returns the frame with this message. */
     static Buffer encode(Wire.Frame message) {
         byte[] content = message.toByteArray();
         return Buffer.buffer(LENGTH_BYTES + content.length)
@@ -26,10 +27,14 @@
                 .appendBytes(content);
     }
 
-    /** The messages that are complete with these bytes, in order. Throws where the bytes can't be a frame. */
+    /**
+     * Adds received bytes and returns the messages that are complete now, in order.
+     *
+     * @throws InvalidProtocolBufferException if the bytes are not a valid frame
+     */
     List<Wire.Frame> decode(Buffer received) throws InvalidProtocolBufferException {
-        incomplete = incomplete.length() == 0 ? received : incomplete.appendBuffer(received);
-        Buffer bytes = incomplete;
+        incompleteFrame = incompleteFrame.length() == 0 ? received : incompleteFrame.appendBuffer(received);
+        Buffer bytes = incompleteFrame;
         List<Wire.Frame> messages = new ArrayList<>();
         int offset = 0;
         while (bytes.length() - offset >= LENGTH_BYTES) {
@@ -41,7 +46,7 @@
             messages.add(Wire.Frame.parseFrom(bytes.getBytes(start, start + length)));
             offset = start + length;
         }
-        incomplete = offset == 0 ? bytes : bytes.getBuffer(offset, bytes.length());
+        incompleteFrame = offset == 0 ? bytes : bytes.getBuffer(offset, bytes.length());
         return messages;
     }
 
--- a/src/main/java/pewtercourse/raft/net/Handshake.java
+++ b/src/main/java/pewtercourse/raft/net/Handshake.java
@@ -4,20 +4,21 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The first message of each connection, by which the member that dials says who it is and whom it wants to reach.
+ * Creates and checks the hello, the first message of each connection: it names the member that has opened the
+ * connection and the member that it wants to reach.
  *
- * @param cluster the cluster of this member
- * @param member this member's name
- * @param incarnation that of this member's data folder
- * @param knownMember whether a member of this name is known
+ * @param cluster the name of this member's cluster
+ * @param member the name of this member
+ * @param incarnation the incarnation of this member's data folder
+ * @param isKnownMember whether a member of this name is known
  */
-record Handshake(String cluster, String member, long incarnation, Predicate<String> knownMember) {
+record Handshake(String cluster, String member, long incarnation, Predicate<String> isKnownMember) {
     private static final int PROTOCOL_VERSION = 1;
 
-    /** Who has dialled, and the incarnation of its data folder. */
+    /** The member that has opened a connection, and the incarnation of its data folder. */
     record Remote(String member, long incarnation) {}
 
-    /** A first message that does not make the remote end a member with which this one talks. */
+    /** Reports a first message that is not an acceptable hello. */
     static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -26,19 +27,23 @@
         }
     }
 
-    /** The message with which this member begins a connection to another. */
-    Wire.Frame hello(String to) {
+    /** Returns the first message of a connection to another member. */
+    Wire.Frame hello(String receiver) {
         return Wire.Frame.newBuilder()
                 .setHello(Wire.Hello.newBuilder()
                         .setVersion(PROTOCOL_VERSION)
                         .setCluster(cluster)
                         .setFrom(member)
-                        .setTo(to)
+                        .setTo(receiver)
                         .setIncarnation(incarnation))
                 .build();
     }
 
-    /** Checks the first message of a connection that another member has opened. */
+    /**
+     * Checks the first message of a connection that another member has opened.
+     *
+     * @throws RejectedException if the connection has to be closed
+     */
     Remote accept(Wire.Frame first) throws RejectedException {
         if (!first.hasHello()) {
             throw new RejectedException("no hello");
@@ -53,7 +58,7 @@
         if (!hello.getTo().equals(member)) {
             throw new RejectedException("meant for another member");
         }
-        if (!knownMember.test(hello.getFrom())) {
+        if (!isKnownMember.test(hello.getFrom())) {
             throw new RejectedException("unknown name");
         }
         return new Remote(hello.getFrom(), hello.getIncarnation());
--- a/src/main/java/pewtercourse/raft/net/InboundConnection.java
+++ b/src/main/java/pewtercourse/raft/net/InboundConnection.java
@@ -8,9 +8,9 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * A connection that another member has opened: it carries messages to this member, and one byte back for each read, by
- * which the sender knows that the connection is alive. Whatever goes wrong on it ends this connection alone. On the event
- * loop.
+ * A connection that another member has opened. It carries messages to this member. This member sends one byte back for
+ * each read, by which the sender knows that the connection is alive. An error closes only this connection. Confined to
+ * the event loop.
  */
 final class InboundConnection {
     private static final long HANDSHAKE_TIMEOUT_MS = 2_000;
@@ -20,29 +20,29 @@
     private final Timers timers;
     private final Handshake handshake;
     private final MemberTransport.Receiver receiver;
-    private final Runnable handshakeEnded;
+    private final Runnable onHandshakeEnded;
     private final FrameCodec codec = new FrameCodec();
     private final long handshakeTimer;
     private Handshake.Remote remote; // Null until the handshake has succeeded.
 
     /**
-     * Takes over a socket that was accepted.
+     * Starts to read from an accepted socket.
      *
-     * @param handshakeEnded called when the handshake has succeeded, and when the connection is closed
+     * @param onHandshakeEnded called when the handshake has succeeded, and again when the connection is closed
      */
     InboundConnection(
             NetSocket socket,
             Timers timers,
             Handshake handshake,
             MemberTransport.Receiver receiver,
-            Runnable handshakeEnded) {
+            Runnable onHandshakeEnded) {
         this.socket = socket;
         this.timers = timers;
         this.handshake = handshake;
         this.receiver = receiver;
-        this.handshakeEnded = handshakeEnded;
+        this.onHandshakeEnded = onHandshakeEnded;
         this.handshakeTimer = timers.set(HANDSHAKE_TIMEOUT_MS, () -> reject("no hello in time"));
-        socket.exceptionHandler(e -> {}); // The close handler follows.
+        socket.exceptionHandler(e -> {}); // The close handler is called next.
         socket.closeHandler(v -> endHandshake());
         socket.handler(this::read);
     }
@@ -72,7 +72,7 @@
 
     private void endHandshake() {
         timers.cancel(handshakeTimer);
-        handshakeEnded.run();
+        onHandshakeEnded.run();
     }
 
     private void reject(String reason) {
--- a/src/main/java/pewtercourse/raft/net/MemberTransport.java
+++ b/src/main/java/pewtercourse/raft/net/MemberTransport.java
@@ -19,17 +19,17 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The connections of this member with the others: one in each direction between two members, each carrying messages one
- * way, so that one direction can fail without the other. All calls come from the event loop, and so do those to the
- * {@link Receiver}.
+ * Sends messages to the other members and receives theirs. Two members are linked by two connections, one for the
+ * messages of each direction, so that one direction can fail without the other. All methods have to be called on the
+ * event loop, which also calls the {@link Receiver}.
  */
 public final class MemberTransport {
     private static final int MAX_PENDING_HANDSHAKES = 32;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** Takes the messages that other members send. */
+    /** Handles the messages of other members. */
     public interface Receiver {
-        /** Takes a message of the member {@code from}, whose data folder has this incarnation. */
+        /** Handles a message of the member {@code from}; {@code incarnation} is that of its data folder. */
         void receive(String from, long incarnation, Wire.Frame message);
     }
 
@@ -40,15 +40,16 @@
     private final Receiver receiver;
     private final NetServer server;
     private final NetClient client;
-    private final Map<String, OutboundConnection> outbound = new TreeMap<>(); // By the other member's name.
+    private final Map<String, OutboundConnection> outbound = new TreeMap<>(); // By the name of the other member.
     private final Set<NetSocket> pendingHandshakes = new HashSet<>();
 
     /**
-     * Opens nothing yet: connections to others are opened when there is something to send.
+     * Creates the transport. A connection to another member is opened with the first message to it.
      *
      * @param member the name of this member
-     * @param incarnation that of this member's data folder
-     * @param addresses where a member is reached, or null for one that is unknown
+     * @param incarnation the incarnation of this member's data folder
+     * @param random draws the jitter of reconnection delays
+     * @param addresses returns the address of a member, or null if the member is unknown
      */
     public MemberTransport(
             Vertx vertx,
@@ -71,24 +72,24 @@
         server.exceptionHandler(e -> Log.counted("cluster.accept_error", "error", e));
     }
 
-    /** Accepts connections of other members at this address; fails if it can't be bound. */
+    /** Accepts connections of other members at this address; the future fails if the address can't be bound. */
     public Future<NetServer> listen(SocketAddress address) {
         return server.listen(address);
     }
 
-    /** Sends a message to a member, or queues it until the member is reached. It may be lost. */
-    public void send(String to, Wire.Frame message) {
-        outbound.computeIfAbsent(to, this::connectionTo).send(message);
+    /** Sends a message to a member, or queues it until the member is connected. The message may be lost. */
+    public void send(String receiver, Wire.Frame message) {
+        outbound.computeIfAbsent(receiver, this::createConnection).send(message);
     }
 
-    /** Messages that were dropped because a member was not reached in time. */
+    /** The number of messages that were dropped because their queue was full. */
     public long droppedFrames() {
         return outbound.values().stream()
                 .mapToLong(OutboundConnection::droppedFrames)
                 .sum();
     }
 
-    private OutboundConnection connectionTo(String member) {
+    private OutboundConnection createConnection(String member) {
         return new OutboundConnection(client, timers, random, () -> addresses.apply(member), handshake.hello(member));
     }
 
@@ -102,7 +103,7 @@
         new InboundConnection(socket, timers, handshake, receiver, () -> pendingHandshakes.remove(socket));
     }
 
-    /** Closes all connections and stops listening; done once that has happened. */
+    /** Closes the outbound connections, the server and the client; the future completes when they are closed. */
     public Future<Void> close() {
         outbound.values().forEach(OutboundConnection::close);
         return server.close().eventually(client::close);
--- a/src/main/java/pewtercourse/raft/net/OutboundConnection.java
+++ b/src/main/java/pewtercourse/raft/net/OutboundConnection.java
@@ -13,9 +13,10 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * The messages to one other member, on one connection. It is opened with the first message, and again after a failure
- * with exponential backoff and jitter. While it is down or slow the newest messages wait in a bounded queue; the oldest
- * are dropped, as a network may drop them: Raft sends again what matters. On the event loop.
+ * Sends messages to one other member over one connection. The connection is opened with the first message and, after a
+ * failure, opened again with exponential backoff and jitter. While it is down or slow, the newest messages wait in a
+ * bounded queue and the oldest are dropped. A network may drop messages too: Raft sends the necessary ones again.
+ * Confined to the event loop.
  */
 final class OutboundConnection {
     private static final int MAX_QUEUED_FRAMES = 256;
@@ -36,14 +37,15 @@
     private long backoffMs = FIRST_BACKOFF_MS;
     private long reconnectTimer = NO_TIMER;
     private long acknowledgementTimer = NO_TIMER;
-    private NetSocket socket; // Null while it is not connected.
+    private NetSocket socket; // Null while not connected.
     private boolean connecting;
     private boolean closed;
 
     /**
-     * Made for one member; it connects when there is something to send.
+     * Creates the connection to a member without opening it.
      *
-     * @param address where the member is reached, asked before each attempt to connect; null while it is not known
+     * @param address returns the address of the member, or null while it is not known; called before each attempt to
+     *     connect
      * @param hello the first message of each connection
      */
     OutboundConnection(
@@ -55,7 +57,7 @@
         this.hello = hello;
     }
 
-    /** Sends a message, or queues it while that can't be done. */
+    /** Sends a message, or queues it while it can't be written to the socket. */
     void send(Wire.Frame message) {
         if (closed) {
             return;
@@ -77,22 +79,22 @@
         }
     }
 
-    /** Messages that were dropped because the queue was full. */
+    /** The number of messages that were dropped because the queue was full. */
     long droppedFrames() {
         return droppedFrames;
     }
 
     private void connect() {
-        SocketAddress to = address.get();
-        if (to == null) {
+        SocketAddress memberAddress = address.get();
+        if (memberAddress == null) {
             reconnectLater();
             return;
         }
         connecting = true;
-        client.connect(to).onComplete(this::connectCompleted);
+        client.connect(memberAddress).onComplete(this::onConnectCompleted);
     }
 
-    private void connectCompleted(AsyncResult<NetSocket> result) {
+    private void onConnectCompleted(AsyncResult<NetSocket> result) {
         connecting = false;
         if (closed) {
             if (result.succeeded()) {
@@ -101,27 +103,28 @@
         } else if (result.failed()) {
             reconnectLater();
         } else {
-            connected(result.result());
+            onConnected(result.result());
         }
     }
 
-    private void connected(NetSocket opened) {
+    private void onConnected(NetSocket opened) {
         socket = opened;
-        opened.exceptionHandler(e -> {}); // The close handler follows.
-        opened.handler(acknowledgement -> acknowledged());
+        opened.exceptionHandler(e -> {}); // The close handler is called next.
+        opened.handler(acknowledgement -> onAcknowledged());
         opened.drainHandler(v -> writeQueued());
-        opened.closeHandler(v -> disconnected(opened));
+        opened.closeHandler(v -> onDisconnected(opened));
         write(FrameCodec.encode(hello));
         writeQueued();
     }
 
-    // The remote end sends a byte for each read, from the hello on; without it the connection only looks alive.
-    private void acknowledged() {
+    // The remote end sends a byte for each read, starting with the hello. Without this byte the connection may be
+    // open but not alive.
+    private void onAcknowledged() {
         backoffMs = FIRST_BACKOFF_MS;
         stopAcknowledgementTimer();
     }
 
-    private void disconnected(NetSocket closedSocket) {
+    private void onDisconnected(NetSocket closedSocket) {
         if (socket == closedSocket) {
             socket = null;
             stopAcknowledgementTimer();
@@ -166,7 +169,7 @@
         acknowledgementTimer = NO_TIMER;
     }
 
-    /** Drops what is queued and does not connect again. */
+    /** Closes the connection for good and drops the queued messages. */
     void close() {
         closed = true;
         timers.cancel(reconnectTimer);
--- a/src/main/java/pewtercourse/raft/store/SegmentFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SegmentFiles.java
@@ -21,7 +21,7 @@
 
     private final DataFolder folder;
     private final FolderOwner owner;
-    private final TreeMap<Long, Long> lastIndexBySegment = new TreeMap<>(); // The highest index by segment number.
+    private final TreeMap<Long, Long> lastIndexBySegment = new TreeMap<>(); // Highest index by segment number.
     private long nextNumber = 1;
     private long number;
     private long bytesWritten;
