--- a/src/main/java/pewtercourse/raft/net/Handshake.java
+++ b/src/main/java/pewtercourse/raft/net/Handshake.java
@@ -46,20 +46,20 @@
      */
     Remote accept(Wire.Frame first) throws RejectedException {
         if (!first.hasHello()) {
-            throw new RejectedException("no hello");
+            throw new RejectedException("first message is not a hello");
         }
         Wire.Hello hello = first.getHello();
         if (hello.getVersion() != PROTOCOL_VERSION) {
-            throw new RejectedException("version " + hello.getVersion());
+            throw new RejectedException("protocol version " + hello.getVersion() + " instead of " + PROTOCOL_VERSION);
         }
         if (!hello.getCluster().equals(cluster)) {
-            throw new RejectedException("another cluster");
+            throw new RejectedException("hello from another cluster");
         }
         if (!hello.getTo().equals(member)) {
-            throw new RejectedException("meant for another member");
+            throw new RejectedException("hello addressed to another member");
         }
         if (!isKnownMember.test(hello.getFrom())) {
-            throw new RejectedException("unknown name");
+            throw new RejectedException("hello from an unknown member");
         }
         return new Remote(hello.getFrom(), hello.getIncarnation());
     }
--- a/src/test/java/pewtercourse/raft/net/HandshakeTest.java
+++ b/src/test/java/pewtercourse/raft/net/HandshakeTest.java
@@ -23,19 +23,19 @@
 
     @Test
     void aHelloToAnotherMemberIsRejected() {
-        assertRejected("meant for another member", ACCEPTING, DIALLING.hello("member-c"));
+        assertRejected("hello addressed to another member", ACCEPTING, DIALLING.hello("member-c"));
     }
 
     @Test
     void aHelloOfAnotherClusterIsRejected() {
         Handshake dialling = new Handshake("cluster-2", "member-a", 7, name -> true);
-        assertRejected("another cluster", ACCEPTING, dialling.hello("member-b"));
+        assertRejected("hello from another cluster", ACCEPTING, dialling.hello("member-b"));
     }
 
     @Test
     void aHelloOfAnUnknownMemberIsRejected() {
         Handshake dialling = new Handshake("cluster-1", "member-d", 7, name -> true);
-        assertRejected("unknown name", ACCEPTING, dialling.hello("member-b"));
+        assertRejected("hello from an unknown member", ACCEPTING, dialling.hello("member-b"));
     }
 
     @Test
@@ -43,7 +43,7 @@
         Wire.Hello hello =
                 DIALLING.hello("member-b").getHello().toBuilder().setVersion(2).build();
         assertRejected(
-                "version 2", ACCEPTING, Wire.Frame.newBuilder().setHello(hello).build());
+                "protocol version 2 instead of 1", ACCEPTING, Wire.Frame.newBuilder().setHello(hello).build());
     }
 
     @Test
@@ -51,6 +51,6 @@
         Wire.Frame message = Wire.Frame.newBuilder()
                 .setTimeoutNow(Wire.TimeoutNow.newBuilder().setTerm(1))
                 .build();
-        assertRejected("no hello", ACCEPTING, message);
+        assertRejected("first message is not a hello", ACCEPTING, message);
     }
 }
