--- a/src/main/java/pewtercourse/raft/net/MemberTransport.java
+++ b/src/main/java/pewtercourse/raft/net/MemberTransport.java
@@ -103,7 +103,7 @@
         new InboundConnection(socket, timers, handshake, receiver, () -> pendingHandshakes.remove(socket));
     }
 
-    /** Closes the outbound connections, the server and the client; the future completes when they are closed. */
+    /** Closes all connections and stops listening; the future completes when this is done. */
     public Future<Void> close() {
         outbound.values().forEach(OutboundConnection::close);
         return server.close().eventually(client::close);
--- a/src/test/java/pewtercourse/raft/LeaseCommandSource.java
+++ b/src/test/java/pewtercourse/raft/LeaseCommandSource.java
@@ -4,12 +4,14 @@
 import java.util.Random;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Draws commands of the lease state machine in their wire form, most of them valid in the state that they are drawn for. */
+/**
+ * Draws random commands of the lease state machine in their encoded form. Most of them are valid in the given state.
+ */
 final class LeaseCommandSource {
     private static final List<String> LEASES = List.of("warden", "divider", "sites");
-    private static final int KINDS = 16;
-    private static final int TARGETS = 12;
-    private static final double STALE = 0.1;
+    private static final int COMMAND_CASES = 16;
+    private static final int CACHES = 12;
+    private static final double STALE_RATE = 0.1;
 
     private final Random random;
     private long lastId;
@@ -18,22 +20,25 @@
         this.random = random;
     }
 
-    byte[] next(String by, LeaseWire.Snapshot state, List<String> members) {
+    /**
+     * Returns the next command in the name of {@code proposer}, or of a lease holder where only the holder may send it.
+     */
+    byte[] next(String proposer, LeaseWire.Snapshot state, List<String> members) {
         LeaseWire.Command.Builder command =
-                LeaseWire.Command.newBuilder().setProposer(by).setId(++lastId);
-        switch (random.nextInt(KINDS)) {
-            case 0, 1, 2, 3 -> lease(command, lease(state, pick(LEASES)), pick(members));
+                LeaseWire.Command.newBuilder().setProposer(proposer).setId(++lastId);
+        switch (random.nextInt(COMMAND_CASES)) {
+            case 0, 1, 2, 3 -> leaseCommand(command, findLease(state, pick(LEASES)), pick(members));
             case 4 ->
                 command.setDrainCache(
-                        LeaseWire.DrainCache.newBuilder().setAtUnixMs(lastId).setTarget(target()));
-            case 5 -> returnCache(command, state);
+                        LeaseWire.DrainCache.newBuilder().setAtUnixMs(lastId).setTarget(pickCache()));
+            case 5 -> reinstateCache(command, state);
             case 6, 7 -> requestMaintenance(command, state);
             case 8 -> grantMaintenance(command, state);
             case 9 -> cancelMaintenance(command, state);
             case 10, 11 ->
                 command.setRequestQuota(LeaseWire.RequestQuota.newBuilder().setThousandths(random.nextInt(400)));
             case 12 -> grantQuota(command, state);
-            case 13 -> settleQuota(command, state);
+            case 13 -> releaseQuota(command, state);
             case 14 ->
                 command.setSetEligibility(LeaseWire.SetEligibility.newBuilder().setEligible(random.nextInt(4) > 0));
             default ->
@@ -44,13 +49,13 @@
         return command.build().toByteArray();
     }
 
-    private void lease(LeaseWire.Command.Builder command, LeaseWire.Lease lease, String to) {
+    private void leaseCommand(LeaseWire.Command.Builder command, LeaseWire.Lease lease, String member) {
         String name = lease.getName();
-        long token = lease.getToken() + (stale() ? 1 : 0);
+        long token = lease.getToken() + (drawStale() ? 1 : 0);
         if (lease.getHolder().isEmpty() || random.nextInt(6) == 0) {
             command.setAssignLease(LeaseWire.AssignLease.newBuilder()
                     .setLease(name)
-                    .setHolder(to)
+                    .setHolder(member)
                     .setToken(token)
                     .setRenewals(lease.getRenewals()));
             return;
@@ -61,12 +66,12 @@
                 command.setReleaseLease(LeaseWire.ReleaseLease.newBuilder()
                         .setLease(name)
                         .setToken(token)
-                        .setSuccessor(random.nextBoolean() ? to : ""));
+                        .setSuccessor(random.nextBoolean() ? member : ""));
             case 1 ->
                 command.setRequestTransfer(LeaseWire.RequestTransfer.newBuilder()
                         .setLease(name)
                         .setToken(token)
-                        .setPreferredHolder(to));
+                        .setPreferredHolder(member));
             default ->
                 command.setRenewLease(LeaseWire.RenewLease.newBuilder()
                         .setLease(name)
@@ -75,40 +80,40 @@
         }
     }
 
-    private void returnCache(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+    private void reinstateCache(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
         String target = state.getDrainedCount() == 0
-                ? target()
+                ? pickCache()
                 : state.getDrained(random.nextInt(state.getDrainedCount())).getTarget();
         command.setReinstateCache(LeaseWire.ReinstateCache.newBuilder()
                 .setTarget(target)
                 .setAtUnixMs(lastId)
-                .setExpectedEntry(stale() ? 1 : lastEntry(state, target)));
+                .setExpectedEntry(drawStale() ? 1 : lastOperatorEntry(state, target)));
     }
 
     private void requestMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
-        String target = target();
+        String target = pickCache();
         command.setRequestMaintenance(LeaseWire.RequestMaintenance.newBuilder()
                 .setTarget(target)
                 .setZone("z" + random.nextInt(2))
                 .setAtUnixMs(lastId)
-                .setExpectedEntry(stale() ? 1 : lastEntry(state, target)));
+                .setExpectedEntry(drawStale() ? 1 : lastOperatorEntry(state, target)));
     }
 
     private void grantMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
-        LeaseWire.MaintenanceRequest ticket = ticket(state);
+        LeaseWire.MaintenanceRequest request = pickMaintenanceRequest(state);
         command.setGrantMaintenance(LeaseWire.GrantMaintenance.newBuilder()
-                .setTarget(ticket.getTarget())
-                .setRequest(ticket.getNumber())
-                .setToken(lease(state, "warden").getToken() + (stale() ? 1 : 0))
+                .setTarget(request.getTarget())
+                .setRequest(request.getNumber())
+                .setToken(findLease(state, "warden").getToken() + (drawStale() ? 1 : 0))
                 .setAtUnixMs(lastId));
     }
 
     private void cancelMaintenance(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
-        LeaseWire.MaintenanceRequest ticket = ticket(state);
+        LeaseWire.MaintenanceRequest request = pickMaintenanceRequest(state);
         command.setCancelMaintenance(LeaseWire.CancelMaintenance.newBuilder()
-                .setTarget(ticket.getTarget())
-                .setRequest(ticket.getNumber())
-                .setToken(random.nextBoolean() ? 0 : lease(state, "warden").getToken())
+                .setTarget(request.getTarget())
+                .setRequest(request.getNumber())
+                .setToken(random.nextBoolean() ? 0 : findLease(state, "warden").getToken())
                 .setAtUnixMs(lastId));
     }
 
@@ -120,50 +125,50 @@
                 .setGrantee(request.getMember())
                 .setRequestEntry(request.getEntry())
                 .setThousandths(request.getThousandths())
-                .setToken(lease(state, "divider").getToken())
+                .setToken(findLease(state, "divider").getToken())
                 .setPool(1_500));
     }
 
-    private void settleQuota(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
+    private void releaseQuota(LeaseWire.Command.Builder command, LeaseWire.Snapshot state) {
         long grant = state.getQuotaGrantCount() == 0
                 ? lastId
                 : state.getQuotaGrant(random.nextInt(state.getQuotaGrantCount()))
                         .getNumber();
         command.setReleaseQuota(LeaseWire.ReleaseQuota.newBuilder()
                 .setGrant(grant)
-                .setToken(lease(state, "divider").getToken()));
+                .setToken(findLease(state, "divider").getToken()));
     }
 
-    private LeaseWire.MaintenanceRequest ticket(LeaseWire.Snapshot state) {
+    private LeaseWire.MaintenanceRequest pickMaintenanceRequest(LeaseWire.Snapshot state) {
         return state.getMaintenanceRequestCount() == 0
                 ? LeaseWire.MaintenanceRequest.newBuilder()
-                        .setTarget(target())
+                        .setTarget(pickCache())
                         .setNumber(lastId)
                         .build()
                 : state.getMaintenanceRequest(random.nextInt(state.getMaintenanceRequestCount()));
     }
 
-    private static LeaseWire.Lease lease(LeaseWire.Snapshot state, String name) {
+    private static LeaseWire.Lease findLease(LeaseWire.Snapshot state, String name) {
         return state.getLeaseList().stream()
                 .filter(lease -> lease.getName().equals(name))
                 .findFirst()
                 .orElse(LeaseWire.Lease.newBuilder().setName(name).build());
     }
 
-    private static long lastEntry(LeaseWire.Snapshot state, String target) {
+    private static long lastOperatorEntry(LeaseWire.Snapshot state, String target) {
         return state.getOperatorCommandList().stream()
-                .filter(change -> change.getTarget().equals(target))
+                .filter(operatorCommand -> operatorCommand.getTarget().equals(target))
                 .mapToLong(LeaseWire.OperatorCommand::getEntry)
                 .findFirst()
                 .orElse(0);
     }
 
-    private boolean stale() {
-        return random.nextDouble() < STALE;
+    private boolean drawStale() {
+        return random.nextDouble() < STALE_RATE;
     }
 
-    private String target() {
-        return "cache" + random.nextInt(TARGETS);
+    private String pickCache() {
+        return "cache" + random.nextInt(CACHES);
     }
 
     private <T> T pick(List<T> list) {
--- a/src/test/java/pewtercourse/raft/RaftTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTest.java
@@ -16,125 +16,138 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Members whose messages arrive at once and whose saves are done at once, but where a test says otherwise. */
+/**
+ * Tests a group of members on a simulated clock. Messages arrive and saves complete at once unless a test delays or
+ * drops them.
+ */
 class RaftTest {
     private static final long MS = 1_000;
-    private static final RaftSettings SET = new RaftSettings(
+    private static final RaftSettings SETTINGS = new RaftSettings(
             50 * MS,
             150 * MS,
             300 * MS,
             new RaftSettings.Replication(4_096, 16, 4, 64),
             new RaftSettings.Snapshots(8, 1 << 20, 4));
 
-    private record Letter(String from, String to, Message m) {}
+    private record MessageInFlight(String from, String to, Message message) {}
 
     private final Map<String, Raft> members = new TreeMap<>();
     private final Map<String, List<String>> applied = new TreeMap<>();
     private final Map<String, Long> incarnations = new TreeMap<>();
-    private final Map<String, Long> unsaved = new TreeMap<>();
-    private final Deque<Letter> post = new ArrayDeque<>();
-    private final Set<String> away = new HashSet<>(), slowDisks = new HashSet<>();
+    private final Map<String, Long> pendingSaves = new TreeMap<>(); // The last save by member.
+    private final Deque<MessageInFlight> messagesInFlight = new ArrayDeque<>();
+    private final Set<String> disconnected = new HashSet<>();
+    private final Set<String> membersWithDelayedSaves = new HashSet<>();
     private final List<Ready.ReadResult> reads = new ArrayList<>();
     private long now;
 
-    private void found(int size) {
-        Map<String, String> names = new TreeMap<>();
+    private void startGroup(int size) {
+        Map<String, String> addresses = new TreeMap<>();
         for (int i = 0; i < size; i++) {
-            names.put("m" + i, "");
+            addresses.put("m" + i, "");
         }
-        Snapshot first = new Snapshot(0, 0, Membership.bootstrap(names), new byte[0]);
-        names.keySet().forEach(n -> join(n, new Saved(Membership.BOOTSTRAP_INCARNATION, 0, null, 0, first, List.of())));
+        Snapshot bootstrap = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
+        addresses.keySet().forEach(name -> startMember(name, new Saved(Membership.BOOTSTRAP_INCARNATION, 0, null, 0, bootstrap, List.of())));
     }
 
-    private void join(String name, Saved saved) {
+    /** Starts a member, or restarts it with other saved state. */
+    private void startMember(String name, Saved saved) {
         incarnations.put(name, saved.incarnation());
         applied.put(name, new ArrayList<>());
-        members.put(name, new Raft(SET, name, saved, now, new Random(name.hashCode())));
+        members.put(name, new Raft(SETTINGS, name, saved, now, new Random(name.hashCode())));
     }
 
-    private void settle() {
-        boolean busy = true;
-        while (busy) {
-            busy = false;
-            for (Map.Entry<String, Raft> e : members.entrySet()) {
-                busy |= carryOut(e.getKey(), e.getValue());
+    /** Carries out what all members request and delivers their messages, until there is nothing left to do. */
+    private void deliverMessages() {
+        boolean progressed = true;
+        while (progressed) {
+            progressed = false;
+            for (Map.Entry<String, Raft> member : members.entrySet()) {
+                progressed |= carryOutReady(member.getKey(), member.getValue());
             }
-            while (!post.isEmpty()) {
-                Letter l = post.poll();
-                if (!away.contains(l.from()) && !away.contains(l.to()) && members.containsKey(l.to())) {
-                    members.get(l.to()).receive(now, l.from(), incarnations.get(l.from()), l.m());
-                    busy = true;
+            while (!messagesInFlight.isEmpty()) {
+                MessageInFlight sent = messagesInFlight.poll();
+                if (!disconnected.contains(sent.from())
+                        && !disconnected.contains(sent.to())
+                        && members.containsKey(sent.to())) {
+                    members.get(sent.to()).receive(now, sent.from(), incarnations.get(sent.from()), sent.message());
+                    progressed = true;
                 }
             }
         }
     }
 
-    private boolean carryOut(String name, Raft raft) {
-        Ready r = raft.take();
-        r.messages().forEach(a -> post.add(new Letter(name, a.to(), a.message())));
-        if (r.snapshot() != null && r.snapshot().index() > 0) {
+    /** Returns whether there was anything to carry out. */
+    private boolean carryOutReady(String name, Raft raft) {
+        Ready ready = raft.take();
+        ready.messages()
+                .forEach(sent -> messagesInFlight.add(new MessageInFlight(name, sent.to(), sent.message())));
+        if (ready.snapshot() != null && ready.snapshot().index() > 0) {
             applied.get(name).clear();
-            applied.get(name).addAll(List.of(new String(r.snapshot().state()).split(",")));
+            applied.get(name).addAll(List.of(new String(ready.snapshot().state()).split(",")));
         }
-        r.committed().stream()
-                .filter(e -> e.kind() == Entry.Kind.COMMAND)
-                .forEach(e -> applied.get(name).add(new String(e.command())));
-        reads.addAll(r.reads());
-        if (r.save() != null && slowDisks.contains(name)) {
-            unsaved.put(name, r.save().number());
-        } else if (r.save() != null) {
-            raft.saved(now, r.save().number());
+        ready.committed().stream()
+                .filter(entry -> entry.kind() == Entry.Kind.COMMAND)
+                .forEach(entry -> applied.get(name).add(new String(entry.command())));
+        reads.addAll(ready.reads());
+        if (ready.save() != null && membersWithDelayedSaves.contains(name)) {
+            pendingSaves.put(name, ready.save().number());
+        } else if (ready.save() != null) {
+            raft.saved(now, ready.save().number());
         }
-        return r.save() != null || !r.messages().isEmpty() || !r.committed().isEmpty();
+        return ready.save() != null
+                || !ready.messages().isEmpty()
+                || !ready.committed().isEmpty();
     }
 
-    private void pass(long ms) {
-        for (long end = now + ms * MS; now < end; now += 5 * MS) {
-            members.forEach((n, r) -> r.tick(now));
-            settle();
+    private void advanceMillis(long millis) {
+        for (long end = now + millis * MS; now < end; now += 5 * MS) {
+            members.forEach((name, raft) -> raft.tick(now));
+            deliverMessages();
         }
     }
 
-    private Raft leader() {
+    /** The leader among the connected members; fails unless there is exactly one. */
+    private Raft connectedLeader() {
         List<Raft> leaders = members.entrySet().stream()
-                .filter(e -> !away.contains(e.getKey()))
+                .filter(member -> !disconnected.contains(member.getKey()))
                 .map(Map.Entry::getValue)
-                .filter(r -> r.role() == Raft.Role.LEADER)
+                .filter(raft -> raft.role() == Raft.Role.LEADER)
                 .toList();
         assertEquals(1, leaders.size());
         return leaders.get(0);
     }
 
-    private String name(Raft r) {
+    private String nameOf(Raft raft) {
         return members.entrySet().stream()
-                .filter(e -> e.getValue() == r)
+                .filter(member -> member.getValue() == raft)
                 .findFirst()
                 .orElseThrow()
                 .getKey();
     }
 
-    private void say(String command) {
-        assertNull(leader().propose(now, command.getBytes()).rejection());
-        settle();
+    private void proposeToLeader(String command) {
+        assertNull(connectedLeader().propose(now, command.getBytes()).rejection());
+        deliverMessages();
     }
 
     @Test
-    void whatIsAgreedIsAppliedByAllInOrder() {
-        found(3);
-        pass(1_000);
-        say("a");
-        say("b");
-        pass(200);
-        applied.values().forEach(a -> assertEquals(List.of("a", "b"), a));
+    void appliesCommittedCommandsInOrderOnAllMembers() {
+        startGroup(3);
+        advanceMillis(1_000);
+        proposeToLeader("a");
+        proposeToLeader("b");
+        advanceMillis(200);
+        applied.values().forEach(commands -> assertEquals(List.of("a", "b"), commands));
     }
 
     @Test
-    void aLeaderWithoutAMajorityStepsDownAndTakesNothingIn() {
-        found(3);
-        pass(1_000);
-        Raft leader = leader();
-        away.addAll(members.keySet());
-        now += 400 * MS; // As if it had been stopped: it looks before it acts.
+    void leaderWithoutMajorityRejectsProposalsAndStepsDown() {
+        startGroup(3);
+        advanceMillis(1_000);
+        Raft leader = connectedLeader();
+        disconnected.addAll(members.keySet());
+        now += 400 * MS; // As after a pause of the process: the leader has not handled a tick since.
         assertEquals(
                 Raft.Rejection.NOT_LEADER, leader.propose(now, "x".getBytes()).rejection());
         leader.tick(now);
@@ -142,140 +155,143 @@
     }
 
     @Test
-    void readsAreConfirmedByAMajorityOnly() {
-        found(3);
-        pass(1_000);
-        Raft leader = leader();
+    void confirmsReadsOnlyWhileAMajorityReplies() {
+        startGroup(3);
+        advanceMillis(1_000);
+        Raft leader = connectedLeader();
         assertNull(leader.read(now, 1));
-        settle();
+        deliverMessages();
         assertTrue(reads.get(0).confirmed());
-        members.keySet().stream().filter(n -> members.get(n) != leader).forEach(away::add);
+        members.keySet().stream().filter(name -> members.get(name) != leader).forEach(disconnected::add);
         assertNull(leader.read(now, 2));
-        pass(400);
+        advanceMillis(400);
         assertFalse(reads.get(1).confirmed());
     }
 
     @Test
-    void whatIsNotSavedIsNotCounted() {
-        found(3);
-        pass(1_000);
-        Raft leader = leader();
-        slowDisks.addAll(members.keySet());
+    void commitsEntriesOnlyAfterAMajorityHasSavedThem() {
+        startGroup(3);
+        advanceMillis(1_000);
+        Raft leader = connectedLeader();
+        membersWithDelayedSaves.addAll(members.keySet());
         assertNull(leader.propose(now, "a".getBytes()).rejection());
-        settle();
-        assertTrue(applied.values().stream().allMatch(List::isEmpty), "on no disk yet");
+        deliverMessages();
+        assertTrue(applied.values().stream().allMatch(List::isEmpty), "saved by no member");
         String follower = members.keySet().stream()
-                .filter(n -> members.get(n) != leader)
+                .filter(name -> members.get(name) != leader)
                 .findFirst()
                 .orElseThrow();
-        members.get(follower).saved(now, unsaved.get(follower));
-        settle();
-        assertTrue(applied.values().stream().allMatch(List::isEmpty), "on one disk of three");
-        leader.saved(now, unsaved.get(name(leader)));
-        settle();
-        assertEquals(List.of("a"), applied.get(name(leader)));
+        members.get(follower).saved(now, pendingSaves.get(follower));
+        deliverMessages();
+        assertTrue(applied.values().stream().allMatch(List::isEmpty), "saved by one member of three");
+        leader.saved(now, pendingSaves.get(nameOf(leader)));
+        deliverMessages();
+        assertEquals(List.of("a"), applied.get(nameOf(leader)));
     }
 
     @Test
-    void leadershipIsHandedOnWithoutAWait() {
-        found(5);
-        pass(1_000);
-        Raft before = leader();
-        String heir = before.bestTransferCandidate(now).orElse(null);
-        assertNull(before.transferLeadership(now, heir));
+    void transfersLeadershipWithoutWaitingForAnElectionTimeout() {
+        startGroup(5);
+        advanceMillis(1_000);
+        Raft oldLeader = connectedLeader();
+        String target = oldLeader.bestTransferCandidate(now).orElse(null);
+        assertNull(oldLeader.transferLeadership(now, target));
         assertEquals(
-                Raft.Rejection.TRANSFERRING, before.propose(now, "x".getBytes()).rejection());
-        settle();
-        assertEquals(heir, name(leader()));
-        say("a");
-        assertEquals(Raft.Rejection.INELIGIBLE_MEMBER, leader().transferLeadership(now, "nobody"));
+                Raft.Rejection.TRANSFERRING, oldLeader.propose(now, "x".getBytes()).rejection());
+        deliverMessages();
+        assertEquals(target, nameOf(connectedLeader()));
+        proposeToLeader("a");
+        assertEquals(Raft.Rejection.INELIGIBLE_MEMBER, connectedLeader().transferLeadership(now, "nobody"));
     }
 
     @Test
-    void membersComeOneAtATimeAsLearnersAndGo() {
-        found(3);
-        pass(1_000);
+    void addsMembersOneAtATimeAsLearnersAndRemovesThem() {
+        startGroup(3);
+        advanceMillis(1_000);
         for (int i = 0; i < 40; i++) {
-            say("c" + i);
+            proposeToLeader("c" + i);
         }
-        String leader = name(leader());
-        Snapshot s = members.get(leader)
+        String leader = nameOf(connectedLeader());
+        Snapshot snapshot = members.get(leader)
                 .snapshotAt(
                         members.get(leader).commitIndex(),
                         String.join(",", applied.get(leader)).getBytes());
-        members.get(leader).compacted(s); // So that the newcomer needs it, in parts of eight bytes.
-        join("new", new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of()));
-        assertNull(leader().addMember(now, "new", "a:1", 0).rejection());
+        // The new member needs the snapshot, which it receives in chunks of eight bytes.
+        members.get(leader).compacted(snapshot);
+        startMember("new", new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of()));
+        assertNull(connectedLeader().addMember(now, "new", "a:1", 0).rejection());
         assertEquals(
                 Raft.Rejection.MEMBERSHIP_CHANGE_PENDING,
-                leader().addMember(now, "other", "a:2", 0).rejection());
-        pass(3_000);
-        assertEquals(4, leader().members().voterCount(), "with the incarnation that it told");
-        assertTrue(leader().members().isVoter("new", 77));
+                connectedLeader().addMember(now, "other", "a:2", 0).rejection());
+        advanceMillis(3_000);
+        assertEquals(4, connectedLeader().members().voterCount(), "the new member votes with the incarnation in its replies");
+        assertTrue(connectedLeader().members().isVoter("new", 77));
         assertEquals(applied.get(leader), applied.get("new"));
-        assertNull(leader().removeMember(now, leader).rejection());
-        pass(1_500);
-        assertEquals(3, leader().members().voterCount());
-        say("after");
-        pass(1_000);
+        assertNull(connectedLeader().removeMember(now, leader).rejection());
+        advanceMillis(1_500);
+        assertEquals(3, connectedLeader().members().voterCount());
+        proposeToLeader("after");
+        advanceMillis(1_000);
         assertTrue(applied.get("new").contains("after"));
-        assertTrue(members.get(leader).isNonMember(), "it learns that it was removed");
+        assertTrue(members.get(leader).isNonMember(), "the removed leader knows of its removal");
     }
 
-    // A member was killed in reliance on the status of a leader that then died too: nobody could be elected any more.
+    // Guards against a fault in which the leader reported a promoted member as a voter before the promotion was
+    // committed. Another member was stopped on the strength of that report. Then the leader failed too, and no
+    // leader could be elected any more.
     @Test
-    void aNewcomersVoteIsToldOnlyOnceItIsAgreed() {
-        found(3);
-        pass(1_000);
-        Raft leader = leader();
-        String lost = members.keySet().stream()
-                .filter(n -> members.get(n) != leader)
+    void reportsAPromotedMemberAsVoterOnlyOnceItsPromotionIsCommitted() {
+        startGroup(3);
+        advanceMillis(1_000);
+        Raft leader = connectedLeader();
+        String restarted = members.keySet().stream()
+                .filter(name -> members.get(name) != leader)
                 .findFirst()
                 .orElseThrow();
-        assertTrue(leader.isCommittedVoter(lost));
-        join(lost, new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of())); // Its folder is lost: it learns anew.
-        tickUntilPromoted(leader, lost, 77);
-        assertFalse(leader.isCommittedVoter(lost), "its promotion is in the leader's log alone");
-        away.add(name(leader));
-        pass(3_000);
-        assertEquals(0, leadersPresent(), "it has no vote yet by what the other knows");
-        away.clear();
-        pass(1_000);
-        assertTrue(leader().isCommittedVoter(lost));
-        away.add(name(leader()));
-        pass(2_000);
-        assertEquals(1, leadersPresent(), "now the others bear the loss of any one");
+        assertTrue(leader.isCommittedVoter(restarted));
+        startMember(restarted, new Saved(77, 0, null, 0, Snapshot.EMPTY, List.of())); // Its data folder is lost.
+        tickUntilPromoted(leader, restarted, 77);
+        assertFalse(leader.isCommittedVoter(restarted), "only the leader's log contains the promotion");
+        disconnected.add(nameOf(leader));
+        advanceMillis(3_000);
+        assertEquals(0, connectedLeaderCount(), "the other member does not know it as a voter yet");
+        disconnected.clear();
+        advanceMillis(1_000);
+        assertTrue(connectedLeader().isCommittedVoter(restarted));
+        disconnected.add(nameOf(connectedLeader()));
+        advanceMillis(2_000);
+        assertEquals(1, connectedLeaderCount(), "now the group tolerates the loss of any one member");
     }
 
-    /** Stops before anybody hears of the promotion. */
+    /** Stops when the promotion is in the leader's log and was not sent yet. */
     private void tickUntilPromoted(Raft leader, String name, long incarnation) {
         for (int ticks = 0; ticks < 1_000 && !leader.members().isVoter(name, incarnation); ticks++) {
-            settle();
+            deliverMessages();
             now += 5 * MS;
-            members.forEach((n, r) -> r.tick(now));
+            members.forEach((memberName, raft) -> raft.tick(now));
         }
         assertTrue(leader.members().isVoter(name, incarnation));
     }
 
-    private long leadersPresent() {
+    private long connectedLeaderCount() {
         return members.entrySet().stream()
-                .filter(e -> !away.contains(e.getKey()))
-                .filter(e -> e.getValue().role() == Raft.Role.LEADER)
+                .filter(member -> !disconnected.contains(member.getKey()))
+                .filter(member -> member.getValue().role() == Raft.Role.LEADER)
                 .count();
     }
 
     @Test
-    void aLeaderCountsNoMemberThatLostWhatItHadSaved() {
-        found(3);
-        pass(1_000);
-        say("a");
-        Raft leader = leader();
+    void leaderReportsAMemberThatLostSavedEntries() {
+        startGroup(3);
+        advanceMillis(1_000);
+        proposeToLeader("a");
+        Raft leader = connectedLeader();
         String follower = members.keySet().stream()
-                .filter(n -> members.get(n) != leader)
+                .filter(name -> members.get(name) != leader)
                 .findFirst()
                 .orElseThrow();
-        // Its folder is an old copy: the same incarnation, and less in it.
-        join(
+        // The data folder is an old copy: it has the same incarnation but lacks saved entries.
+        startMember(
                 follower,
                 new Saved(
                         Membership.BOOTSTRAP_INCARNATION,
@@ -284,20 +300,20 @@
                         0,
                         new Snapshot(0, 0, leader.members(), new byte[0]),
                         List.of()));
-        pass(300);
+        advanceMillis(300);
         assertEquals(Set.of(follower), leader.membersWithLostLog());
     }
 
     @Test
-    void atMostSoMuchIsUnderWay() {
-        found(3);
-        pass(1_000);
-        Raft leader = leader();
-        members.keySet().stream().filter(n -> members.get(n) != leader).forEach(away::add);
-        int taken = 0;
-        while (leader.propose(now, "x".getBytes()).rejection() == null && taken < 1_000) {
-            taken++;
+    void leaderRejectsProposalsAboveTheLimitOfUncommittedEntries() {
+        startGroup(3);
+        advanceMillis(1_000);
+        Raft leader = connectedLeader();
+        members.keySet().stream().filter(name -> members.get(name) != leader).forEach(disconnected::add);
+        int accepted = 0;
+        while (leader.propose(now, "x".getBytes()).rejection() == null && accepted < 1_000) {
+            accepted++;
         }
-        assertEquals(64, taken);
+        assertEquals(64, accepted);
     }
 }
--- a/src/test/java/pewtercourse/raft/RaftTraceTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTraceTest.java
@@ -16,33 +16,35 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Everything that Raft gives out on random event streams of fixed seeds, with the lease state machine behind it,
- * against hashes that were recorded before the code was restructured. A hash that differs is a changed behaviour.
+ * Runs groups of members, with the lease state machine, on random event streams of fixed seeds, and compares the hash
+ * of all their outputs with recorded hashes. The hashes were recorded before the code was restructured; a different
+ * hash means that the behaviour has changed.
  */
 class RaftTraceTest {
     private static final int STEPS = 2_500;
     private static final int SEEDS = 9;
 
-    /** By seed: the trace of a group of three to five members; every fourth group restores old folders. */
-    private static Trace run(int seed) {
+    /** Returns the trace of a group of three to five members; in every fourth group members restore old folders. */
+    private static Trace runGroup(int seed) {
         return new TracedGroup(seed, 3 + seed % 3, seed % 4 == 3).run(STEPS);
     }
 
     @Test
-    void tracesOfFixedSeedsEqualTheRecordedOnes() throws IOException {
+    void tracesOfFixedSeedsHaveTheRecordedHashes() throws IOException {
         Map<String, Integer> counts = new TreeMap<>();
         StringBuilder hashes = new StringBuilder();
         for (int seed = 0; seed < SEEDS; seed++) {
-            Trace trace = run(seed);
+            Trace trace = runGroup(seed);
             trace.counts().forEach((kind, count) -> counts.merge(kind, count, Integer::sum));
             hashes.append(seed).append(' ').append(trace.hash()).append('\n');
         }
-        assertEquals(Set.of(), missing(counts), counts.toString());
+        assertEquals(Set.of(), missingKinds(counts), counts.toString());
         assertTrue(counts.get("command true") > 1_000, counts.toString());
-        assertEquals(recorded(), hashes.toString(), counts.toString());
+        assertEquals(recordedHashes(), hashes.toString(), counts.toString());
     }
 
-    private static Set<String> missing(Map<String, Integer> counts) {
+    /** The kinds of events that a run has to cover and that did not occur. */
+    private static Set<String> missingKinds(Map<String, Integer> counts) {
         Set<String> expected = new TreeSet<>(List.of(
                 "command true",
                 "command false",
@@ -50,17 +52,17 @@
                 "read false",
                 "restore at start",
                 "restore from leader",
-                "later snapshot part",
+                "later snapshot chunk",
                 "lost folder",
-                "old folder",
+                "restored folder",
                 "non-member",
                 "lost log",
-                "refusal -1"));
+                "rejection -1"));
         for (Raft.Role role : Raft.Role.values()) {
             expected.add("role " + role.ordinal());
         }
-        for (Raft.Rejection refusal : Raft.Rejection.values()) {
-            expected.add("refusal " + refusal.ordinal());
+        for (Raft.Rejection rejection : Raft.Rejection.values()) {
+            expected.add("rejection " + rejection.ordinal());
         }
         Set.of(
                         Wire.Frame.BodyCase.VOTE_REQUEST,
@@ -76,9 +78,9 @@
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static String recorded() throws IOException {
-        try (InputStream in = RaftTraceTest.class.getResourceAsStream("/raft/trace-hashes.txt")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+    private static String recordedHashes() throws IOException {
+        try (InputStream file = RaftTraceTest.class.getResourceAsStream("/raft/trace-hashes.txt")) {
+            return new String(file.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 }
--- a/src/test/java/pewtercourse/raft/SimulatedDisk.java
+++ b/src/test/java/pewtercourse/raft/SimulatedDisk.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What one member has on its disk. Saves reach it in order; those that are not synced are lost at a crash. */
+/** The simulated disk of a member. Saves are written in order; a crash loses those that are not synced. */
 final class SimulatedDisk {
     private final long incarnation;
     private long term;
@@ -19,7 +19,7 @@
         this.snapshot = snapshot;
     }
 
-    /** A copy of what is synced, as a backup of the folder has it. */
+    /** Returns a copy of the synced state, like a backup of the folder. */
     SimulatedDisk copy() {
         SimulatedDisk copy = new SimulatedDisk(incarnation, snapshot);
         copy.term = term;
@@ -29,29 +29,30 @@
         return copy;
     }
 
+    /** Writes a save without syncing it. */
     void write(Save save) {
         unsynced.add(save);
     }
 
-    /** Syncs all that was written. Returns the number of the last save, or -1 if there was none. */
+    /** Syncs all written saves. Returns the number of the last one, or -1 if there was none. */
     long sync() {
         return sync(unsynced.size());
     }
 
-    /** Only the first of the unsynced saves reach the disk. */
-    void crash(int synced) {
-        sync(Math.min(synced, unsynced.size()));
+    /** Loses the unsynced saves, except that the first {@code syncedCount} of them still reach the disk. */
+    void crash(int syncedCount) {
+        sync(Math.min(syncedCount, unsynced.size()));
         unsynced.clear();
     }
 
     private long sync(int count) {
-        long last = -1;
+        long lastNumber = -1;
         for (Save save : unsynced.subList(0, count)) {
             apply(save);
-            last = save.number();
+            lastNumber = save.number();
         }
         unsynced.subList(0, count).clear();
-        return last;
+        return lastNumber;
     }
 
     private void apply(Save save) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** A snapshot of the member's own state replaces the entries before it. False if a newer one is there. */
+    /** Replaces the entries up to a snapshot of the member's own state. False if the disk has a newer snapshot. */
     boolean compact(Snapshot newer) {
         if (newer.index() <= snapshot.index()) {
             return false;
@@ -78,9 +79,10 @@
         return true;
     }
 
+    /** Reads the synced state. */
     Saved read() {
-        List<Entry> after =
+        List<Entry> entriesAfterSnapshot =
                 new ArrayList<>(entries.tailMap(snapshot.index(), false).values());
-        return new Saved(incarnation, term, votedFor, commit, snapshot, after);
+        return new Saved(incarnation, term, votedFor, commit, snapshot, entriesAfterSnapshot);
     }
 }
--- a/src/test/java/pewtercourse/raft/Trace.java
+++ b/src/test/java/pewtercourse/raft/Trace.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * A digest over everything that a run gave out. Each output is one line of a fixed tag and its values by position, so
- * that the digest depends on no name of a Java type, field or enum constant.
+ * A digest of all outputs of a run. Each output is a line with a fixed tag and its values by position, so that the
+ * digest does not depend on the names of Java types, fields or enum constants.
  */
 final class Trace {
     private final MessageDigest digest;
@@ -23,16 +23,16 @@
         }
     }
 
-    /** Adds one line. Values are numbers, booleans, strings, byte arrays or null. */
+    /** Adds a line to the digest. Values are numbers, booleans, strings, byte arrays or null. */
     void line(String tag, Object... values) {
         StringBuilder line = new StringBuilder(tag);
         for (Object value : values) {
-            line.append('\t').append(text(value));
+            line.append('\t').append(canonicalText(value));
         }
         digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String text(Object value) {
+    private static String canonicalText(Object value) {
         if (value instanceof byte[] bytes) {
             return HexFormat.of().formatHex(bytes);
         }
@@ -43,18 +43,20 @@
                 || value instanceof String) {
             return String.valueOf(value);
         }
-        throw new IllegalArgumentException("no canonical form: " + value.getClass());
+        throw new IllegalArgumentException("no canonical form for a value of " + value.getClass());
     }
 
-    /** Notes that something of this kind occurred; it is no part of the digest. */
+    /** Counts an event of this kind; the counts are not part of the digest. */
     void count(String kind) {
         counts.merge(kind, 1, Integer::sum);
     }
 
+    /** The number of events by kind. */
     Map<String, Integer> counts() {
         return counts;
     }
 
+    /** Returns the hash of all lines; called once. */
     String hash() {
         return HexFormat.of().formatHex(digest.digest());
     }
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -13,9 +13,10 @@
 import java.util.TreeMap;
 
 /**
- * A group of members on a virtual clock, driven by one seeded generator: messages are lost, late, doubled and out of
- * order; members crash, stand still, lose their folders and come back with old ones; commands, reads, transfers and
- * changes of the membership are asked of leaders and others. Everything that a member gives out is traced.
+ * A group of members on a simulated clock, driven by one seeded random generator. Messages are lost, delayed,
+ * duplicated and reordered. Members crash, pause, lose their folders and restart with old copies of them. Leaders and
+ * other members receive commands, reads, leadership transfers and membership changes. All outputs of the members are
+ * traced.
  */
 final class TracedGroup {
     private static final long MS = 1_000;
@@ -25,12 +26,12 @@
             300 * MS,
             new RaftSettings.Replication(600, 8, 2, 16),
             new RaftSettings.Snapshots(150, 1 << 20, 4));
-    private static final int SNAPSHOT_EVERY = 25;
+    private static final int ENTRIES_BETWEEN_SNAPSHOTS = 25;
     private static final int SPARE_MEMBERS = 2;
 
-    private record Event(long at, long number, Runnable action) {}
+    private record Event(long dueAt, long number, Runnable action) {}
 
-    private record Pair(String from, String to) {}
+    private record Link(String from, String to) {}
 
     private final Random random;
     private final LeaseCommandSource commands;
@@ -39,19 +40,24 @@
     private final Map<String, TracedMember> members = new TreeMap<>();
     private final List<String> names = new ArrayList<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private final Map<String, Long> stillUntil = new HashMap<>();
-    private final Set<Pair> cut = new HashSet<>();
-    private final Map<Long, byte[]> agreed = new HashMap<>();
+            new PriorityQueue<>(Comparator.comparingLong(Event::dueAt).thenComparingLong(Event::number));
+    private final Map<String, Long> pausedUntil = new HashMap<>();
+    private final Set<Link> blockedLinks = new HashSet<>();
+    private final Map<Long, byte[]> committedEntries = new HashMap<>();
     private long now;
-    private long lastEvent;
-    private long lastRead;
+    private long lastEventNumber;
+    private long lastReadId;
     private double lossRate;
-    private double copyRate;
-    private long delayMost = 2 * MS;
-    private long syncMost = 2 * MS;
-
-    /** {@code restoresBackups}: members may come back with an older copy of their folder, which breaks Raft's promises. */
+    private double duplicateRate;
+    private long maxDelayMicros = 2 * MS;
+    private long maxSyncMicros = 2 * MS;
+
+    /**
+     * Creates the group and starts its members.
+     *
+     * @param restoresBackups whether members may restart with an older copy of their folder, which violates the
+     *     assumptions of Raft
+     */
     TracedGroup(long seed, int size, boolean restoresBackups) {
         this.random = new Random(seed);
         this.commands = new LeaseCommandSource(new Random(seed + 1));
@@ -60,8 +66,8 @@
         for (int i = 0; i < size; i++) {
             addresses.put("m" + i, "h:" + i);
         }
-        Snapshot first = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
-        addresses.keySet().forEach(name -> create(name, new SimulatedDisk(Membership.BOOTSTRAP_INCARNATION, first)));
+        Snapshot bootstrap = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
+        addresses.keySet().forEach(name -> create(name, new SimulatedDisk(Membership.BOOTSTRAP_INCARNATION, bootstrap)));
         for (int i = size; i < size + SPARE_MEMBERS; i++) {
             create("m" + i, new SimulatedDisk(newIncarnation(), Snapshot.EMPTY));
         }
@@ -78,20 +84,21 @@
         return 2 + random.nextInt(1_000_000);
     }
 
+    /** Runs the group for this number of steps and returns the trace of all outputs. */
     Trace run(int steps) {
         for (int step = 0; step < steps; step++) {
             now += (1 + random.nextInt(5)) * MS;
             if (step % 400 == 0) {
                 changeNetwork();
             }
-            while (!events.isEmpty() && events.peek().at() <= now) {
+            while (!events.isEmpty() && events.peek().dueAt() <= now) {
                 events.poll().action().run();
             }
-            members.values().stream().filter(this::runs).forEach(this::tickIfDue);
-            act();
-            members.values().stream().filter(this::runs).forEach(this::pump);
+            members.values().stream().filter(this::isRunning).forEach(this::tickIfDue);
+            injectRandomEvents();
+            members.values().stream().filter(this::isRunning).forEach(this::carryOutReady);
             if (step % 8 == 0) {
-                members.values().stream().filter(TracedMember::up).forEach(member -> member.observe(now));
+                members.values().stream().filter(TracedMember::isUp).forEach(member -> member.traceStatus(now));
             }
         }
         return trace;
@@ -99,20 +106,21 @@
 
     // ---- Time ----
 
-    private void schedule(long delay, Runnable action) {
-        events.add(new Event(now + delay, ++lastEvent, action));
+    private void schedule(long delayMicros, Runnable action) {
+        events.add(new Event(now + delayMicros, ++lastEventNumber, action));
     }
 
-    private long drawn(long most) {
-        return (long) (random.nextDouble() * most);
+    private long randomMicros(long maxMicros) {
+        return (long) (random.nextDouble() * maxMicros);
     }
 
-    private boolean runs(TracedMember member) {
-        return member.up() && stillUntil.getOrDefault(member.name, 0L) <= now;
+    /** Whether the member is up and not paused. */
+    private boolean isRunning(TracedMember member) {
+        return member.isUp() && pausedUntil.getOrDefault(member.name, 0L) <= now;
     }
 
     private void tickIfDue(TracedMember member) {
-        if (member.due(now) || chance(0.05)) {
+        if (member.isTickDue(now) || chance(0.05)) {
             member.tick(now);
         }
     }
@@ -121,119 +129,125 @@
 
     private void changeNetwork() {
         lossRate = List.of(0.0, 0.02, 0.15).get(random.nextInt(3));
-        copyRate = random.nextInt(3) == 0 ? 0.1 : 0;
-        delayMost = List.of(2, 10, 60).get(random.nextInt(3)) * MS;
-        syncMost = List.of(1, 5, 40).get(random.nextInt(3)) * MS;
+        duplicateRate = random.nextInt(3) == 0 ? 0.1 : 0;
+        maxDelayMicros = List.of(2, 10, 60).get(random.nextInt(3)) * MS;
+        maxSyncMicros = List.of(1, 5, 40).get(random.nextInt(3)) * MS;
     }
 
-    private void pump(TracedMember member) {
-        for (Ready.OutgoingMessage sent : member.pump(this)) {
+    private void carryOutReady(TracedMember member) {
+        for (Ready.OutgoingMessage sent : member.carryOutReady(this)) {
             byte[] frame = Codec.encode(sent.message()).toByteArray();
             send(member, sent.to(), frame);
-            if (chance(copyRate)) {
+            if (chance(duplicateRate)) {
                 send(member, sent.to(), frame);
             }
         }
-        Snapshot snapshot = member.snapshot(SNAPSHOT_EVERY);
+        Snapshot snapshot = member.takeSnapshotAfter(ENTRIES_BETWEEN_SNAPSHOTS);
         if (snapshot != null && chance(0.3)) {
-            int start = member.starts();
-            schedule(drawn(syncMost), () -> ifStill(member, start, () -> member.compact(snapshot)));
+            int startCount = member.startCount();
+            schedule(
+                    randomMicros(maxSyncMicros),
+                    () -> runUnlessRestarted(member, startCount, () -> member.compact(snapshot)));
         }
     }
 
     private void send(TracedMember from, String to, byte[] frame) {
         TracedMember receiver = members.get(to);
-        if (receiver == null || chance(lossRate) || cut.contains(new Pair(from.name, to))) {
+        if (receiver == null || chance(lossRate) || blockedLinks.contains(new Link(from.name, to))) {
             return;
         }
         long incarnation = from.incarnation();
-        schedule(drawn(delayMost), () -> deliver(receiver, from.name, incarnation, frame));
+        schedule(randomMicros(maxDelayMicros), () -> deliver(receiver, from.name, incarnation, frame));
     }
 
     private void deliver(TracedMember to, String from, long incarnation, byte[] frame) {
-        if (!to.up()) {
+        if (!to.isUp()) {
             return;
         }
-        if (!runs(to)) {
-            schedule(stillUntil.get(to.name) - now, () -> deliver(to, from, incarnation, frame));
+        if (!isRunning(to)) {
+            schedule(pausedUntil.get(to.name) - now, () -> deliver(to, from, incarnation, frame));
             return;
         }
         to.receive(now, from, incarnation, frame);
         if (chance(0.3)) {
-            pump(to);
+            carryOutReady(to);
         }
     }
 
-    void schedulesSync(TracedMember member) {
-        int start = member.starts();
-        schedule(drawn(syncMost), () -> ifStill(member, start, () -> member.sync(now)));
+    /** Schedules a sync of the member's disk, which is dropped if the member restarts before. */
+    void scheduleSync(TracedMember member) {
+        int startCount = member.startCount();
+        schedule(
+                randomMicros(maxSyncMicros), () -> runUnlessRestarted(member, startCount, () -> member.sync(now)));
     }
 
-    private void ifStill(TracedMember member, int start, Runnable action) {
-        if (member.up() && member.starts() == start) {
+    private void runUnlessRestarted(TracedMember member, int startCount, Runnable action) {
+        if (member.isUp() && member.startCount() == startCount) {
             action.run();
         }
     }
 
-    /** All members agree on each entry, unless one has come back with an old folder. */
-    void agreed(long index, byte[] entry) {
-        byte[] before = agreed.putIfAbsent(index, entry);
-        if (!restoresBackups && before != null && !Arrays.equals(before, entry)) {
-            throw new AssertionError("two entries agreed at " + index);
+    /** Fails if a different entry was committed at this index, unless members may restart with old folders. */
+    void onCommitted(long index, byte[] entry) {
+        byte[] committedBefore = committedEntries.putIfAbsent(index, entry);
+        if (!restoresBackups && committedBefore != null && !Arrays.equals(committedBefore, entry)) {
+            throw new AssertionError("two different entries were committed at index " + index);
         }
     }
 
-    // ---- What is done to the group ----
+    // ---- Random events ----
 
-    private void act() {
+    private void injectRandomEvents() {
         if (chance(0.3)) {
-            propose(anyOrLeader(), 1);
+            propose(pickLeaderOrAny(), 1);
         }
         if (chance(0.004)) {
-            propose(anyOrLeader(), 24);
+            propose(pickLeaderOrAny(), 24);
         }
         if (chance(0.03)) {
-            anyOrLeader().read(now, ++lastRead);
+            pickLeaderOrAny().read(now, ++lastReadId);
         }
         if (chance(0.006)) {
-            transfer(anyOrLeader());
+            transfer(pickLeaderOrAny());
         }
         if (chance(0.006)) {
-            changeMembers(anyOrLeader());
+            changeMembers(pickLeaderOrAny());
         }
         if (chance(0.004)) {
-            cut(pick(names));
+            isolate(pick(names));
         }
         if (chance(0.02)) {
-            cut.clear();
+            blockedLinks.clear();
         }
         if (chance(0.002)) {
-            stillUntil.put(pick(names), now + drawn(500 * MS));
+            pausedUntil.put(pick(names), now + randomMicros(500 * MS));
         }
         if (chance(0.006)) {
-            stop(pick(names));
+            crashAndRestart(pick(names));
         }
         if (restoresBackups && chance(0.01)) {
             members.get(pick(names)).backUpFolder();
         }
     }
 
-    private TracedMember anyOrLeader() {
-        List<TracedMember> up =
-                members.values().stream().filter(TracedMember::up).toList();
-        List<TracedMember> leaders = up.stream().filter(TracedMember::leads).toList();
-        return leaders.isEmpty() || chance(0.15) ? pick(up) : pick(leaders);
+    /** Picks a leader in most cases, otherwise any member that is up. */
+    private TracedMember pickLeaderOrAny() {
+        List<TracedMember> upMembers =
+                members.values().stream().filter(TracedMember::isUp).toList();
+        List<TracedMember> leaders =
+                upMembers.stream().filter(TracedMember::isLeader).toList();
+        return leaders.isEmpty() || chance(0.15) ? pick(upMembers) : pick(leaders);
     }
 
     private void propose(TracedMember member, int count) {
         for (int i = 0; i < count; i++) {
-            member.propose(now, commands.next(pick(names), member.wireState(), names));
+            member.propose(now, commands.next(pick(names), member.encodedState(), names));
         }
     }
 
     private void transfer(TracedMember member) {
-        String best = member.bestTransferTarget(now);
-        member.transfer(now, best == null || chance(0.2) ? pick(names) : best);
+        String bestTarget = member.bestTransferTarget(now);
+        member.transfer(now, bestTarget == null || chance(0.2) ? pick(names) : bestTarget);
         if (chance(0.5)) {
             propose(member, 1);
         }
@@ -241,10 +255,10 @@
 
     private void changeMembers(TracedMember member) {
         String other = pick(names);
-        boolean present = member.members().all().containsKey(other);
-        if (present && member.members().all().size() > 3 && chance(0.7)) {
+        boolean isMember = member.members().all().containsKey(other);
+        if (isMember && member.members().all().size() > 3 && chance(0.7)) {
             member.removeMember(now, other);
-        } else if (present && chance(0.3)) {
+        } else if (isMember && chance(0.3)) {
             member.removeMember(now, "nobody");
         } else {
             member.addMember(now, other, "h:" + other, knownIncarnation(other, member.members()));
@@ -254,37 +268,41 @@
         }
     }
 
-    private long knownIncarnation(String name, Membership known) {
-        if (known.all().containsKey(name)) {
-            return known.all().get(name).incarnation(); // Only its address is set anew.
+    private long knownIncarnation(String name, Membership membership) {
+        if (membership.all().containsKey(name)) {
+            return membership.all().get(name).incarnation(); // The incarnation does not change.
         }
-        return members.get(name).up() && chance(0.5) ? members.get(name).incarnation() : 0;
+        return members.get(name).isUp() && chance(0.5) ? members.get(name).incarnation() : 0;
     }
 
-    private void cut(String name) {
+    /** Blocks all links from the member, and most links to it. */
+    private void isolate(String name) {
         for (String other : names) {
-            cut.add(new Pair(name, other));
+            blockedLinks.add(new Link(name, other));
             if (chance(0.7)) {
-                cut.add(new Pair(other, name));
+                blockedLinks.add(new Link(other, name));
             }
         }
     }
 
-    private void stop(String name) {
+    /** Crashes the member unless another one is down; it restarts later, sometimes with a lost or an old folder. */
+    private void crashAndRestart(String name) {
         TracedMember member = members.get(name);
-        long down = members.values().stream().filter(m -> !m.up()).count();
-        if (!member.up() || down > 0) {
+        long downCount =
+                members.values().stream().filter(other -> !other.isUp()).count();
+        if (!member.isUp() || downCount > 0) {
             return;
         }
-        boolean well = members.values().stream().anyMatch(m -> m.leads() && m.groupIsWell());
+        boolean groupHealthy =
+                members.values().stream().anyMatch(other -> other.isLeader() && other.isGroupHealthy());
         member.crash(random.nextInt(4));
-        if (well && chance(0.25)) {
+        if (groupHealthy && chance(0.25)) {
             member.loseFolder(newIncarnation());
             trace.count("lost folder");
-        } else if (restoresBackups && well && chance(0.7) && member.restoreFolder()) {
-            trace.count("old folder");
+        } else if (restoresBackups && groupHealthy && chance(0.7) && member.restoreFolder()) {
+            trace.count("restored folder");
         }
-        schedule(drawn(600 * MS), () -> member.start(now, random.nextLong()));
+        schedule(randomMicros(600 * MS), () -> member.start(now, random.nextLong()));
     }
 
     private boolean chance(double probability) {
--- a/src/test/java/pewtercourse/raft/TracedMember.java
+++ b/src/test/java/pewtercourse/raft/TracedMember.java
@@ -11,7 +11,7 @@
 
 /** One member of a {@link TracedGroup}: its disk, its Raft instance and its copy of the lease state machine. */
 final class TracedMember {
-    private static final int STATE_EVERY = 16; // Entries between two traces of the whole state.
+    private static final int ENTRIES_BETWEEN_STATE_TRACES = 16;
 
     final String name;
     private final long clockOffset;
@@ -20,9 +20,9 @@
     private SimulatedDisk backup;
     private Raft raft;
     private ClusterState state = new ClusterState();
-    private long applied;
-    private int starts;
-    private boolean restoredAtStart;
+    private long appliedIndex;
+    private int startCount;
+    private boolean firstReadyPending; // Whether the state recovered at the start was not taken yet.
 
     TracedMember(String name, long clockOffset, SimulatedDisk disk, Trace trace) {
         this.name = name;
@@ -31,33 +31,35 @@
         this.trace = trace;
     }
 
-    // ---- Its life ----
+    // ---- Start and crash ----
 
-    boolean up() {
+    boolean isUp() {
         return raft != null;
     }
 
-    /** Counts starts: what was scheduled for an earlier one is void. */
-    int starts() {
-        return starts;
+    /** The number of starts so far; an event that was scheduled before the last start is dropped. */
+    int startCount() {
+        return startCount;
     }
 
     void start(long now, long seed) {
-        starts++;
-        restoredAtStart = true;
+        startCount++;
+        firstReadyPending = true;
         Saved saved = disk.read();
-        applied = saved.snapshot().index();
+        appliedIndex = saved.snapshot().index();
         state = new ClusterState();
         raft = new Raft(TracedGroup.SETTINGS, name, saved, clock(now), new Random(seed));
         trace.line("start", name, saved.incarnation());
     }
 
-    void crash(int synced) {
-        disk.crash(synced);
+    /** Stops the member; the first {@code syncedCount} unsynced saves still reach the disk. */
+    void crash(int syncedCount) {
+        disk.crash(syncedCount);
         raft = null;
         trace.line("crash", name);
     }
 
+    /** Replaces the folder by an empty one with another incarnation. */
     void loseFolder(long incarnation) {
         disk = new SimulatedDisk(incarnation, Snapshot.EMPTY);
         backup = null;
@@ -67,6 +69,7 @@
         backup = disk.copy();
     }
 
+    /** Replaces the folder by its last backup; returns false if there is none. */
     boolean restoreFolder() {
         if (backup != null) {
             disk = backup.copy();
@@ -74,7 +77,7 @@
         return backup != null;
     }
 
-    // ---- What is done to it ----
+    // ---- Inputs ----
 
     long clock(long now) {
         return now + clockOffset;
@@ -84,7 +87,7 @@
         raft.tick(clock(now));
     }
 
-    boolean due(long now) {
+    boolean isTickDue(long now) {
         return clock(now) >= raft.wakeAt();
     }
 
@@ -101,9 +104,9 @@
     }
 
     void sync(long now) {
-        long last = disk.sync();
-        if (last >= 0) {
-            raft.saved(clock(now), last);
+        long lastNumber = disk.sync();
+        if (lastNumber >= 0) {
+            raft.saved(clock(now), lastNumber);
         }
     }
 
@@ -113,45 +116,48 @@
         }
     }
 
-    /** Null if too few entries were applied since the last one. */
-    Snapshot snapshot(int every) {
-        return applied - raft.snapshotIndex() < every ? null : raft.snapshotAt(applied, state.encode());
+    /** Takes a snapshot; null if fewer than {@code minEntries} entries were applied since the last one. */
+    Snapshot takeSnapshotAfter(int minEntries) {
+        return appliedIndex - raft.snapshotIndex() < minEntries
+                ? null
+                : raft.snapshotAt(appliedIndex, state.encode());
     }
 
     void propose(long now, byte[] command) {
-        proposed("propose", raft.propose(clock(now), command));
+        traceProposal("propose", raft.propose(clock(now), command));
     }
 
     void addMember(long now, String other, String address, long incarnation) {
-        proposed("add", raft.addMember(clock(now), other, address, incarnation));
+        traceProposal("add", raft.addMember(clock(now), other, address, incarnation));
     }
 
     void removeMember(long now, String other) {
-        proposed("remove", raft.removeMember(clock(now), other));
+        traceProposal("remove", raft.removeMember(clock(now), other));
     }
 
-    private void proposed(String what, Raft.ProposalResult p) {
-        trace.line(what, name, p.index(), p.term(), refusal(p.rejection()));
+    private void traceProposal(String tag, Raft.ProposalResult result) {
+        trace.line(tag, name, result.index(), result.term(), rejectionNumber(result.rejection()));
     }
 
     void read(long now, long id) {
-        trace.line("read", name, id, refusal(raft.read(clock(now), id)));
+        trace.line("read", name, id, rejectionNumber(raft.read(clock(now), id)));
     }
 
-    void transfer(long now, String to) {
-        trace.line("transfer", name, to, refusal(raft.transferLeadership(clock(now), to)));
+    void transfer(long now, String target) {
+        trace.line("transfer", name, target, rejectionNumber(raft.transferLeadership(clock(now), target)));
     }
 
-    private int refusal(Raft.Rejection refusal) {
-        int number = refusal == null ? -1 : refusal.ordinal();
-        trace.count("refusal " + number);
+    /** The number of a rejection in the trace; -1 if the request was accepted. */
+    private int rejectionNumber(Raft.Rejection rejection) {
+        int number = rejection == null ? -1 : rejection.ordinal();
+        trace.count("rejection " + number);
         return number;
     }
 
-    // ---- What it tells ----
+    // ---- Status ----
 
-    boolean leads() {
-        return up() && raft.role() == Raft.Role.LEADER;
+    boolean isLeader() {
+        return isUp() && raft.role() == Raft.Role.LEADER;
     }
 
     String bestTransferTarget(long now) {
@@ -166,14 +172,14 @@
         return raft.incarnation();
     }
 
-    /** No member is a learner, or lacks more than a few entries. */
-    boolean groupIsWell() {
+    /** Whether all members are voters, lack only a few entries and have not lost saved entries. */
+    boolean isGroupHealthy() {
         return members().all().values().stream().allMatch(Membership.Member::voter)
                 && raft.lag().values().stream().allMatch(missing -> missing < 10)
                 && raft.membersWithLostLog().isEmpty();
     }
 
-    LeaseWire.Snapshot wireState() {
+    LeaseWire.Snapshot encodedState() {
         try {
             return LeaseWire.Snapshot.parseFrom(state.encode());
         } catch (InvalidProtocolBufferException e) {
@@ -181,21 +187,23 @@
         }
     }
 
-    /** Carries out what is to be done, and hands out what is to be sent. */
-    List<Ready.OutgoingMessage> pump(TracedGroup group) {
+    // ---- Outputs ----
+
+    /** Carries out what Raft requests and returns the messages to send. */
+    List<Ready.OutgoingMessage> carryOutReady(TracedGroup group) {
         Ready ready = raft.take();
         if (ready.save() != null) {
             save(ready.save());
-            group.schedulesSync(this);
+            group.scheduleSync(this);
         }
-        ready.messages().forEach(this::sent);
+        ready.messages().forEach(this::traceMessage);
         if (ready.snapshot() != null) {
             restore(ready.snapshot());
         }
-        restoredAtStart = false;
+        firstReadyPending = false;
         for (Entry entry : ready.committed()) {
             apply(entry);
-            group.agreed(entry.index(), Codec.encode(entry).toByteArray());
+            group.onCommitted(entry.index(), Codec.encode(entry).toByteArray());
         }
         for (Ready.ReadResult read : ready.reads()) {
             trace.line("r", name, read.id(), read.index(), read.confirmed());
@@ -208,25 +216,25 @@
         disk.write(save);
         trace.line("v", name, save.number(), save.term(), save.votedFor(), save.commit());
         if (save.snapshot() != null) {
-            snapshot("vs", save.snapshot());
+            traceSnapshot("vs", save.snapshot());
         }
         save.entries().forEach(entry -> trace.line("ve", Codec.encode(entry).toByteArray()));
         trace.count("save");
     }
 
-    private void sent(Ready.OutgoingMessage sent) {
+    private void traceMessage(Ready.OutgoingMessage sent) {
         Wire.Frame frame = Codec.encode(sent.message());
         trace.line("m", name, sent.to(), frame.toByteArray());
         trace.count("message " + frame.getBodyCase().getNumber());
         if (frame.hasInstall() && frame.getInstall().getOffset() > 0) {
-            trace.count("later snapshot part");
+            trace.count("later snapshot chunk");
         }
     }
 
     private void restore(Snapshot snapshot) {
-        snapshot("i", snapshot);
-        trace.count(restoredAtStart ? "restore at start" : "restore from leader");
-        applied = snapshot.index();
+        traceSnapshot("i", snapshot);
+        trace.count(firstReadyPending ? "restore at start" : "restore from leader");
+        appliedIndex = snapshot.index();
         try {
             state = ClusterState.decode(snapshot.state());
         } catch (InvalidProtocolBufferException e) {
@@ -234,7 +242,7 @@
         }
     }
 
-    private void snapshot(String tag, Snapshot snapshot) {
+    private void traceSnapshot(String tag, Snapshot snapshot) {
         trace.line(
                 tag,
                 name,
@@ -245,18 +253,18 @@
     }
 
     private void apply(Entry entry) {
-        if (entry.index() != ++applied) {
-            throw new AssertionError("entry " + entry.index() + " instead of " + applied);
+        if (entry.index() != ++appliedIndex) {
+            throw new AssertionError("entry " + entry.index() + " committed instead of entry " + appliedIndex);
         }
-        boolean accepted = entry.command().length > 0 && accepted(entry.index(), entry.command());
+        boolean accepted = entry.command().length > 0 && applyCommand(entry.index(), entry.command());
         trace.line("c", name, Codec.encode(entry).toByteArray(), accepted);
         trace.count("command " + accepted);
-        if (entry.index() % STATE_EVERY == 0) {
+        if (entry.index() % ENTRIES_BETWEEN_STATE_TRACES == 0) {
             trace.line("cs", name, state.encode());
         }
     }
 
-    private boolean accepted(long index, byte[] command) {
+    private boolean applyCommand(long index, byte[] command) {
         try {
             return state.apply(index, CommandCodec.decode(command)).isApplied();
         } catch (InvalidProtocolBufferException e) {
@@ -264,8 +272,8 @@
         }
     }
 
-    /** Traces all that the public methods tell. */
-    void observe(long now) {
+    /** Traces the results of all status methods of {@link Raft}. */
+    void traceStatus(long now) {
         trace.line(
                 "s",
                 name,
