--- a/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -36,7 +36,10 @@
 import pewtercourse.raft.Message;
 import pewtercourse.raft.wire.Wire;
 
-/** One frame of each message between members as an earlier version sent it: read with the same content, sent alike. */
+/**
+ * Compares each message between members with a stored frame of an earlier version: the frame is decoded to the same
+ * content, and the message is encoded to the same bytes.
+ */
 class MemberMessageCompatibilityTest {
     private static final String FOLDER = "member-messages/";
     private static final String HELLO = FOLDER + "hello.bin";
@@ -64,7 +67,7 @@
                 "member-c", new Membership.Member("", 1L << 62, false)));
     }
 
-    /** Each message of the Raft protocol, with every field set, by the name of its file. */
+    /** The messages of the Raft protocol by file name; together they set every field. */
     private static Map<String, Message> messages() {
         List<Entry> entries = List.of(
                 new Entry(101, 11, Entry.Kind.EMPTY, new byte[0], null),
@@ -84,7 +87,7 @@
         return messages;
     }
 
-    /** A command that is passed on to the leader, and its answer, which this version does not send. */
+    /** A command that is forwarded to the leader, and its reply, which this version does not send. */
     private static Map<String, Wire.Frame> calls() {
         Map<String, Wire.Frame> calls = new LinkedHashMap<>();
         calls.put(
@@ -121,7 +124,7 @@
     }
 
     @Test
-    void eachMessageIsWrittenWithTheSameBytes() throws Exception {
+    void encodesEachMessageToTheStoredBytes() throws Exception {
         for (Map.Entry<String, Wire.Frame> frame : frames().entrySet()) {
             Fixtures.assertFile(
                     file(frame.getKey()), FrameCodec.encode(frame.getValue()).getBytes());
@@ -129,53 +132,53 @@
     }
 
     @Test
-    void eachMessageIsReadWithItsContent() throws Exception {
-        Set<Class<?>> kinds = new HashSet<>();
+    void decodesEachStoredMessage() throws Exception {
+        Set<Class<?>> decodedTypes = new HashSet<>();
         for (Map.Entry<String, Message> message : messages().entrySet()) {
             Message decoded = Codec.decode(read(file(message.getKey()))).orElseThrow();
             Fixtures.assertSameContent(message.getValue(), decoded);
-            kinds.add(decoded.getClass());
+            decodedTypes.add(decoded.getClass());
         }
-        assertEquals(Fixtures.leaves(Message.class), kinds);
+        assertEquals(Fixtures.leaves(Message.class), decodedTypes);
         for (Map.Entry<String, Wire.Frame> call : calls().entrySet()) {
             assertEquals(call.getValue(), read(file(call.getKey())));
-            assertTrue(Codec.decode(call.getValue()).isEmpty(), "no message of the Raft protocol");
+            assertTrue(Codec.decode(call.getValue()).isEmpty(), "not a message of the Raft protocol");
         }
     }
 
     @Test
-    void theFixturesSetEveryField() throws Exception {
+    void storedMessagesSetEveryField() throws Exception {
         List<Wire.Frame> frames = new ArrayList<>();
         for (String name : Fixtures.files(Fixtures.path(FOLDER)).keySet()) {
             frames.add(read(FOLDER + name));
         }
-        assertEquals(frames().size() + 1, frames.size(), "and the hello");
+        assertEquals(frames().size() + 1, frames.size(), "all messages and the hello");
         assertEquals(Set.of(), Fixtures.fieldsNeverSet(frames));
     }
 
     @Test
-    void aConnectionCarriesTheHelloAndThenTheSameBytes() throws Exception {
+    void sendsTheHelloAndThenTheStoredBytes() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(TIMEOUT_MS);
             SocketAddress address = SocketAddress.inetSocketAddress(server.getLocalPort(), "127.0.0.1");
-            MemberTransport net = new MemberTransport(
-                    vertx, CLUSTER, SENDER, INCARNATION, new Random(1), name -> address, (from, life, frame) -> {});
-            vertx.runOnContext(v -> frames().values().forEach(frame -> net.send(RECEIVER, frame)));
+            MemberTransport transport = new MemberTransport(
+                    vertx, CLUSTER, SENDER, INCARNATION, new Random(1), name -> address, (from, incarnation, frame) -> {});
+            vertx.runOnContext(v -> frames().values().forEach(frame -> transport.send(RECEIVER, frame)));
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(TIMEOUT_MS);
-                DataInputStream in = new DataInputStream(socket.getInputStream());
-                Fixtures.assertFile(HELLO, nextFrame(in));
+                DataInputStream input = new DataInputStream(socket.getInputStream());
+                Fixtures.assertFile(HELLO, readFrame(input));
                 for (String name : frames().keySet()) {
-                    assertArrayEquals(Fixtures.bytes(file(name)), nextFrame(in), name);
+                    assertArrayEquals(Fixtures.bytes(file(name)), readFrame(input), name);
                 }
             }
         }
     }
 
-    /** The next frame of a connection, with its length of four bytes. */
-    private static byte[] nextFrame(DataInputStream in) throws IOException {
-        int length = in.readInt();
-        byte[] content = in.readNBytes(length);
+    /** Reads the next frame of a connection; the result includes its length of four bytes. */
+    private static byte[] readFrame(DataInputStream input) throws IOException {
+        int length = input.readInt();
+        byte[] content = input.readNBytes(length);
         return ByteBuffer.allocate(4 + content.length)
                 .putInt(length)
                 .put(content)
@@ -185,9 +188,9 @@
     private record Received(String from, long incarnation, Wire.Frame frame) {}
 
     @Test
-    void aConnectionThatStartsWithTheHelloIsReadAndAcknowledged() throws Exception {
+    void readsAndAcknowledgesTheMessagesAfterAHello() throws Exception {
         BlockingQueue<Received> received = new LinkedBlockingQueue<>();
-        MemberTransport net = new MemberTransport(
+        MemberTransport transport = new MemberTransport(
                 vertx,
                 CLUSTER,
                 RECEIVER,
@@ -195,7 +198,7 @@
                 new Random(1),
                 name -> name.equals(SENDER) ? SocketAddress.inetSocketAddress(1, "127.0.0.1") : null,
                 (from, incarnation, frame) -> received.add(new Received(from, incarnation, frame)));
-        NetServer server = net.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+        NetServer server = transport.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/pewtercourse/raft/store/LogStoreFolderTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreFolderTest.java
@@ -19,7 +19,7 @@
 import pewtercourse.raft.Save;
 import pewtercourse.raft.Snapshot;
 
-/** Whose folder is accepted, and which are refused with which reason. */
+/** Tests which folders the store accepts, and the reason for which it rejects the others. */
 class LogStoreFolderTest {
     private static final String CLUSTER = "cluster-1";
     private static final String MEMBER = "member-a";
@@ -29,7 +29,7 @@
     @TempDir
     Path temporary;
 
-    private Path bootstrapped() throws IOException {
+    private Path bootstrapFolder() throws IOException {
         Path folder = temporary.resolve("bootstrapped");
         LogStore.bootstrap(folder, CLUSTER, MEMBER, MEMBERS);
         return folder;
@@ -39,51 +39,51 @@
         return LogStore.open(folder, CLUSTER, MEMBER, MAX_SEGMENT_BYTES);
     }
 
-    private static void assertRefused(StoreException.Reason reason, Path file, Executable call) {
-        StoreException refused = assertThrows(StoreException.class, call);
-        assertEquals(reason, refused.reason(), refused.getMessage());
-        assertEquals(file, refused.file());
+    private static void assertRejected(StoreException.Reason reason, Path file, Executable call) {
+        StoreException exception = assertThrows(StoreException.class, call);
+        assertEquals(reason, exception.reason(), exception.getMessage());
+        assertEquals(file, exception.file());
     }
 
     @Test
-    void aFolderThatHoldsDataIsNotBootstrappedAgain() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsBootstrappingAFolderThatHoldsData() throws Exception {
+        Path folder = bootstrapFolder();
         assertTrue(LogStore.holdsData(folder));
-        assertRefused(
+        assertRejected(
                 StoreException.Reason.ALREADY_BOOTSTRAPPED,
                 folder,
                 () -> LogStore.bootstrap(folder, CLUSTER, MEMBER, Membership.EMPTY));
     }
 
     @Test
-    void aFolderOfAnotherClusterIsRefused() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsTheFolderOfAnotherCluster() throws Exception {
+        Path folder = bootstrapFolder();
         try (LogStore store = LogStore.open(folder, "another", MEMBER, MAX_SEGMENT_BYTES)) {
-            assertRefused(StoreException.Reason.OTHER_OWNER, folder.resolve("snapshot-0"), store::recover);
+            assertRejected(StoreException.Reason.OTHER_OWNER, folder.resolve("snapshot-0"), store::recover);
         }
     }
 
     @Test
-    void aFolderOfAnotherMemberIsRefused() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsTheFolderOfAnotherMember() throws Exception {
+        Path folder = bootstrapFolder();
         try (LogStore store = LogStore.open(folder, CLUSTER, "another", MAX_SEGMENT_BYTES)) {
-            assertRefused(StoreException.Reason.OTHER_OWNER, folder.resolve("log-1"), store::recover);
+            assertRejected(StoreException.Reason.OTHER_OWNER, folder.resolve("log-1"), store::recover);
         }
     }
 
     @Test
-    void aFolderIsOpenedOnceAtATime() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsOpeningAFolderTwiceAtATime() throws Exception {
+        Path folder = bootstrapFolder();
         try (LogStore store = open(folder)) {
-            assertRefused(StoreException.Reason.IN_USE, folder, () -> open(folder));
+            assertRejected(StoreException.Reason.IN_USE, folder, () -> open(folder));
             assertEquals(Membership.BOOTSTRAP_INCARNATION, store.recover().incarnation());
         }
         open(folder).close();
     }
 
     @Test
-    void filesOfOthersAreLeftAlone() throws Exception {
-        Path folder = bootstrapped();
+    void ignoresFilesWithOtherNames() throws Exception {
+        Path folder = bootstrapFolder();
         Path foreign = folder.resolve("log-notes.txt");
         Files.writeString(foreign, "foreign");
         try (LogStore store = open(folder)) {
@@ -93,27 +93,27 @@
     }
 
     @Test
-    void aMemberThatJoinsDrawsAnIncarnationOfItsOwnAndKeepsIt() throws Exception {
+    void drawsAnIncarnationForAnEmptyFolderAndKeepsIt() throws Exception {
         Path folder = temporary.resolve("empty");
-        long drawn;
+        long drawnIncarnation;
         try (LogStore store = open(folder)) {
-            drawn = store.recover().incarnation();
+            drawnIncarnation = store.recover().incarnation();
         }
-        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, drawn);
+        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, drawnIncarnation);
         try (LogStore store = open(folder)) {
-            assertEquals(drawn, store.recover().incarnation());
+            assertEquals(drawnIncarnation, store.recover().incarnation());
         }
     }
 
     @Test
-    void aFolderWithoutDataCannotBeInspected() throws Exception {
+    void rejectsInspectingAFolderWithoutData() throws Exception {
         assertFalse(LogStore.holdsData(temporary));
-        assertRefused(StoreException.Reason.NO_DATA, temporary, () -> LogStore.inspect(temporary));
+        assertRejected(StoreException.Reason.NO_DATA, temporary, () -> LogStore.inspect(temporary));
     }
 
     @Test
-    void aSnapshotThatWasNeverRenamedIsDeleted() throws Exception {
-        Path folder = bootstrapped();
+    void deletesASnapshotThatWasNotRenamed() throws Exception {
+        Path folder = bootstrapFolder();
         Path partial = Files.writeString(folder.resolve("snapshot-7.partial"), "begun");
         try (LogStore store = open(folder)) {
             assertEquals(0, store.recover().snapshot().index());
@@ -122,8 +122,8 @@
     }
 
     @Test
-    void aMissingSegmentIsNamed() throws Exception {
-        Path folder = bootstrapped();
+    void namesAMissingSegment() throws Exception {
+        Path folder = bootstrapFolder();
         for (long index = 1; index <= 3; index++) {
             try (LogStore store = open(folder)) {
                 store.recover();
@@ -133,29 +133,29 @@
         }
         Files.delete(folder.resolve("log-3"));
         try (LogStore store = open(folder)) {
-            StoreException refused = assertThrows(StoreException.class, store::recover);
-            assertEquals(StoreException.Reason.MISSING_SEGMENT, refused.reason());
-            assertEquals(folder, refused.file());
-            assertTrue(refused.getMessage().contains("lacks segment log-3"), refused.getMessage());
+            StoreException exception = assertThrows(StoreException.class, store::recover);
+            assertEquals(StoreException.Reason.MISSING_SEGMENT, exception.reason());
+            assertEquals(folder, exception.file());
+            assertTrue(exception.getMessage().contains("lacks segment log-3"), exception.getMessage());
         }
     }
 
     @Test
-    void missingEntriesAreRefused() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsAFolderWithMissingEntries() throws Exception {
+        Path folder = bootstrapFolder();
         try (LogStore store = open(folder)) {
             store.recover();
-            Entry tooFarOn = Entry.command(2, 1, new byte[1]);
-            store.save(List.of(new Save(1, 1, MEMBER, 0, null, List.of(tooFarOn))));
+            Entry entryAfterGap = Entry.command(2, 1, new byte[1]);
+            store.save(List.of(new Save(1, 1, MEMBER, 0, null, List.of(entryAfterGap))));
         }
         try (LogStore store = open(folder)) {
-            assertRefused(StoreException.Reason.MISSING_ENTRIES, folder, store::recover);
+            assertRejected(StoreException.Reason.MISSING_ENTRIES, folder, store::recover);
         }
     }
 
     @Test
-    void aDamagedSnapshotIsRefusedEvenIfAnOlderOneIsThere() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsADamagedSnapshotEvenIfAnOlderOneExists() throws Exception {
+        Path folder = bootstrapFolder();
         try (LogStore store = open(folder)) {
             store.recover();
             store.saveSnapshot(new Snapshot(5, 1, MEMBERS, new byte[] {1, 2, 3}));
@@ -166,13 +166,13 @@
         Files.write(newest, content);
         assertTrue(Files.exists(folder.resolve("snapshot-0")));
         try (LogStore store = open(folder)) {
-            assertRefused(StoreException.Reason.DAMAGED, newest, store::recover);
+            assertRejected(StoreException.Reason.DAMAGED, newest, store::recover);
         }
     }
 
     @Test
-    void nothingIsWrittenAfterItWasClosed() throws Exception {
-        Path folder = bootstrapped();
+    void rejectsWritesAfterClose() throws Exception {
+        Path folder = bootstrapFolder();
         LogStore store = open(folder);
         store.recover();
         store.close();
--- a/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
@@ -29,8 +29,8 @@
 import pewtercourse.raft.Snapshot;
 
 /**
- * The store against a model in memory, by random steps with crashes between them: what was synced is there again, and
- * of what was not, nothing is there in part.
+ * Compares the store with an in-memory model over random steps with crashes between them. Synced data is recovered
+ * completely, and no part of a torn record is recovered.
  */
 class LogStoreModelTest {
     private static final String CLUSTER = "c";
@@ -38,7 +38,7 @@
     private static final long SMALL_SEGMENT_BYTES = 400;
     private static final long LARGE_SEGMENT_BYTES = 1 << 20;
 
-    /** What a folder should hold. */
+    /** The expected content of the folder. */
     private static final class Model {
         private long term;
         private final long commit = 0;
@@ -51,16 +51,16 @@
             return entries.isEmpty() ? snapshot.index() : entries.lastKey();
         }
 
-        String text() {
-            return LogStoreModelTest.text(term, votedFor, snapshot, entries.values());
+        String describe() {
+            return LogStoreModelTest.describe(term, votedFor, snapshot, entries.values());
         }
     }
 
-    private static String text(Saved saved) {
-        return text(saved.term(), saved.votedFor(), saved.snapshot(), saved.entries());
+    private static String describe(Saved saved) {
+        return describe(saved.term(), saved.votedFor(), saved.snapshot(), saved.entries());
     }
 
-    private static String text(long term, String votedFor, Snapshot snapshot, Collection<Entry> entries) {
+    private static String describe(long term, String votedFor, Snapshot snapshot, Collection<Entry> entries) {
         StringBuilder text = new StringBuilder()
                 .append(term)
                 .append(' ')
@@ -88,7 +88,7 @@
         folder = Files.createTempDirectory("store");
     }
 
-    private void bootstrapEmptied() throws IOException {
+    private void emptyAndBootstrapFolder() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
@@ -101,18 +101,18 @@
         return LogStore.open(folder, CLUSTER, MEMBER, maxSegmentBytes);
     }
 
-    // ---- Random steps, at the store and at the model ----
+    // ---- Random steps, applied to the store and to the model ----
 
-    private static void step(Random random, LogStore store, Model model) throws IOException {
+    private static void applyRandomStep(Random random, LogStore store, Model model) throws IOException {
         if (random.nextInt(8) == 0 && !model.entries.isEmpty()) {
             takeSnapshot(random, store, model);
             return;
         }
-        List<Save> group = new ArrayList<>();
+        List<Save> saves = new ArrayList<>();
         for (int number = random.nextInt(3); number >= 0; number--) {
-            group.add(randomSave(random, model, number));
+            saves.add(randomSave(random, model, number));
         }
-        store.save(group);
+        store.save(saves);
     }
 
     private static void takeSnapshot(Random random, LogStore store, Model model) throws IOException {
@@ -150,39 +150,39 @@
 
     private static List<Entry> appendOrReplace(Random random, Model model) {
         List<Entry> entries = new ArrayList<>();
-        int replaced = model.entries.isEmpty() ? 0 : random.nextInt(model.entries.size());
-        long first = model.lastIndex() + 1 - replaced;
-        model.entries.tailMap(first, true).clear();
-        for (long index = first; index < first + 1 + random.nextInt(4); index++) {
+        int replacedCount = model.entries.isEmpty() ? 0 : random.nextInt(model.entries.size());
+        long firstIndex = model.lastIndex() + 1 - replacedCount;
+        model.entries.tailMap(firstIndex, true).clear();
+        for (long index = firstIndex; index < firstIndex + 1 + random.nextInt(4); index++) {
             entries.add(Entry.command(index, model.term, ("c" + random.nextInt(1000)).getBytes()));
         }
         entries.forEach(entry -> model.entries.put(entry.index(), entry));
         return entries;
     }
 
-    // ---- What has to hold ----
+    // ---- Properties ----
 
     @Property(tries = 150)
-    void whatWasSyncedIsRecoveredAndATornRecordIsDropped(@ForAll @LongRange(min = 0, max = 1 << 20) long seed)
+    void recoversSyncedDataAndDropsATornRecord(@ForAll @LongRange(min = 0, max = 1 << 20) long seed)
             throws IOException {
         Random random = new Random(seed);
-        bootstrapEmptied();
+        emptyAndBootstrapFolder();
         Model model = new Model();
         for (int start = 0; start < 4; start++) {
             try (LogStore store = open(SMALL_SEGMENT_BYTES)) {
-                assertEquals(model.text(), text(store.recover()), "start " + start);
+                assertEquals(model.describe(), describe(store.recover()), "start " + start);
                 for (int steps = random.nextInt(25); steps > 0; steps--) {
-                    step(random, store, model);
+                    applyRandomStep(random, store, model);
                 }
             }
-            assertEquals(model.text(), text(LogStore.inspect(folder)));
+            assertEquals(model.describe(), describe(LogStore.inspect(folder)));
             if (random.nextBoolean()) {
                 appendTornRecord(random);
             }
         }
     }
 
-    // A write that a crash cut off: some bytes of a record, with its content or zeros, behind what was synced.
+    // Simulates a write that a crash has cut off: appends some bytes of a record, or as many zeros.
     private void appendTornRecord(Random random) throws IOException {
         Path newest = newestSegment();
         byte[] complete =
@@ -198,16 +198,16 @@
     }
 
     @Property(tries = 100)
-    void damageBeforeSyncedDataIsRefused(@ForAll @LongRange(min = 0, max = 1 << 20) long seed) throws IOException {
+    void rejectsDamageBeforeSyncedData(@ForAll @LongRange(min = 0, max = 1 << 20) long seed) throws IOException {
         Random random = new Random(seed);
-        bootstrapEmptied();
+        emptyAndBootstrapFolder();
         Model model = new Model();
         try (LogStore store = open(LARGE_SEGMENT_BYTES)) {
             store.recover();
             for (int steps = 0; steps < 20; steps++) {
-                step(random, store, model);
+                applyRandomStep(random, store, model);
             }
-            // So that something was synced behind any damage.
+            // Synced data must follow the damage, wherever the damage is.
             store.save(List.of(new Save(1, model.term + 1, "x", 0, null, List.of())));
             store.save(List.of(new Save(2, model.term + 2, "x", 0, null, List.of())));
         }
@@ -215,13 +215,13 @@
         long size = Files.size(file);
         long position = random.nextLong(size - 1 - RecordFormat.HEADER_BYTES - 8);
         flipBit(file, position, random.nextInt(8));
-        String place = "bit at " + position + " of " + size;
+        String place = "flipped a bit of byte " + position + " of " + size;
         try (LogStore store = open(LARGE_SEGMENT_BYTES)) {
-            StoreException refused = assertThrows(StoreException.class, store::recover, place);
-            assertEquals(StoreException.Reason.DAMAGED, refused.reason(), place);
-            assertEquals(file, refused.file());
-            assertTrue(refused.offset().isPresent());
-            assertTrue(refused.getMessage().contains("so that the member copies the log from the others"), refused.getMessage());
+            StoreException exception = assertThrows(StoreException.class, store::recover, place);
+            assertEquals(StoreException.Reason.DAMAGED, exception.reason(), place);
+            assertEquals(file, exception.file());
+            assertTrue(exception.offset().isPresent());
+            assertTrue(exception.getMessage().contains("so that the member copies the log from the others"), exception.getMessage());
         }
     }
 
--- a/src/test/java/pewtercourse/raft/store/RecordFormatTest.java
+++ b/src/test/java/pewtercourse/raft/store/RecordFormatTest.java
@@ -13,22 +13,22 @@
     private static final byte[] CONTENT = {1, 2, 3, 4, 5};
 
     @Test
-    void aRecordIsReadAsItWasWritten() {
+    void decodesAnEncodedRecord() {
         ByteBuffer record = RecordFormat.encode(CONTENT);
         assertEquals(RecordFormat.HEADER_BYTES + CONTENT.length, record.remaining());
         assertArrayEquals(CONTENT, RecordFormat.decode(record, 0).orElseThrow());
     }
 
     @Test
-    void aRecordThatIsCutOffAtAnyByteIsNone() {
+    void rejectsARecordCutOffAtAnyByte() {
         ByteBuffer record = RecordFormat.encode(CONTENT);
         for (int length = 0; length < record.limit(); length++) {
-            assertEquals(Optional.empty(), RecordFormat.decode(record.slice(0, length), 0), "at " + length);
+            assertEquals(Optional.empty(), RecordFormat.decode(record.slice(0, length), 0), "cut off at byte " + length);
         }
     }
 
     @Test
-    void aRecordWithAnyBitChangedIsNone() {
+    void rejectsARecordWithAnyBitChanged() {
         ByteBuffer record = RecordFormat.encode(CONTENT);
         for (int bit = 0; bit < Byte.SIZE * record.limit(); bit++) {
             byte[] changed = record.array().clone();
@@ -38,14 +38,14 @@
     }
 
     @Test
-    void zerosAreNoRecord() {
+    void rejectsZeros() {
         ByteBuffer zeros = ByteBuffer.allocate(64);
         assertEquals(Optional.empty(), RecordFormat.decode(zeros, 0));
         assertFalse(RecordFormat.containsRecordFrom(zeros, 0));
     }
 
     @Test
-    void aRecordIsFoundBehindOtherBytes() {
+    void findsARecordAfterOtherBytes() {
         ByteBuffer file = ByteBuffer.allocate(100);
         file.put(7, RecordFormat.encode(CONTENT).array());
         assertTrue(RecordFormat.containsRecordFrom(file, 0));
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -32,9 +32,10 @@
 import pewtercourse.raft.wire.Wire;
 
 /**
- * Data folders as an earlier version wrote them: read with the same content, and written with the same bytes. Three
- * folders are kept: one with several segments and snapshots, the same one with a last record that a crash cut off, and
- * that of a member which joined with an empty folder, whose incarnation was drawn at random.
+ * Compares the store with stored data folders of an earlier version: the folders are read to the same content, and the
+ * same content is written to the same bytes. There are three folders: one with several segments and snapshots, a copy
+ * of it with a torn last record, and the folder of a member that joined with an empty folder, whose incarnation was
+ * drawn at random.
  */
 class StoredDataCompatibilityTest {
     private static final String LOG = "data-folder";
@@ -67,17 +68,17 @@
         return new Entry(index, term, Entry.Kind.EMPTY, new byte[0], null);
     }
 
-    // ---- What the folders hold ----
+    // ---- Content of the folders ----
 
-    private static Snapshot installed() {
+    private static Snapshot leaderSnapshot() {
         return new Snapshot(9, 4, FOUNDERS, bytes("state of the leader"));
     }
 
-    private static Snapshot taken() {
+    private static Snapshot ownSnapshot() {
         return new Snapshot(SNAPSHOT_INDEX, 5, CHANGED, bytes("state of this member"));
     }
 
-    /** The entries behind the snapshot: one of each command, an empty one and one that changes the members. */
+    /** The entries after the snapshot: an empty one, one that changes the members, and one for each type of command. */
     private static List<Entry> entries() {
         List<Entry> entries = new ArrayList<>();
         entries.add(empty(13, 6));
@@ -88,18 +89,21 @@
         return entries;
     }
 
-    private static Saved content(List<Entry> entries, long commit) {
-        return new Saved(Membership.BOOTSTRAP_INCARNATION, TERM, "member-c", commit, taken(), entries);
+    private static Saved contentWith(List<Entry> entries, long commit) {
+        return new Saved(Membership.BOOTSTRAP_INCARNATION, TERM, "member-c", commit, ownSnapshot(), entries);
     }
 
-    private static Saved wholeContent() {
+    private static Saved completeContent() {
         List<Entry> entries = entries();
-        return content(entries, entries.get(entries.size() - 1).index() - 2);
+        return contentWith(entries, entries.get(entries.size() - 1).index() - 2);
     }
 
-    // ---- How they come about ----
+    // ---- Writing the folders ----
 
-    /** A folder from its founding on, over three starts; a snapshot of the leader, one of its own, entries replaced. */
+    /**
+     * Bootstraps a folder and starts its member three times; saves snapshots of the leader and its own, and replaces
+     * entries.
+     */
     private static Path writeLog(Path folder) throws IOException {
         LogStore.bootstrap(folder, CLUSTER, MEMBER, FOUNDERS);
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
@@ -107,7 +111,7 @@
             store.save(List.of(new Save(1, 3, null, 0, null, List.of(empty(1, 3), command(2, 3, "before")))));
             store.save(List.of(
                     new Save(2, 4, "member-b", 1, null, List.of(command(3, 4, "void"))),
-                    new Save(3, 4, "member-b", 9, installed(), List.of(command(10, 4, "after the snapshot")))));
+                    new Save(3, 4, "member-b", 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")))));
         }
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
@@ -115,7 +119,7 @@
                     List.of(new Save(4, 5, null, 10, null, List.of(command(11, 4, "replaced"), command(12, 4, "x")))));
             store.save(
                     List.of(new Save(5, 5, "member-a", 10, null, List.of(command(11, 5, "a"), command(12, 5, "b")))));
-            store.saveSnapshot(taken());
+            store.saveSnapshot(ownSnapshot());
             store.save(List.of(new Save(6, 6, "member-b", 12, null, entries().subList(0, 2))));
         }
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
@@ -128,25 +132,25 @@
         return folder;
     }
 
-    /** The start of the folder of a member that joins: {@code joined} has but its first segment. */
-    private static void writeJoined(Path joined) throws IOException {
-        try (LogStore store = LogStore.open(joined, CLUSTER, MEMBER, SEGMENT_BYTES)) {
+    /** Writes the folder of a member that joins: one segment and a snapshot of the leader. */
+    private static void writeJoinedFolder(Path folder) throws IOException {
+        try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
-            store.save(List.of(new Save(1, 4, null, 9, installed(), List.of(command(10, 4, "after the snapshot")))));
+            store.save(List.of(new Save(1, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")))));
         }
     }
 
     // ---- Several segments and snapshots ----
 
     @Test
-    void folderIsReadWithItsContent() throws Exception {
+    void readsTheStoredFolder() throws Exception {
         Path folder = Fixtures.copy(LOG, temporary.resolve("copy"));
-        Fixtures.assertSameContent(wholeContent(), LogStore.inspect(folder));
+        Fixtures.assertSameContent(completeContent(), LogStore.inspect(folder));
         Fixtures.assertSameFiles(Fixtures.files(Fixtures.path(LOG)), Fixtures.files(folder));
 
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Saved saved = store.recover();
-            Fixtures.assertSameContent(wholeContent(), saved);
+            Fixtures.assertSameContent(completeContent(), saved);
             List<Command.Envelope> commands = new ArrayList<>();
             for (Entry entry : saved.entries()) {
                 if (entry.kind() == Entry.Kind.COMMAND) {
@@ -158,13 +162,13 @@
     }
 
     @Test
-    void sameContentIsWrittenWithTheSameBytes() throws Exception {
+    void writesTheStoredBytes() throws Exception {
         Path folder = writeLog(temporary.resolve("new"));
         Fixtures.assertFolder(LOG, Fixtures.files(folder));
     }
 
     @Test
-    void openingAddsOneSegmentAndChangesNoOther() throws Exception {
+    void recoveryAddsOneSegmentAndChangesNoOtherFile() throws Exception {
         Path folder = Fixtures.copy(LOG, temporary.resolve("copy"));
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
@@ -179,13 +183,13 @@
         Wire.Batch batch = Wire.Batch.parseFrom(records(added).get(1));
         assertEquals(TERM, batch.getTerm());
         assertEquals("member-c", batch.getVotedFor());
-        assertEquals(wholeContent().commit(), batch.getCommit());
+        assertEquals(completeContent().commit(), batch.getCommit());
         assertEquals(0, batch.getResetTo());
         assertEquals(2, records(added).size());
     }
 
     @Test
-    void theFolderHoldsSeveralSegmentsAndEveryField() throws Exception {
+    void storedFolderHasSeveralSegmentsAndSetsEveryField() throws Exception {
         Map<String, byte[]> files = Fixtures.files(Fixtures.path(LOG));
         assertEquals(
                 2,
@@ -195,77 +199,84 @@
         assertTrue(
                 files.keySet().stream().filter(name -> name.startsWith("log-")).count() >= 4);
         assertEquals(Set.of(), Fixtures.fieldsNeverSet(parse(files)));
-        Set<Class<?>> kinds = new HashSet<>();
-        SampleCommands.signed().forEach(signed -> kinds.add(signed.command().getClass()));
-        assertEquals(Fixtures.leaves(Command.class), kinds);
+        Set<Class<?>> commandTypes = new HashSet<>();
+        SampleCommands.signed().forEach(signed -> commandTypes.add(signed.command().getClass()));
+        assertEquals(Fixtures.leaves(Command.class), commandTypes);
     }
 
-    // ---- A last record that was cut off ----
+    // ---- Torn last record ----
 
     @Test
-    void tornRecordIsDroppedAndTheRestKept() throws Exception {
+    void dropsATornRecordAndKeepsTheOthers() throws Exception {
         Path folder = Fixtures.copy(TORN, temporary.resolve("copy"));
-        List<Entry> kept = entries().subList(0, entries().size() - 1);
-        Saved expected = content(kept, kept.get(kept.size() - 1).index() - 2);
+        List<Entry> completeEntries = entries().subList(0, entries().size() - 1);
+        Saved expected =
+                contentWith(completeEntries, completeEntries.get(completeEntries.size() - 1).index() - 2);
         Fixtures.assertSameContent(expected, LogStore.inspect(folder));
         Fixtures.assertSameFiles(Fixtures.files(Fixtures.path(TORN)), Fixtures.files(folder));
 
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
-        Map<String, byte[]> whole = Fixtures.files(Fixtures.path(LOG));
-        String torn = "log-" + newestSegment(whole);
-        byte[] left = Fixtures.files(folder).get(torn);
-        assertArrayEquals(Arrays.copyOf(whole.get(torn), whole.get(torn).length - lastRecordBytes(whole)), left);
+        Map<String, byte[]> completeFiles = Fixtures.files(Fixtures.path(LOG));
+        String tornSegment = "log-" + newestSegment(completeFiles);
+        byte[] remaining = Fixtures.files(folder).get(tornSegment);
+        assertArrayEquals(
+                Arrays.copyOf(
+                        completeFiles.get(tornSegment),
+                        completeFiles.get(tornSegment).length - lastRecordBytes(completeFiles)),
+                remaining);
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
     }
 
     @Test
-    void theTornFolderIsTheWholeOneWithoutItsLastBytes() throws Exception {
+    void tornFolderIsTheCompleteOneWithoutItsLastBytes() throws Exception {
         Map<String, byte[]> files = Fixtures.files(Fixtures.path(LOG));
-        String torn = "log-" + newestSegment(files);
+        String tornSegment = "log-" + newestSegment(files);
         assertTrue(lastRecordBytes(files) > RECORD_HEAD_BYTES + BYTES_CUT_OFF);
-        assertEquals(1, Wire.Batch.parseFrom(last(records(files.get(torn)))).getEntryCount());
-        files.put(torn, Arrays.copyOf(files.get(torn), files.get(torn).length - BYTES_CUT_OFF));
+        assertEquals(1, Wire.Batch.parseFrom(last(records(files.get(tornSegment)))).getEntryCount());
+        files.put(
+                tornSegment,
+                Arrays.copyOf(files.get(tornSegment), files.get(tornSegment).length - BYTES_CUT_OFF));
         Fixtures.assertFolder(TORN, files);
     }
 
-    // ---- A member that joined with an empty folder ----
+    // ---- Member that joined with an empty folder ----
 
     @Test
-    void folderOfAMemberThatJoinedIsReadWithItsContent() throws Exception {
+    void readsTheStoredFolderOfAMemberThatJoined() throws Exception {
         Path folder = Fixtures.copy(JOINED, temporary.resolve("copy"));
-        long incarnation = incarnation(Fixtures.files(folder).get("log-1"));
+        long incarnation = incarnationIn(Fixtures.files(folder).get("log-1"));
         assertTrue(incarnation != 0 && incarnation != Membership.BOOTSTRAP_INCARNATION);
-        Saved expected = new Saved(incarnation, 4, null, 9, installed(), List.of(command(10, 4, "after the snapshot")));
+        Saved expected = new Saved(incarnation, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")));
         Fixtures.assertSameContent(expected, LogStore.inspect(folder));
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
         }
-        assertEquals(incarnation, incarnation(Fixtures.files(folder).get("log-2")));
+        assertEquals(incarnation, incarnationIn(Fixtures.files(folder).get("log-2")));
     }
 
     @Test
-    void folderOfAMemberThatJoinsIsWrittenWithTheSameBytesButItsIncarnation() throws Exception {
+    void writesTheStoredBytesForAMemberThatJoinsExceptForItsIncarnation() throws Exception {
         Path folder = temporary.resolve("new");
-        writeJoined(folder);
+        writeJoinedFolder(folder);
         Map<String, byte[]> files = Fixtures.files(folder);
-        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, incarnation(files.get("log-1")));
+        assertNotEquals(Membership.BOOTSTRAP_INCARNATION, incarnationIn(files.get("log-1")));
         if (!Fixtures.path(JOINED).toFile().exists()) {
             Fixtures.assertFolder(JOINED, files);
         }
-        Map<String, byte[]> kept = Fixtures.files(Fixtures.path(JOINED));
-        for (Map<String, byte[]> each : List.of(files, kept)) {
-            each.put("log-1", withIncarnation(each.get("log-1"), 2));
+        Map<String, byte[]> storedFiles = Fixtures.files(Fixtures.path(JOINED));
+        for (Map<String, byte[]> folderFiles : List.of(files, storedFiles)) {
+            folderFiles.put("log-1", withIncarnation(folderFiles.get("log-1"), 2));
         }
-        Fixtures.assertSameFiles(kept, files);
+        Fixtures.assertSameFiles(storedFiles, files);
     }
 
-    // ---- The format, read here without the code under test ----
+    // ---- Record format, decoded without the code under test ----
 
-    /** The contents of the records of a file: length and checksum of four bytes each go before each content. */
+    /** Decodes the records of a file. A length and a checksum of four bytes each precede the content of a record. */
     private static List<byte[]> records(byte[] file) {
         List<byte[]> records = new ArrayList<>();
         ByteBuffer buffer = ByteBuffer.wrap(file);
@@ -311,19 +322,19 @@
                 .orElseThrow();
     }
 
-    private static long incarnation(byte[] segment) throws IOException {
+    private static long incarnationIn(byte[] segment) throws IOException {
         return Wire.SegmentHead.parseFrom(records(segment).get(0)).getIncarnation();
     }
 
     private static byte[] withIncarnation(byte[] segment, long incarnation) throws IOException {
         byte[] head = records(segment).get(0);
-        byte[] masked = Wire.SegmentHead.parseFrom(head).toBuilder()
+        byte[] changed = Wire.SegmentHead.parseFrom(head).toBuilder()
                 .setIncarnation(incarnation)
                 .build()
                 .toByteArray();
-        assertEquals(head.length, masked.length, "the incarnation has a fixed width");
+        assertEquals(head.length, changed.length, "the incarnation has a fixed width");
         byte[] copy = segment.clone();
-        System.arraycopy(record(masked), 0, copy, 0, RECORD_HEAD_BYTES + masked.length);
+        System.arraycopy(record(changed), 0, copy, 0, RECORD_HEAD_BYTES + changed.length);
         return copy;
     }
 
