--- a/src/main/java/pewtercourse/raft/IncomingSnapshot.java
+++ b/src/main/java/pewtercourse/raft/IncomingSnapshot.java
@@ -10,8 +10,8 @@
 
     /**
      * Adds a chunk and returns the number of bytes received so far. A chunk of another snapshot discards the bytes of
-     * the earlier one. A chunk is ignored if it is not the next one, or if its snapshot is larger than {@code
-     * maxBytes}.
+     * the earlier one. A chunk is ignored if it is not the next one, or if its snapshot is larger than
+     * {@code maxBytes}.
      */
     int add(Message.SnapshotChunk chunk, long maxBytes) {
         if (received == null || lastIndex != chunk.lastIndex() || lastTerm != chunk.lastTerm()) {
--- a/src/main/java/pewtercourse/raft/Message.java
+++ b/src/main/java/pewtercourse/raft/Message.java
@@ -53,8 +53,8 @@
      * @param lastIndex the index of the last entry of the candidate's log
      * @param lastTerm the term of that entry
      * @param preVote whether this is a pre-vote, which only asks whether the candidate could win an election
-     * @param transfer whether the leader has started the election by a leadership transfer, so that voters accept the
-     *     request although they have an active leader
+     * @param transfer whether a leadership transfer has started the election, so that voters accept the request
+     *     although they have an active leader
      */
     record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean transfer) implements Message {
         /** The voter decides whether to adopt the term: a candidate must not depose an active leader. */
--- a/src/main/java/pewtercourse/raft/Raft.java
+++ b/src/main/java/pewtercourse/raft/Raft.java
@@ -18,8 +18,8 @@
  * save, send and apply. A message that depends on a save is deferred until {@link #saved} reports that the save has
  * completed. The class is not thread-safe.
  *
- * <p>This class dispatches the inputs and carries out changes of role. {@link Election}, {@link Leader} and {@link
- * LogReceiver} implement the roles; they share one {@link RaftState}.
+ * <p>This class dispatches the inputs and carries out changes of role. {@link Election}, {@link Leader} and
+ * {@link LogReceiver} implement the roles; they share one {@link RaftState}.
  */
 public final class Raft {
     /** The role of a server in the Raft paper, and that of a pre-vote in the dissertation. */
--- a/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SnapshotFiles.java
@@ -16,8 +16,8 @@
 
 /**
  * Reads and writes the snapshots in a data folder. Each file contains one record. A snapshot is written under a
- * temporary name, synced, and renamed, so that a file with a snapshot's name is complete. The last {@value
- * #RETAINED_SNAPSHOTS} snapshots are retained.
+ * temporary name, synced, and renamed, so that a file with a snapshot's name is complete. The last
+ * {@value #RETAINED_SNAPSHOTS} snapshots are retained.
  */
 final class SnapshotFiles {
     private static final int RETAINED_SNAPSHOTS = 2;
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -270,7 +270,7 @@
 
     private long knownIncarnation(String name, Membership membership) {
         if (membership.all().containsKey(name)) {
-            return membership.all().get(name).incarnation(); // The incarnation does not change.
+            return membership.all().get(name).incarnation(); // Only the address changes.
         }
         return members.get(name).isUp() && chance(0.5) ? members.get(name).incarnation() : 0;
     }
