--- a/src/main/java/pewtercourse/raft/Election.java
+++ b/src/main/java/pewtercourse/raft/Election.java
@@ -150,7 +150,8 @@
         if (request.term() > state.term()) {
             transitions.stepDown(now, request.term(), null);
         }
-        boolean canVoteForCandidate = state.votedFor() == null || state.votedFor().equals(sender.name());
+        boolean canVoteForCandidate =
+                state.votedFor() == null || state.votedFor().equals(sender.name());
         boolean granted = request.term() == state.term() && isUpToDate(request) && canVoteForCandidate;
         if (granted) {
             state.voteFor(sender.name());
--- a/src/main/java/pewtercourse/raft/LogReceiver.java
+++ b/src/main/java/pewtercourse/raft/LogReceiver.java
@@ -92,6 +92,7 @@
     private void replySnapshot(String leader, Message.SnapshotChunk chunk, long nextOffset) {
         state.outbox()
                 .sendAfterSave(
-                        leader, new Message.SnapshotReply(state.term(), chunk.lastIndex(), nextOffset, chunk.sequence()));
+                        leader,
+                        new Message.SnapshotReply(state.term(), chunk.lastIndex(), nextOffset, chunk.sequence()));
     }
 }
--- a/src/main/java/pewtercourse/raft/LogReplicator.java
+++ b/src/main/java/pewtercourse/raft/LogReplicator.java
@@ -98,7 +98,8 @@
         }
         int startOffset = (int) progress.snapshotOffset();
         int endOffset = Math.min(
-                snapshot.state().length, startOffset + state.settings().snapshots().chunkBytes());
+                snapshot.state().length,
+                startOffset + state.settings().snapshots().chunkBytes());
         progress.onSnapshotChunkSent(now);
         state.outbox()
                 .send(
--- a/src/main/java/pewtercourse/raft/Outbox.java
+++ b/src/main/java/pewtercourse/raft/Outbox.java
@@ -90,7 +90,8 @@
         }
         lastTakenSave++;
         pendingSaves.add(new LogEnd(lastTakenSave, log.lastIndex(), log.lastTerm()));
-        Save save = new Save(lastTakenSave, term, votedFor, log.commitIndex(), unsavedSnapshot, log.tail(firstUnsavedIndex));
+        Save save = new Save(
+                lastTakenSave, term, votedFor, log.commitIndex(), unsavedSnapshot, log.tail(firstUnsavedIndex));
         hardStateUnsaved = false;
         commitIndexDue = false;
         takenCommitIndex = log.commitIndex();
--- a/src/main/java/pewtercourse/raft/RaftLog.java
+++ b/src/main/java/pewtercourse/raft/RaftLog.java
@@ -116,7 +116,9 @@
     /** Returns the membership that is in effect at {@code index}: that of the last change up to there. */
     Membership membersAt(long index) {
         long changeIndex = membershipIndex(index);
-        return changeIndex == snapshot.index() ? snapshot.members() : get(changeIndex).members();
+        return changeIndex == snapshot.index()
+                ? snapshot.members()
+                : get(changeIndex).members();
     }
 
     /**
@@ -135,7 +137,8 @@
 
     void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " can't follow the last entry " + lastIndex());
+            throw new IllegalArgumentException(
+                    "entry " + entry.index() + " can't follow the last entry " + lastIndex());
         }
         entries.add(entry);
     }
--- a/src/main/java/pewtercourse/raft/net/FrameCodec.java
+++ b/src/main/java/pewtercourse/raft/net/FrameCodec.java
@@ -53,7 +53,8 @@
     private static int messageLength(Buffer bytes, int offset) throws InvalidProtocolBufferException {
         int length = bytes.getInt(offset);
         if (length <= 0 || length > MAX_MESSAGE_BYTES) {
-            throw new InvalidProtocolBufferException("frame length " + length + " is not between 1 and " + MAX_MESSAGE_BYTES + " bytes");
+            throw new InvalidProtocolBufferException(
+                    "frame length " + length + " is not between 1 and " + MAX_MESSAGE_BYTES + " bytes");
         }
         return length;
     }
--- a/src/main/java/pewtercourse/raft/net/InboundConnection.java
+++ b/src/main/java/pewtercourse/raft/net/InboundConnection.java
@@ -41,7 +41,8 @@
         this.handshake = handshake;
         this.receiver = receiver;
         this.onHandshakeEnded = onHandshakeEnded;
-        this.handshakeTimer = timers.set(HANDSHAKE_TIMEOUT_MS, () -> reject("no hello within " + HANDSHAKE_TIMEOUT_MS + " ms"));
+        this.handshakeTimer =
+                timers.set(HANDSHAKE_TIMEOUT_MS, () -> reject("no hello within " + HANDSHAKE_TIMEOUT_MS + " ms"));
         socket.exceptionHandler(e -> {}); // The close handler is called next.
         socket.closeHandler(v -> endHandshake());
         socket.handler(this::read);
--- a/src/main/java/pewtercourse/raft/store/LogReader.java
+++ b/src/main/java/pewtercourse/raft/store/LogReader.java
@@ -146,6 +146,13 @@
         }
         entries.removeIf(entry -> entry.index() <= snapshot.index());
         return new StoredLog(
-                incarnation, hardState, snapshot, entries, snapshotConflicts, lastIndexBySegment, nextSegment, tornTail);
+                incarnation,
+                hardState,
+                snapshot,
+                entries,
+                snapshotConflicts,
+                lastIndexBySegment,
+                nextSegment,
+                tornTail);
     }
 }
--- a/src/main/java/pewtercourse/raft/store/SegmentFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SegmentFiles.java
@@ -127,7 +127,8 @@
      */
     void deleteCoveredBy(long snapshotIndex) throws IOException {
         while (lastIndexBySegment.size() > 1 && lastIndexBySegment.firstEntry().getValue() <= snapshotIndex) {
-            Files.deleteIfExists(folder.segment(lastIndexBySegment.pollFirstEntry().getKey()));
+            Files.deleteIfExists(
+                    folder.segment(lastIndexBySegment.pollFirstEntry().getKey()));
         }
     }
 
--- a/src/main/java/pewtercourse/raft/store/StoreException.java
+++ b/src/main/java/pewtercourse/raft/store/StoreException.java
@@ -10,7 +10,7 @@
  */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
-    private static final String EMPTY_THE_FOLDER = 
+    private static final String EMPTY_THE_FOLDER =
             "empty the folder, so that the member copies the log from the others";
 
     /** The reason why a data folder can't be used. */
@@ -81,7 +81,8 @@
         return new StoreException(
                 Reason.MISSING_ENTRIES,
                 segment,
-                "has entry " + nextIndex + " after entry " + lastIndex + ", so entries are missing: " + EMPTY_THE_FOLDER);
+                "has entry " + nextIndex + " after entry " + lastIndex + ", so entries are missing: "
+                        + EMPTY_THE_FOLDER);
     }
 
     static StoreException missingEntriesAfterSnapshot(Path folder, long snapshotIndex, long firstIndex) {
--- a/src/test/java/pewtercourse/raft/RaftTest.java
+++ b/src/test/java/pewtercourse/raft/RaftTest.java
@@ -47,7 +47,10 @@
             addresses.put("m" + i, "");
         }
         Snapshot bootstrap = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
-        addresses.keySet().forEach(name -> startMember(name, new Saved(Membership.BOOTSTRAP_INCARNATION, 0, null, 0, bootstrap, List.of())));
+        addresses
+                .keySet()
+                .forEach(name -> startMember(
+                        name, new Saved(Membership.BOOTSTRAP_INCARNATION, 0, null, 0, bootstrap, List.of())));
     }
 
     /** Starts a member, or restarts it with other saved state. */
@@ -80,8 +83,7 @@
     /** Returns whether there was anything to carry out. */
     private boolean carryOutReady(String name, Raft raft) {
         Ready ready = raft.take();
-        ready.messages()
-                .forEach(sent -> messagesInFlight.add(new MessageInFlight(name, sent.to(), sent.message())));
+        ready.messages().forEach(sent -> messagesInFlight.add(new MessageInFlight(name, sent.to(), sent.message())));
         if (ready.snapshot() != null && ready.snapshot().index() > 0) {
             applied.get(name).clear();
             applied.get(name).addAll(List.of(new String(ready.snapshot().state()).split(",")));
@@ -197,7 +199,8 @@
         String target = oldLeader.bestTransferCandidate(now).orElse(null);
         assertNull(oldLeader.transferLeadership(now, target));
         assertEquals(
-                Raft.Rejection.TRANSFERRING, oldLeader.propose(now, "x".getBytes()).rejection());
+                Raft.Rejection.TRANSFERRING,
+                oldLeader.propose(now, "x".getBytes()).rejection());
         deliverMessages();
         assertEquals(target, nameOf(connectedLeader()));
         proposeToLeader("a");
@@ -224,7 +227,10 @@
                 Raft.Rejection.MEMBERSHIP_CHANGE_PENDING,
                 connectedLeader().addMember(now, "other", "a:2", 0).rejection());
         advanceMillis(3_000);
-        assertEquals(4, connectedLeader().members().voterCount(), "the new member votes with the incarnation in its replies");
+        assertEquals(
+                4,
+                connectedLeader().members().voterCount(),
+                "the new member votes with the incarnation in its replies");
         assertTrue(connectedLeader().members().isVoter("new", 77));
         assertEquals(applied.get(leader), applied.get("new"));
         assertNull(connectedLeader().removeMember(now, leader).rejection());
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -67,7 +67,9 @@
             addresses.put("m" + i, "h:" + i);
         }
         Snapshot bootstrap = new Snapshot(0, 0, Membership.bootstrap(addresses), new byte[0]);
-        addresses.keySet().forEach(name -> create(name, new SimulatedDisk(Membership.BOOTSTRAP_INCARNATION, bootstrap)));
+        addresses
+                .keySet()
+                .forEach(name -> create(name, new SimulatedDisk(Membership.BOOTSTRAP_INCARNATION, bootstrap)));
         for (int i = size; i < size + SPARE_MEMBERS; i++) {
             create("m" + i, new SimulatedDisk(newIncarnation(), Snapshot.EMPTY));
         }
@@ -177,8 +179,7 @@
     /** Schedules a sync of the member's disk, which is dropped if the member restarts before. */
     void scheduleSync(TracedMember member) {
         int startCount = member.startCount();
-        schedule(
-                randomMicros(maxSyncMicros), () -> runUnlessRestarted(member, startCount, () -> member.sync(now)));
+        schedule(randomMicros(maxSyncMicros), () -> runUnlessRestarted(member, startCount, () -> member.sync(now)));
     }
 
     private void runUnlessRestarted(TracedMember member, int startCount, Runnable action) {
@@ -293,8 +294,7 @@
         if (!member.isUp() || downCount > 0) {
             return;
         }
-        boolean groupHealthy =
-                members.values().stream().anyMatch(other -> other.isLeader() && other.isGroupHealthy());
+        boolean groupHealthy = members.values().stream().anyMatch(other -> other.isLeader() && other.isGroupHealthy());
         member.crash(random.nextInt(4));
         if (groupHealthy && chance(0.25)) {
             member.loseFolder(newIncarnation());
--- a/src/test/java/pewtercourse/raft/TracedMember.java
+++ b/src/test/java/pewtercourse/raft/TracedMember.java
@@ -118,9 +118,7 @@
 
     /** Takes a snapshot; null if fewer than {@code minEntries} entries were applied since the last one. */
     Snapshot takeSnapshotAfter(int minEntries) {
-        return appliedIndex - raft.snapshotIndex() < minEntries
-                ? null
-                : raft.snapshotAt(appliedIndex, state.encode());
+        return appliedIndex - raft.snapshotIndex() < minEntries ? null : raft.snapshotAt(appliedIndex, state.encode());
     }
 
     void propose(long now, byte[] command) {
--- a/src/test/java/pewtercourse/raft/net/HandshakeTest.java
+++ b/src/test/java/pewtercourse/raft/net/HandshakeTest.java
@@ -43,7 +43,9 @@
         Wire.Hello hello =
                 INITIATOR.hello("member-b").getHello().toBuilder().setVersion(2).build();
         assertRejected(
-                "protocol version 2 instead of 1", ACCEPTOR, Wire.Frame.newBuilder().setHello(hello).build());
+                "protocol version 2 instead of 1",
+                ACCEPTOR,
+                Wire.Frame.newBuilder().setHello(hello).build());
     }
 
     @Test
--- a/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -162,7 +162,13 @@
             server.setSoTimeout(TIMEOUT_MS);
             SocketAddress address = SocketAddress.inetSocketAddress(server.getLocalPort(), "127.0.0.1");
             MemberTransport transport = new MemberTransport(
-                    vertx, CLUSTER, SENDER, INCARNATION, new Random(1), name -> address, (from, incarnation, frame) -> {});
+                    vertx,
+                    CLUSTER,
+                    SENDER,
+                    INCARNATION,
+                    new Random(1),
+                    name -> address,
+                    (from, incarnation, frame) -> {});
             vertx.runOnContext(v -> frames().values().forEach(frame -> transport.send(RECEIVER, frame)));
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(TIMEOUT_MS);
@@ -198,7 +204,8 @@
                 new Random(1),
                 name -> name.equals(SENDER) ? SocketAddress.inetSocketAddress(1, "127.0.0.1") : null,
                 (from, incarnation, frame) -> received.add(new Received(from, incarnation, frame)));
-        NetServer server = transport.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+        NetServer server = transport
+                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
+++ b/src/test/java/pewtercourse/raft/store/LogStoreModelTest.java
@@ -221,7 +221,9 @@
             assertEquals(StoreException.Reason.DAMAGED, exception.reason(), place);
             assertEquals(file, exception.file());
             assertTrue(exception.offset().isPresent());
-            assertTrue(exception.getMessage().contains("so that the member copies the log from the others"), exception.getMessage());
+            assertTrue(
+                    exception.getMessage().contains("so that the member copies the log from the others"),
+                    exception.getMessage());
         }
     }
 
--- a/src/test/java/pewtercourse/raft/store/RecordFormatTest.java
+++ b/src/test/java/pewtercourse/raft/store/RecordFormatTest.java
@@ -23,7 +23,8 @@
     void rejectsARecordCutOffAtAnyByte() {
         ByteBuffer record = RecordFormat.encode(CONTENT);
         for (int length = 0; length < record.limit(); length++) {
-            assertEquals(Optional.empty(), RecordFormat.decode(record.slice(0, length), 0), "cut off at byte " + length);
+            assertEquals(
+                    Optional.empty(), RecordFormat.decode(record.slice(0, length), 0), "cut off at byte " + length);
         }
     }
 
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -136,7 +136,8 @@
     private static void writeJoinedFolder(Path folder) throws IOException {
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             store.recover();
-            store.save(List.of(new Save(1, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")))));
+            store.save(
+                    List.of(new Save(1, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")))));
         }
     }
 
@@ -200,7 +201,8 @@
                 files.keySet().stream().filter(name -> name.startsWith("log-")).count() >= 4);
         assertEquals(Set.of(), Fixtures.fieldsNeverSet(parse(files)));
         Set<Class<?>> commandTypes = new HashSet<>();
-        SampleCommands.signed().forEach(signed -> commandTypes.add(signed.command().getClass()));
+        SampleCommands.signed()
+                .forEach(signed -> commandTypes.add(signed.command().getClass()));
         assertEquals(Fixtures.leaves(Command.class), commandTypes);
     }
 
@@ -210,8 +212,8 @@
     void dropsATornRecordAndKeepsTheOthers() throws Exception {
         Path folder = Fixtures.copy(TORN, temporary.resolve("copy"));
         List<Entry> completeEntries = entries().subList(0, entries().size() - 1);
-        Saved expected =
-                contentWith(completeEntries, completeEntries.get(completeEntries.size() - 1).index() - 2);
+        Saved expected = contentWith(
+                completeEntries, completeEntries.get(completeEntries.size() - 1).index() - 2);
         Fixtures.assertSameContent(expected, LogStore.inspect(folder));
         Fixtures.assertSameFiles(Fixtures.files(Fixtures.path(TORN)), Fixtures.files(folder));
 
@@ -236,10 +238,9 @@
         Map<String, byte[]> files = Fixtures.files(Fixtures.path(LOG));
         String tornSegment = "log-" + newestSegment(files);
         assertTrue(lastRecordBytes(files) > RECORD_HEAD_BYTES + BYTES_CUT_OFF);
-        assertEquals(1, Wire.Batch.parseFrom(last(records(files.get(tornSegment)))).getEntryCount());
-        files.put(
-                tornSegment,
-                Arrays.copyOf(files.get(tornSegment), files.get(tornSegment).length - BYTES_CUT_OFF));
+        assertEquals(
+                1, Wire.Batch.parseFrom(last(records(files.get(tornSegment)))).getEntryCount());
+        files.put(tornSegment, Arrays.copyOf(files.get(tornSegment), files.get(tornSegment).length - BYTES_CUT_OFF));
         Fixtures.assertFolder(TORN, files);
     }
 
@@ -250,7 +251,8 @@
         Path folder = Fixtures.copy(JOINED, temporary.resolve("copy"));
         long incarnation = incarnationIn(Fixtures.files(folder).get("log-1"));
         assertTrue(incarnation != 0 && incarnation != Membership.BOOTSTRAP_INCARNATION);
-        Saved expected = new Saved(incarnation, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")));
+        Saved expected =
+                new Saved(incarnation, 4, null, 9, leaderSnapshot(), List.of(command(10, 4, "after the snapshot")));
         Fixtures.assertSameContent(expected, LogStore.inspect(folder));
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
             Fixtures.assertSameContent(expected, store.recover());
