--- a/src/main/java/pewtercourse/lease/ClusterState.java
+++ b/src/main/java/pewtercourse/lease/ClusterState.java
@@ -9,10 +9,10 @@
 import pewtercourse.lease.wire.LeaseWire;
 
 /**
- * The replicated state machine: equal at all members after the same commands, since it reads no clock and draws no
- * random numbers. Whether a lease has expired is judged by those who wait for it ({@link LeaseWatch}); here only fencing
- * tokens and log entries decide. Each concern keeps its own table; this class hands each command to the table that
- * applies it. Confined to the thread that applies the log.
+ * The replicated state machine. It reads no clock and draws no random numbers, so that all members reach the same state
+ * by the same commands. It decides by fencing tokens and log entries alone; the leader judges by its own clock whether
+ * a lease has expired ({@link LeaseWatch}). Each concern has its own table, and this class passes each command to the
+ * table that applies it. Confined to the thread that applies the log.
  */
 public final class ClusterState {
     private final LeaseTable leases = new LeaseTable();
@@ -22,37 +22,41 @@
     private final QuotaTable quota = new QuotaTable(leases);
     private final SiteCommands sites = new SiteCommands(leases);
 
-    /** Applies the command of the log entry {@code index}, which also numbers what the command creates. */
+    /**
+     * Applies the command of a log entry.
+     *
+     * @param index index of the entry, which also is the number of the request or grant that the command creates
+     */
     public CommandOutcome apply(long index, Command.Envelope envelope) {
-        return envelope.command().accept(new Application(index, envelope.proposer()));
+        return envelope.command().accept(new CommandApplier(index, envelope.proposer()));
     }
 
-    /** The lease of this name; with token 0 if it was never assigned. */
+    /** The lease of this name; its token is 0 if it was never assigned. */
     public LeaseRecord lease(String name) {
         return leases.get(name);
     }
 
     /** All leases that were ever assigned, by name. */
     public SortedMap<String, LeaseRecord> leases() {
-        return leases.all();
+        return leases.byName();
     }
 
-    /** Drained caches, and since when in Unix milliseconds. */
+    /** The drained caches, each with the time at which it was drained, in Unix milliseconds. */
     public Map<String, Long> drainedCaches() {
         return drains.drained();
     }
 
-    /** Caches that were drained and reinstated, and when in Unix milliseconds. */
+    /** The caches that were reinstated, each with the time at which that happened, in Unix milliseconds. */
     public Map<String, Long> reinstatedCaches() {
         return drains.reinstated();
     }
 
-    /** Changes of {@link #drainedCaches} and {@link #reinstatedCaches} since this object was made. */
+    /** How often {@link #drainedCaches} and {@link #reinstatedCaches} have changed since this object was created. */
     public long drainRevision() {
         return drains.revision();
     }
 
-    /** The entry of the last operator command on a cache, 0 where none is known any more. */
+    /** The entry of the last operator command on a cache; 0 if there was none, or if its record was evicted. */
     public long lastOperatorCommand(String target) {
         return drains.lastCommand(target);
     }
@@ -72,32 +76,32 @@
         return quota.requests();
     }
 
-    /** The quota grants in force, by the entry that made them. */
+    /** The quota grants in force, by the log entry that made them. */
     public SortedMap<Long, QuotaGrant> quotaGrants() {
         return quota.grants();
     }
 
-    /** Quota that is granted now, in thousandths of one director's share. */
+    /** Total quota that is granted now, in thousandths of one director's share. */
     public long grantedQuotaThousandths() {
         return quota.grantedThousandths();
     }
 
-    /** What is agreed on the sites. */
+    /** The agreed state of the sites. */
     public FailoverState failover() {
         return sites.failover();
     }
 
-    /** Members that take no leases for now. */
+    /** Members that do not take leases at present. */
     public Set<String> ineligibleMembers() {
         return members.ineligible();
     }
 
-    /** Members that the leader has not heard for long. */
+    /** Members that the leader has not heard from for a long time. */
     public Set<String> absentMembers() {
         return members.absent();
     }
 
-    /** The snapshot of this state, in its stored form. */
+    /** Encodes this state as a snapshot in its stored form. */
     public byte[] encode() {
         LeaseWire.Snapshot.Builder snapshot = LeaseWire.Snapshot.newBuilder();
         leases.writeTo(snapshot);
@@ -110,9 +114,9 @@
     }
 
     /**
-     * Reads a snapshot; one of no bytes is the initial state.
+     * Decodes a snapshot. An empty array gives the initial state.
      *
-     * @throws InvalidProtocolBufferException if the bytes are no snapshot, or one of a later version
+     * @throws InvalidProtocolBufferException if the bytes are not a snapshot, or are a snapshot of a later version
      */
     public static ClusterState decode(byte[] bytes) throws InvalidProtocolBufferException {
         LeaseWire.Snapshot snapshot = LeaseWire.Snapshot.parseFrom(bytes);
@@ -126,12 +130,12 @@
         return state;
     }
 
-    /** One command of one entry, on its way to the table that it changes. */
-    private final class Application implements Command.Visitor<CommandOutcome> {
+    /** Applies the command of one log entry to the table that it changes. */
+    private final class CommandApplier implements Command.Visitor<CommandOutcome> {
         private final long entry;
         private final String proposer;
 
-        Application(long entry, String proposer) {
+        CommandApplier(long entry, String proposer) {
             this.entry = entry;
             this.proposer = proposer;
         }
@@ -219,7 +223,8 @@
 
         @Override
         public CommandOutcome reportSiteObservation(Command.ReportSiteObservation command) {
-            return CommandOutcome.APPLIED; // Members judge by it; nothing of it is kept here.
+            // Each member passes the report to its own failure detector; this state keeps nothing of it.
+            return CommandOutcome.APPLIED;
         }
 
         @Override
--- a/src/main/java/pewtercourse/lease/Command.java
+++ b/src/main/java/pewtercourse/lease/Command.java
@@ -6,19 +6,20 @@
 import pewtercourse.failover.SiteStatusChange;
 
 /**
- * A change of the replicated {@link ClusterState}, effective once the members have agreed on it. Orders of a lease
- * holder carry its fencing token; the state rejects them once the lease has a later one. A command that is delivered
- * twice changes nothing the second time. Entries are indexes of the replicated log.
+ * A change of the replicated {@link ClusterState}, which takes effect once the members have agreed on it. An order of a
+ * lease holder carries the fencing token of the lease; the state rejects the order once the lease has a later token. A
+ * command that is delivered twice changes nothing the second time. An entry is an index in the replicated log.
  */
 public sealed interface Command {
     /** Calls the method of {@code visitor} for this kind of command. */
     <R> R accept(Visitor<R> visitor);
 
     /**
-     * By the leader: the lease gets a new holder, unless it was renewed or assigned since.
+     * Proposed by the leader. Assigns a vacant lease to a new holder, unless the lease was renewed or assigned in the
+     * meantime.
      *
-     * @param token    fencing token of the lease that the leader has judged to be vacant
-     * @param renewals renewals of that lease which the leader has seen
+     * @param token    fencing token of the lease that the leader found vacant
+     * @param renewals number of renewals of that lease that the leader has seen
      */
     record AssignLease(String lease, String holder, long token, long renewals) implements Command {
         @Override
@@ -27,7 +28,11 @@
         }
     }
 
-    /** By the holder: its lease begins anew. {@code renewals}: as many as there have been so far. */
+    /**
+     * Proposed by the holder. Renews its lease for another full duration.
+     *
+     * @param renewals number of renewals so far
+     */
     record RenewLease(String lease, long token, long renewals) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -35,7 +40,11 @@
         }
     }
 
-    /** By the holder, which has stopped acting. {@code successor}: the next holder, or empty for any. */
+    /**
+     * Proposed by the holder after it has stopped acting by the lease. Releases the lease.
+     *
+     * @param successor the next holder; empty for any member
+     */
     record ReleaseLease(String lease, long token, String successor) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -43,7 +52,11 @@
         }
     }
 
-    /** The holder of this token is to release the lease to {@code preferredHolder}, or to any member if that is empty. */
+    /**
+     * Requests that the holder of this token releases the lease.
+     *
+     * @param preferredHolder member to which it releases the lease; empty for any member
+     */
     record RequestTransfer(String lease, long token, String preferredHolder) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -51,7 +64,10 @@
         }
     }
 
-    /** By the leader: the member has not been heard for long ({@code absent}), or is heard again. */
+    /**
+     * Proposed by the leader. Reports that it has not heard from the member for a long time ({@code absent}), or that
+     * it hears from the member again.
+     */
     record ReportAbsence(String member, boolean absent) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -60,11 +76,11 @@
     }
 
     /**
-     * By an operator: the cache is drained.
+     * Issued by an operator. Drains the cache.
      *
-     * @param atUnixMs      when the operator said so, Unix milliseconds
+     * @param atUnixMs      time at which the operator issued the command, Unix milliseconds
      * @param expectedEntry entry of the last operator command on this cache that the proposer has applied, 0 for none;
-     *                      the command is rejected if there is a later one
+     *                      the command is rejected if the members have agreed on a later operator command since
      */
     record DrainCache(String target, long atUnixMs, long expectedEntry) implements Command {
         @Override
@@ -73,7 +89,7 @@
         }
     }
 
-    /** By an operator: the cache may serve again. Components as in {@link DrainCache}. */
+    /** Issued by an operator. Allows the cache to serve again. For the components see {@link DrainCache}. */
     record ReinstateCache(String target, long atUnixMs, long expectedEntry) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -81,7 +97,10 @@
         }
     }
 
-    /** By an operator: drain the cache as soon as the maintenance budget allows it. See {@link DrainCache}. */
+    /**
+     * Issued by an operator. Requests that the cache is drained as soon as the maintenance budget allows it. For the
+     * components see {@link DrainCache}.
+     */
     record RequestMaintenance(String target, String zone, long atUnixMs, long expectedEntry) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -89,7 +108,7 @@
         }
     }
 
-    /** By the holder of the maintenance lease: the cache of this request is drained from now on. */
+    /** Proposed by the holder of the maintenance lease. Grants a request, which drains its cache. */
     record GrantMaintenance(String target, long request, long token, long atUnixMs) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -98,9 +117,10 @@
     }
 
     /**
-     * Removes a maintenance request, and reinstates its cache if it was granted.
+     * Removes a maintenance request, and reinstates its cache if the request was granted.
      *
-     * @param token that of the maintenance lease; or 0, by the member that has requested it and while it is not granted
+     * @param token fencing token of the maintenance lease; or 0 if the member at which the request was made cancels it
+     *              before the grant
      */
     record CancelMaintenance(String target, long request, long token, long atUnixMs) implements Command {
         @Override
@@ -109,7 +129,11 @@
         }
     }
 
-    /** The proposer could use this much more quota, in thousandths of one director's share; 0 or less for none. */
+    /**
+     * Requests quota for the proposer beyond what it has. Replaces the proposer's open request.
+     *
+     * @param thousandths thousandths of one director's share; 0 or less withdraws the open request
+     */
     record RequestQuota(long thousandths) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -118,10 +142,10 @@
     }
 
     /**
-     * By the holder of the quota lease.
+     * Proposed by the holder of the quota lease. Grants quota to a member for a limited time.
      *
-     * @param requestEntry entry of the quota request that this answers
-     * @param pool         thousandths that may be granted to all members at once
+     * @param requestEntry entry of the quota request that this grant answers
+     * @param pool         maximum total of the grants to all members, in thousandths
      */
     record GrantQuota(String grantee, long requestEntry, long thousandths, long token, long pool) implements Command {
         @Override
@@ -130,7 +154,7 @@
         }
     }
 
-    /** By the holder of the quota lease: the grant of this entry has expired at its grantee for certain. */
+    /** Proposed by the holder of the quota lease. Releases a grant that has certainly expired at its grantee. */
     record ReleaseQuota(long grant, long token) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -138,7 +162,7 @@
         }
     }
 
-    /** Whether the proposer takes leases: not while it drains or stands by. */
+    /** Reports whether the proposer takes leases. It does not while it drains or is on standby. */
     record SetEligibility(boolean eligible) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -146,7 +170,10 @@
         }
     }
 
-    /** What the proposer has lately seen of each site. The state keeps none of it; each member judges by it. */
+    /**
+     * Reports what the proposer has recently observed of each site. The state keeps nothing of it; each member passes
+     * it to its own failure detector.
+     */
     record ReportSiteObservation(Map<String, SiteObservation> observations) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -154,7 +181,7 @@
         }
     }
 
-    /** By the holder of the sites lease. */
+    /** Proposed by the holder of the sites lease. Changes the status of one site. */
     record ChangeSiteStatus(SiteStatusChange change, long token) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -162,7 +189,7 @@
         }
     }
 
-    /** By the holder of the sites lease: where the load of lost sites goes. */
+    /** Proposed by the holder of the sites lease. Publishes the plan of where the load of lost sites goes. */
     record PublishFailoverPlan(FailoverPlan plan, long token) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -171,7 +198,7 @@
     }
 
     /**
-     * By an operator: the site is kept from recovering ({@code paused}), or may recover.
+     * Issued by an operator. Prevents the site from recovering ({@code paused}), or allows it to recover again.
      *
      * @param expectedEntry entry of the last change of this site's status that the proposer has applied
      */
@@ -182,7 +209,10 @@
         }
     }
 
-    /** By an operator: the load of this site is moved away step by step. See {@link PauseSiteRecovery}. */
+    /**
+     * Issued by an operator. Moves the load of this site away step by step. For the components see
+     * {@link PauseSiteRecovery}.
+     */
     record StartFailoverDrill(String site, long expectedEntry) implements Command {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -190,7 +220,7 @@
         }
     }
 
-    /** A command with the member that proposes it and the number that this member has given to it. */
+    /** A command with the member that proposes it, and the number that this member has given the command. */
     record Envelope(String proposer, long id, Command command) {}
 
     /** One method for each kind of command. */
--- a/src/main/java/pewtercourse/lease/CommandCodec.java
+++ b/src/main/java/pewtercourse/lease/CommandCodec.java
@@ -3,11 +3,11 @@
 import com.google.protobuf.InvalidProtocolBufferException;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Between commands and their stored form in the log. */
+/** Encodes commands into the form in which the log stores them, and decodes them. */
 public final class CommandCodec {
     private CommandCodec() {}
 
-    /** The stored form, which is also the one between members. */
+    /** Encodes a command into its stored form, which is also the form in which members send it to each other. */
     public static byte[] encode(Command.Envelope envelope) {
         LeaseWire.Command.Builder wire =
                 LeaseWire.Command.newBuilder().setProposer(envelope.proposer()).setId(envelope.id());
@@ -15,9 +15,9 @@
     }
 
     /**
-     * Reads a command.
+     * Decodes a command.
      *
-     * @throws InvalidProtocolBufferException if the bytes are no command, or one of a later version
+     * @throws InvalidProtocolBufferException if the bytes are not a command, or are a command of a later version
      */
     public static Command.Envelope decode(byte[] bytes) throws InvalidProtocolBufferException {
         LeaseWire.Command wire = LeaseWire.Command.parseFrom(bytes);
@@ -47,7 +47,7 @@
             case PUBLISH_FAILOVER_PLAN -> publishFailoverPlan(wire.getPublishFailoverPlan());
             case PAUSE_SITE_RECOVERY -> pauseSiteRecovery(wire.getPauseSiteRecovery());
             case START_FAILOVER_DRILL -> startFailoverDrill(wire.getStartFailoverDrill());
-            case KIND_NOT_SET -> throw new InvalidProtocolBufferException("a command of a later version");
+            case KIND_NOT_SET -> throw new InvalidProtocolBufferException("unknown kind of command: it comes from a later version");
         };
     }
 
--- a/src/main/java/pewtercourse/lease/CommandEncoder.java
+++ b/src/main/java/pewtercourse/lease/CommandEncoder.java
@@ -2,7 +2,7 @@
 
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Writes a command into its stored form. Used for one command. */
+/** Encodes one command into its stored form. Each command needs a new encoder. */
 final class CommandEncoder implements Command.Visitor<LeaseWire.Command.Builder> {
     private final LeaseWire.Command.Builder wire;
 
--- a/src/main/java/pewtercourse/lease/CommandOutcome.java
+++ b/src/main/java/pewtercourse/lease/CommandOutcome.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** What applying an agreed command has come to: the same at every member. */
+/** The outcome of applying an agreed command. It is the same at every member. */
 public sealed interface CommandOutcome {
     /** The command took effect, or its effect was there already. */
     CommandOutcome APPLIED = new Applied();
@@ -10,18 +10,21 @@
     /** Whether the command took effect, or its effect was there already. */
     boolean isApplied();
 
-    /** Whether the same command, made anew from the state as it is now, can succeed. */
+    /**
+     * Whether the command was rejected only because the state has changed: proposed again with the current state's
+     * entries, the same command can succeed.
+     */
     boolean isSuperseded();
 
-    /** The text for operators; empty if the command was applied. */
+    /** The reason of the rejection, as a text for operators; empty if the command was applied. */
     Optional<String> rejectionText();
 
-    /** A rejection that concerns nothing in particular. */
+    /** A rejection without a subject. */
     static CommandOutcome rejected(RejectionReason reason) {
         return new Rejected(reason, "");
     }
 
-    /** A rejection about {@code subject}: the limit that is reached, or the name that is wrong. */
+    /** A rejection about {@code subject}: the limit that was reached, or the name that is wrong. */
     static CommandOutcome rejected(RejectionReason reason, Object subject) {
         return new Rejected(reason, subject.toString());
     }
@@ -44,7 +47,7 @@
         }
     }
 
-    /** The command changed nothing. */
+    /** The command was rejected and changed nothing. */
     record Rejected(RejectionReason reason, String subject) implements CommandOutcome {
         @Override
         public boolean isApplied() {
--- a/src/main/java/pewtercourse/lease/CommandSigner.java
+++ b/src/main/java/pewtercourse/lease/CommandSigner.java
@@ -1,6 +1,6 @@
 package pewtercourse.lease;
 
-/** Numbers this member's commands, so that it knows its own when they are agreed. */
+/** Numbers this member's commands, so that the member recognizes its own commands once they are agreed. */
 final class CommandSigner {
     private final String member;
     private long nextId;
--- a/src/main/java/pewtercourse/lease/DefaultCommandVisitor.java
+++ b/src/main/java/pewtercourse/lease/DefaultCommandVisitor.java
@@ -1,6 +1,6 @@
 package pewtercourse.lease;
 
-/** A visitor for those that treat a few kinds of command, and all others alike. */
+/** A visitor that handles a few kinds of command, and treats all other kinds alike. */
 public interface DefaultCommandVisitor<R> extends Command.Visitor<R> {
     /** Called for each kind of command whose own method is not overridden. */
     R other(Command command);
--- a/src/main/java/pewtercourse/lease/DrainTable.java
+++ b/src/main/java/pewtercourse/lease/DrainTable.java
@@ -7,16 +7,16 @@
 import pewtercourse.lease.wire.LeaseWire;
 
 /**
- * Caches that are drained, caches that were reinstated, each with its time in Unix milliseconds, and the order of the
- * operators' commands on each cache. All tables are bounded.
+ * The drained and the reinstated caches, each with the time of the change in Unix milliseconds, and the last operator
+ * command on each cache. The size of each map is limited.
  */
 final class DrainTable {
     private static final int MAX_TARGETS = 1_024;
-    private static final int MAX_COMMANDS = 4_096;
+    private static final int MAX_LAST_COMMANDS = 4_096;
 
     private final Map<String, Long> drained = new TreeMap<>();
     private final Map<String, Long> reinstated = new TreeMap<>();
-    private final Map<String, Long> lastCommands = new TreeMap<>(); // By cache: the entry of the last operator command.
+    private final Map<String, Long> lastCommands = new TreeMap<>(); // Entries, by cache.
     private long revision;
 
     Map<String, Long> drained() {
@@ -27,19 +27,20 @@
         return Collections.unmodifiableMap(reinstated);
     }
 
-    /** Changes of the two tables since this object was made. */
+    /** How often the drained and the reinstated caches have changed since this object was created. */
     long revision() {
         return revision;
     }
 
-    /** The entry of the last operator command on a cache, 0 where none is known any more. */
+    /** The entry of the last operator command on a cache; 0 if there was none, or if its record was evicted. */
     long lastCommand(String target) {
         return lastCommands.getOrDefault(target, 0L);
     }
 
     /**
-     * Applies an operator's command on a cache, unless another one came after the one that its proposer knew: then it is
-     * a late or repeated copy, and would undo what an operator has been told since.
+     * Applies an operator's command on a cache, unless its proposer did not know the last operator command on that
+     * cache. In that case the command is a late or repeated copy, and would undo the effect of a later command that was
+     * already reported to an operator.
      */
     CommandOutcome applyInOrder(long entry, String target, long expectedEntry, Supplier<CommandOutcome> command) {
         if (lastCommand(target) != expectedEntry) {
@@ -48,7 +49,7 @@
         CommandOutcome outcome = command.get();
         if (outcome.isApplied()) {
             lastCommands.put(target, entry);
-            if (lastCommands.size() > MAX_COMMANDS) {
+            if (lastCommands.size() > MAX_LAST_COMMANDS) {
                 removeOldest(lastCommands);
             }
         }
@@ -79,25 +80,26 @@
         return CommandOutcome.APPLIED;
     }
 
-    private static void removeOldest(Map<String, Long> timed) {
-        timed.remove(
-                Collections.min(timed.entrySet(), Map.Entry.comparingByValue()).getKey());
+    /** Removes the cache with the smallest value, that is with the earliest time or log entry. */
+    private static void removeOldest(Map<String, Long> byTarget) {
+        byTarget.remove(
+                Collections.min(byTarget.entrySet(), Map.Entry.comparingByValue()).getKey());
     }
 
     void writeTo(LeaseWire.Snapshot.Builder snapshot) {
-        drained.forEach((target, at) -> snapshot.addDrained(timed(target, at)));
-        reinstated.forEach((target, at) -> snapshot.addReinstated(timed(target, at)));
+        drained.forEach((target, atUnixMs) -> snapshot.addDrained(timedTarget(target, atUnixMs)));
+        reinstated.forEach((target, atUnixMs) -> snapshot.addReinstated(timedTarget(target, atUnixMs)));
         lastCommands.forEach((target, entry) -> snapshot.addOperatorCommand(
                 LeaseWire.OperatorCommand.newBuilder().setTarget(target).setEntry(entry)));
     }
 
-    private static LeaseWire.TimedTarget.Builder timed(String target, long atUnixMs) {
+    private static LeaseWire.TimedTarget.Builder timedTarget(String target, long atUnixMs) {
         return LeaseWire.TimedTarget.newBuilder().setTarget(target).setAtUnixMs(atUnixMs);
     }
 
     void readFrom(LeaseWire.Snapshot snapshot) {
-        snapshot.getDrainedList().forEach(timed -> drained.put(timed.getTarget(), timed.getAtUnixMs()));
-        snapshot.getReinstatedList().forEach(timed -> reinstated.put(timed.getTarget(), timed.getAtUnixMs()));
+        snapshot.getDrainedList().forEach(cache -> drained.put(cache.getTarget(), cache.getAtUnixMs()));
+        snapshot.getReinstatedList().forEach(cache -> reinstated.put(cache.getTarget(), cache.getAtUnixMs()));
         snapshot.getOperatorCommandList().forEach(command -> lastCommands.put(command.getTarget(), command.getEntry()));
     }
 }
--- a/src/main/java/pewtercourse/lease/FailoverCodec.java
+++ b/src/main/java/pewtercourse/lease/FailoverCodec.java
@@ -15,13 +15,13 @@
 import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Between what members agree on sites and its stored form. */
+/** Encodes the agreed state of the sites, and the commands that change it, into their stored form, and decodes them. */
 final class FailoverCodec {
     private FailoverCodec() {}
 
     static LeaseWire.ReportSiteObservation encode(Command.ReportSiteObservation command) {
         LeaseWire.ReportSiteObservation.Builder wire = LeaseWire.ReportSiteObservation.newBuilder();
-        // Sorted, so that equal commands have equal bytes.
+        // Sorted, so that equal commands are encoded to equal bytes.
         new TreeMap<>(command.observations())
                 .forEach((site, observation) -> wire.addObservation(encode(site, observation)));
         return wire.build();
@@ -73,28 +73,28 @@
         return new Command.ChangeSiteStatus(
                 new SiteStatusChange(
                         wire.getSite(),
-                        constant(SiteStatus.Phase.class, wire.getPhase()),
-                        constant(SiteHealth.class, wire.getHealth()),
+                        parseEnum(SiteStatus.Phase.class, wire.getPhase()),
+                        parseEnum(SiteHealth.class, wire.getHealth()),
                         wire.getStep(),
                         wire.getFlaps(),
                         wire.getExpectedEntry()),
                 wire.getToken());
     }
 
-    private static <E extends Enum<E>> E constant(Class<E> type, String name) throws InvalidProtocolBufferException {
+    private static <E extends Enum<E>> E parseEnum(Class<E> type, String name) throws InvalidProtocolBufferException {
         try {
             return Enum.valueOf(type, name);
         } catch (IllegalArgumentException e) {
-            throw new InvalidProtocolBufferException("'" + name + "' is of a later version");
+            throw new InvalidProtocolBufferException("unknown value '" + name + "': it comes from a later version");
         }
     }
 
     static LeaseWire.FailoverPlan encode(FailoverPlan plan) {
         LeaseWire.FailoverPlan.Builder wire = LeaseWire.FailoverPlan.newBuilder();
-        plan.cases().forEach((key, shares) -> {
+        plan.cases().forEach((key, distributions) -> {
             LeaseWire.LossScenario.Builder scenario =
                     LeaseWire.LossScenario.newBuilder().setKey(key);
-            shares.forEach((site, share) -> scenario.addShares(encode(site, share)));
+            distributions.forEach((site, distribution) -> scenario.addShares(encode(site, distribution)));
             wire.addScenario(scenario);
         });
         return wire.build();
@@ -105,28 +105,28 @@
                 LeaseWire.SiteShares.newBuilder().setSite(site).setRejected(distribution.rejected());
         distribution
                 .allocations()
-                .forEach(part -> wire.addTarget(LeaseWire.TargetShare.newBuilder()
-                        .setSite(part.site())
-                        .setWork(part.load())
-                        .setMaxWork(part.max())));
+                .forEach(allocation -> wire.addTarget(LeaseWire.TargetShare.newBuilder()
+                        .setSite(allocation.site())
+                        .setWork(allocation.load())
+                        .setMaxWork(allocation.max())));
         return wire.build();
     }
 
     static FailoverPlan decode(LeaseWire.FailoverPlan wire) {
         SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> scenarios = new TreeMap<>();
         wire.getScenarioList().forEach(scenario -> {
-            SortedMap<String, FailoverPlan.Distribution> bySite = new TreeMap<>();
-            scenario.getSharesList().forEach(shares -> bySite.put(shares.getSite(), decode(shares)));
-            scenarios.put(scenario.getKey(), bySite);
+            SortedMap<String, FailoverPlan.Distribution> distributions = new TreeMap<>();
+            scenario.getSharesList().forEach(shares -> distributions.put(shares.getSite(), decode(shares)));
+            scenarios.put(scenario.getKey(), distributions);
         });
         return new FailoverPlan(scenarios);
     }
 
     private static FailoverPlan.Distribution decode(LeaseWire.SiteShares wire) {
-        List<FailoverPlan.Allocation> parts = wire.getTargetList().stream()
+        List<FailoverPlan.Allocation> allocations = wire.getTargetList().stream()
                 .map(target -> new FailoverPlan.Allocation(target.getSite(), target.getWork(), target.getMaxWork()))
                 .toList();
-        return new FailoverPlan.Distribution(parts, wire.getRejected());
+        return new FailoverPlan.Distribution(allocations, wire.getRejected());
     }
 
     static void encode(FailoverState failover, LeaseWire.Snapshot.Builder snapshot) {
@@ -158,8 +158,8 @@
 
     private static SiteStatus decode(LeaseWire.SiteStatus wire) throws InvalidProtocolBufferException {
         return new SiteStatus(
-                constant(SiteStatus.Phase.class, wire.getPhase()),
-                constant(SiteHealth.class, wire.getHealth()),
+                parseEnum(SiteStatus.Phase.class, wire.getPhase()),
+                parseEnum(SiteHealth.class, wire.getHealth()),
                 wire.getStep(),
                 wire.getFlaps(),
                 wire.getHeld(),
--- a/src/main/java/pewtercourse/lease/Lease.java
+++ b/src/main/java/pewtercourse/lease/Lease.java
@@ -5,9 +5,9 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * A lease at the member that holds it, by that member's own clock in microseconds. Its time counts from before the
- * renewal was proposed, so that it ends here before any other member takes it to be over; it is renewed after a third of
- * it. The holder reads {@link #token} before each act.
+ * A lease as the member that holds it sees it. Times are microseconds of that member's own clock. The lease runs from
+ * just before its renewal was proposed, so that it ends here before any other member considers it expired. It is
+ * renewed after a third of its duration. The holder reads {@link #validToken} before each act.
  */
 final class Lease {
     private static final int MAX_PENDING_RENEWALS = 16;
@@ -17,8 +17,8 @@
     private final long token;
     private final Map<Long, Long> renewalProposedAt = new LinkedHashMap<>(); // By the number of the command.
     private long validUntil = Long.MIN_VALUE;
-    private long renewAt = Long.MIN_VALUE;
-    private long releaseAt = Long.MIN_VALUE;
+    private long proposeRenewalAt = Long.MIN_VALUE;
+    private long proposeReleaseAt = Long.MIN_VALUE;
     private boolean released;
 
     Lease(LeaseSettings settings, long token) {
@@ -31,43 +31,47 @@
         return token;
     }
 
-    /** The fencing token, or 0: the holder must not act now. */
+    /** The fencing token, or 0 if the holder must not act now. */
     long validToken(long now) {
         return !released && now < validUntil ? token : 0;
     }
 
-    /** Microseconds until it ends, 0 if it has. */
+    /** Microseconds until the lease ends; 0 if it has ended or was released. */
     long remainingMicros(long now) {
         return released ? 0 : Math.max(0, validUntil - now);
     }
 
-    /** Whether to propose a renewal now. */
+    /** Whether a renewal has to be proposed now. */
     boolean isRenewalDue(long now) {
-        return !released && now >= renewAt;
+        return !released && now >= proposeRenewalAt;
     }
 
-    /** A renewal is proposed by the command of this number. */
-    void renewalProposed(long now, long commandId) {
+    /** Records that a renewal is proposed now by the command of this number. */
+    void onRenewalProposed(long now, long commandId) {
         if (renewalProposedAt.size() >= MAX_PENDING_RENEWALS) {
             renewalProposedAt.remove(renewalProposedAt.keySet().iterator().next());
         }
         renewalProposedAt.put(commandId, now);
-        renewAt = now + settings.retryMicros();
+        proposeRenewalAt = now + settings.retryMicros();
     }
 
-    /** The renewal of this number was applied; {@code start} gives the time from which it counts. */
-    void renewed(long commandId, LongUnaryOperator start) {
+    /**
+     * Extends the lease, because the renewal of this command number was applied.
+     *
+     * @param validityStart gives the time from which the renewal counts, from the time at which it was proposed
+     */
+    void onRenewalApplied(long commandId, LongUnaryOperator validityStart) {
         Long proposedAt = renewalProposedAt.remove(commandId);
         if (proposedAt == null) {
-            return; // It is not known when it was proposed: it extends nothing.
+            return; // The time of the proposal is unknown, so the renewal cannot extend the lease.
         }
-        long startsAt = start.applyAsLong(proposedAt);
+        long startsAt = validityStart.applyAsLong(proposedAt);
         validUntil = Math.max(validUntil, startsAt + settings.usableMicros());
-        renewAt = startsAt + settings.durationMicros() / RENEWALS_PER_LEASE;
+        proposeRenewalAt = startsAt + settings.durationMicros() / RENEWALS_PER_LEASE;
         renewalProposedAt.clear();
     }
 
-    /** From now on the member does not act by it. */
+    /** Forbids the member to act by this lease from now on. */
     void release() {
         released = true;
     }
@@ -76,12 +80,12 @@
         return released;
     }
 
-    /** Whether to propose the release now, for the first time or again; then it counts as proposed. */
+    /** Whether the release has to be proposed now, for the first time or again. If so, records it as proposed. */
     boolean tryProposeRelease(long now) {
-        boolean due = now >= releaseAt;
-        if (due) {
-            releaseAt = now + settings.retryMicros();
+        boolean isDue = now >= proposeReleaseAt;
+        if (isDue) {
+            proposeReleaseAt = now + settings.retryMicros();
         }
-        return due;
+        return isDue;
     }
 }
--- a/src/main/java/pewtercourse/lease/LeaseAssigner.java
+++ b/src/main/java/pewtercourse/lease/LeaseAssigner.java
@@ -11,16 +11,18 @@
 import java.util.TreeSet;
 
 /**
- * The leader's part: assigns vacant leases to members that it hears, spread by rendezvous hashing (Thaler and
- * Ravishankar, 1998) with no more than an equal share for each, moves a lease back only to a member that it has heard
- * without a break for long, and reports absent members. Times are microseconds of the member's own clock.
+ * The leader's part in the leases. It assigns vacant leases to active members, spread by rendezvous hashing (Thaler and
+ * Ravishankar, 1998) with no more than an equal share for each member, and reports absent members. It moves a lease
+ * back to the member where the hashing places it only after all candidates have been active without a break for a long
+ * time. Times are microseconds of the member's own clock.
  */
 final class LeaseAssigner {
-    // All in lease durations: not heard for so long a member is reported absent, heard for so long present again, and
-    // heard for so long it counts as stable.
-    private static final double ABSENT_LEASES = 2;
-    private static final double PRESENT_LEASES = 1;
-    private static final double STABLE_LEASES = 10;
+    // A member that was silent for this many lease durations is reported absent.
+    private static final double ABSENT_AFTER_DURATIONS = 2;
+    // An absent member that was active for this many lease durations is reported present again.
+    private static final double PRESENT_AFTER_DURATIONS = 1;
+    // A member that was active without a break for this many lease durations counts as stable.
+    private static final double STABLE_AFTER_DURATIONS = 10;
 
     private enum Kind {
         ABSENCE,
@@ -28,29 +30,33 @@
         TRANSFER
     }
 
-    /** What a command is about; only one transfer is under way at a time. */
-    private record Topic(Kind kind, String subject) {
-        static final Topic TRANSFER = new Topic(Kind.TRANSFER, "");
+    /** Commands with equal keys throttle each other. All transfers have the same key, so that only one is proposed. */
+    private record ThrottleKey(Kind kind, String subject) {
+        static final ThrottleKey TRANSFER = new ThrottleKey(Kind.TRANSFER, "");
     }
 
     private final LeaseSettings settings;
     private final Map<String, Long> activeSince = new HashMap<>();
     private final Map<String, Long> silentSince = new HashMap<>();
-    private final RetryThrottle<Topic> throttle;
+    private final RetryThrottle<ThrottleKey> throttle;
 
     LeaseAssigner(LeaseSettings settings) {
         this.settings = settings;
         this.throttle = new RetryThrottle<>(settings.retryMicros());
     }
 
-    /** This member does not lead, or no longer: what it knew of the others is void. */
+    /** Forgets what this member knew of the others, because it does not lead, or no longer leads. */
     void reset() {
         activeSince.clear();
         silentSince.clear();
         throttle.clear();
     }
 
-    /** What the leader proposes now; {@code active}: members that answered lately. */
+    /**
+     * Returns the commands that the leader proposes now.
+     *
+     * @param active members that answered recently
+     */
     List<Command> orders(long now, ClusterState state, LeaseWatch watch, Set<String> members, Set<String> active) {
         trackActivity(now, members, active);
         throttle.expire(now);
@@ -80,21 +86,21 @@
     private void reportAbsences(long now, ClusterState state, Set<String> members, List<Command> orders) {
         for (String member : members) {
             boolean absent = state.absentMembers().contains(member);
-            Long since = absent ? activeSince.get(member) : silentSince.get(member);
-            double leases = absent ? PRESENT_LEASES : ABSENT_LEASES;
-            if (since != null && now - since > leases * settings.durationMicros()) {
+            Long activityChangedAt = absent ? activeSince.get(member) : silentSince.get(member);
+            double durations = absent ? PRESENT_AFTER_DURATIONS : ABSENT_AFTER_DURATIONS;
+            if (activityChangedAt != null && now - activityChangedAt > durations * settings.durationMicros()) {
                 reportAbsence(now, member, !absent, orders);
             }
         }
         for (String member : state.absentMembers()) {
             if (!members.contains(member)) {
-                reportAbsence(now, member, false, orders); // It was removed from the cluster.
+                reportAbsence(now, member, false, orders); // The member was removed from the cluster.
             }
         }
     }
 
     private void reportAbsence(long now, String member, boolean absent, List<Command> orders) {
-        if (throttle.tryPropose(new Topic(Kind.ABSENCE, member), now)) {
+        if (throttle.tryPropose(new ThrottleKey(Kind.ABSENCE, member), now)) {
             orders.add(new Command.ReportAbsence(member, absent));
         }
     }
@@ -120,7 +126,7 @@
             LeaseRecord lease = state.lease(name);
             if (isVacant(lease, watch.ageMicros(now, name))) {
                 String holder = newHolder(name, lease, candidates, holders);
-                if (throttle.tryPropose(new Topic(Kind.ASSIGNMENT, name), now)) {
+                if (throttle.tryPropose(new ThrottleKey(Kind.ASSIGNMENT, name), now)) {
                     orders.add(new Command.AssignLease(name, holder, lease.token(), lease.renewals()));
                     holders.put(name, holder);
                 }
@@ -128,8 +134,8 @@
         }
     }
 
-    // A lease that was assigned and not taken up is not in force: only a renewal begins it, and the state rejects that
-    // renewal once the lease is assigned anew.
+    // An assigned lease comes into force only with its first renewal. It can be assigned again soon if that
+    // renewal does not come, because the state then rejects the renewal of the earlier holder.
     private boolean isVacant(LeaseRecord lease, long ageMicros) {
         long expiryMicros = lease.renewals() == 0 ? 2 * settings.retryMicros() : settings.expiryMicros();
         return !lease.isHeld() || ageMicros > expiryMicros;
@@ -138,37 +144,41 @@
     private String newHolder(String name, LeaseRecord lease, Set<String> candidates, Map<String, String> holders) {
         Map<String, String> otherHolders = new TreeMap<>(holders);
         otherHolders.remove(name);
-        Set<String> preferred = new TreeSet<>(candidates);
-        if (preferred.size() > 1) {
-            // The last holder has released it, let it lapse, or not taken it up.
-            preferred.remove(lease.isHeld() ? lease.holder() : lease.preferredHolder());
+        Set<String> preferredCandidates = new TreeSet<>(candidates);
+        if (preferredCandidates.size() > 1) {
+            // The last holder has released the lease, let it expire, or never taken it up.
+            preferredCandidates.remove(lease.isHeld() ? lease.holder() : lease.preferredHolder());
         }
-        return placement(name, preferred, otherHolders);
+        return placement(name, preferredCandidates, otherHolders);
     }
 
-    /** Moves one lease to where placement wants it, while all leases are in force and all candidates are stable. */
+    /**
+     * Requests the transfer of one lease to the member that placement selects for it, but only while all leases are in
+     * force and all candidates are stable.
+     */
     private void rebalance(
             long now, ClusterState state, Set<String> candidates, Map<String, String> holders, List<Command> orders) {
-        if (!isQuiet(state, candidates) || !candidates.stream().allMatch(member -> isStable(now, member))) {
+        if (!areLeasesSettled(state, candidates) || !candidates.stream().allMatch(member -> isStable(now, member))) {
             return;
         }
-        Map<String, String> wanted = new TreeMap<>();
+        Map<String, String> desiredHolders = new TreeMap<>();
         for (String name : new TreeSet<>(settings.leaseNames())) {
-            wanted.put(name, placement(name, candidates, wanted));
+            desiredHolders.put(name, placement(name, candidates, desiredHolders));
         }
-        for (Map.Entry<String, String> placed : wanted.entrySet()) {
-            String name = placed.getKey();
-            if (!placed.getValue().equals(holders.get(name))) {
-                if (throttle.tryPropose(Topic.TRANSFER, now)) {
+        for (Map.Entry<String, String> desired : desiredHolders.entrySet()) {
+            String name = desired.getKey();
+            if (!desired.getValue().equals(holders.get(name))) {
+                if (throttle.tryPropose(ThrottleKey.TRANSFER, now)) {
                     orders.add(
-                            new Command.RequestTransfer(name, state.lease(name).token(), placed.getValue()));
+                            new Command.RequestTransfer(name, state.lease(name).token(), desired.getValue()));
                 }
                 return;
             }
         }
     }
 
-    private boolean isQuiet(ClusterState state, Set<String> candidates) {
+    /** Whether every lease is in force at a candidate, and no transfer is requested. */
+    private boolean areLeasesSettled(ClusterState state, Set<String> candidates) {
         return settings.leaseNames().stream()
                 .map(state::lease)
                 .allMatch(lease ->
@@ -176,26 +186,29 @@
     }
 
     private boolean isStable(long now, String member) {
-        return now - activeSince.getOrDefault(member, now) >= STABLE_LEASES * settings.durationMicros();
+        return now - activeSince.getOrDefault(member, now) >= STABLE_AFTER_DURATIONS * settings.durationMicros();
     }
 
-    /** By rendezvous hashing among the members that hold fewer leases than an equal share. */
+    /**
+     * Selects a member by rendezvous hashing, among the members that hold fewer leases than an equal share; the first
+     * member if there is none.
+     */
     private String placement(String lease, Set<String> members, Map<String, String> holders) {
         int equalShare = (settings.leaseNames().size() + members.size() - 1) / members.size();
-        String best = null;
-        long highest = 0;
+        String selectedMember = null;
+        long highestWeight = 0;
         for (String member : members) {
-            long leases = holders.values().stream().filter(member::equals).count();
+            long leaseCount = holders.values().stream().filter(member::equals).count();
             long weight = hash(lease + '\0' + member) >>> 1;
-            if (leases < equalShare && (best == null || weight > highest)) {
-                best = member;
-                highest = weight;
+            if (leaseCount < equalShare && (selectedMember == null || weight > highestWeight)) {
+                selectedMember = member;
+                highestWeight = weight;
             }
         }
-        return best == null ? members.iterator().next() : best;
+        return selectedMember == null ? members.iterator().next() : selectedMember;
     }
 
-    // FNV-1a, then the finalizer of SplitMix64: the first alone hardly mixes the last letters.
+    // FNV-1a, then the finalizer of SplitMix64, because FNV-1a alone hardly mixes the last letters.
     private static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (byte letter : text.getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/pewtercourse/lease/LeaseManager.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -14,16 +14,16 @@
 import pewtercourse.failover.Sites;
 
 /**
- * One member's part in the leases: agreed commands come in, in order, and commands that are to be agreed go out. A pure
- * core without sockets or clock: {@code now} is microseconds of the member's own monotonic clock. Proposed commands may
- * be lost; they are proposed again. Confined to the thread that applies the log.
+ * One member's part in the leases. It takes in agreed commands in the order of the log, and returns commands for the
+ * members to agree on. It uses no sockets and no clock: {@code now} is microseconds of the member's own monotonic
+ * clock. Proposed commands may be lost, and are then proposed again. Confined to the thread that applies the log.
  */
 public final class LeaseManager {
     /**
-     * What a member sees of the cluster at a tick.
+     * What a member knows of the cluster at a tick.
      *
-     * @param active members that answered lately; null where this member does not lead
-     * @param unixMs Unix milliseconds, for what operators read
+     * @param active members that answered recently; null if this member does not lead
+     * @param unixMs current time in Unix milliseconds, for times that operators read
      */
     public record View(Set<String> members, Set<String> active, long unixMs) {}
 
@@ -44,11 +44,11 @@
     private long orderCount;
 
     /**
-     * Creates the manager of a member that holds nothing and has applied nothing.
+     * Creates the manager of a member that holds no lease and has applied no command.
      *
-     * @param firstId  number of its first command; drawn at random, so that those of two runs do not meet
-     * @param zoneOf   zone of a cache, "" where it is not known
-     * @param zoneSize caches listed in a zone
+     * @param firstId  number of its first command; drawn at random, so that the numbers of two runs do not overlap
+     * @param zoneOf   gives the zone of a cache, or "" if the zone is unknown
+     * @param zoneSize gives the number of caches listed in a zone
      */
     public LeaseManager(
             LeaseSettings settings,
@@ -66,39 +66,43 @@
         this.ownQuota = new OwnQuota(settings, member, signer);
     }
 
-    /** The sites as they are configured from now on. */
+    /** Replaces the configured sites. */
     public void configureSites(long now, Sites configured) {
         sites.configure(now, configured, state);
     }
 
-    /** The command that reports what this member has lately seen of each site. */
+    /** Returns the command that reports what this member has recently observed of each site. */
     public Command.Envelope reportObservations(Map<String, SiteObservation> observations) {
         return signer.sign(new Command.ReportSiteObservation(observations));
     }
 
-    /** What a failover plan is to be computed from; empty if none is due, or this member does not hold the sites lease. */
+    /**
+     * Returns the input for computing a failover plan; empty if no plan is due, or if this member does not hold the
+     * sites lease.
+     */
     public Optional<FailoverPlanRequest> planInput(long now) {
         return validToken(LeaseNames.SITES, now) == 0 ? Optional.empty() : sites.planInput(now, state);
     }
 
-    /** The failover plan from the last {@link #planInput}. */
+    /** Takes the failover plan that was computed from the last {@link #planInput}. */
     public void planComputed(long now, FailoverPlan plan) {
         sites.planComputed(now, plan);
     }
 
-    /** Transfers at once that each site's clients ask for, as last reported. */
+    /** The load of each site, that is the concurrent transfers that its clients ask for, as last reported. */
     public Map<String, Double> siteLoads() {
         return sites.loads();
     }
 
     /**
-     * Counts leases and quota grants from another time than when they were proposed. Unsafe: for baselines, and to see
-     * invariant checks fail.
+     * Counts leases and quota grants from another time than that of the proposal. Unsafe: use it only for baselines,
+     * and to show that invariant checks fail.
      *
-     * @param start gives the start from when the command was proposed and when it was applied
+     * @param validityStart gives the start of the validity, from the times at which the command was proposed and
+     *                      applied
      */
-    public void countValidityFrom(LongBinaryOperator start) {
-        validityStart = start;
+    public void countValidityFrom(LongBinaryOperator validityStart) {
+        this.validityStart = validityStart;
     }
 
     /** The replicated state as this member has applied it. */
@@ -106,30 +110,30 @@
         return state;
     }
 
-    /** Replaces the state by that of a snapshot. */
+    /** Replaces the state with that of a snapshot. */
     public void restore(long now, ClusterState snapshot) {
         state = snapshot;
         ownQuota.reset();
-        follow(now);
+        onStateChanged(now);
     }
 
     /** Applies the command of the next log entry. */
     public CommandOutcome apply(long now, long index, Command.Envelope envelope) {
         CommandOutcome outcome = state.apply(index, envelope);
         if (outcome.isApplied()) {
-            envelope.command().accept(new AppliedCommand(now, index, envelope));
+            envelope.command().accept(new AppliedCommandHandler(now, index, envelope));
         }
-        follow(now);
+        onStateChanged(now);
         return outcome;
     }
 
-    private void follow(long now) {
-        watch.follow(now, state);
-        maintenance.follow(now, state);
-        quotaAllocator.follow(now, state);
-        sites.follow(now, state);
-        ownLeases.follow(state);
-        ownQuota.follow(state);
+    private void onStateChanged(long now) {
+        watch.onStateChanged(now, state);
+        maintenance.onStateChanged(now, state);
+        quotaAllocator.onStateChanged(now, state);
+        sites.onStateChanged(now, state);
+        ownLeases.onStateChanged(state);
+        ownQuota.onStateChanged(state);
     }
 
     /** The fencing token with which this member may act by a lease at this moment, or 0. */
@@ -137,43 +141,52 @@
         return ownLeases.validToken(lease, now);
     }
 
-    /** Microseconds left of this member's lease, 0 for none. */
+    /** Microseconds until this member's lease ends; 0 if it does not hold the lease. */
     public long remainingMicros(String lease, long now) {
         return ownLeases.remainingMicros(lease, now);
     }
 
-    /** Whether there is no lease left to hand over. */
+    /** Whether this member holds no lease, so that none is left to hand over. */
     public boolean holdsNoLease() {
         return ownLeases.isEmpty();
     }
 
-    /** Orders that this member has given as a lease holder since it started. */
+    /** Number of orders that this member has given as a lease holder since it started. */
     public long orderCount() {
         return orderCount;
     }
 
-    /** Whether this member takes leases: not while it drains or stands by. Otherwise it releases those that it holds. */
+    /**
+     * Sets whether this member takes leases. It does not while it drains or is on standby; then it also releases the
+     * leases that it holds.
+     */
     public void setEligible(boolean eligible) {
         this.eligible = eligible;
         eligibilityRetryAt = Long.MIN_VALUE;
     }
 
-    /** Gives a command the name of this member and a number. */
+    /** Wraps a command with the name of this member and the next command number. */
     public Command.Envelope sign(Command command) {
         return signer.sign(command);
     }
 
-    /** This director's quota now, in thousandths of its share: 1,000 where quota is not divided. */
+    /** This director's quota now, in thousandths of its share; 1,000 if quota is not divided. */
     public long quotaThousandths(long now) {
         return ownQuota.thousandths(now);
     }
 
-    /** Requests so many thousandths more; empty where there is nothing to request, or it was requested just now. */
+    /**
+     * Returns the request for this many thousandths more; empty if there is nothing to request, or if the last request
+     * is more recent than the retry interval.
+     */
     public Optional<Command.Envelope> requestQuota(long now, long thousandths) {
         return ownQuota.request(now, thousandths, state);
     }
 
-    /** What this member proposes now. Called every few milliseconds, and after commands were applied. */
+    /**
+     * Returns the commands that this member proposes now. Called every few milliseconds, and after commands were
+     * applied.
+     */
     public List<Command.Envelope> tick(long now, View view) {
         List<Command.Envelope> proposals = new ArrayList<>();
         proposeEligibility(now, proposals);
@@ -189,14 +202,15 @@
     }
 
     private void proposeEligibility(long now, List<Command.Envelope> proposals) {
-        boolean agreed = !state.ineligibleMembers().contains(member);
-        if (eligible != agreed && now >= eligibilityRetryAt) {
+        boolean isAgreedEligible = !state.ineligibleMembers().contains(member);
+        if (eligible != isAgreedEligible && now >= eligibilityRetryAt) {
             eligibilityRetryAt = now + settings.retryMicros();
             proposals.add(sign(new Command.SetEligibility(eligible)));
         }
     }
 
-    // Tokens are read here, right before the orders: the process may have been stopped for long since the last tick.
+    // The tokens are read right before the orders, because the process may have been suspended for a long time
+    // since the last tick.
     private void proposeOrders(long now, View view, List<Command.Envelope> proposals) {
         List<Command> orders = new ArrayList<>();
         long maintenanceToken = validToken(LeaseNames.MAINTENANCE, now);
@@ -216,13 +230,13 @@
         orders.forEach(command -> proposals.add(sign(command)));
     }
 
-    /** What this member notes of a command that was applied. */
-    private final class AppliedCommand implements DefaultCommandVisitor<Void> {
+    /** Updates this member's own leases, its quota and its failure detector after a command was applied. */
+    private final class AppliedCommandHandler implements DefaultCommandVisitor<Void> {
         private final long now;
         private final long entry;
         private final Command.Envelope envelope;
 
-        AppliedCommand(long now, long entry, Command.Envelope envelope) {
+        AppliedCommandHandler(long now, long entry, Command.Envelope envelope) {
             this.now = now;
             this.entry = entry;
             this.envelope = envelope;
@@ -232,14 +246,14 @@
             return envelope.proposer().equals(member);
         }
 
-        private long start(long proposedAt) {
+        private long validityStartFor(long proposedAt) {
             return validityStart.applyAsLong(proposedAt, now);
         }
 
         @Override
         public Void renewLease(Command.RenewLease command) {
             if (isOwn()) {
-                ownLeases.renewed(command, envelope.id(), this::start);
+                ownLeases.onRenewalApplied(command, envelope.id(), this::validityStartFor);
             }
             return null;
         }
@@ -247,20 +261,20 @@
         @Override
         public Void requestQuota(Command.RequestQuota command) {
             if (isOwn()) {
-                ownQuota.requested(entry, envelope.id());
+                ownQuota.onRequestApplied(entry, envelope.id());
             }
             return null;
         }
 
         @Override
         public Void grantQuota(Command.GrantQuota command) {
-            ownQuota.granted(entry, command, this::start);
+            ownQuota.onGrantApplied(entry, command, this::validityStartFor);
             return null;
         }
 
         @Override
         public Void reportSiteObservation(Command.ReportSiteObservation command) {
-            sites.observed(now, envelope.proposer(), command.observations());
+            sites.onObservationsApplied(now, envelope.proposer(), command.observations());
             return null;
         }
 
--- a/src/main/java/pewtercourse/lease/LeaseNames.java
+++ b/src/main/java/pewtercourse/lease/LeaseNames.java
@@ -4,8 +4,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The leases that this version knows. In the log, in snapshots and between members they keep the names of the first
- * version: members of different versions work together during a rolling upgrade, and stored data stays readable.
+ * The names of the leases that this version knows. The log, snapshots and messages between members keep the names of
+ * the first version, so that members of different versions work together during a rolling upgrade and stored data stays
+ * readable.
  */
 public final class LeaseNames {
     /** Its holder decides when caches may be drained for maintenance. */
--- a/src/main/java/pewtercourse/lease/LeaseRecord.java
+++ b/src/main/java/pewtercourse/lease/LeaseRecord.java
@@ -1,14 +1,15 @@
 package pewtercourse.lease;
 
 /**
- * What is agreed on one lease.
+ * The agreed state of one lease.
  *
- * @param holder            member that holds it; empty if nobody does
- * @param token             fencing token, growing over all leases; 0 if it was never assigned
- * @param renewals          0 while it is assigned and not taken up yet
- * @param transferRequested whether the holder is to release it, to {@code preferredHolder} or, if that is empty, to any
- * @param preferredHolder   see above; of a lease that nobody holds, who has just released it and gets it back only if
- *                          there is no other
+ * @param holder            member that holds the lease; empty if no member holds it
+ * @param token             fencing token, which grows over all leases; 0 if the lease was never assigned
+ * @param renewals          number of renewals; 0 until the holder takes up the lease
+ * @param transferRequested whether the holder has to release the lease
+ * @param preferredHolder   if a transfer is requested, the member to which the holder releases the lease, or empty for
+ *                          any member; if no member holds the lease, the member that has just released it and gets it
+ *                          back only if there is no other
  */
 public record LeaseRecord(String holder, long token, long renewals, boolean transferRequested, String preferredHolder) {
     static final LeaseRecord NEVER_ASSIGNED = assigned("", 0);
@@ -25,11 +26,11 @@
         return new LeaseRecord(holder, token, renewals + 1, transferRequested, preferredHolder);
     }
 
-    LeaseRecord transferTo(String preferred) {
+    LeaseRecord withTransferRequested(String preferred) {
         return new LeaseRecord(holder, token, renewals, true, preferred);
     }
 
-    /** Whether some member holds it, by the agreed state; its time may be over. */
+    /** Whether a member holds the lease by the agreed state. The lease may have expired nevertheless. */
     public boolean isHeld() {
         return !holder.isEmpty();
     }
--- a/src/main/java/pewtercourse/lease/LeaseSettings.java
+++ b/src/main/java/pewtercourse/lease/LeaseSettings.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /**
- * How leases are held and what their holders decide.
+ * The durations of leases, and the limits by which their holders decide.
  *
- * @param durationMicros    how long a lease is held after its holder proposed the renewal, microseconds
- * @param clockDrift        greatest difference of two members' clock rates, as a share
- * @param retryMicros       after how long a command that showed no effect is proposed again, microseconds
- * @param leaseNames        the leases that are assigned
- * @param maintenanceBudget null where maintenance is not limited
- * @param quotaPolicy       null where quota is not divided
+ * @param durationMicros    duration of a lease from the proposal of its renewal, microseconds
+ * @param clockDrift        maximum relative difference between the clock rates of two members
+ * @param retryMicros       time after which a command without effect is proposed again, microseconds
+ * @param leaseNames        names of the leases that are assigned
+ * @param maintenanceBudget null if maintenance is not limited
+ * @param quotaPolicy       null if quota is not divided
  */
 public record LeaseSettings(
         long durationMicros,
@@ -23,33 +23,35 @@
     static final long FULL_SHARE = 1_000;
 
     /**
-     * How many caches of a zone may be drained at once.
+     * The limit on how many caches of a zone are drained for maintenance at the same time, and for how long.
      *
-     * @param maxDrained     caches, or 0 where {@code maxShare} counts
-     * @param maxShare       share of the zone's caches, at least one cache
-     * @param maxDrainMicros after how long a drained cache is reinstated, microseconds
-     * @param queues         whether requests beyond the budget wait, or are turned down
+     * @param maxDrained     maximum number of drained caches; 0 if {@code maxShare} applies instead
+     * @param maxShare       maximum share of the zone's caches; it always allows one cache
+     * @param maxDrainMicros time after which a drained cache is reinstated, microseconds
+     * @param queues         whether requests beyond the budget wait; otherwise they are rejected
      */
     public record MaintenanceBudget(int maxDrained, double maxShare, long maxDrainMicros, boolean queues) {
-        /** Caches that may be drained at once in a zone of this many caches. */
+        /** Maximum number of caches that may be drained at the same time in a zone of {@code zoneSize} caches. */
         public int limit(int zoneSize) {
             return maxDrained > 0 ? maxDrained : Math.max(1, (int) (maxShare * zoneSize));
         }
     }
 
     /**
-     * How quota is divided. The clock drift of leases holds for grants too.
+     * How quota is divided among the directors. The clock drift of the lease settings applies to grants too.
      *
-     * @param reservedThousandths what each director keeps without a request, in thousandths of its share
-     * @param grantMicros         the longest grant, microseconds
+     * @param reservedThousandths quota that each director keeps without a request, in thousandths of its share
+     * @param grantMicros         maximum duration of a grant, microseconds
      */
     public record QuotaPolicy(long reservedThousandths, long grantMicros) {
-        /** How long the grantee may use a grant after it requested it, microseconds. */
+        /** How long the grantee may use a grant, counted from its request, microseconds. */
         long usableMicros(double clockDrift) {
             return (long) (grantMicros * (1 - clockDrift));
         }
 
-        /** After how long the others take a grant that they have seen to be over, microseconds. */
+        /**
+         * Time after which the other members consider a grant expired, counted from when they applied it, microseconds.
+         */
         long expiryMicros(double clockDrift) {
             return (long) (grantMicros * (1 + clockDrift));
         }
@@ -60,12 +62,15 @@
         return quotaPolicy == null ? FULL_SHARE : quotaPolicy.reservedThousandths();
     }
 
-    /** How long a holder may act after it proposed the renewal, microseconds. */
+    /** How long a holder may act by its lease, counted from the proposal of the renewal, microseconds. */
     public long usableMicros() {
         return (long) (durationMicros * (1 - clockDrift));
     }
 
-    /** After how long the others take a lease to be over, counted from when they applied its renewal, microseconds. */
+    /**
+     * Time after which the other members consider a lease expired, counted from when they applied its renewal,
+     * microseconds.
+     */
     public long expiryMicros() {
         return (long) (durationMicros * (1 + clockDrift));
     }
--- a/src/main/java/pewtercourse/lease/LeaseTable.java
+++ b/src/main/java/pewtercourse/lease/LeaseTable.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** The agreed leases by name, and the source of fencing tokens, which grow over all leases. */
+/** Stores the agreed leases by name, and issues the fencing tokens, which grow over all leases. */
 final class LeaseTable {
     private final SortedMap<String, LeaseRecord> leases = new TreeMap<>();
     private long lastToken;
@@ -14,11 +14,11 @@
         return leases.getOrDefault(name, LeaseRecord.NEVER_ASSIGNED);
     }
 
-    SortedMap<String, LeaseRecord> all() {
+    SortedMap<String, LeaseRecord> byName() {
         return Collections.unmodifiableSortedMap(leases);
     }
 
-    /** Whether this is the lease's last fencing token. */
+    /** Whether this is the latest fencing token of the lease. */
     boolean isCurrent(String lease, long token) {
         return get(lease).token() == token;
     }
@@ -57,7 +57,7 @@
         if (lease.token() != command.token() || !lease.isHeld()) {
             return CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN);
         }
-        leases.put(command.lease(), lease.transferTo(command.preferredHolder()));
+        leases.put(command.lease(), lease.withTransferRequested(command.preferredHolder()));
         return CommandOutcome.APPLIED;
     }
 
--- a/src/main/java/pewtercourse/lease/LeaseWatch.java
+++ b/src/main/java/pewtercourse/lease/LeaseWatch.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * How long leases have stood unchanged by this member's own clock, in microseconds: counted from when it applied the last
- * renewal, which is later than when the holder proposed it. So clocks are never compared (Gray and Cheriton, "Leases",
- * 1989).
+ * Tracks how long each lease has stood unchanged, in microseconds of this member's own clock. The time counts from when
+ * this member applied the last renewal, which is later than when the holder proposed it. The clocks of two members are
+ * therefore never compared (Gray and Cheriton, "Leases", 1989).
  */
 final class LeaseWatch {
-    private record Seen(long token, long renewals, long at) {}
+    private record Observation(long token, long renewals, long observedAt) {}
 
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, Observation> observations = new HashMap<>();
 
-    /** The state after an entry was applied at {@code now}, or was read from a snapshot. */
-    void follow(long now, ClusterState state) {
+    /** Called after an entry was applied at {@code now}, or after the state was read from a snapshot. */
+    void onStateChanged(long now, ClusterState state) {
         state.leases().forEach((name, lease) -> {
-            Seen last = seen.get(name);
-            if (last == null || last.token() != lease.token() || last.renewals() != lease.renewals()) {
-                seen.put(name, new Seen(lease.token(), lease.renewals(), now));
+            Observation lastObservation = observations.get(name);
+            if (lastObservation == null || lastObservation.token() != lease.token() || lastObservation.renewals() != lease.renewals()) {
+                observations.put(name, new Observation(lease.token(), lease.renewals(), now));
             }
         });
     }
 
-    /** Microseconds since the lease was last renewed or assigned, 0 for one that was never seen. */
+    /** Microseconds since this member saw the lease renewed, assigned or released last; 0 if it never saw the lease. */
     long ageMicros(long now, String lease) {
-        Seen last = seen.get(lease);
-        return last == null ? 0 : now - last.at();
+        Observation lastObservation = observations.get(lease);
+        return lastObservation == null ? 0 : now - lastObservation.observedAt();
     }
 }
--- a/src/main/java/pewtercourse/lease/MaintenanceScheduler.java
+++ b/src/main/java/pewtercourse/lease/MaintenanceScheduler.java
@@ -9,18 +9,24 @@
 import java.util.function.ToIntFunction;
 
 /**
- * The orders of the holder of the maintenance lease: grants requests in their order while the maintenance budget of the
- * cache's zone allows it, cancels grants that last too long, and requests whose member is absent. Every member follows
- * the state, so that a new holder need not begin anew. Times are microseconds of the member's own clock.
+ * Gives the orders of the holder of the maintenance lease. It grants requests in their order while the maintenance
+ * budget of the cache's zone allows it. It cancels grants that last too long, and open requests of members that are
+ * absent. Every member tracks when grants began, so that a new holder need not count their time from the start again.
+ * Times are microseconds of the member's own clock.
  */
 final class MaintenanceScheduler {
     private final LeaseSettings settings;
     private final Function<String, String> zoneOf;
     private final ToIntFunction<String> zoneSize;
-    private final RetryThrottle<Long> throttle; // By request.
-    private final Map<Long, Long> grantSeenAt = new HashMap<>(); // By request.
+    private final RetryThrottle<Long> throttle; // By request number.
+    private final Map<Long, Long> grantSeenAt = new HashMap<>(); // By request number.
 
-    /** {@code zoneOf} a cache, "" where it is not known; {@code zoneSize}: caches listed in a zone. */
+    /**
+     * Creates the scheduler of a member.
+     *
+     * @param zoneOf   gives the zone of a cache, or "" if the zone is unknown
+     * @param zoneSize gives the number of caches listed in a zone
+     */
     MaintenanceScheduler(LeaseSettings settings, Function<String, String> zoneOf, ToIntFunction<String> zoneSize) {
         this.settings = settings;
         this.zoneOf = zoneOf;
@@ -28,8 +34,8 @@
         this.throttle = new RetryThrottle<>(settings.retryMicros());
     }
 
-    /** The state after a change: notes when this member first sees each grant. */
-    void follow(long now, ClusterState state) {
+    /** Called after the state has changed. Records when this member first sees each grant. */
+    void onStateChanged(long now, ClusterState state) {
         grantSeenAt.keySet().retainAll(state.maintenanceRequests().keySet());
         throttle.retain(state.maintenanceRequests().keySet());
         for (MaintenanceRequest request : state.maintenanceRequests().values()) {
@@ -39,7 +45,7 @@
         }
     }
 
-    /** What the holder of this fencing token orders now. */
+    /** Returns the orders that the holder of this fencing token gives now. */
     List<Command> orders(long now, long unixMs, long token, ClusterState state) {
         throttle.expire(now);
         List<Command> orders = new ArrayList<>();
@@ -54,14 +60,14 @@
     }
 
     private Map<String, Integer> drainedByZone(ClusterState state) {
-        Map<String, Integer> drained = new HashMap<>();
+        Map<String, Integer> drainedByZone = new HashMap<>();
         for (String target : state.drainedCaches().keySet()) {
             String zone = state.maintenanceRequestFor(target)
                     .map(MaintenanceRequest::zone)
                     .orElseGet(() -> zoneOf.apply(target));
-            drained.merge(zone, 1, Integer::sum);
+            drainedByZone.merge(zone, 1, Integer::sum);
         }
-        return drained;
+        return drainedByZone;
     }
 
     private Optional<Command> order(
@@ -76,7 +82,7 @@
         }
         String zone = request.zone();
         if (!request.granted() && drainedByZone.getOrDefault(zone, 0) < limit(zone)) {
-            // What is ordered and not agreed yet counts as drained.
+            // A grant that is proposed but not agreed yet counts as drained.
             drainedByZone.merge(zone, 1, Integer::sum);
             return Optional.of(new Command.GrantMaintenance(request.target(), request.number(), token, unixMs));
         }
--- a/src/main/java/pewtercourse/lease/MaintenanceTable.java
+++ b/src/main/java/pewtercourse/lease/MaintenanceTable.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** The open maintenance requests by their number, that is in the order in which they were made. */
+/** Stores the open maintenance requests by number, which is the order in which they were made. */
 final class MaintenanceTable {
     private static final int MAX_REQUESTS = 1_024;
 
@@ -55,7 +55,7 @@
         }
         CommandOutcome outcome = drains.drain(command.target(), command.atUnixMs());
         if (outcome.isApplied()) {
-            requests.put(command.request(), request.grant());
+            requests.put(command.request(), request.asGranted());
         }
         return outcome;
     }
--- a/src/main/java/pewtercourse/lease/MemberTable.java
+++ b/src/main/java/pewtercourse/lease/MemberTable.java
@@ -5,9 +5,11 @@
 import java.util.TreeSet;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Members that take no leases for now, and members that the leader has not heard for long. */
+/**
+ * The members that do not take leases at present, and the members that the leader has not heard from for a long time.
+ */
 final class MemberTable {
-    // Bounds what members can make the state keep.
+    // Limits how many names the members can add to the state.
     private static final int MAX_MEMBERS = 64;
 
     private final Set<String> ineligible = new TreeSet<>();
--- a/src/main/java/pewtercourse/lease/OwnQuota.java
+++ b/src/main/java/pewtercourse/lease/OwnQuota.java
@@ -7,8 +7,9 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * This member's quota: requests more of it, and counts a grant from before it was requested, by the member's own clock
- * in microseconds, so that it ends here before the holder of the quota lease grants it to another member.
+ * The quota of this member. It requests more quota, and counts the time of a grant from just before the request. Times
+ * are microseconds of the member's own clock. The grant therefore ends here before the holder of the quota lease grants
+ * the same quota to another member.
  */
 final class OwnQuota {
     private record TimedGrant(long usableUntil, long thousandths) {}
@@ -16,9 +17,9 @@
     private final LeaseSettings settings;
     private final String member;
     private final CommandSigner signer;
-    private final Map<Long, Long> proposedAt = new HashMap<>(); // By the number of the command.
-    private final Map<Long, Long> requestedAt = new HashMap<>(); // By the entry of the request.
-    private final Map<Long, TimedGrant> grants = new TreeMap<>(); // By the entry of the grant.
+    private final Map<Long, Long> proposedAtByCommandId = new HashMap<>();
+    private final Map<Long, Long> proposedAtByRequestEntry = new HashMap<>();
+    private final Map<Long, TimedGrant> grants = new TreeMap<>(); // By the log entry of the grant.
     private long nextRequestAt = Long.MIN_VALUE;
 
     OwnQuota(LeaseSettings settings, String member, CommandSigner signer) {
@@ -27,39 +28,46 @@
         this.signer = signer;
     }
 
-    /** The state was replaced: which requests the grants in it answer is not known any more. */
+    /**
+     * Forgets the grants and the applied request, because the state was replaced: it is no longer known which requests
+     * the grants in the new state answer.
+     */
     void reset() {
         grants.clear();
-        requestedAt.clear();
+        proposedAtByRequestEntry.clear();
     }
 
-    /** Drops grants that are not in force any more. */
-    void follow(ClusterState state) {
+    /** Called after the state has changed. Drops grants that are no longer in force. */
+    void onStateChanged(ClusterState state) {
         grants.keySet().retainAll(state.quotaGrants().keySet());
     }
 
-    /** This member's request of this number was applied as log entry {@code entry}. */
-    void requested(long entry, long commandId) {
-        Long at = proposedAt.remove(commandId);
-        if (at != null) {
-            requestedAt.clear();
-            requestedAt.put(entry, at);
+    /** Called after this member's request of this number was applied as log entry {@code entry}. */
+    void onRequestApplied(long entry, long commandId) {
+        Long proposedAt = proposedAtByCommandId.remove(commandId);
+        if (proposedAt != null) {
+            proposedAtByRequestEntry.clear();
+            proposedAtByRequestEntry.put(entry, proposedAt);
         }
     }
 
-    /** A grant was applied as log entry {@code entry}; {@code start} gives the time from which it counts. */
-    void granted(long entry, Command.GrantQuota command, LongUnaryOperator start) {
+    /**
+     * Called after a grant to any member was applied as log entry {@code entry}.
+     *
+     * @param validityStart gives the time from which the grant counts, from the time at which its request was proposed
+     */
+    void onGrantApplied(long entry, Command.GrantQuota command, LongUnaryOperator validityStart) {
         if (!command.grantee().equals(member) || settings.quotaPolicy() == null) {
             return;
         }
-        Long at = requestedAt.remove(command.requestEntry());
-        if (at != null) {
+        Long proposedAt = proposedAtByRequestEntry.remove(command.requestEntry());
+        if (proposedAt != null) {
             long usableMicros = settings.quotaPolicy().usableMicros(settings.clockDrift());
-            grants.put(entry, new TimedGrant(start.applyAsLong(at) + usableMicros, command.thousandths()));
+            grants.put(entry, new TimedGrant(validityStart.applyAsLong(proposedAt) + usableMicros, command.thousandths()));
         }
     }
 
-    /** What it keeps and what it was granted, in thousandths of its share. */
+    /** The reserved quota and the valid grants together, in thousandths of this director's share. */
     long thousandths(long now) {
         return settings.reservedThousandths()
                 + grants.values().stream()
@@ -68,7 +76,10 @@
                         .sum();
     }
 
-    /** Requests so many thousandths more; empty where there is nothing to request, or it was requested just now. */
+    /**
+     * Returns the request for this many thousandths more; empty if there is nothing to request, or if the last request
+     * is more recent than the retry interval.
+     */
     Optional<Command.Envelope> request(long now, long thousandths, ClusterState state) {
         if (settings.quotaPolicy() == null || now < nextRequestAt) {
             return Optional.empty();
@@ -77,9 +88,9 @@
             return Optional.empty();
         }
         nextRequestAt = now + settings.retryMicros();
-        proposedAt.clear();
+        proposedAtByCommandId.clear();
         Command.Envelope request = signer.sign(new Command.RequestQuota(thousandths));
-        proposedAt.put(request.id(), now);
+        proposedAtByCommandId.put(request.id(), now);
         return Optional.of(request);
     }
 }
--- a/src/main/java/pewtercourse/lease/QuotaRequest.java
+++ b/src/main/java/pewtercourse/lease/QuotaRequest.java
@@ -1,9 +1,9 @@
 package pewtercourse.lease;
 
 /**
- * Quota that a member could use beyond its own.
+ * A member's request for quota beyond what it has.
  *
- * @param entry       entry of the request
- * @param thousandths of one director's share
+ * @param entry       log entry of the request
+ * @param thousandths amount, in thousandths of one director's share
  */
 public record QuotaRequest(long entry, long thousandths) {}
--- a/src/main/java/pewtercourse/lease/QuotaTable.java
+++ b/src/main/java/pewtercourse/lease/QuotaTable.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** The open quota requests by member, and the quota grants in force by the entry that made them. */
+/** Stores the open quota requests by member, and the quota grants in force by the log entry that made them. */
 final class QuotaTable {
     private static final int MAX_REQUESTS = 64;
     private static final int MAX_GRANTS = 256;
@@ -27,7 +27,7 @@
         return Collections.unmodifiableSortedMap(grants);
     }
 
-    /** Thousandths of one director's share that are granted now. */
+    /** Total quota that is granted now, in thousandths of one director's share. */
     long grantedThousandths() {
         return grants.values().stream().mapToLong(QuotaGrant::thousandths).sum();
     }
@@ -74,8 +74,8 @@
                 .setMember(member)
                 .setEntry(request.entry())
                 .setThousandths(request.thousandths())));
-        grants.forEach((number, grant) -> snapshot.addQuotaGrant(LeaseWire.QuotaGrant.newBuilder()
-                .setNumber(number)
+        grants.forEach((entry, grant) -> snapshot.addQuotaGrant(LeaseWire.QuotaGrant.newBuilder()
+                .setNumber(entry)
                 .setGrantee(grant.grantee())
                 .setRequestEntry(grant.requestEntry())
                 .setThousandths(grant.thousandths())));
--- a/src/main/java/pewtercourse/lease/RejectionReason.java
+++ b/src/main/java/pewtercourse/lease/RejectionReason.java
@@ -1,40 +1,48 @@
 package pewtercourse.lease;
 
-/** Why an agreed command had no effect, with the text that operators read. */
+/** Why an agreed command was rejected, with the text that operators read. */
 public enum RejectionReason {
-    /** The order carries the fencing token of an earlier holder. */
+    /**
+     * The command carries a fencing token that is not the latest of the lease, or its proposer does not hold the lease.
+     */
     STALE_FENCING_TOKEN("an older token"),
-    /** An operator's command that the proposer did not know was agreed first: proposed anew, it can succeed. */
+    /**
+     * The members agreed first on another operator's command, which the proposer did not know. The same command can
+     * succeed if it is proposed again.
+     */
     SUPERSEDED("another word on this was agreed first: call again"),
-    /** The lease that was to be assigned has been renewed or assigned since. */
+    /** The lease was renewed or assigned after the leader found it vacant. */
     LEASE_CHANGED("renewed or assigned meanwhile"),
-    /** This renewal has been applied before. */
+    /** This renewal was already applied. */
     ALREADY_RENEWED("renewed before"),
-    /** The member's eligibility or absence already is as reported. */
+    /** The member's eligibility or absence is already as reported. */
     MEMBER_STATUS_UNCHANGED("known"),
-    /** Too many members are ineligible or absent to record one more. */
+    /** The maximum number of ineligible or absent members is recorded already. */
     MEMBER_LIMIT_REACHED("known"),
-    /** The subject is the number of caches that may be drained at once. */
+    /** Too many caches are drained. The subject is the maximum number of drained caches. */
     DRAIN_LIMIT_REACHED("%s are out"),
-    /** The subject is the number of maintenance requests that may be open at once. */
+    /** Too many maintenance requests are open. The subject is the maximum number of open requests. */
     MAINTENANCE_REQUEST_LIMIT_REACHED("%s calls wait or are out"),
-    /** The maintenance request that was to be granted has been cancelled. */
+    /** The maintenance request to be granted was cancelled. */
     MAINTENANCE_REQUEST_CANCELLED("withdrawn meanwhile"),
-    /** The maintenance request that was to be cancelled is not there. */
+    /** The maintenance request to be cancelled does not exist any more. */
     MAINTENANCE_REQUEST_NOT_FOUND("withdrawn before"),
-    /** Only the holder of the maintenance lease, or the requester before the grant, may cancel a request. */
+    /**
+     * Only the holder of the maintenance lease, or before the grant the member that made the request, may cancel a
+     * request.
+     */
     CANCELLATION_NOT_PERMITTED("an older token, or another's ticket"),
     /** Too many members request quota. */
     QUOTA_REQUEST_LIMIT_REACHED("too many wishes"),
-    /** The quota request has been granted, replaced or withdrawn. */
+    /** The quota request was granted, replaced or withdrawn, or the amount of the grant is not positive. */
     QUOTA_REQUEST_NOT_FOUND("not wished for any more"),
-    /** The grant would exceed the pool, or the number of grants at once. */
+    /** The grant would exceed the pool, or the maximum number of grants. */
     QUOTA_LIMIT_REACHED("over what may be lent"),
-    /** The quota grant has been released before. */
+    /** The quota grant was already released. */
     QUOTA_ALREADY_RELEASED("settled before"),
-    /** The site's status has changed since the entry that this change builds on. */
+    /** The site's status has changed since the entry on which this change is based. */
     SITE_STATUS_CHANGED("another change of this site came first"),
-    /** The subject is a lease that no member holds. */
+    /** No member holds the lease. The subject is the name of the lease. */
     LEASE_NOT_HELD("nobody holds '%s'"),
     /** The subject is not the name of a member. */
     NOT_A_MEMBER("'%s' is no member");
@@ -45,7 +53,7 @@
         this.template = template;
     }
 
-    /** The text for operators about {@code subject}, which reasons without one ignore. */
+    /** The text for operators about {@code subject}; reasons without a subject ignore it. */
     String text(String subject) {
         return String.format(template, subject);
     }
--- a/src/main/java/pewtercourse/lease/RetryThrottle.java
+++ b/src/main/java/pewtercourse/lease/RetryThrottle.java
@@ -4,7 +4,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Lets the same command be proposed again only after the retry interval: what was proposed may still be agreed. */
+/**
+ * Allows the same command to be proposed again only after the retry interval, because the members may still agree on
+ * the earlier proposal.
+ */
 final class RetryThrottle<K> {
     private final long retryMicros;
     private final Map<K, Long> proposedAt = new HashMap<>();
@@ -13,12 +16,12 @@
         this.retryMicros = retryMicros;
     }
 
-    /** Forgets what was proposed so long ago that it may be proposed again. */
+    /** Forgets the proposals that are at least one retry interval old, so that they may be made again. */
     void expire(long now) {
-        proposedAt.values().removeIf(at -> now - at >= retryMicros);
+        proposedAt.values().removeIf(lastProposedAt -> now - lastProposedAt >= retryMicros);
     }
 
-    /** Whether the command of this key may be proposed now; then it counts as proposed. */
+    /** Whether the command of this key may be proposed now. If so, records it as proposed. */
     boolean tryPropose(K key, long now) {
         return proposedAt.putIfAbsent(key, now) == null;
     }
--- a/src/main/java/pewtercourse/lease/SiteCommands.java
+++ b/src/main/java/pewtercourse/lease/SiteCommands.java
@@ -34,14 +34,14 @@
     }
 
     CommandOutcome pauseRecovery(long entry, Command.PauseSiteRecovery command) {
-        return applied(failover.setHeld(entry, command.site(), command.paused(), command.expectedEntry()));
+        return appliedOrSuperseded(failover.setHeld(entry, command.site(), command.paused(), command.expectedEntry()));
     }
 
     CommandOutcome startDrill(long entry, Command.StartFailoverDrill command) {
-        return applied(failover.startDrill(entry, command.site(), command.expectedEntry()));
+        return appliedOrSuperseded(failover.startDrill(entry, command.site(), command.expectedEntry()));
     }
 
-    private static CommandOutcome applied(boolean changed) {
+    private static CommandOutcome appliedOrSuperseded(boolean changed) {
         return changed ? CommandOutcome.APPLIED : CommandOutcome.rejected(RejectionReason.SUPERSEDED);
     }
 
--- a/src/main/java/pewtercourse/lease/SiteOrders.java
+++ b/src/main/java/pewtercourse/lease/SiteOrders.java
@@ -12,47 +12,51 @@
 import pewtercourse.failover.Sites;
 
 /**
- * This member's failover controller. It follows what all members observe whether or not this member holds the sites
- * lease, and gives orders only while it does. Without configured sites it does nothing.
+ * Runs this member's failover controller. The controller takes in the observations of all members whether or not this
+ * member holds the sites lease, and gives orders only while this member holds it. Without configured sites it does
+ * nothing.
  */
 final class SiteOrders {
     private Optional<FailoverController> controller = Optional.empty();
 
-    /** The sites as they are configured from now on. */
+    /** Replaces the configured sites. */
     void configure(long now, Sites sites, ClusterState state) {
         controller = Optional.of(
                 controller.map(current -> current.withSites(sites)).orElseGet(() -> new FailoverController(sites)));
-        follow(now, state);
+        onStateChanged(now, state);
     }
 
-    void follow(long now, ClusterState state) {
+    void onStateChanged(long now, ClusterState state) {
         controller.ifPresent(current -> current.trackChanges(now, state.failover()));
     }
 
-    /** A member's observations were agreed. */
-    void observed(long now, String member, Map<String, SiteObservation> observations) {
+    /** Called after the report of a member's observations was applied. */
+    void onObservationsApplied(long now, String member, Map<String, SiteObservation> observations) {
         controller.ifPresent(current -> current.detector().observe(now, member, observations));
     }
 
-    /** What a failover plan is to be computed from; empty if none is due. Asked only by the holder of the lease. */
+    /**
+     * Returns the input for computing a failover plan; empty if no plan is due. Called only while this member holds the
+     * sites lease.
+     */
     Optional<FailoverPlanRequest> planInput(long now, ClusterState state) {
         return controller.flatMap(current -> current.requestPlan(now, state.failover()));
     }
 
-    /** The plan from the last {@link #planInput}. */
+    /** Takes the plan that was computed from the last {@link #planInput}. */
     void planComputed(long now, FailoverPlan plan) {
         controller.ifPresent(current -> current.planComputed(now, plan));
     }
 
-    /** Transfers at once that each site's clients ask for, as last reported. */
+    /** The load of each site, that is the concurrent transfers that its clients ask for, as last reported. */
     Map<String, Double> loads() {
-        Map<String, Double> none = Map.of();
+        Map<String, Double> noLoads = Map.of();
         return controller
                 .<Map<String, Double>>map(current -> current.detector().loads())
-                .orElse(none);
+                .orElse(noLoads);
     }
 
-    /** The orders of the holder of the sites lease with this fencing token. */
+    /** Returns the orders that the holder of the sites lease gives now with this fencing token. */
     List<Command> orders(long now, long token, ClusterState state, Set<String> members) {
         List<Command> orders = new ArrayList<>();
         controller.ifPresent(current -> {
