--- a/src/main/java/pewtercourse/lease/LeaseRecord.java
+++ b/src/main/java/pewtercourse/lease/LeaseRecord.java
@@ -4,7 +4,7 @@
  * The agreed state of one lease.
  *
  * @param holder            member that holds the lease; empty if no member holds it
- * @param token             fencing token, which grows over all leases; 0 if the lease was never assigned
+ * @param token             fencing token, from an increasing counter for all leases; 0 if the lease was never assigned
  * @param renewals          number of renewals; 0 until the holder takes up the lease
  * @param transferRequested whether the holder has to release the lease
  * @param preferredHolder   if a transfer is requested, the member to which the holder releases the lease, or empty for
--- a/src/main/java/pewtercourse/lease/LeaseTable.java
+++ b/src/main/java/pewtercourse/lease/LeaseTable.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Stores the agreed leases by name, and issues the fencing tokens, which grow over all leases. */
+/** Stores the agreed leases by name, and issues increasing fencing tokens from one counter for all leases. */
 final class LeaseTable {
     private final SortedMap<String, LeaseRecord> leases = new TreeMap<>();
     private long lastToken;
--- a/src/test/java/pewtercourse/lease/CommandStream.java
+++ b/src/test/java/pewtercourse/lease/CommandStream.java
@@ -17,9 +17,9 @@
 import pewtercourse.failover.SiteStatus;
 import pewtercourse.failover.SiteStatusChange;
 
-/** Draws commands, mostly valid ones, and applies them to one state. */
+/** Draws commands at random, most of them valid, applies them to one state, and hashes what that state returns. */
 final class CommandStream {
-    private static final int KINDS = 19;
+    private static final int KIND_COUNT = 19;
     private static final List<String> MEMBERS = List.of("d1", "d2", "d3", "d4");
     private static final List<String> SITES = List.of("east", "north", "west");
     private static final List<String> LEASES =
@@ -28,39 +28,39 @@
     private final TraceHash trace = new TraceHash();
     private final ClusterState state = new ClusterState();
     private final Random random;
-    private final Set<Integer> kinds;
-    private final Set<String> rejections;
+    private final Set<Integer> seenKinds;
+    private final Set<String> seenRejections;
     private long index;
-    private long id = 100;
+    private long nextCommandId = 100;
 
-    CommandStream(long seed, Set<Integer> kinds, Set<String> rejections) {
+    CommandStream(long seed, Set<Integer> seenKinds, Set<String> seenRejections) {
         this.random = new Random(seed);
-        this.kinds = kinds;
-        this.rejections = rejections;
+        this.seenKinds = seenKinds;
+        this.seenRejections = seenRejections;
     }
 
-    void randomCommands(int count) throws Exception {
+    void applyRandomCommands(int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            apply(MEMBERS.get(random.nextInt(MEMBERS.size())), draw(random.nextInt(KINDS)));
-            snapshot();
+            apply(MEMBERS.get(random.nextInt(MEMBERS.size())), drawCommand(random.nextInt(KIND_COUNT)));
+            hashSnapshot();
         }
     }
 
     private void apply(String proposer, Command command) throws Exception {
-        Command.Envelope envelope = new Command.Envelope(proposer, id++, command);
+        Command.Envelope envelope = new Command.Envelope(proposer, nextCommandId++, command);
         byte[] bytes = CommandCodec.encode(envelope);
         assertEquals(envelope, CommandCodec.decode(bytes));
-        kinds.add(TraceHash.kind(bytes));
+        seenKinds.add(TraceHash.kind(bytes));
         trace.bytes(bytes);
         index += 1 + random.nextInt(3);
         String outcome = TraceHash.outcomeText(state.apply(index, envelope));
         trace.text(outcome);
         if (!outcome.equals("done")) {
-            rejections.add(outcome);
+            seenRejections.add(outcome);
         }
     }
 
-    private void snapshot() throws Exception {
+    private void hashSnapshot() throws Exception {
         byte[] bytes = state.encode();
         trace.bytes(bytes);
         trace.number(state.drainRevision());
@@ -68,185 +68,187 @@
         trace.bytes(ClusterState.decode(bytes).encode());
     }
 
-    private Command draw(int kind) {
+    private Command drawCommand(int kind) {
         String target = "c" + random.nextInt(6);
         String lease = LEASES.get(random.nextInt(LEASES.size()));
         String member = MEMBERS.get(random.nextInt(MEMBERS.size()));
-        long atMs = 1_000L + random.nextInt(1_000);
+        long unixMs = 1_000L + random.nextInt(1_000);
         long amount = random.nextInt(400) - 20;
-        long renewals = mostly(state.lease(lease).renewals());
+        long renewals = mostlyCorrect(state.lease(lease).renewals());
         return switch (kind) {
-            case 0 -> new Command.AssignLease(lease, member, token(lease), renewals);
-            case 1 -> new Command.RenewLease(lease, token(lease), renewals);
-            case 2 -> new Command.ReleaseLease(lease, token(lease), random.nextBoolean() ? member : "");
-            case 3 -> new Command.DrainCache(target, atMs, mostly(state.lastOperatorCommand(target)));
-            case 4 -> new Command.ReinstateCache(target, atMs, mostly(state.lastOperatorCommand(target)));
+            case 0 -> new Command.AssignLease(lease, member, drawToken(lease), renewals);
+            case 1 -> new Command.RenewLease(lease, drawToken(lease), renewals);
+            case 2 -> new Command.ReleaseLease(lease, drawToken(lease), random.nextBoolean() ? member : "");
+            case 3 -> new Command.DrainCache(target, unixMs, mostlyCorrect(state.lastOperatorCommand(target)));
+            case 4 -> new Command.ReinstateCache(target, unixMs, mostlyCorrect(state.lastOperatorCommand(target)));
             case 5 ->
                 new Command.RequestMaintenance(
-                        target, "z" + random.nextInt(3), atMs, mostly(state.lastOperatorCommand(target)));
-            case 6 -> maintenance(target, true, atMs);
-            case 7 -> maintenance(target, false, atMs);
+                        target, "z" + random.nextInt(3), unixMs, mostlyCorrect(state.lastOperatorCommand(target)));
+            case 6 -> drawMaintenanceDecision(target, true, unixMs);
+            case 7 -> drawMaintenanceDecision(target, false, unixMs);
             case 8 -> new Command.RequestQuota(amount);
-            case 9 -> grantQuota(member, amount);
-            case 10 -> new Command.ReleaseQuota(some(state.quotaGrants()), token(LeaseNames.QUOTA));
+            case 9 -> drawQuotaGrant(member, amount);
+            case 10 -> new Command.ReleaseQuota(drawNumber(state.quotaGrants()), drawToken(LeaseNames.QUOTA));
             case 11 -> new Command.SetEligibility(random.nextInt(3) > 0);
-            case 12 -> new Command.RequestTransfer(lease, token(lease), random.nextBoolean() ? member : "");
+            case 12 -> new Command.RequestTransfer(lease, drawToken(lease), random.nextBoolean() ? member : "");
             case 13 -> new Command.ReportAbsence(member, random.nextInt(3) == 0);
-            case 14 -> new Command.ReportSiteObservation(Map.of(site(), observation()));
-            case 15 -> new Command.ChangeSiteStatus(statusChange(), token(LeaseNames.SITES));
-            case 16 -> new Command.PublishFailoverPlan(plan(), token(LeaseNames.SITES));
-            case 17 -> pauseSiteRecovery();
-            default -> startDrill();
+            case 14 -> new Command.ReportSiteObservation(Map.of(drawSite(), drawObservation()));
+            case 15 -> new Command.ChangeSiteStatus(drawStatusChange(), drawToken(LeaseNames.SITES));
+            case 16 -> new Command.PublishFailoverPlan(drawPlan(), drawToken(LeaseNames.SITES));
+            case 17 -> drawRecoveryPause();
+            default -> drawDrill();
         };
     }
 
-    private Command maintenance(String drawn, boolean grant, long atMs) {
-        long number = some(state.maintenanceRequests());
-        boolean known = state.maintenanceRequests().containsKey(number) && random.nextInt(5) > 0;
-        String target = known ? state.maintenanceRequests().get(number).target() : drawn;
-        long token = random.nextInt(4) == 0 ? 0 : token(LeaseNames.MAINTENANCE);
-        return grant
-                ? new Command.GrantMaintenance(target, number, token, atMs)
-                : new Command.CancelMaintenance(target, number, token, atMs);
+    private Command drawMaintenanceDecision(String drawnTarget, boolean isGrant, long unixMs) {
+        long number = drawNumber(state.maintenanceRequests());
+        boolean hasMatchingTarget = state.maintenanceRequests().containsKey(number) && random.nextInt(5) > 0;
+        String target = hasMatchingTarget ? state.maintenanceRequests().get(number).target() : drawnTarget;
+        long token = random.nextInt(4) == 0 ? 0 : drawToken(LeaseNames.MAINTENANCE);
+        return isGrant
+                ? new Command.GrantMaintenance(target, number, token, unixMs)
+                : new Command.CancelMaintenance(target, number, token, unixMs);
     }
 
-    private Command grantQuota(String member, long amount) {
+    private Command drawQuotaGrant(String member, long amount) {
         long requestEntry = state.quotaRequests().containsKey(member)
-                ? mostly(state.quotaRequests().get(member).entry())
+                ? mostlyCorrect(state.quotaRequests().get(member).entry())
                 : random.nextInt(50);
-        return new Command.GrantQuota(member, requestEntry, amount, token(LeaseNames.QUOTA), 1_000);
+        return new Command.GrantQuota(member, requestEntry, amount, drawToken(LeaseNames.QUOTA), 1_000);
     }
 
-    private SiteStatusChange statusChange() {
-        String site = site();
+    private SiteStatusChange drawStatusChange() {
+        String site = drawSite();
         return new SiteStatusChange(
                 site,
                 SiteStatus.Phase.values()[random.nextInt(SiteStatus.Phase.values().length)],
                 SiteHealth.values()[random.nextInt(SiteHealth.values().length)],
                 random.nextInt(4),
                 random.nextInt(5),
-                entry(site));
+                drawExpectedEntry(site));
     }
 
-    private Command pauseSiteRecovery() {
-        String site = site();
-        return new Command.PauseSiteRecovery(site, random.nextBoolean(), entry(site));
+    private Command drawRecoveryPause() {
+        String site = drawSite();
+        return new Command.PauseSiteRecovery(site, random.nextBoolean(), drawExpectedEntry(site));
     }
 
-    private Command startDrill() {
-        String site = site();
-        return new Command.StartFailoverDrill(site, entry(site));
+    private Command drawDrill() {
+        String site = drawSite();
+        return new Command.StartFailoverDrill(site, drawExpectedEntry(site));
     }
 
-    private long entry(String site) {
-        return mostly(state.failover().status(site).lastChangeIndex());
+    private long drawExpectedEntry(String site) {
+        return mostlyCorrect(state.failover().status(site).lastChangeIndex());
     }
 
-    private FailoverPlan plan() {
+    private FailoverPlan drawPlan() {
         SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         for (int i = random.nextInt(3); i >= 0; i--) {
-            SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
-            List<FailoverPlan.Allocation> parts = List.of(
-                    new FailoverPlan.Allocation(site(), random.nextDouble(), 1 + random.nextDouble()),
-                    new FailoverPlan.Allocation(site(), random.nextDouble(), 2 * random.nextDouble()));
-            shares.put(site(), new FailoverPlan.Distribution(parts, random.nextDouble()));
-            cases.put(site(), shares);
+            SortedMap<String, FailoverPlan.Distribution> distributions = new TreeMap<>();
+            List<FailoverPlan.Allocation> allocations = List.of(
+                    new FailoverPlan.Allocation(drawSite(), random.nextDouble(), 1 + random.nextDouble()),
+                    new FailoverPlan.Allocation(drawSite(), random.nextDouble(), 2 * random.nextDouble()));
+            distributions.put(drawSite(), new FailoverPlan.Distribution(allocations, random.nextDouble()));
+            cases.put(drawSite(), distributions);
         }
         return new FailoverPlan(cases);
     }
 
-    private String site() {
+    private String drawSite() {
         return SITES.get(random.nextInt(SITES.size()));
     }
 
-    private long token(String lease) {
-        return mostly(state.lease(lease).token());
+    private long drawToken(String lease) {
+        return mostlyCorrect(state.lease(lease).token());
     }
 
-    private long mostly(long right) {
-        return random.nextInt(5) == 0 ? Math.max(0, right + random.nextInt(5) - 2) : right;
+    /** The correct value, or sometimes a value close to it. */
+    private long mostlyCorrect(long correct) {
+        return random.nextInt(5) == 0 ? Math.max(0, correct + random.nextInt(5) - 2) : correct;
     }
 
-    private long some(Map<Long, ?> numbered) {
-        List<Long> numbers = List.copyOf(new TreeSet<>(numbered.keySet()));
-        return numbers.isEmpty() || random.nextInt(6) == 0
+    /** One of the given numbers, or sometimes any number up to the current index. */
+    private long drawNumber(Map<Long, ?> byNumber) {
+        List<Long> knownNumbers = List.copyOf(new TreeSet<>(byNumber.keySet()));
+        return knownNumbers.isEmpty() || random.nextInt(6) == 0
                 ? random.nextInt((int) index + 1)
-                : numbers.get(random.nextInt(numbers.size()));
+                : knownNumbers.get(random.nextInt(knownNumbers.size()));
     }
 
-    /** Exceeds each bound of the state, and hashes a snapshot only now and then: each is large. */
-    void exceedBounds() throws Exception {
+    /** Exceeds each limit of the state. Hashes a snapshot only after each part, because these snapshots are large. */
+    void exceedEachLimit() throws Exception {
         apply("d1", new Command.AssignLease(LeaseNames.QUOTA, "d1", 0, 0));
         apply("d1", new Command.AssignLease(LeaseNames.MAINTENANCE, "d1", 0, 0));
-        exceedDrainsAndMaintenanceRequests();
-        exceedReinstatedCaches();
-        exceedOperatorCommands();
-        exceedMembersAndQuotaRequests();
-        exceedQuotaGrants();
-        exceedSites();
+        exceedDrainAndMaintenanceRequestLimits();
+        exceedReinstatedCacheLimit();
+        exceedOperatorCommandLimit();
+        exceedMemberAndQuotaRequestLimits();
+        exceedQuotaGrantLimit();
+        exceedSiteLimit();
     }
 
-    private void exceedDrainsAndMaintenanceRequests() throws Exception {
+    private void exceedDrainAndMaintenanceRequestLimits() throws Exception {
         for (int i = 0; i < 1_030; i++) {
             apply("d1", new Command.DrainCache("out" + i, i, 0));
         }
-        snapshot();
+        hashSnapshot();
         for (int i = 0; i < 1_030; i++) {
             apply("d1", new Command.RequestMaintenance("asked" + i, "z", i, 0));
         }
-        snapshot();
-        long request = state.maintenanceRequests().firstKey();
-        String target = state.maintenanceRequests().get(request).target();
+        hashSnapshot();
+        long requestNumber = state.maintenanceRequests().firstKey();
+        String target = state.maintenanceRequests().get(requestNumber).target();
         long token = state.lease(LeaseNames.MAINTENANCE).token();
-        apply("d1", new Command.GrantMaintenance(target, request, token, 1));
+        apply("d1", new Command.GrantMaintenance(target, requestNumber, token, 1));
     }
 
-    private void exceedReinstatedCaches() throws Exception {
+    private void exceedReinstatedCacheLimit() throws Exception {
         for (int i = 0; i < 1_030; i++) {
             apply("d2", new Command.ReinstateCache("out" + i, 5_000 - i % 7, state.lastOperatorCommand("out" + i)));
             apply("d2", new Command.DrainCache("more" + i, i, 0));
         }
-        snapshot();
+        hashSnapshot();
         for (int i = 0; i < 1_030; i++) {
             apply("d2", new Command.ReinstateCache("more" + i, i % 11, state.lastOperatorCommand("more" + i)));
         }
-        snapshot();
+        hashSnapshot();
     }
 
-    private void exceedOperatorCommands() throws Exception {
+    private void exceedOperatorCommandLimit() throws Exception {
         for (int i = 0; i < 4_100; i++) {
             apply("d3", new Command.ReinstateCache("word" + i, i, 0));
         }
-        snapshot();
+        hashSnapshot();
     }
 
-    private void exceedMembersAndQuotaRequests() throws Exception {
+    private void exceedMemberAndQuotaRequestLimits() throws Exception {
         for (int i = 0; i < 70; i++) {
             apply("member" + i, new Command.RequestQuota(1 + i));
             apply("member" + i, new Command.SetEligibility(false));
             apply("d1", new Command.ReportAbsence("member" + i, true));
         }
-        snapshot();
+        hashSnapshot();
     }
 
-    private void exceedQuotaGrants() throws Exception {
+    private void exceedQuotaGrantLimit() throws Exception {
         long token = state.lease(LeaseNames.QUOTA).token();
         for (int i = 0; i < 270; i++) {
             apply("member1", new Command.RequestQuota(2));
             long requestEntry = state.quotaRequests().get("member1").entry();
             apply("d1", new Command.GrantQuota("member1", requestEntry, 1, token, 1_000_000));
         }
-        snapshot();
+        hashSnapshot();
     }
 
-    private void exceedSites() throws Exception {
+    private void exceedSiteLimit() throws Exception {
         for (int i = 0; i < 260; i++) {
             apply("d1", new Command.PauseSiteRecovery("site" + i, true, 0));
         }
-        snapshot();
+        hashSnapshot();
     }
 
-    private SiteObservation observation() {
+    private SiteObservation drawObservation() {
         return new SiteObservation(
                 new EndpointCount(random.nextInt(9), random.nextInt(9)),
                 new EndpointCount(random.nextInt(4), random.nextInt(4)),
--- a/src/test/java/pewtercourse/lease/DrainTableTest.java
+++ b/src/test/java/pewtercourse/lease/DrainTableTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void drainingTwiceKeepsTheFirstTime() {
+    void keepsTheFirstDrainTimeWhenACacheIsDrainedAgain() {
         drains.drain("c1", 10);
 
         assertTrue(drains.drain("c1", 20).isApplied());
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aCommandThatDoesNotKnowTheLastOneIsSuperseded() {
+    void rejectsACommandAsSupersededIfItsProposerDidNotKnowTheLastCommand() {
         assertTrue(drain(5, "c1", 0).isApplied());
 
         CommandOutcome outcome = drains.applyInOrder(7, "c1", 0, () -> drains.reinstate("c1", 7));
@@ -47,13 +47,13 @@
     }
 
     @Test
-    void commandsOnOtherCachesAreIndependent() {
+    void acceptsCommandsOnDifferentCachesIndependently() {
         assertTrue(drain(5, "c1", 0).isApplied());
         assertTrue(drain(6, "c2", 0).isApplied());
     }
 
     @Test
-    void aRejectedCommandDoesNotCountAsTheLast() {
+    void doesNotRecordARejectedCommandAsTheLastCommand() {
         for (int i = 0; i < 1_024; i++) {
             drains.drain("c" + i, i);
         }
--- a/src/test/java/pewtercourse/lease/LeaseNamesTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseNamesTest.java
@@ -7,21 +7,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Leases keep their first names between members and on disk: members of two versions have to understand one another. */
+/**
+ * Leases keep the names of the first version between members and on disk, because members of different versions have to
+ * understand each other.
+ */
 class LeaseNamesTest {
     @ParameterizedTest
     @CsvSource({"maintenance, warden", "quota, divider", "sites, sites"})
-    void aCommandNamesALeaseAsTheFirstVersionDid(String lease, String onTheWire) throws Exception {
+    void encodesLeaseNamesAsTheFirstVersionDid(String lease, String wireName) throws Exception {
         Command.Envelope command = new Command.Envelope("d1", 7, new Command.AssignLease(lease, "d2", 3, 0));
         byte[] encoded = CommandCodec.encode(command);
         assertEquals(
-                onTheWire, LeaseWire.Command.parseFrom(encoded).getAssignLease().getLease());
+                wireName, LeaseWire.Command.parseFrom(encoded).getAssignLease().getLease());
         assertEquals(command, CommandCodec.decode(encoded));
     }
 
     @Test
-    void aSnapshotOfTheFirstVersionIsReadAndWrittenAlike() throws Exception {
-        byte[] first = LeaseWire.Snapshot.newBuilder()
+    void decodesASnapshotOfTheFirstVersionAndEncodesItUnchanged() throws Exception {
+        byte[] firstVersionSnapshot = LeaseWire.Snapshot.newBuilder()
                 .setLastToken(5)
                 .addLease(LeaseWire.Lease.newBuilder()
                         .setName("warden")
@@ -29,10 +32,10 @@
                         .setToken(5))
                 .build()
                 .toByteArray();
-        ClusterState state = ClusterState.decode(first);
+        ClusterState state = ClusterState.decode(firstVersionSnapshot);
         assertEquals("d1", state.lease(LeaseNames.MAINTENANCE).holder());
         assertEquals(
-                LeaseWire.Snapshot.parseFrom(first).getLeaseList(),
+                LeaseWire.Snapshot.parseFrom(firstVersionSnapshot).getLeaseList(),
                 LeaseWire.Snapshot.parseFrom(state.encode()).getLeaseList());
     }
 }
--- a/src/test/java/pewtercourse/lease/LeaseTableTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTableTest.java
@@ -12,13 +12,13 @@
     private final LeaseTable leases = new LeaseTable();
 
     private void assign(String lease, String holder) {
-        LeaseRecord before = leases.get(lease);
-        assertTrue(leases.assign(new Command.AssignLease(lease, holder, before.token(), before.renewals()))
+        LeaseRecord current = leases.get(lease);
+        assertTrue(leases.assign(new Command.AssignLease(lease, holder, current.token(), current.renewals()))
                 .isApplied());
     }
 
     @Test
-    void tokensGrowOverAllLeases() {
+    void issuesIncreasingTokensAcrossAllLeases() {
         assign("a", "d1");
         assign("b", "d2");
         assign("a", "d2");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aLeaseThatWasRenewedSinceIsNotAssigned() {
+    void rejectsTheAssignmentOfALeaseThatWasRenewedInTheMeantime() {
         assign("a", "d1");
         leases.renew("d1", new Command.RenewLease("a", 1, 0));
 
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void onlyItsHolderRenewsALease() {
+    void rejectsARenewalByAnotherMemberOrWithAnotherToken() {
         assign("a", "d1");
 
         assertEquals(STALE, leases.renew("d2", new Command.RenewLease("a", 1, 0)));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aRepeatedRenewalCountsOnce() {
+    void countsARepeatedRenewalOnce() {
         assign("a", "d1");
         Command.RenewLease renewal = new Command.RenewLease("a", 1, 0);
 
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aReleaseFencesOffTheFormerHolder() {
+    void invalidatesTheTokenOfTheFormerHolderOnRelease() {
         assign("a", "d1");
 
         assertTrue(leases.release("d1", new Command.ReleaseLease("a", 1, "")).isApplied());
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aTransferIsRequestedOfTheHolderOnly() {
+    void rejectsATransferRequestWhileNoMemberHoldsTheLease() {
         assertEquals(STALE, leases.requestTransfer(new Command.RequestTransfer("a", 0, "d2")));
         assign("a", "d1");
 
--- a/src/test/java/pewtercourse/lease/LeaseTraceTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTraceTest.java
@@ -12,16 +12,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays random but fixed command streams and a small cluster on a virtual clock, and compares the SHA-256 of all
- * outputs with the ones recorded before the package was restructured. Outputs are hashed by position, without type or
- * field names.
+ * Replays command streams with fixed random seeds, and a small cluster on a virtual clock. Compares the SHA-256 of all
+ * outputs with the hash that was recorded before the package was restructured. Outputs are hashed by position, without
+ * the names of types or fields.
  */
 class LeaseTraceTest {
-    private static final String GOLDEN = "/traces/lease-trace.txt";
+    private static final String GOLDEN_FILE = "/traces/lease-trace.txt";
+    // The field numbers of the first and the last kind of command in lease.proto.
     private static final int FIRST_KIND = 3;
     private static final int LAST_KIND = 21;
 
-    private static final Set<String> ALL_REJECTIONS = Set.of(
+    private static final Set<String> EXPECTED_REJECTIONS = Set.of(
             "an older token",
             "settled before",
             "another change of this site came first",
@@ -39,39 +40,39 @@
             "late: another word on this was agreed first: call again");
 
     @Test
-    void commandStreamsGiveTheRecordedResultsAndSnapshots() throws Exception {
-        Set<Integer> kinds = new TreeSet<>();
-        Set<String> rejections = new TreeSet<>();
+    void commandStreamsProduceTheRecordedResultsAndSnapshots() throws Exception {
+        Set<Integer> seenKinds = new TreeSet<>();
+        Set<String> seenRejections = new TreeSet<>();
         List<String> lines = new ArrayList<>();
         for (long seed = 1; seed <= 5; seed++) {
-            CommandStream stream = new CommandStream(seed, kinds, rejections);
-            stream.randomCommands(2_500);
+            CommandStream stream = new CommandStream(seed, seenKinds, seenRejections);
+            stream.applyRandomCommands(2_500);
             lines.add("commands " + seed + " " + stream.hash());
         }
-        CommandStream stream = new CommandStream(6, kinds, rejections);
-        stream.exceedBounds();
+        CommandStream stream = new CommandStream(6, seenKinds, seenRejections);
+        stream.exceedEachLimit();
         lines.add("bounds 6 " + stream.hash());
 
-        assertEquals(allKinds(), kinds);
-        assertEquals(new TreeSet<>(ALL_REJECTIONS), rejections);
-        assertEquals(golden("commands", "bounds"), lines);
+        assertEquals(allKinds(), seenKinds);
+        assertEquals(new TreeSet<>(EXPECTED_REJECTIONS), seenRejections);
+        assertEquals(goldenLines("commands", "bounds"), lines);
     }
 
     @Test
-    void aClusterOnAVirtualClockGivesTheRecordedCommandsAndLeases() throws Exception {
-        Set<Integer> kinds = new TreeSet<>();
+    void virtualClusterProducesTheRecordedCommandsAndLeases() throws Exception {
+        Set<Integer> seenKinds = new TreeSet<>();
         List<String> lines = new ArrayList<>();
         for (long seed = 1; seed <= 4; seed++) {
-            VirtualCluster cluster = new VirtualCluster(seed, 2 + (int) (seed % 3), kinds);
+            VirtualCluster cluster = new VirtualCluster(seed, 2 + (int) (seed % 3), seenKinds);
             cluster.run(5_000);
             lines.add("cluster " + seed + " " + cluster.hash());
         }
 
-        Set<Integer> ownKinds = allKinds();
-        // Drain, reinstate, request of maintenance and the two orders on sites come from operators alone.
-        ownKinds.removeAll(Set.of(6, 7, 8, 20, 21));
-        assertEquals(ownKinds, kinds);
-        assertEquals(golden("cluster"), lines);
+        Set<Integer> memberKinds = allKinds();
+        // Only operators propose drains, reinstatements, maintenance requests, recovery pauses and drills.
+        memberKinds.removeAll(Set.of(6, 7, 8, 20, 21));
+        assertEquals(memberKinds, seenKinds);
+        assertEquals(goldenLines("cluster"), lines);
     }
 
     private static Set<Integer> allKinds() {
@@ -82,8 +83,8 @@
         return kinds;
     }
 
-    private static List<String> golden(String... tags) throws IOException {
-        try (InputStream in = LeaseTraceTest.class.getResourceAsStream(GOLDEN)) {
+    private static List<String> goldenLines(String... tags) throws IOException {
+        try (InputStream in = LeaseTraceTest.class.getResourceAsStream(GOLDEN_FILE)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
                     .filter(line -> List.of(tags).contains(line.substring(0, line.indexOf(' '))))
--- a/src/test/java/pewtercourse/lease/MaintenanceTableTest.java
+++ b/src/test/java/pewtercourse/lease/MaintenanceTableTest.java
@@ -9,7 +9,7 @@
 
 class MaintenanceTableTest {
     private static final long TOKEN = 1;
-    private static final long REQUEST = 40;
+    private static final long REQUEST_NUMBER = 40;
 
     private final LeaseTable leases = new LeaseTable();
     private final DrainTable drains = new DrainTable();
@@ -18,19 +18,19 @@
     @BeforeEach
     void requestMaintenanceOfOneCache() {
         leases.assign(new Command.AssignLease(LeaseNames.MAINTENANCE, "d1", 0, 0));
-        maintenance.request(REQUEST, "d2", new Command.RequestMaintenance("c1", "z1", 5, 0));
+        maintenance.request(REQUEST_NUMBER, "d2", new Command.RequestMaintenance("c1", "z1", 5, 0));
     }
 
     private CommandOutcome grant(long token) {
-        return maintenance.grant(new Command.GrantMaintenance("c1", REQUEST, token, 6));
+        return maintenance.grant(new Command.GrantMaintenance("c1", REQUEST_NUMBER, token, 6));
     }
 
     private CommandOutcome cancel(String proposer, long token) {
-        return maintenance.cancel(proposer, new Command.CancelMaintenance("c1", REQUEST, token, 7));
+        return maintenance.cancel(proposer, new Command.CancelMaintenance("c1", REQUEST_NUMBER, token, 7));
     }
 
     @Test
-    void aGrantDrainsTheCache() {
+    void drainsTheCacheOnGrant() {
         assertTrue(grant(TOKEN).isApplied());
 
         assertTrue(drains.drained().containsKey("c1"));
@@ -38,21 +38,21 @@
     }
 
     @Test
-    void aGrantWithAnEarlierTokenIsRejected() {
+    void rejectsAGrantWithAnEarlierToken() {
         assertEquals(CommandOutcome.rejected(RejectionReason.STALE_FENCING_TOKEN), grant(TOKEN - 1));
 
         assertFalse(drains.drained().containsKey("c1"));
     }
 
     @Test
-    void aCacheIsRequestedOnce() {
-        maintenance.request(REQUEST + 1, "d3", new Command.RequestMaintenance("c1", "z1", 8, 0));
+    void addsNoSecondRequestForTheSameCache() {
+        maintenance.request(REQUEST_NUMBER + 1, "d3", new Command.RequestMaintenance("c1", "z1", 8, 0));
 
         assertEquals(1, maintenance.requests().size());
     }
 
     @Test
-    void itsMemberCancelsARequestBeforeTheGrant() {
+    void allowsTheRequestingMemberToCancelBeforeTheGrant() {
         assertTrue(cancel("d2", 0).isApplied());
 
         assertTrue(maintenance.requests().isEmpty());
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void anotherMemberMayNotCancel() {
+    void rejectsTheCancellationByAnotherMember() {
         assertEquals(CommandOutcome.rejected(RejectionReason.CANCELLATION_NOT_PERMITTED), cancel("d3", 0));
     }
 
     @Test
-    void onlyTheLeaseHolderCancelsAfterTheGrantAndReinstatesTheCache() {
+    void allowsOnlyTheLeaseHolderToCancelAfterTheGrantAndReinstatesTheCache() {
         grant(TOKEN);
 
         assertEquals(CommandOutcome.rejected(RejectionReason.CANCELLATION_NOT_PERMITTED), cancel("d2", 0));
--- a/src/test/java/pewtercourse/lease/QuotaTableTest.java
+++ b/src/test/java/pewtercourse/lease/QuotaTableTest.java
@@ -15,7 +15,7 @@
     private final QuotaTable quota = new QuotaTable(leases);
 
     @BeforeEach
-    void assignTheLease() {
+    void assignTheQuotaLease() {
         leases.assign(new Command.AssignLease(LeaseNames.QUOTA, "d1", 0, 0));
     }
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aGrantTakesThePlaceOfTheRequest() {
+    void replacesTheRequestWithTheGrant() {
         request(10, "d2", 300);
 
         assertTrue(grant(11, "d2", 10, 200).isApplied());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aRequestOfNothingWithdrawsTheLastOne() {
+    void withdrawsTheOpenRequestOnARequestOfZero() {
         request(10, "d2", 300);
 
         request(11, "d2", 0);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aGrantForAnEarlierRequestIsRejected() {
+    void rejectsAGrantForAReplacedRequest() {
         request(10, "d2", 300);
         request(11, "d2", 400);
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void grantsDoNotExceedThePool() {
+    void rejectsAGrantThatExceedsThePool() {
         request(10, "d2", 400);
         request(11, "d3", 400);
         assertTrue(grant(12, "d2", 10, 400).isApplied());
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aGrantIsReleasedOnceByTheLeaseHolder() {
+    void releasesAGrantOnceAndOnlyWithTheCurrentToken() {
         request(10, "d2", 400);
         grant(11, "d2", 10, 400);
 
--- a/src/test/java/pewtercourse/lease/RejectionReasonTest.java
+++ b/src/test/java/pewtercourse/lease/RejectionReasonTest.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Operators and their scripts read these texts. */
+/** Checks the texts of rejections, which operators and their scripts read. */
 class RejectionReasonTest {
     @Test
-    void theSubjectIsNamedWhereThereIsOne() {
+    void textNamesTheSubjectIfThereIsOne() {
         assertEquals(
                 Optional.of("nobody holds '100% quota'"),
                 CommandOutcome.rejected(RejectionReason.LEASE_NOT_HELD, "100% quota")
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void onlyASupersededCommandIsWorthProposingAnew() {
+    void reportsOnlyTheReasonSupersededAsSuperseded() {
         for (RejectionReason reason : RejectionReason.values()) {
             assertEquals(
                     reason == RejectionReason.SUPERSEDED,
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anAppliedCommandHasNoText() {
+    void anAppliedCommandHasNoRejectionText() {
         assertEquals(Optional.empty(), CommandOutcome.APPLIED.rejectionText());
     }
 }
--- a/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
+++ b/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
@@ -18,128 +18,131 @@
 import pewtercourse.failover.SiteStatusChange;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Commands and the snapshot of the agreed state as an earlier version wrote them: read with the same content, written alike. */
+/**
+ * Checks that commands and the snapshot of the agreed state, as an earlier version wrote them, are decoded to the same
+ * content and encoded to the same bytes.
+ */
 class StateSnapshotCompatibilityTest {
     private static final String SNAPSHOT = "cluster-state/snapshot.bin";
     private static final String EMPTY_SNAPSHOT = "cluster-state/empty.bin";
-    private static final long AT_MS = 1_700_000_000_000L;
-    private static final String A = "member-a";
-    private static final String B = "member-b";
-    private static final String C = "member-c";
+    private static final long UNIX_MS = 1_700_000_000_000L;
+    private static final String MEMBER_A = "member-a";
+    private static final String MEMBER_B = "member-b";
+    private static final String MEMBER_C = "member-c";
 
     private final ClusterState state = new ClusterState();
     private long index;
 
-    /** Applies the command as the next entry of the log, and returns that entry's index. */
-    private long apply(String by, Command command) {
+    /** Applies the command as the next log entry, and returns the index of that entry. */
+    private long apply(String proposer, Command command) {
         index++;
-        CommandOutcome outcome = state.apply(index, new Command.Envelope(by, 1_000 + index, command));
+        CommandOutcome outcome = state.apply(index, new Command.Envelope(proposer, 1_000 + index, command));
         assertEquals(Optional.empty(), outcome.rejectionText(), command.toString());
         return index;
     }
 
-    /** Fills every table of the state. */
-    private void fill() {
-        apply(A, new Command.AssignLease(LeaseNames.MAINTENANCE, A, 0, 0)); // 1
-        apply(A, new Command.AssignLease(LeaseNames.QUOTA, B, 0, 0));
-        apply(A, new Command.AssignLease(LeaseNames.SITES, C, 0, 0));
-        apply(A, new Command.AssignLease("another-lease", C, 0, 0));
-        apply(A, new Command.RenewLease(LeaseNames.MAINTENANCE, 1, 0)); // 5
-        apply(A, new Command.RequestTransfer(LeaseNames.QUOTA, 2, A));
-        apply(C, new Command.ReleaseLease("another-lease", 4, ""));
-
-        apply(A, new Command.DrainCache("cache-1", AT_MS + 1, 0));
-        long drained = apply(A, new Command.DrainCache("cache-2", AT_MS + 2, 0));
-        apply(A, new Command.ReinstateCache("cache-2", AT_MS + 3, drained)); // 10
-        apply(B, new Command.RequestMaintenance("cache-3", "zone-1", AT_MS + 4, 0));
-        long ticket = apply(C, new Command.RequestMaintenance("cache-4", "zone-2", AT_MS + 5, 0));
-        apply(A, new Command.GrantMaintenance("cache-4", ticket, 1, AT_MS + 6));
-
-        apply(A, new Command.RequestQuota(250));
-        long ask = apply(B, new Command.RequestQuota(300)); // 15
-        apply(B, new Command.GrantQuota(B, ask, 300, 2, 1_000));
-        apply(C, new Command.SetEligibility(false));
-        apply(A, new Command.ReportAbsence("member-d", true));
+    /** Fills every table of the state. The comments give the indexes of the log entries. */
+    private void fillEveryTable() {
+        apply(MEMBER_A, new Command.AssignLease(LeaseNames.MAINTENANCE, MEMBER_A, 0, 0)); // 1
+        apply(MEMBER_A, new Command.AssignLease(LeaseNames.QUOTA, MEMBER_B, 0, 0));
+        apply(MEMBER_A, new Command.AssignLease(LeaseNames.SITES, MEMBER_C, 0, 0));
+        apply(MEMBER_A, new Command.AssignLease("another-lease", MEMBER_C, 0, 0));
+        apply(MEMBER_A, new Command.RenewLease(LeaseNames.MAINTENANCE, 1, 0)); // 5
+        apply(MEMBER_A, new Command.RequestTransfer(LeaseNames.QUOTA, 2, MEMBER_A));
+        apply(MEMBER_C, new Command.ReleaseLease("another-lease", 4, ""));
+
+        apply(MEMBER_A, new Command.DrainCache("cache-1", UNIX_MS + 1, 0));
+        long drainEntry = apply(MEMBER_A, new Command.DrainCache("cache-2", UNIX_MS + 2, 0));
+        apply(MEMBER_A, new Command.ReinstateCache("cache-2", UNIX_MS + 3, drainEntry)); // 10
+        apply(MEMBER_B, new Command.RequestMaintenance("cache-3", "zone-1", UNIX_MS + 4, 0));
+        long maintenanceRequest = apply(MEMBER_C, new Command.RequestMaintenance("cache-4", "zone-2", UNIX_MS + 5, 0));
+        apply(MEMBER_A, new Command.GrantMaintenance("cache-4", maintenanceRequest, 1, UNIX_MS + 6));
+
+        apply(MEMBER_A, new Command.RequestQuota(250));
+        long quotaRequest = apply(MEMBER_B, new Command.RequestQuota(300)); // 15
+        apply(MEMBER_B, new Command.GrantQuota(MEMBER_B, quotaRequest, 300, 2, 1_000));
+        apply(MEMBER_C, new Command.SetEligibility(false));
+        apply(MEMBER_A, new Command.ReportAbsence("member-d", true));
 
         SiteStatus.Phase[] phases = SiteStatus.Phase.values();
-        List<Long> entries = new ArrayList<>();
+        List<Long> siteEntries = new ArrayList<>();
         for (SiteHealth health : SiteHealth.values()) {
             int number = health.ordinal();
-            entries.add(apply(
-                    C,
+            siteEntries.add(apply(
+                    MEMBER_C,
                     new Command.ChangeSiteStatus(
                             new SiteStatusChange(
                                     "site-" + number, phases[number % phases.length], health, number, 10 + number, 0),
                             3))); // 19 to 25
         }
-        apply(A, new Command.PauseSiteRecovery("site-1", true, entries.get(1)));
-        apply(A, new Command.StartFailoverDrill("site-2", entries.get(2)));
-        apply(C, new Command.PublishFailoverPlan(SampleCommands.plan(), 3));
+        apply(MEMBER_A, new Command.PauseSiteRecovery("site-1", true, siteEntries.get(1)));
+        apply(MEMBER_A, new Command.StartFailoverDrill("site-2", siteEntries.get(2)));
+        apply(MEMBER_C, new Command.PublishFailoverPlan(SampleCommands.plan(), 3));
     }
 
     @Test
-    void snapshotIsReadWithItsContent() throws Exception {
-        ClusterState read = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
+    void decodesTheContentOfTheStoredSnapshot() throws Exception {
+        ClusterState decoded = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
 
         Map<String, LeaseRecord> leases = Map.of(
                 LeaseNames.MAINTENANCE,
-                new LeaseRecord(A, 1, 1, false, ""),
+                new LeaseRecord(MEMBER_A, 1, 1, false, ""),
                 LeaseNames.QUOTA,
-                new LeaseRecord(B, 2, 0, true, A),
+                new LeaseRecord(MEMBER_B, 2, 0, true, MEMBER_A),
                 LeaseNames.SITES,
-                new LeaseRecord(C, 3, 0, false, ""),
+                new LeaseRecord(MEMBER_C, 3, 0, false, ""),
                 "another-lease",
-                new LeaseRecord("", 5, 0, false, C));
-        assertEquals(leases, read.leases());
-        assertEquals(Map.of("cache-1", AT_MS + 1, "cache-4", AT_MS + 6), read.drainedCaches());
-        assertEquals(Map.of("cache-2", AT_MS + 3), read.reinstatedCaches());
-        assertEquals(8, read.lastOperatorCommand("cache-1"));
-        assertEquals(10, read.lastOperatorCommand("cache-2"));
-        assertEquals(11, read.lastOperatorCommand("cache-3"));
-        assertEquals(12, read.lastOperatorCommand("cache-4"));
-        assertEquals(0, read.lastOperatorCommand("cache-5"));
+                new LeaseRecord("", 5, 0, false, MEMBER_C));
+        assertEquals(leases, decoded.leases());
+        assertEquals(Map.of("cache-1", UNIX_MS + 1, "cache-4", UNIX_MS + 6), decoded.drainedCaches());
+        assertEquals(Map.of("cache-2", UNIX_MS + 3), decoded.reinstatedCaches());
+        assertEquals(8, decoded.lastOperatorCommand("cache-1"));
+        assertEquals(10, decoded.lastOperatorCommand("cache-2"));
+        assertEquals(11, decoded.lastOperatorCommand("cache-3"));
+        assertEquals(12, decoded.lastOperatorCommand("cache-4"));
+        assertEquals(0, decoded.lastOperatorCommand("cache-5"));
         assertEquals(
                 Map.of(
-                        11L, new MaintenanceRequest(11, "cache-3", "zone-1", B, false),
-                        12L, new MaintenanceRequest(12, "cache-4", "zone-2", C, true)),
-                read.maintenanceRequests());
-        assertEquals(Map.of(A, new QuotaRequest(14, 250)), read.quotaRequests());
-        assertEquals(Map.of(16L, new QuotaGrant(B, 15, 300)), read.quotaGrants());
-        assertEquals(Set.of(C), read.ineligibleMembers());
-        assertEquals(Set.of("member-d"), read.absentMembers());
-        assertEquals(SampleCommands.plan(), read.failover().plan());
+                        11L, new MaintenanceRequest(11, "cache-3", "zone-1", MEMBER_B, false),
+                        12L, new MaintenanceRequest(12, "cache-4", "zone-2", MEMBER_C, true)),
+                decoded.maintenanceRequests());
+        assertEquals(Map.of(MEMBER_A, new QuotaRequest(14, 250)), decoded.quotaRequests());
+        assertEquals(Map.of(16L, new QuotaGrant(MEMBER_B, 15, 300)), decoded.quotaGrants());
+        assertEquals(Set.of(MEMBER_C), decoded.ineligibleMembers());
+        assertEquals(Set.of("member-d"), decoded.absentMembers());
+        assertEquals(SampleCommands.plan(), decoded.failover().plan());
     }
 
     @Test
-    void snapshotIsReadWithTheStatusOfEachSite() throws Exception {
-        ClusterState read = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
+    void decodesTheStatusOfEachSiteFromTheStoredSnapshot() throws Exception {
+        ClusterState decoded = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
 
         Map<String, SiteStatus> expected = new TreeMap<>();
         SiteStatus.Phase[] phases = SiteStatus.Phase.values();
         for (SiteHealth health : SiteHealth.values()) {
             int number = health.ordinal();
-            boolean held = number == 1;
-            boolean drill = number == 2;
-            long entry = held ? 26 : drill ? 27 : 19 + number;
+            boolean isHeld = number == 1;
+            boolean isDrill = number == 2;
+            long entry = isHeld ? 26 : isDrill ? 27 : 19 + number;
             expected.put(
                     "site-" + number,
-                    new SiteStatus(phases[number % phases.length], health, number, 10 + number, held, drill, entry));
+                    new SiteStatus(phases[number % phases.length], health, number, 10 + number, isHeld, isDrill, entry));
         }
-        assertEquals(expected, read.failover().statuses());
+        assertEquals(expected, decoded.failover().statuses());
         assertEquals(7, expected.size());
     }
 
     @Test
-    void theTokenGoesOnFromTheSnapshot() throws Exception {
-        ClusterState read = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
-        Command assign = new Command.AssignLease("another-lease", B, 5, 0);
-        assertTrue(read.apply(29, new Command.Envelope(A, 1, assign)).isApplied());
-        assertEquals(6, read.lease("another-lease").token());
+    void continuesTheFencingTokensOfTheSnapshot() throws Exception {
+        ClusterState decoded = ClusterState.decode(Fixtures.bytes(SNAPSHOT));
+        Command assign = new Command.AssignLease("another-lease", MEMBER_B, 5, 0);
+        assertTrue(decoded.apply(29, new Command.Envelope(MEMBER_A, 1, assign)).isApplied());
+        assertEquals(6, decoded.lease("another-lease").token());
     }
 
     @Test
-    void sameStateIsWrittenWithTheSameBytes() throws Exception {
-        fill();
+    void encodesTheSameStateToTheStoredBytes() throws Exception {
+        fillEveryTable();
         Fixtures.assertFile(SNAPSHOT, state.encode());
         assertArrayEquals(
                 Fixtures.bytes(SNAPSHOT),
@@ -150,7 +153,7 @@
     }
 
     @Test
-    void eachCommandIsWrittenWithTheSameBytesAndReadWithItsContent() throws Exception {
+    void encodesEachCommandToTheStoredBytesAndDecodesItsContent() throws Exception {
         List<LeaseWire.Command> parsed = new ArrayList<>();
         Set<Class<?>> kinds = new HashSet<>();
         List<Command.Envelope> commands = SampleCommands.signed();
--- a/src/test/java/pewtercourse/lease/TraceHash.java
+++ b/src/test/java/pewtercourse/lease/TraceHash.java
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import pewtercourse.lease.wire.LeaseWire;
 
-/** Hashes values by position. */
+/** Hashes a sequence of values by position. The names of types and fields do not enter the hash. */
 final class TraceHash {
     private final MessageDigest digest;
 
@@ -37,18 +37,18 @@
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** "done", or the text of the rejection; one that only came too late is marked. */
     void outcome(CommandOutcome outcome) {
         text(outcomeText(outcome));
     }
 
+    /** "done", or the text of the rejection, which begins with "late: " if the command was superseded. */
     static String outcomeText(CommandOutcome outcome) {
         return outcome.rejectionText()
                 .map(text -> (outcome.isSuperseded() ? "late: " : "") + text)
                 .orElse("done");
     }
 
-    /** The number of the command's field in the stored form, which no renaming changes. */
+    /** The field number of the command in its stored form, which does not depend on names in the code. */
     static int kind(byte[] command) throws IOException {
         return LeaseWire.Command.parseFrom(command).getKindCase().getNumber();
     }
--- a/src/test/java/pewtercourse/lease/VirtualClusterSettings.java
+++ b/src/test/java/pewtercourse/lease/VirtualClusterSettings.java
@@ -8,11 +8,11 @@
 import pewtercourse.failover.Site;
 import pewtercourse.failover.Sites;
 
-/** The configuration of {@link VirtualCluster}; times in microseconds. */
+/** The settings of a {@link VirtualCluster}. Times are in microseconds. */
 final class VirtualClusterSettings {
     static final List<String> SITES = List.of("east", "north", "west");
 
-    final LeaseSettings settings = new LeaseSettings(
+    final LeaseSettings leaseSettings = new LeaseSettings(
             1_000_000,
             0.01,
             150_000,
@@ -25,8 +25,8 @@
         SortedMap<String, Site> byName = new TreeMap<>();
         for (int i = 0; i < SITES.size(); i++) {
             Set<String> directors = Set.of("d" + (i + 1));
-            Site.FailoverTarget taker = new Site.FailoverTarget(SITES.get((i + 1) % SITES.size()), 1);
-            byName.put(SITES.get(i), new Site(SITES.get(i), "", directors, 20, 0.5, 0.2, 0, List.of(taker)));
+            Site.FailoverTarget failoverTarget = new Site.FailoverTarget(SITES.get((i + 1) % SITES.size()), 1);
+            byName.put(SITES.get(i), new Site(SITES.get(i), "", directors, 20, 0.5, 0.2, 0, List.of(failoverTarget)));
         }
         List<Double> steps = List.of(0.25, 0.5, 1.0);
         FailoverTiming timing = new FailoverTiming(700_000, 1_000_000, 6_000_000, 400_000, steps, 1_500_000);
