--- a/src/main/java/pewtercourse/lease/RejectionReason.java
+++ b/src/main/java/pewtercourse/lease/RejectionReason.java
@@ -7,8 +7,8 @@
      */
     STALE_FENCING_TOKEN("an older token"),
     /**
-     * The members agreed first on another operator's command, which the proposer did not know. The same command can
-     * succeed if it is proposed again.
+     * The members agreed first on another command on the same cache or site, which the proposer did not know. The same
+     * command can succeed if it is proposed again.
      */
     SUPERSEDED("another word on this was agreed first: call again"),
     /** The lease was renewed or assigned after the leader found it vacant. */
--- a/src/test/java/pewtercourse/lease/VirtualCluster.java
+++ b/src/test/java/pewtercourse/lease/VirtualCluster.java
@@ -188,7 +188,8 @@
             sentCommands.add(new SentCommand(now + random.nextInt(60_000), nextSequenceNumber++, command));
         }
         if (random.nextInt(20) == 0) {
-            sentCommands.add(new SentCommand(now + random.nextInt(400_000), nextSequenceNumber++, command)); // A duplicate.
+            // A duplicate.
+            sentCommands.add(new SentCommand(now + random.nextInt(400_000), nextSequenceNumber++, command));
         }
     }
 
