--- a/src/main/java/pewtercourse/lease/LeaseManager.java
+++ b/src/main/java/pewtercourse/lease/LeaseManager.java
@@ -141,7 +141,7 @@
         return ownLeases.validToken(lease, now);
     }
 
-    /** Microseconds until this member's lease ends; 0 if it does not hold the lease. */
+    /** Microseconds until this member's lease ends; 0 if the lease has ended, or if this member does not hold it. */
     public long remainingMicros(String lease, long now) {
         return ownLeases.remainingMicros(lease, now);
     }
@@ -183,10 +183,7 @@
         return ownQuota.request(now, thousandths, state);
     }
 
-    /**
-     * Returns the commands that this member proposes now. Called every few milliseconds, and after commands were
-     * applied.
-     */
+    /** Returns the commands to propose now. Called every few milliseconds, and after commands were applied. */
     public List<Command.Envelope> tick(long now, View view) {
         List<Command.Envelope> proposals = new ArrayList<>();
         proposeEligibility(now, proposals);
--- a/src/main/java/pewtercourse/lease/RejectionReason.java
+++ b/src/main/java/pewtercourse/lease/RejectionReason.java
@@ -3,7 +3,8 @@
 /** Why an agreed command was rejected, with the text that operators read. */
 public enum RejectionReason {
     /**
-     * The command carries a fencing token that is not the latest of the lease, or its proposer does not hold the lease.
+     * The command does not carry the latest fencing token of the lease, or the lease has no holder or another holder than
+     * the command requires.
      */
     STALE_FENCING_TOKEN("an older token"),
     /**
@@ -27,10 +28,7 @@
     MAINTENANCE_REQUEST_CANCELLED("withdrawn meanwhile"),
     /** The maintenance request to be cancelled does not exist any more. */
     MAINTENANCE_REQUEST_NOT_FOUND("withdrawn before"),
-    /**
-     * Only the holder of the maintenance lease, or before the grant the member that made the request, may cancel a
-     * request.
-     */
+    /** Only the holder of the maintenance lease may cancel a request, or before the grant the requesting member. */
     CANCELLATION_NOT_PERMITTED("an older token, or another's ticket"),
     /** Too many members request quota. */
     QUOTA_REQUEST_LIMIT_REACHED("too many wishes"),
