--- a/src/main/java/pewtercourse/lease/LeaseNames.java
+++ b/src/main/java/pewtercourse/lease/LeaseNames.java
@@ -5,8 +5,8 @@
 
 /**
  * The names of the leases that this version knows. The log, snapshots and messages between members keep the names of
- * the first version, so that members of different versions work together during a rolling upgrade and stored data stays
- * readable.
+ * the first version. Members of different versions can therefore work together during a rolling upgrade, and stored
+ * data stays readable.
  */
 public final class LeaseNames {
     /** Its holder decides when caches may be drained for maintenance. */
--- a/src/main/java/pewtercourse/lease/SiteOrders.java
+++ b/src/main/java/pewtercourse/lease/SiteOrders.java
@@ -13,8 +13,8 @@
 
 /**
  * Runs this member's failover controller. The controller takes in the observations of all members whether or not this
- * member holds the sites lease, and gives orders only while this member holds it. Without configured sites it does
- * nothing.
+ * member holds the sites lease, and gives orders only while this member holds it. If no sites are configured, there is
+ * no controller and no order.
  */
 final class SiteOrders {
     private Optional<FailoverController> controller = Optional.empty();
