--- a/src/main/java/pewtercourse/cache/Attempt.java
+++ b/src/main/java/pewtercourse/cache/Attempt.java
@@ -14,8 +14,7 @@
  * the event loop; times are microseconds.
  */
 public final class Attempt {
-    // A connection that is established up to this long after the connect timeout is still kept, for a later
-    // attempt.
+    // A connection that is established up to this long after the connect timeout is kept for a later attempt.
     private static final long LATE_CONNECT_GRACE_MS = 100;
 
     private final ConnectionPool pool;
--- a/src/main/java/pewtercourse/director/AttemptOutcomes.java
+++ b/src/main/java/pewtercourse/director/AttemptOutcomes.java
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Converts the value of the header Outcome, or null, by its name.
+     * Converts the value of the header Outcome, or null. Its words are matched by name, as they have no
+     * numbers; the constants have those of the simulator.
      *
      * @return UNKNOWN for a value that is not known
      */
--- a/src/main/java/pewtercourse/director/RouterEventQueue.java
+++ b/src/main/java/pewtercourse/director/RouterEventQueue.java
@@ -14,8 +14,8 @@
  * times are microseconds.
  */
 final class RouterEventQueue {
-    // After a long turn many events are queued: handled in one turn, they would delay sockets and timers
-    // further.
+    // Many events are queued after a long turn. If all were handled in one turn, sockets and timers would be
+    // delayed further.
     private static final int MAX_BATCH_EVENTS = 256;
 
     private final Router router;
--- a/src/test/java/pewtercourse/director/DirectorTest.java
+++ b/src/test/java/pewtercourse/director/DirectorTest.java
@@ -214,8 +214,8 @@
         CompletableFuture<Answer> first = send("place-order", null, 20_000);
         HttpServerRequest cacheRequest = await(openRequest);
         assertEquals(Answer.Kind.FAILED, sendAndWait("place-order", null, 1).kind());
-        // Waits past the deadline and the backstop of the duplicate: a timer of its own would fail the open
-        // request.
+        // Waits past the deadline and the backstop of the duplicate. If the duplicate had left a timer, that timer
+        // would fail the open request.
         CompletableFuture<Void> waited = new CompletableFuture<>();
         vertx.setTimer(100, t -> waited.complete(null));
         await(waited);
@@ -384,8 +384,8 @@
         assertEquals(0, onLoop(director::openRequests));
     }
 
-    // After a long turn many events wait: expired requests are answered first, and the rest comes in several
-    // batches.
+    // After a long turn many events are queued: expired requests are answered before any of these events, and
+    // the events are handled in several batches.
     @Test
     void answersExpiredRequestsFirstAfterALateTurn() throws Exception {
         ScriptedTransport caches = startScripted();
--- a/src/test/java/pewtercourse/director/StormTest.java
+++ b/src/test/java/pewtercourse/director/StormTest.java
@@ -39,8 +39,7 @@
     private static final int ARRIVAL_SPREAD_MS = 400;
     // For runs in which caches may stay silent.
     private static final double SHORT_DEADLINE_MS = 400;
-    // For the other runs: longer than a test waits, so that a timer that is not cancelled with its request is
-    // noticed.
+    // For the other runs: longer than a test waits, so that a test notices a timer that was not cancelled.
     private static final double LONG_DEADLINE_MS = 600_000;
     // The periodic timer of the router.
     private static final int ROUTER_TIMERS = 1;
