--- a/src/test/java/pewtercourse/decision/RandomEventStream.java
+++ b/src/test/java/pewtercourse/decision/RandomEventStream.java
@@ -184,7 +184,7 @@
         } else if (draw < 940) {
             changeEndpoint(batch);
         } else if (draw < 944) {
-            countOccurrence("reconfigured");
+            countOccurrence("settings changed");
             batch.add(new SettingsChanged(streamSettings.redraw()));
         } else if (draw < 954) {
             countOccurrence("quota changed");
@@ -210,10 +210,10 @@
         RequestArrived request = new RequestArrived(
                 id, classIndex, object, segment, random.nextInt(5), sizeKb, expiresAt, clientRetry, write);
         requestsById.putIfAbsent(id, request);
-        countOccurrence("effect " + classes.get(classIndex).idempotency().ordinal());
-        countOccurrence("group " + classes.get(classIndex).deduplicationScope().ordinal());
-        countOccurrence("stream " + classes.get(classIndex).streaming());
-        countOccurrence("fresh for ever " + (classes.get(classIndex).freshnessLifetime() == 0));
+        countOccurrence("idempotency " + classes.get(classIndex).idempotency().ordinal());
+        countOccurrence("deduplication scope " + classes.get(classIndex).deduplicationScope().ordinal());
+        countOccurrence("streaming " + classes.get(classIndex).streaming());
+        countOccurrence("fresh until purged " + (classes.get(classIndex).freshnessLifetime() == 0));
         countOccurrence("segmented " + classes.get(classIndex).segmented());
         countOccurrence("uncacheable " + classes.get(classIndex).uncacheable());
         return request;
@@ -225,7 +225,7 @@
         byte[] payload = drawGossipPayload(random.nextBoolean() ? GOSSIP_REPORT : GOSSIP_SUMS, entries);
         int draw = random.nextInt(6);
         if (draw == 0) {
-            countOccurrence("gossip cut");
+            countOccurrence("gossip truncated");
             return new GossipReceived(sender, Arrays.copyOf(payload, random.nextInt(payload.length)));
         }
         if (draw == 1) {
@@ -238,7 +238,7 @@
             random.nextBytes(bytes);
             return new GossipReceived(sender, bytes);
         }
-        countOccurrence("gossip whole");
+        countOccurrence("gossip well-formed");
         return new GossipReceived(sender, payload);
     }
 
@@ -254,7 +254,7 @@
 
     private void addClientDisconnect(List<RouterEvent> batch) {
         long requestId = Math.max(1, nextRequestId - 1 - random.nextInt(20));
-        countOccurrence("client gone");
+        countOccurrence("client disconnected");
         batch.add(new ClientDisconnected(requestId));
     }
 
@@ -311,7 +311,7 @@
         if (random.nextInt(10) == 0) {
             batch.add(endpointList(EndpointUpdateKind.SNAPSHOT));
         } else {
-            countOccurrence("list " + EndpointUpdateKind.DELTA.ordinal());
+            countOccurrence("endpoint update " + EndpointUpdateKind.DELTA.ordinal());
             batch.add(new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(model.endpoint)));
         }
         if (random.nextInt(20) == 0) {
@@ -320,7 +320,7 @@
     }
 
     private RouterEvent endpointList(EndpointUpdateKind kind) {
-        countOccurrence("list " + kind.ordinal());
+        countOccurrence("endpoint update " + kind.ordinal());
         List<Endpoint> listed = new ArrayList<>();
         for (EndpointModel model : models) {
             boolean isListed = kind != EndpointUpdateKind.FAILED
@@ -328,7 +328,7 @@
             if (isListed) {
                 listed.add(model.endpoint);
                 countOccurrence("role " + model.endpoint.role().ordinal());
-                countOccurrence("state " + model.endpoint.lifecycle().ordinal());
+                countOccurrence("lifecycle " + model.endpoint.lifecycle().ordinal());
             }
         }
         return new EndpointsChanged(kind, listed);
@@ -387,7 +387,7 @@
         boolean requestDone = outcome == AttemptOutcome.OK || random.nextInt(50) == 0;
         if (outcome == AttemptOutcome.OK
                 && streamSettings.current().classes().get(request.requestClass()).streaming()) {
-            countOccurrence("stream begun");
+            countOccurrence("stream started");
             schedule(now + latency / 2, new StreamStarted(send.requestId(), attemptNumber));
         }
         RouterEvent attemptFinished = new AttemptFinished(
@@ -395,7 +395,7 @@
         scheduledOutcomes.put(
                 new AttemptKey(send.requestId(), attemptNumber), schedule(now + latency, attemptFinished));
         countOccurrence("outcome " + outcome.ordinal());
-        countOccurrence("note " + cacheStatus.ordinal());
+        countOccurrence("cache status " + cacheStatus.ordinal());
         if (random.nextInt(200) == 0) {
             schedule(now + latency + MILLIS, attemptFinished);
         }
@@ -554,12 +554,12 @@
     }
 
     private void countSendOccurrences(SendAttempt send) {
-        countOccurrence("rank " + send.retentionRank());
+        countOccurrence("retention rank " + send.retentionRank());
         if (send.timeout() > 0) {
             countOccurrence("with timeout");
         }
         if (send.maxAge() > 0) {
-            countOccurrence("with age bound");
+            countOccurrence("with maximum copy age");
         }
         if (attemptsByRequest.containsKey(send.requestId())) {
             countOccurrence("second attempt");
@@ -583,7 +583,7 @@
             countOccurrence("ejected");
         }
         if (status.slowStartLimited()) {
-            countOccurrence("short of warm-up budget");
+            countOccurrence("slow start limited");
         }
         digest.update((byte) status.ejectedEndpoints());
         digest.update((byte) (status.slowStartLimited() ? 1 : 0));
--- a/src/test/java/pewtercourse/decision/RandomStreamSettings.java
+++ b/src/test/java/pewtercourse/decision/RandomStreamSettings.java
@@ -55,20 +55,20 @@
                                 .toList()),
                 List.of(classes),
                 new Bandwidth(
-                        drawFlag("client rate") ? 2000 + random.nextInt(8000) : 0,
-                        drawFlag("link rate") ? 10_000 + random.nextInt(90_000) : 0),
+                        drawFlag("client bandwidth known") ? 2000 + random.nextInt(8000) : 0,
+                        drawFlag("fill link bandwidth known") ? 10_000 + random.nextInt(90_000) : 0),
                 new RouterFeatures(
                         drawFlag("coalescing"),
-                        drawFlag("bypass"),
-                        drawFlag("gossip"),
-                        drawFlag("parallel"),
-                        drawFlag("cancel")),
+                        drawFlag("cache bypass"),
+                        drawFlag("gossip enabled"),
+                        drawFlag("parallel attempts"),
+                        drawFlag("attempt cancellation")),
                 new RetryLimits(random.nextInt(3) * 1000 * MILLIS, 1 + random.nextInt(8)),
                 new UpstreamFeatures(
                         pushedEndpointUpdates,
-                        drawFlag("weights told"),
-                        SiblingFillPolicy.values()[countValue("siblings", random.nextInt(3))],
-                        CacheStatusDetail.values()[countValue("notes", random.nextInt(3))]),
+                        drawFlag("weights are capacities"),
+                        SiblingFillPolicy.values()[countValue("sibling fill policy", random.nextInt(3))],
+                        CacheStatusDetail.values()[countValue("cache status detail", random.nextInt(3))]),
                 new SlowStartSettings(
                         new SlowStart(
                                 0.05 + 0.3 * random.nextDouble(),
@@ -80,7 +80,7 @@
                                 1 + random.nextInt(3)),
                         random.nextInt(5) == 0 ? 0 : 500 * MILLIS + random.nextInt(1500) * MILLIS),
                 random.nextInt(6000) * MILLIS);
-        countOccurrence("pushed " + pushedEndpointUpdates);
+        countOccurrence("pushed endpoint updates " + pushedEndpointUpdates);
         countOccurrence("zones " + hasZones);
         countOccurrence("one router " + (routerCount == 1));
         countOccurrence("overload window " + (settings.slowStart().overloadWindow() > 0));
--- a/src/test/java/pewtercourse/decision/RoutingEngineTest.java
+++ b/src/test/java/pewtercourse/decision/RoutingEngineTest.java
@@ -733,8 +733,7 @@
         assertTrue(rejection != null && rejection.retryAfter() > 0 && rejection.retryAfter() <= 2000 * MILLIS);
     }
 
-    // Writes are rare, and only the origin can serve them. The limits that shed other requests do not apply to
-    // them.
+    // Writes are rare, and only the origin can serve them: they pass the limits that shed other requests.
     @Test
     void writeRequestIsSentAndFilledWhenTheConcurrencyLimitsAreExhausted() {
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
@@ -1202,8 +1201,7 @@
         assertTrue(cancellationsOfSlowAnswer(fixture, "slow").isEmpty(), "the router waits for a slow answer, as before the outage");
     }
 
-    // Returns the cancellations of an attempt that is not answered for 300 ms while the caches answer other
-    // requests.
+    // Returns the cancellations of an attempt without an answer for 300 ms while the caches answer other requests.
     private static List<CancelAttempt> cancellationsOfSlowAnswer(RouterFixture fixture, String object) {
         SendAttempt attempt = fixture.routeRequest(object);
         for (int i = 0; i < 12; i++) {
