--- a/src/test/java/pewtercourse/decision/RoutingEngineTest.java
+++ b/src/test/java/pewtercourse/decision/RoutingEngineTest.java
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void noSiblingFillOnceTheContentHintHasExpired() {
+    void noFillFromASiblingIsRequestedOnceTheContentHintHasExpired() {
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
         SendAttempt firstAttempt = fixture.routeRequest("hot");
         fixture.answerOk(firstAttempt, CacheStatus.FILLED);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void fillsUseAllParentsAndTheOriginOnlyWithoutParents() {
+    void fillsUseEveryParentAndTheOriginOnlyIfNoParentIsListed() {
         RouterFixture twoParents = new RouterFixture().start(RouterFixture.allEndpoints());
         RouterFixture oneParent = new RouterFixture().start(cache(1), cache(2), parent(12), RouterFixture.ORIGIN);
         RouterFixture noParent = new RouterFixture().start(cache(1), cache(2), RouterFixture.ORIGIN);
@@ -296,7 +296,7 @@
     }
 
     @Test
-    void malformedGossipAndGossipFromUnknownRoutersIsIgnored() {
+    void malformedGossipAndGossipFromUnknownRoutersAreIgnored() {
         RouterFixture fixture = new RouterFixture();
         fixture.gossipEnabled = true;
         fixture.start(RouterFixture.allEndpoints());
@@ -747,7 +747,7 @@
     }
 
     @Test
-    void attemptsAllowNoFillWhileTheFillLimitIsExhausted() {
+    void attemptsAreSentWithoutFillWhileTheFillLimitIsExhausted() {
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
         SendAttempt last = null;
         for (int i = 0; i < 30; i++) {
