--- a/src/test/java/pewtercourse/decision/RandomEventStream.java
+++ b/src/test/java/pewtercourse/decision/RandomEventStream.java
@@ -211,7 +211,8 @@
                 id, classIndex, object, segment, random.nextInt(5), sizeKb, expiresAt, clientRetry, write);
         requestsById.putIfAbsent(id, request);
         countOccurrence("idempotency " + classes.get(classIndex).idempotency().ordinal());
-        countOccurrence("deduplication scope " + classes.get(classIndex).deduplicationScope().ordinal());
+        countOccurrence("deduplication scope "
+                + classes.get(classIndex).deduplicationScope().ordinal());
         countOccurrence("streaming " + classes.get(classIndex).streaming());
         countOccurrence("fresh until purged " + (classes.get(classIndex).freshnessLifetime() == 0));
         countOccurrence("segmented " + classes.get(classIndex).segmented());
@@ -269,8 +270,7 @@
     private RouterEvent drawStrayEvent() {
         return switch (random.nextInt(4)) {
             case 0 ->
-                new AttemptFinished(
-                        nextRequestId + 7, 0, 1, AttemptOutcome.OK, 10 * MILLIS, true, CacheStatus.UNKNOWN);
+                new AttemptFinished(nextRequestId + 7, 0, 1, AttemptOutcome.OK, 10 * MILLIS, true, CacheStatus.UNKNOWN);
             case 1 ->
                 new AttemptFinished(
                         Math.max(1, nextRequestId - 3),
@@ -386,7 +386,11 @@
         }
         boolean requestDone = outcome == AttemptOutcome.OK || random.nextInt(50) == 0;
         if (outcome == AttemptOutcome.OK
-                && streamSettings.current().classes().get(request.requestClass()).streaming()) {
+                && streamSettings
+                        .current()
+                        .classes()
+                        .get(request.requestClass())
+                        .streaming()) {
             countOccurrence("stream started");
             schedule(now + latency / 2, new StreamStarted(send.requestId(), attemptNumber));
         }
@@ -481,13 +485,7 @@
         schedule(
                 now + MILLIS,
                 new AttemptFinished(
-                        requestId,
-                        attemptNumber,
-                        endpointId,
-                        outcome,
-                        5 * MILLIS,
-                        requestDone,
-                        CacheStatus.UNKNOWN));
+                        requestId, attemptNumber, endpointId, outcome, 5 * MILLIS, requestDone, CacheStatus.UNKNOWN));
     }
 
     private void scheduleGossipReply(int router, byte[] payload) {
--- a/src/test/java/pewtercourse/decision/RandomStreamSettings.java
+++ b/src/test/java/pewtercourse/decision/RandomStreamSettings.java
@@ -38,8 +38,7 @@
     /** Draws and returns other settings. Known classes keep their indexes, and one class is added. */
     RouterSettings redraw() {
         int knownClasses = classes.length;
-        classes = Arrays.copyOf(
-                classes, knownClasses == 0 ? (random.nextInt(4) == 0 ? 1 : 5) : knownClasses + 1);
+        classes = Arrays.copyOf(classes, knownClasses == 0 ? (random.nextInt(4) == 0 ? 1 : 5) : knownClasses + 1);
         for (int i = knownClasses; i < classes.length; i++) {
             classes[i] = drawRequestClass(i);
         }
@@ -50,7 +49,10 @@
                         routerIndex,
                         routerCount,
                         hasZones ? 0 : -1,
-                        Arrays.stream(hasZones ? new int[] {Math.max(1, routerCount - 1), routerCount / 2} : new int[] {})
+                        Arrays.stream(
+                                        hasZones
+                                                ? new int[] {Math.max(1, routerCount - 1), routerCount / 2}
+                                                : new int[] {})
                                 .boxed()
                                 .toList()),
                 List.of(classes),
--- a/src/test/java/pewtercourse/decision/RouterFixture.java
+++ b/src/test/java/pewtercourse/decision/RouterFixture.java
@@ -67,9 +67,7 @@
                 new UpstreamFeatures(
                         pushedEndpointUpdates, weightsAreCapacities, SiblingFillPolicy.OWN_ZONE, cacheStatusDetail),
                 new SlowStartSettings(
-                        new SlowStart(0.2, 18_000 * MILLIS, 3),
-                        new SlowStart(0.06, 20_000 * MILLIS, 2),
-                        1500 * MILLIS),
+                        new SlowStart(0.2, 18_000 * MILLIS, 3), new SlowStart(0.06, 20_000 * MILLIS, 2), 1500 * MILLIS),
                 6000 * MILLIS);
         engine = new RoutingEngine(settings, 7);
         handle(new EndpointsChanged(EndpointUpdateKind.CACHED, List.of(endpoints)));
@@ -109,8 +107,7 @@
 
     /** Creates a request of 500 KB with a deadline of 3 s; the router does not get it yet. */
     RequestArrived newRequest(String object, int segment) {
-        return new RequestArrived(
-                nextRequestId++, 0, object, segment, 3, 500, now + 3000 * MILLIS, false, false);
+        return new RequestArrived(nextRequestId++, 0, object, segment, 3, 500, now + 3000 * MILLIS, false, false);
     }
 
     List<RouterAction> submitRequest(String object) {
--- a/src/test/java/pewtercourse/decision/RoutingEngineTest.java
+++ b/src/test/java/pewtercourse/decision/RoutingEngineTest.java
@@ -43,7 +43,8 @@
     @Test
     void removedCacheMovesOnlyTheObjectsThatItServed() {
         RouterFixture fourCaches = new RouterFixture().start(RouterFixture.allEndpoints());
-        RouterFixture threeCaches = new RouterFixture().start(cache(1), cache(2), cache(3), parent(11), parent(12), RouterFixture.ORIGIN);
+        RouterFixture threeCaches =
+                new RouterFixture().start(cache(1), cache(2), cache(3), parent(11), parent(12), RouterFixture.ORIGIN);
         for (int i = 0; i < 40; i++) {
             SendAttempt attemptWithFour = fourCaches.routeRequest("o" + i);
             SendAttempt attemptWithThree = threeCaches.routeRequest("o" + i);
@@ -103,7 +104,13 @@
         }
         for (SendAttempt attempt : actionsOfType(fixture.engine.handle(fixture.now, batch), SendAttempt.class)) {
             fixture.handle(new AttemptFinished(
-                    attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, 10 * MILLIS, true, CacheStatus.HIT));
+                    attempt.requestId(),
+                    0,
+                    attempt.endpointId(),
+                    AttemptOutcome.OK,
+                    10 * MILLIS,
+                    true,
+                    CacheStatus.HIT));
         }
         assertEquals(firstAttempt.endpointId(), fixture.routeRequest("quiet").endpointId());
     }
@@ -149,7 +156,8 @@
         SendAttempt siblingFill = routeUntilAnotherCacheIsChosen(fixture, firstAttempt);
         assertEquals(firstAttempt.endpointId(), siblingFill.fillSourceId());
         assertTrue(siblingFill.onlyIfCached());
-        SendAttempt retry = singleAttempt(fixture.finishAttempt(siblingFill, 0, AttemptOutcome.MISS, CacheStatus.SOURCE_MISS));
+        SendAttempt retry =
+                singleAttempt(fixture.finishAttempt(siblingFill, 0, AttemptOutcome.MISS, CacheStatus.SOURCE_MISS));
         assertEquals(siblingFill.endpointId(), retry.endpointId());
         assertEquals(firstAttempt.fillSourceId(), retry.fillSourceId());
         assertFalse(retry.onlyIfCached());
@@ -193,7 +201,8 @@
     void failedFillIsRetriedAtTheSameCacheFromAnotherParent() {
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
         SendAttempt attempt = fixture.routeRequest("x");
-        SendAttempt retry = singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_FAILED));
+        SendAttempt retry =
+                singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_FAILED));
         assertEquals(attempt.endpointId(), retry.endpointId());
         assertNotEquals(attempt.fillSourceId(), retry.fillSourceId());
         assertTrue(retry.fillSourceId() == 11 || retry.fillSourceId() == 12);
@@ -210,14 +219,16 @@
             SendAttempt attempt = fixture.routeRequest("o" + i);
             if (attempt.fillSourceId() == 11) {
                 attemptsViaFailingParent++;
-                SendAttempt retry = singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.OVERLOADED, CacheStatus.UNKNOWN));
+                SendAttempt retry = singleAttempt(
+                        fixture.finishAttempt(attempt, 0, AttemptOutcome.OVERLOADED, CacheStatus.UNKNOWN));
                 assertNotEquals(11, retry.fillSourceId(), "retried with the same parent");
                 fixture.finishAttempt(retry, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             } else {
                 fixture.answerOk(attempt, CacheStatus.FILLED);
             }
         }
-        assertTrue(attemptsViaFailingParent <= 6, attemptsViaFailingParent + " attempts filled from the failing parent");
+        assertTrue(
+                attemptsViaFailingParent <= 6, attemptsViaFailingParent + " attempts filled from the failing parent");
     }
 
     @Test
@@ -225,10 +236,13 @@
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
         for (int i = 0; i < 40; i++) {
             SendAttempt attempt = fixture.routeRequest("bad" + i);
-            SendAttempt retry = singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.ERROR, CacheStatus.UNKNOWN));
+            SendAttempt retry =
+                    singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.ERROR, CacheStatus.UNKNOWN));
             assertEquals(
                     1,
-                    actionsOfType(fixture.finishAttempt(retry, 1, AttemptOutcome.ERROR, CacheStatus.UNKNOWN), RejectRequest.class)
+                    actionsOfType(
+                                    fixture.finishAttempt(retry, 1, AttemptOutcome.ERROR, CacheStatus.UNKNOWN),
+                                    RejectRequest.class)
                             .size());
             fixture.answerOk(fixture.routeRequest("good" + i), CacheStatus.FILLED);
             fixture.answerOk(fixture.routeRequest("fine" + i), CacheStatus.FILLED);
@@ -285,7 +299,8 @@
             assertEquals(1, report.router());
             assertTrue(report.payload().length <= 256);
             reports++;
-            for (SendGossip reply : actionsOfType(routers[1].handle(new GossipReceived(0, report.payload())), SendGossip.class)) {
+            for (SendGossip reply :
+                    actionsOfType(routers[1].handle(new GossipReceived(0, report.payload())), SendGossip.class)) {
                 assertEquals(0, reply.router());
                 routers[0].handle(new GossipReceived(1, reply.payload()));
                 replies++;
@@ -318,7 +333,8 @@
         List<RouterAction> allActions = new ArrayList<>();
         int attempts = 0;
         while (attempts < 20) {
-            List<RouterAction> actions = fixture.finishAttempt(attempt, attempts++, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
+            List<RouterAction> actions =
+                    fixture.finishAttempt(attempt, attempts++, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
             allActions.addAll(actions);
             if (actionsOfType(actions, SendAttempt.class).isEmpty()) {
                 break;
@@ -333,13 +349,16 @@
     @Test
     void requestIsRejectedAtOnceWhileTheEndpointListIsEmpty() {
         RouterFixture fixture = new RouterFixture().start();
-        assertEquals(1, actionsOfType(fixture.submitRequest("x"), RejectRequest.class).size());
+        assertEquals(
+                1,
+                actionsOfType(fixture.submitRequest("x"), RejectRequest.class).size());
     }
 
     @Test
     void requestWhoseTransferCannotEndBeforeItsDeadlineIsRejected() {
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
-        List<RouterAction> actions = fixture.handle(new RequestArrived(5, 0, "x", 0, 1, 50_000, fixture.now + 3000 * MILLIS, false, false));
+        List<RouterAction> actions =
+                fixture.handle(new RequestArrived(5, 0, "x", 0, 1, 50_000, fixture.now + 3000 * MILLIS, false, false));
         assertEquals(1, actionsOfType(actions, RejectRequest.class).size());
     }
 
@@ -349,14 +368,16 @@
             RouterFixture fixture = new RouterFixture();
             fixture.idempotency = Idempotency.NON_IDEMPOTENT;
             fixture.start(RouterFixture.allEndpoints());
-            List<RouterAction> actions = fixture.finishAttempt(fixture.routeRequest("x"), 0, outcome, CacheStatus.UNKNOWN);
+            List<RouterAction> actions =
+                    fixture.finishAttempt(fixture.routeRequest("x"), 0, outcome, CacheStatus.UNKNOWN);
             assertEquals(1, actionsOfType(actions, FailRequest.class).size());
             assertEquals(1, actions.size());
         }
         RouterFixture fixture = new RouterFixture();
         fixture.idempotency = Idempotency.NON_IDEMPOTENT;
         fixture.start(RouterFixture.allEndpoints());
-        singleAttempt(fixture.finishAttempt(fixture.routeRequest("x"), 0, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN));
+        singleAttempt(fixture.finishAttempt(
+                fixture.routeRequest("x"), 0, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN));
     }
 
     @Test
@@ -383,7 +404,8 @@
         List<RouterAction> actions = fixture.advanceAndSweep(455 * MILLIS);
         assertEquals(0, actionsOfType(actions, SendAttempt.class).size());
         assertEquals(1, actionsOfType(actions, CancelAttempt.class).size());
-        SendAttempt retry = singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
+        SendAttempt retry =
+                singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
         assertNotEquals(attempt.endpointId(), retry.endpointId());
     }
 
@@ -394,7 +416,10 @@
         fixture.start(RouterFixture.allEndpoints());
         fixture.answerOk(fixture.routeRequest("x"), CacheStatus.FILLED);
         fixture.routeRequest("x");
-        assertEquals(0, actionsOfType(fixture.advanceAndSweep(900 * MILLIS), CancelAttempt.class).size());
+        assertEquals(
+                0,
+                actionsOfType(fixture.advanceAndSweep(900 * MILLIS), CancelAttempt.class)
+                        .size());
     }
 
     @Test
@@ -403,7 +428,8 @@
         SendAttempt firstAttempt = fixture.routeRequest("hot");
         fixture.answerOk(firstAttempt, CacheStatus.FILLED);
         Endpoint drainingCache = cache(firstAttempt.endpointId());
-        fixture.handle(new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(withLifecycle(drainingCache, EndpointLifecycle.DRAINING, 0))));
+        fixture.handle(new EndpointsChanged(
+                EndpointUpdateKind.DELTA, List.of(withLifecycle(drainingCache, EndpointLifecycle.DRAINING, 0))));
         for (int i = 0; i < 40; i++) {
             SendAttempt attempt = fixture.routeRequest("hot");
             assertNotEquals(firstAttempt.endpointId(), attempt.endpointId());
@@ -422,7 +448,13 @@
                     workSeconds += 0.1;
                 }
                 fixture.handle(new AttemptFinished(
-                        attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, MILLIS, true, CacheStatus.FILLED));
+                        attempt.requestId(),
+                        0,
+                        attempt.endpointId(),
+                        AttemptOutcome.OK,
+                        MILLIS,
+                        true,
+                        CacheStatus.FILLED));
             }
         }
         return workSeconds;
@@ -434,7 +466,8 @@
         endpoints[0] = withLifecycle(endpoints[0], EndpointLifecycle.READY, START_TIME);
         double workSeconds = routeRequestsAndSumWork(new RouterFixture().start(endpoints), 1, false);
         assertTrue(workSeconds > 0 && workSeconds <= 3 * 0.2 * 8 * 1.5 / 2, "seconds of work sent: " + workSeconds);
-        assertTrue(routeRequestsAndSumWork(new RouterFixture().start(RouterFixture.allEndpoints()), 1, false) > 3 * 0.2 * 8 * 1.5 / 2);
+        assertTrue(routeRequestsAndSumWork(new RouterFixture().start(RouterFixture.allEndpoints()), 1, false)
+                > 3 * 0.2 * 8 * 1.5 / 2);
     }
 
     @Test
@@ -457,7 +490,9 @@
         fixture.now += 1500 * MILLIS;
         double workSeconds = routeRequestsAndSumWork(fixture, 1, false);
         double budgetSeconds = 3 * 0.233 * 8 * 1.5 / 2;
-        assertTrue(workSeconds > 0.75 * budgetSeconds && workSeconds <= 0.85 * budgetSeconds, "seconds of work sent: " + workSeconds + ", budget " + budgetSeconds);
+        assertTrue(
+                workSeconds > 0.75 * budgetSeconds && workSeconds <= 0.85 * budgetSeconds,
+                "seconds of work sent: " + workSeconds + ", budget " + budgetSeconds);
     }
 
     // A zone that is cut off must not hold requests that no cache works on. A request that reaches no cache is
@@ -469,7 +504,8 @@
         int attempts = 0;
         while (!actionsOfType(actions, SendAttempt.class).isEmpty()) {
             fixture.now += 400 * MILLIS;
-            actions = fixture.finishAttempt(singleAttempt(actions), attempts++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN);
+            actions = fixture.finishAttempt(
+                    singleAttempt(actions), attempts++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN);
         }
         assertEquals(3, attempts);
         assertEquals(1, actionsOfType(actions, RejectRequest.class).size());
@@ -493,7 +529,9 @@
         // there are four caches and not eight, then by the four caches and the two routers. The cache is in slow
         // start and the window is 1.5 s long.
         double cacheCapacity = 60_000 / 5_000.0 * 1.4 / Math.sqrt(2) / 4 / 2;
-        assertTrue(workSeconds > 0.25 * cacheCapacity && workSeconds <= 2 * 0.25 * cacheCapacity * 1.5, "seconds of work sent: " + workSeconds + ", capacity " + cacheCapacity);
+        assertTrue(
+                workSeconds > 0.25 * cacheCapacity && workSeconds <= 2 * 0.25 * cacheCapacity * 1.5,
+                "seconds of work sent: " + workSeconds + ", capacity " + cacheCapacity);
     }
 
     @Test
@@ -567,15 +605,19 @@
 
     // Routes requests of which those at the failing cache end with the outcome, and all others and the retries
     // succeed. Returns how many first attempts went to the failing cache.
-    private static int countAttemptsAtFailingCache(RouterFixture fixture, long failingCache, AttemptOutcome outcome, int requests) {
+    private static int countAttemptsAtFailingCache(
+            RouterFixture fixture, long failingCache, AttemptOutcome outcome, int requests) {
         int attemptsAtFailingCache = 0;
         for (int i = 0; i < requests; i++) {
             SendAttempt attempt = fixture.routeRequest("o" + i);
             boolean atFailingCache = attempt.endpointId() == failingCache;
             attemptsAtFailingCache += atFailingCache ? 1 : 0;
             fixture.now += 5 * MILLIS;
-            List<RouterAction> actions =
-                    fixture.finishAttempt(attempt, 0, atFailingCache ? outcome : AttemptOutcome.OK, atFailingCache ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
+            List<RouterAction> actions = fixture.finishAttempt(
+                    attempt,
+                    0,
+                    atFailingCache ? outcome : AttemptOutcome.OK,
+                    atFailingCache ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
             for (SendAttempt retry : actionsOfType(actions, SendAttempt.class)) {
                 fixture.finishAttempt(retry, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             }
@@ -588,7 +630,9 @@
         RouterFixture fixture = new RouterFixture().start(RouterFixture.allEndpoints());
         assertTrue(countAttemptsAtFailingCache(fixture, 2, AttemptOutcome.ERROR, 150) <= 6);
         fixture.now += 10_000 * MILLIS;
-        assertTrue(countAttemptsAtFailingCache(fixture, 2, AttemptOutcome.OK, 150) > 15, "the cache returns after a successful trial");
+        assertTrue(
+                countAttemptsAtFailingCache(fixture, 2, AttemptOutcome.OK, 150) > 15,
+                "the cache returns after a successful trial");
     }
 
     @Test
@@ -605,7 +649,8 @@
     private static int countTrialsAtSecondCache(RouterFixture fixture, AttemptOutcome outcome) {
         for (int i = 0; i < 60; i++) {
             SendAttempt attempt = fixture.routeRequest("t" + i);
-            fixture.finishAttempt(attempt, 0, attempt.endpointId() == 2 ? outcome : AttemptOutcome.OK, CacheStatus.FILLED);
+            fixture.finishAttempt(
+                    attempt, 0, attempt.endpointId() == 2 ? outcome : AttemptOutcome.OK, CacheStatus.FILLED);
             if (attempt.endpointId() == 2) {
                 return 1;
             }
@@ -620,7 +665,11 @@
             SendAttempt attempt = fixture.routeRequest("o" + i);
             AttemptOutcome outcome = attempt.endpointId() == 2 && i < 40 ? AttemptOutcome.ERROR : AttemptOutcome.OK;
             for (SendAttempt retry : actionsOfType(
-                    fixture.finishAttempt(attempt, 0, outcome, outcome == AttemptOutcome.OK ? CacheStatus.FILLED : CacheStatus.SOURCE_FAILED),
+                    fixture.finishAttempt(
+                            attempt,
+                            0,
+                            outcome,
+                            outcome == AttemptOutcome.OK ? CacheStatus.FILLED : CacheStatus.SOURCE_FAILED),
                     SendAttempt.class)) {
                 fixture.finishAttempt(retry, 1, AttemptOutcome.OK, CacheStatus.FILLED);
             }
@@ -637,7 +686,8 @@
             }
         }
         fixture.now += 200 * MILLIS;
-        assertEquals(1, actionsOfType(fixture.submitRequest("z"), SendAttempt.class).size());
+        assertEquals(
+                1, actionsOfType(fixture.submitRequest("z"), SendAttempt.class).size());
     }
 
     @Test
@@ -648,9 +698,11 @@
                 .count();
         for (int i = 0; i < 200; i++) {
             int attemptNumber = 0;
-            for (List<SendAttempt> attempts = actionsOfType(fixture.submitRequest("dead" + i), SendAttempt.class); !attempts.isEmpty(); ) {
+            for (List<SendAttempt> attempts = actionsOfType(fixture.submitRequest("dead" + i), SendAttempt.class);
+                    !attempts.isEmpty(); ) {
                 attempts = actionsOfType(
-                        fixture.finishAttempt(attempts.get(0), attemptNumber++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN),
+                        fixture.finishAttempt(
+                                attempts.get(0), attemptNumber++, AttemptOutcome.CONNECT_FAILED, CacheStatus.UNKNOWN),
                         SendAttempt.class);
             }
         }
@@ -665,8 +717,12 @@
                     "each request is sent or rejected at once");
         }
         assertEquals(
-                cacheCount, heldAttempts.stream().map(SendAttempt::endpointId).distinct().count());
-        assertEquals(cacheCount, heldAttempts.size(), "one attempt per cache, because a cache that returns gets those of all routers at once");
+                cacheCount,
+                heldAttempts.stream().map(SendAttempt::endpointId).distinct().count());
+        assertEquals(
+                cacheCount,
+                heldAttempts.size(),
+                "one attempt per cache, because a cache that returns gets those of all routers at once");
         // The caches answer again: the router admits more attempts step by step, before their ejection ends.
         for (SendAttempt attempt : heldAttempts) {
             fixture.finishAttempt(attempt, 0, AttemptOutcome.OK, CacheStatus.FILLED);
@@ -678,7 +734,8 @@
         }
         long admitted = 0;
         for (int i = 0; i < 100; i++) {
-            admitted += actionsOfType(fixture.submitRequest("more" + i), SendAttempt.class).size();
+            admitted += actionsOfType(fixture.submitRequest("more" + i), SendAttempt.class)
+                    .size();
         }
         assertTrue(admitted > 2 * cacheCount, admitted + " attempts in flight");
     }
@@ -705,7 +762,8 @@
         for (int i = 0; i < 20; i++) {
             int attemptNumber = 0;
             attemptsAtWarmCache.add(0);
-            for (List<SendAttempt> attempts = actionsOfType(fixture.submitRequest("full" + i), SendAttempt.class); !attempts.isEmpty(); ) {
+            for (List<SendAttempt> attempts = actionsOfType(fixture.submitRequest("full" + i), SendAttempt.class);
+                    !attempts.isEmpty(); ) {
                 boolean atWarmCache = attempts.get(0).endpointId() == 1;
                 attemptsAtWarmCache.set(i, attemptsAtWarmCache.get(i) + (atWarmCache ? 1 : 0));
                 attempts = actionsOfType(
@@ -718,8 +776,12 @@
             }
             fixture.now += 5 * MILLIS;
         }
-        assertTrue(attemptsAtWarmCache.stream().allMatch(count -> count <= 2), "attempts of each request at the warm cache: " + attemptsAtWarmCache);
-        assertTrue(attemptsAtWarmCache.contains(2), "some request is sent to the warm cache twice: " + attemptsAtWarmCache);
+        assertTrue(
+                attemptsAtWarmCache.stream().allMatch(count -> count <= 2),
+                "attempts of each request at the warm cache: " + attemptsAtWarmCache);
+        assertTrue(
+                attemptsAtWarmCache.contains(2),
+                "some request is sent to the warm cache twice: " + attemptsAtWarmCache);
     }
 
     @Test
@@ -740,10 +802,14 @@
         for (int i = 0; i < 200; i++) {
             fixture.submitRequest("o" + i);
         }
-        assertEquals(1, actionsOfType(fixture.submitRequest("y"), RejectRequest.class).size());
-        SendAttempt write =
-                singleAttempt(fixture.handle(new RequestArrived(999_999, 0, "x", 0, 3, 500, fixture.now + 3000 * MILLIS, false, true)));
-        assertTrue(write.fillSourceId() == 11 || write.fillSourceId() == 12, "the write is filled from a parent: " + write);
+        assertEquals(
+                1,
+                actionsOfType(fixture.submitRequest("y"), RejectRequest.class).size());
+        SendAttempt write = singleAttempt(fixture.handle(
+                new RequestArrived(999_999, 0, "x", 0, 3, 500, fixture.now + 3000 * MILLIS, false, true)));
+        assertTrue(
+                write.fillSourceId() == 11 || write.fillSourceId() == 12,
+                "the write is filled from a parent: " + write);
     }
 
     @Test
@@ -756,7 +822,9 @@
         assertEquals(last.endpointId(), last.fillSourceId());
         assertEquals(
                 1,
-                actionsOfType(fixture.finishAttempt(last, 0, AttemptOutcome.MISS, CacheStatus.UNKNOWN), RejectRequest.class)
+                actionsOfType(
+                                fixture.finishAttempt(last, 0, AttemptOutcome.MISS, CacheStatus.UNKNOWN),
+                                RejectRequest.class)
                         .size());
     }
 
@@ -767,7 +835,13 @@
             fixture.now += 200 * MILLIS;
             SendAttempt attempt = fixture.routeRequest("late" + i);
             fixture.handle(new AttemptFinished(
-                    attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, 2500 * MILLIS, true, CacheStatus.FILLED));
+                    attempt.requestId(),
+                    0,
+                    attempt.endpointId(),
+                    AttemptOutcome.OK,
+                    2500 * MILLIS,
+                    true,
+                    CacheStatus.FILLED));
         }
         for (int i = 0; i < 200; i++) {
             SendAttempt first = fixture.routeRequest("n" + i);
@@ -791,13 +865,19 @@
             fixture.now += 300 * MILLIS;
             SendAttempt attempt = fixture.routeRequest("o" + i);
             fixture.handle(new AttemptFinished(
-                    attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, latencyMillis * MILLIS, true, CacheStatus.FILLED));
+                    attempt.requestId(),
+                    0,
+                    attempt.endpointId(),
+                    AttemptOutcome.OK,
+                    latencyMillis * MILLIS,
+                    true,
+                    CacheStatus.FILLED));
         }
         for (int i = 0; i < 5; i++) {
             fixture.routeRequest("p" + i);
         }
-        SendAttempt large =
-                singleAttempt(fixture.handle(new RequestArrived(900, 0, "large", 0, 3, 1500, fixture.now + 3000 * MILLIS, false, false)));
+        SendAttempt large = singleAttempt(fixture.handle(
+                new RequestArrived(900, 0, "large", 0, 3, 1500, fixture.now + 3000 * MILLIS, false, false)));
         return large.endpointId() != large.fillSourceId();
     }
 
@@ -808,8 +888,8 @@
         for (int i = 0; i < 12; i++) {
             fixture.routeRequest("o" + i);
         }
-        SendAttempt giant =
-                singleAttempt(fixture.handle(new RequestArrived(900, 0, "giant", 0, 3, 50_000, fixture.now + 30_000 * MILLIS, false, false)));
+        SendAttempt giant = singleAttempt(fixture.handle(
+                new RequestArrived(900, 0, "giant", 0, 3, 50_000, fixture.now + 30_000 * MILLIS, false, false)));
         assertEquals(giant.endpointId(), giant.fillSourceId());
         SendAttempt meanSize = fixture.routeRequest("usual");
         assertNotEquals(meanSize.endpointId(), meanSize.fillSourceId());
@@ -827,7 +907,8 @@
         fixture.start(RouterFixture.allEndpoints());
         Set<Long> cachesUsed = new HashSet<>();
         for (int i = 0; i < 8; i++) {
-            cachesUsed.add(singleAttempt(fixture.handle(fixture.newRequest("film", 0))).endpointId());
+            cachesUsed.add(
+                    singleAttempt(fixture.handle(fixture.newRequest("film", 0))).endpointId());
         }
         assertTrue(cachesUsed.size() > 1);
     }
@@ -848,9 +929,12 @@
         int attempts = 0;
         for (int i = 0; i < 100; i++) {
             List<RouterAction> actions = fixture.submitRequest("o" + i);
-            for (int attemptNumber = 0; !actionsOfType(actions, SendAttempt.class).isEmpty(); attemptNumber++) {
+            for (int attemptNumber = 0;
+                    !actionsOfType(actions, SendAttempt.class).isEmpty();
+                    attemptNumber++) {
                 attempts++;
-                actions = fixture.finishAttempt(singleAttempt(actions), attemptNumber, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
+                actions = fixture.finishAttempt(
+                        singleAttempt(actions), attemptNumber, AttemptOutcome.ERROR, CacheStatus.UNKNOWN);
             }
         }
         assertTrue(attempts <= 100 + 20 + 100 * 0.2 + 1, attempts + " attempts");
@@ -876,10 +960,13 @@
         RouterFixture fixture = new RouterFixture();
         fixture.pushedEndpointUpdates = false;
         fixture.start(RouterFixture.allEndpoints());
-        StartTimer retryTimer = actionsOfType(fixture.handle(new EndpointsChanged(EndpointUpdateKind.FAILED, List.of())), StartTimer.class)
+        StartTimer retryTimer = actionsOfType(
+                        fixture.handle(new EndpointsChanged(EndpointUpdateKind.FAILED, List.of())), StartTimer.class)
                 .get(0);
         assertEquals(
-                1, actionsOfType(fixture.handle(new TimerFired(retryTimer.name())), WatchEndpoints.class).size());
+                1,
+                actionsOfType(fixture.handle(new TimerFired(retryTimer.name())), WatchEndpoints.class)
+                        .size());
     }
 
     @Test
@@ -944,7 +1031,9 @@
     void routersOfAZoneShareTheFillLimit() {
         int onlyRouter = countAdmittedFills(1);
         int oneOfNineRouters = countAdmittedFills(9);
-        assertTrue(oneOfNineRouters >= 1 && oneOfNineRouters <= onlyRouter / 2, "fills admitted by the only router: " + onlyRouter + ", by one of nine: " + oneOfNineRouters);
+        assertTrue(
+                oneOfNineRouters >= 1 && oneOfNineRouters <= onlyRouter / 2,
+                "fills admitted by the only router: " + onlyRouter + ", by one of nine: " + oneOfNineRouters);
     }
 
     @Test
@@ -1002,9 +1091,17 @@
             SendAttempt attempt = fixture.routeRequest("p" + i);
             fillsFromLaggingParent += attempt.fillSourceId() == 11 && i >= 300 ? 1 : 0;
             fixture.handle(new AttemptFinished(
-                    attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, 120 * MILLIS, true, CacheStatus.FILLED));
+                    attempt.requestId(),
+                    0,
+                    attempt.endpointId(),
+                    AttemptOutcome.OK,
+                    120 * MILLIS,
+                    true,
+                    CacheStatus.FILLED));
         }
-        assertTrue(fillsFromLaggingParent > 20, fillsFromLaggingParent + " of 100 fills came from the parent once it was fast again");
+        assertTrue(
+                fillsFromLaggingParent > 20,
+                fillsFromLaggingParent + " of 100 fills came from the parent once it was fast again");
     }
 
     // Counts attempts while parent 11 has lost its connection to the origin: three of five attempts that fill
@@ -1028,7 +1125,9 @@
                         attemptNumber,
                         isFailing ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                         isFailing ? CacheStatus.UNKNOWN : CacheStatus.FILLED);
-                attempt = actions.isEmpty() || !(actions.get(0) instanceof SendAttempt) ? null : (SendAttempt) actions.get(0);
+                attempt = actions.isEmpty() || !(actions.get(0) instanceof SendAttempt)
+                        ? null
+                        : (SendAttempt) actions.get(0);
             }
         }
         return attemptsBySource;
@@ -1071,7 +1170,13 @@
             for (SendAttempt attempt : actionsOfType(fixture.submitRequest("o" + i), SendAttempt.class)) {
                 cachesUsed.add(attempt.endpointId());
                 fixture.handle(new AttemptFinished(
-                        attempt.requestId(), 0, attempt.endpointId(), AttemptOutcome.OK, 2000 * MILLIS, true, CacheStatus.HIT));
+                        attempt.requestId(),
+                        0,
+                        attempt.endpointId(),
+                        AttemptOutcome.OK,
+                        2000 * MILLIS,
+                        true,
+                        CacheStatus.HIT));
             }
             if (i == 150) {
                 cachesUsed.clear();
@@ -1107,8 +1212,10 @@
         fixture.now += 2000 * MILLIS;
         int attempts = 0;
         for (int i = 0; i < 100; i++) {
-            attempts += actionsOfType(fixture.advanceAndSweep(10 * MILLIS), SendAttempt.class).size()
-                    + actionsOfType(fixture.submitRequest("y" + i), SendAttempt.class).size();
+            attempts += actionsOfType(fixture.advanceAndSweep(10 * MILLIS), SendAttempt.class)
+                            .size()
+                    + actionsOfType(fixture.submitRequest("y" + i), SendAttempt.class)
+                            .size();
         }
         return attempts;
     }
@@ -1117,7 +1224,9 @@
     void zoneThatRestartsGetsTheWorkThatItsCachesServedBefore() {
         int withLearnedCapacity = countAttemptsAfterAllCachesRestart(true, 0);
         int withoutLearnedCapacity = countAttemptsAfterAllCachesRestart(false, 0);
-        assertTrue(withLearnedCapacity > withoutLearnedCapacity, "attempts with learned capacity: " + withLearnedCapacity + ", without: " + withoutLearnedCapacity);
+        assertTrue(
+                withLearnedCapacity > withoutLearnedCapacity,
+                "attempts with learned capacity: " + withLearnedCapacity + ", without: " + withoutLearnedCapacity);
     }
 
     // A zone can fail seconds before the endpoint list reports it. The router must not forget in the meantime
@@ -1125,7 +1234,9 @@
     @Test
     void outageBeforeARestartDoesNotLowerTheLearnedCapacity() {
         int afterOutage = countAttemptsAfterAllCachesRestart(true, 10_000);
-        assertTrue(afterOutage > 0.7 * countAttemptsAfterAllCachesRestart(true, 0), "attempts after the outage: " + afterOutage);
+        assertTrue(
+                afterOutage > 0.7 * countAttemptsAfterAllCachesRestart(true, 0),
+                "attempts after the outage: " + afterOutage);
     }
 
     @Test
@@ -1141,7 +1252,9 @@
                 Endpoint restartedParent = withLifecycle(parent(11), EndpointLifecycle.READY, START_TIME);
                 Endpoint unknownCache = withLifecycle(cache(77), EndpointLifecycle.GONE, 0);
                 fixture.handle(
-                        new EndpointsChanged(EndpointUpdateKind.DELTA, List.of(restartedParent, restartedParent, unknownCache, unknownCache)),
+                        new EndpointsChanged(
+                                EndpointUpdateKind.DELTA,
+                                List.of(restartedParent, restartedParent, unknownCache, unknownCache)),
                         new GossipReceived(routerCount, new byte[11]));
                 for (int i = 0; i < 20; i++) {
                     fixture.answerOk(fixture.routeRequest("x" + i), CacheStatus.FILLED);
@@ -1172,8 +1285,13 @@
         for (int j = 0; j < 12; j++) {
             fixture.answerOk(fixture.routeRequest("well-" + j), CacheStatus.HIT);
         }
-        assertEquals(1, RouterFixture.actionsOfType(fixture.advanceAndSweep(60 * RouterFixture.MILLIS), CancelAttempt.class).size(), "the missing answer counts as lost and not as slow");
-        SendAttempt retry = RouterFixture.singleAttempt(fixture.finishAttempt(attempt, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
+        assertEquals(
+                1,
+                RouterFixture.actionsOfType(fixture.advanceAndSweep(60 * RouterFixture.MILLIS), CancelAttempt.class)
+                        .size(),
+                "the missing answer counts as lost and not as slow");
+        SendAttempt retry = RouterFixture.singleAttempt(
+                fixture.finishAttempt(attempt, 0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN));
         assertTrue(retry.endpointId() != attempt.endpointId());
         for (int i = 0; i < 6 * 60 * 50; i++) {
             // In six minutes the rate of lost answers decays.
@@ -1198,7 +1316,9 @@
         for (int i = 0; i < 40; i++) {
             fixture.answerOk(fixture.routeRequest("back" + i), CacheStatus.HIT);
         }
-        assertTrue(cancellationsOfSlowAnswer(fixture, "slow").isEmpty(), "the router waits for a slow answer, as before the outage");
+        assertTrue(
+                cancellationsOfSlowAnswer(fixture, "slow").isEmpty(),
+                "the router waits for a slow answer, as before the outage");
     }
 
     // Returns the cancellations of an attempt without an answer for 300 ms while the caches answer other requests.
@@ -1207,7 +1327,8 @@
         for (int i = 0; i < 12; i++) {
             fixture.answerOk(fixture.routeRequest(object + i), CacheStatus.HIT);
         }
-        List<CancelAttempt> cancellations = RouterFixture.actionsOfType(fixture.advanceAndSweep(60 * RouterFixture.MILLIS), CancelAttempt.class);
+        List<CancelAttempt> cancellations =
+                RouterFixture.actionsOfType(fixture.advanceAndSweep(60 * RouterFixture.MILLIS), CancelAttempt.class);
         fixture.finishAttempt(attempt, 0, AttemptOutcome.OK, CacheStatus.HIT);
         return cancellations;
     }
--- a/src/test/java/pewtercourse/decision/ZoneSimulation.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulation.java
@@ -95,12 +95,11 @@
         void startJob(long now, Job job) {
             busySlots++;
             boolean hit = random.nextDouble() < HIT_RATE;
-            long duration = (long) (job.sizeKb / CLIENT_KB_PER_SECOND * SECONDS / capacityShare(now))
-                    + (hit ? 0 : FILL_TIME);
+            long duration =
+                    (long) (job.sizeKb / CLIENT_KB_PER_SECOND * SECONDS / capacityShare(now)) + (hit ? 0 : FILL_TIME);
             Runnable onJobDone = () -> {
                 busySlots--;
-                finishAttempt(
-                        now + duration, job, AttemptOutcome.OK, hit ? CacheStatus.HIT : CacheStatus.UNKNOWN);
+                finishAttempt(now + duration, job, AttemptOutcome.OK, hit ? CacheStatus.HIT : CacheStatus.UNKNOWN);
                 if (!queue.isEmpty()) {
                     startJob(now + duration, queue.poll());
                 }
@@ -288,15 +287,7 @@
                 at,
                 router,
                 new RequestArrived(
-                        ++lastRequestId,
-                        0,
-                        object,
-                        0,
-                        3,
-                        Math.min(sizeKb, 8 * meanKb),
-                        at + DEADLINE,
-                        false,
-                        false)));
+                        ++lastRequestId, 0, object, 0, 3, Math.min(sizeKb, 8 * meanKb), at + DEADLINE, false, false)));
     }
 
     private void finishAttempt(long now, Job job, AttemptOutcome outcome, CacheStatus cacheStatus) {
--- a/src/test/java/pewtercourse/decision/ZoneSimulationTest.java
+++ b/src/test/java/pewtercourse/decision/ZoneSimulationTest.java
@@ -18,8 +18,9 @@
     private static void assertCachesStayWithinSlowStartBudget(int routerCount, Restart restart) {
         for (double load : LOADS) {
             for (int seed = 1; seed <= SEEDS; seed++) {
-                double excessRequests =
-                        new ZoneSimulation(routerCount, load, restart, seed).play().maxExcessRequests();
+                double excessRequests = new ZoneSimulation(routerCount, load, restart, seed)
+                        .play()
+                        .maxExcessRequests();
                 assertTrue(
                         excessRequests <= 0,
                         routerCount + " routers, load " + load + ", seed " + seed + ": requests above the budget: "
