--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -147,8 +147,8 @@
         advance(request);
     }
 
-    // Whether no cache was reached and another attempt of this duration would end after half of the client's
-    // time.
+    // Whether no cache was reached and another attempt of this duration would end in the second half of the
+    // client's waiting time.
     private boolean hasWaitedTooLongUnreached(RequestState request, AttemptState attempt) {
         long now = context.now();
         long halfTime = request.arrivedAt + (request.arrival.expiresAt() - request.arrivedAt) / 2;
