--- a/src/main/java/pewtercourse/decision/RequestDispatcher.java
+++ b/src/main/java/pewtercourse/decision/RequestDispatcher.java
@@ -147,7 +147,7 @@
         advance(request);
     }
 
-    // Whether no cache was reached and another attempt of this duration would end in the second half of the
+    // Whether no cache was reached and another attempt of this duration would end after the first half of the
     // client's waiting time.
     private boolean hasWaitedTooLongUnreached(RequestState request, AttemptState attempt) {
         long now = context.now();
