--- a/src/main/java/pewtercourse/raft/Leader.java
+++ b/src/main/java/pewtercourse/raft/Leader.java
@@ -177,8 +177,7 @@
         }
         state.log().commitTo(committedIndex);
         confirmReads();
-        // Sent at once: otherwise the member whose command is committed would learn of it only with the next
-        // heartbeat.
+        // Sent at once, so that the member that proposed a command does not have to wait for the next heartbeat.
         replicator.sendCommitIndex(now);
         if (!state.membership().isChangePending() && !state.membership().isSelfVoter()) {
             transitions.stepDown(now, state.term(), null); // The removal of this member is committed.
--- a/src/main/java/pewtercourse/raft/LogReplicator.java
+++ b/src/main/java/pewtercourse/raft/LogReplicator.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Sends the leader's log to the other members: entries or, if the next entry was compacted away, the snapshot in
- * chunks.
+ * Sends the leader's log to the other members. A member whose next entry was compacted away receives the snapshot in
+ * chunks instead of entries.
  */
 final class LogReplicator {
     private static final int LOST_AFTER_HEARTBEATS = 2; // A message that is unanswered for longer is lost.
--- a/src/main/java/pewtercourse/raft/MembershipState.java
+++ b/src/main/java/pewtercourse/raft/MembershipState.java
@@ -62,8 +62,7 @@
     }
 
     /**
-     * Forgets an earlier report: a message of a leader, or this member's own election, shows that the report is
-     * outdated.
+     * Forgets an earlier report. A message of a leader, or the election of this member, shows that it is outdated.
      */
     void clearNonMemberReport() {
         reportedNonMember = false;
--- a/src/main/java/pewtercourse/raft/RaftLog.java
+++ b/src/main/java/pewtercourse/raft/RaftLog.java
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Replaces the entries up to the snapshot's index by the snapshot, but retains the last {@code trailingEntries} of
-     * them.
+     * Replaces the entries up to the snapshot's index by the snapshot, but retains the last {@code trailingEntries}
+     * entries of them.
      */
     void compact(Snapshot newer, int trailingEntries) {
         long newBaseIndex = Math.max(baseIndex, newer.index() - trailingEntries);
--- a/src/main/java/pewtercourse/raft/Ready.java
+++ b/src/main/java/pewtercourse/raft/Ready.java
@@ -3,8 +3,7 @@
 import java.util.List;
 
 /**
- * The actions that the caller of {@link Raft#take} has to carry out, in the order of the components. The name is
- * etcd's.
+ * The actions that the caller of {@link Raft#take} has to carry out, in the order of the components, like etcd's Ready.
  *
  * @param save the write to start; null if there is none
  * @param messages the messages to send at once; none of them depends on the save
--- a/src/main/java/pewtercourse/raft/store/FolderLock.java
+++ b/src/main/java/pewtercourse/raft/store/FolderLock.java
@@ -20,8 +20,8 @@
     /**
      * Acquires the lock of a folder.
      *
-     * @throws StoreException with {@link StoreException.Reason#IN_USE} if another store has it, in this process or
-     *     another
+     * @throws StoreException with {@link StoreException.Reason#IN_USE} if another store has the lock, in this process
+     *     or in another
      */
     static FolderLock acquire(DataFolder folder) throws IOException {
         FileChannel channel = FileChannel.open(folder.lockFile(), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -37,8 +37,8 @@
         }
     }
 
-    // Null if another process has the lock, or another store of this one, which the library reports by an
-    // exception.
+    // Null if another process has the lock or, which the library reports by an exception, another store of this
+    // one.
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
--- a/src/main/java/pewtercourse/raft/store/SegmentFiles.java
+++ b/src/main/java/pewtercourse/raft/store/SegmentFiles.java
@@ -12,8 +12,7 @@
 
 /**
  * Writes the segments of a data folder. Each segment starts with a head and the hard state, so that older segments can
- * be deleted once a snapshot contains their entries; batches follow. This class owns the open file of the newest
- * segment.
+ * be deleted once a snapshot contains their entries; batches follow. Owns the open file of the newest segment.
  */
 final class SegmentFiles implements Closeable {
     /** Stands for the highest index in a segment without entries. */
@@ -121,10 +120,7 @@
         return bytesWritten;
     }
 
-    /**
-     * Deletes the oldest segments whose entries are all contained in a snapshot of this index, except the newest
-     * segment.
-     */
+    /** Deletes the oldest segments whose entries are all in a snapshot of this index, but never the newest segment. */
     void deleteCoveredBy(long snapshotIndex) throws IOException {
         while (lastIndexBySegment.size() > 1 && lastIndexBySegment.firstEntry().getValue() <= snapshotIndex) {
             Files.deleteIfExists(
--- a/src/test/java/pewtercourse/raft/TracedGroup.java
+++ b/src/test/java/pewtercourse/raft/TracedGroup.java
@@ -15,8 +15,7 @@
 /**
  * A group of members on a simulated clock, driven by one seeded random generator. Messages are lost, delayed,
  * duplicated and reordered. Members crash, pause, lose their folders and restart with old copies of them. Leaders and
- * other members receive commands, reads, leadership transfers and membership changes. All outputs of the members are
- * traced.
+ * other members receive commands, reads, leadership transfers and membership changes. All outputs are traced.
  */
 final class TracedGroup {
     private static final long MS = 1_000;
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -100,10 +100,7 @@
 
     // ---- Writing the folders ----
 
-    /**
-     * Bootstraps a folder and starts its member three times; saves snapshots of the leader and its own, and replaces
-     * entries.
-     */
+    /** Writes a folder over a bootstrap and three starts, with replaced entries, a leader's snapshot and an own one. */
     private static Path writeLog(Path folder) throws IOException {
         LogStore.bootstrap(folder, CLUSTER, MEMBER, FOUNDERS);
         try (LogStore store = LogStore.open(folder, CLUSTER, MEMBER, SEGMENT_BYTES)) {
