--- a/src/main/java/pewtercourse/raft/store/FolderLock.java
+++ b/src/main/java/pewtercourse/raft/store/FolderLock.java
@@ -37,8 +37,7 @@
         }
     }
 
-    // Null if another process has the lock or, which the library reports by an exception, another store of this
-    // one.
+    // Null if the lock is taken. If another store of this process has it, the library throws an exception instead.
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
