--- a/src/main/java/pewtercourse/lease/RejectionReason.java
+++ b/src/main/java/pewtercourse/lease/RejectionReason.java
@@ -30,7 +30,7 @@
     MAINTENANCE_REQUEST_NOT_FOUND("the maintenance request does not exist any more"),
     /** Only the holder of the maintenance lease may cancel a request, or before the grant the requesting member. */
     CANCELLATION_NOT_PERMITTED(
-            "only the holder of the maintenance lease, or before the grant the requesting member, may cancel the request"),
+            "only the holder of the maintenance lease, or the requesting member before the grant, may cancel it"),
     /** Too many members request quota. */
     QUOTA_REQUEST_LIMIT_REACHED("too many members request quota"),
     /** The quota request was granted, replaced or withdrawn, or the amount of the grant is not positive. */
--- a/src/test/java/pewtercourse/lease/LeaseTraceTest.java
+++ b/src/test/java/pewtercourse/lease/LeaseTraceTest.java
@@ -33,7 +33,7 @@
             "1024 maintenance requests are open, which is the maximum",
             "the maintenance request was cancelled in the meantime",
             "the maintenance request does not exist any more",
-            "only the holder of the maintenance lease, or before the grant the requesting member, may cancel the request",
+            "only the holder of the maintenance lease, or the requesting member before the grant, may cancel it",
             "too many members request quota",
             "the quota request does not exist any more",
             "the grant exceeds the quota pool or the number of grants",
--- a/src/test/java/pewtercourse/lease/TraceHash.java
+++ b/src/test/java/pewtercourse/lease/TraceHash.java
@@ -27,7 +27,7 @@
             Map.entry("the maintenance request was cancelled in the meantime", "withdrawn meanwhile"),
             Map.entry("the maintenance request does not exist any more", "withdrawn before"),
             Map.entry(
-                    "only the holder of the maintenance lease, or before the grant the requesting member, may cancel the request",
+                    "only the holder of the maintenance lease, or the requesting member before the grant, may cancel it",
                     "an older token, or another's ticket"),
             Map.entry("too many members request quota", "too many wishes"),
             Map.entry("the quota request does not exist any more", "not wished for any more"),
@@ -63,7 +63,7 @@
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** Hashes the text that this outcome had when the hashes were recorded. Fails for an outcome with any other text. */
+    /** Hashes the text that this outcome had when the hashes were recorded. Fails if no such text is known. */
     void outcome(CommandOutcome outcome) {
         String text = outcomeText(outcome);
         String recorded = RECORDED_OUTCOMES.get(text);
