--- a/src/main/java/pewtercourse/admin/AdminApi.java
+++ b/src/main/java/pewtercourse/admin/AdminApi.java
@@ -4,7 +4,7 @@
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
 
-/** The operators' calls: what each path does, and what is answered. Knows no sockets. */
+/** Runs the operators' calls: maps each path to its operation and the result to a reply. Uses no sockets. */
 final class AdminApi {
     private final Operations director;
 
@@ -12,6 +12,7 @@
         this.director = director;
     }
 
+    /** Runs a call. */
     Future<AdminReply> handle(AdminCall call) {
         if ((call.path().startsWith("/cluster/") || call.path().startsWith("/sites/")) && director.cluster() != null) {
             return ClusterApi.handle(director.cluster(), call);
@@ -37,8 +38,8 @@
                 return maintenance(call);
             case "/reload":
                 return director.reload()
-                        .map(v ->
-                                v.refused() == null ? AdminReply.of(200, "reloaded") : AdminReply.of(422, v.refused()));
+                        .map(verdict ->
+                                verdict.refused() == null ? AdminReply.of(200, "reloaded") : AdminReply.of(422, verdict.refused()));
             case "/standby":
                 director.standby();
                 return Future.succeededFuture(AdminReply.of(200, "standby"));
@@ -58,12 +59,12 @@
         if (!(target instanceof String name) || name.isEmpty()) {
             return Future.succeededFuture(AdminReply.of(400, "target: the id of a cache is missing"));
         }
-        boolean out = call.path().endsWith("/enter");
-        return (out ? director.enterMaintenance(name) : director.exitMaintenance(name))
-                .map(v -> !v.known()
+        boolean entering = call.path().endsWith("/enter");
+        return (entering ? director.enterMaintenance(name) : director.exitMaintenance(name))
+                .map(verdict -> !verdict.known()
                         ? AdminReply.of(404, "target: unknown id")
-                        : v.refused() != null
-                                ? AdminReply.of(503, v.refused())
-                                : AdminReply.of(200, (out ? "out: " : "in: ") + name));
+                        : verdict.refused() != null
+                                ? AdminReply.of(503, verdict.refused())
+                                : AdminReply.of(200, (entering ? "out: " : "in: ") + name));
     }
 }
--- a/src/main/java/pewtercourse/admin/AdminCall.java
+++ b/src/main/java/pewtercourse/admin/AdminCall.java
@@ -1,4 +1,4 @@
 package pewtercourse.admin;
 
-/** One call, whole. */
+/** A complete HTTP call of an operator. */
 record AdminCall(String method, String path, String body) {}
--- a/src/main/java/pewtercourse/admin/AdminServer.java
+++ b/src/main/java/pewtercourse/admin/AdminServer.java
@@ -11,14 +11,17 @@
 import pewtercourse.Log;
 import pewtercourse.Timers;
 
-/** The operators' address: HTTP/1.1, one call to a connection. */
+/** Serves the operators' calls over HTTP/1.1, one call per connection. */
 public final class AdminServer {
-    private static final int HEAD_MOST = 4_096, LINE_MOST = 1_024, BODY_MOST = 4_096;
+    private static final int MAX_HEAD_BYTES = 4_096;
+    private static final int MAX_REQUEST_LINE_BYTES = 1_024;
+    private static final int MAX_BODY_BYTES = 4_096;
 
     private final HttpServer server;
     private final AdminApi api;
     private final CallTable<HttpConnection> table;
 
+    /** Creates a server for the operations of a director. */
     public AdminServer(Vertx vertx, Operations director) {
         api = new AdminApi(director);
         table = new CallTable<>(Timers.of(vertx), HttpConnection::close);
@@ -26,39 +29,40 @@
                 .setReuseAddress(true)
                 .setAcceptBacklog(64)
                 .setTcpNoDelay(true)
-                .setMaxHeaderSize(HEAD_MOST)
-                .setMaxInitialLineLength(LINE_MOST)
+                .setMaxHeaderSize(MAX_HEAD_BYTES)
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                 .setHandle100ContinueAutomatically(true)
                 .setHttp2ClearTextEnabled(false));
-        server.connectionHandler(c -> {
-            table.opened(c);
-            c.closeHandler(v -> table.ended(c));
+        server.connectionHandler(connection -> {
+            table.onOpened(connection);
+            connection.closeHandler(v -> table.onClosed(connection));
         });
         server.requestHandler(this::read);
         server.exceptionHandler(e -> Log.counted("admin.caller_error", "error", e));
-        server.invalidRequestHandler(r -> reply(r, AdminReply.of(400, "unreadable")));
+        server.invalidRequestHandler(request -> reply(request, AdminReply.of(400, "unreadable")));
     }
 
-    public Future<HttpServer> listen(SocketAddress at) {
-        return server.listen(at);
+    /** Starts listening. */
+    public Future<HttpServer> listen(SocketAddress address) {
+        return server.listen(address);
     }
 
-    private void read(HttpServerRequest r) {
+    private void read(HttpServerRequest request) {
         Buffer body = Buffer.buffer();
-        r.handler(b -> {
-            if (body.length() <= BODY_MOST) {
-                body.appendBuffer(b);
-                if (body.length() > BODY_MOST) {
-                    reply(r, AdminReply.of(413, "a body has at most " + BODY_MOST + " bytes"));
+        request.handler(chunk -> {
+            if (body.length() <= MAX_BODY_BYTES) {
+                body.appendBuffer(chunk);
+                if (body.length() > MAX_BODY_BYTES) {
+                    reply(request, AdminReply.of(413, "a body has at most " + MAX_BODY_BYTES + " bytes"));
                 }
             }
         });
-        r.exceptionHandler(e -> r.connection().close());
-        r.endHandler(v -> {
-            if (body.length() <= BODY_MOST) {
-                handle(new AdminCall(r.method().name(), r.path(), body.toString()))
-                        .onSuccess(a -> reply(r, a))
-                        .onFailure(e -> reply(r, unexpected(e)));
+        request.exceptionHandler(e -> request.connection().close());
+        request.endHandler(v -> {
+            if (body.length() <= MAX_BODY_BYTES) {
+                handle(new AdminCall(request.method().name(), request.path(), body.toString()))
+                        .onSuccess(reply -> reply(request, reply))
+                        .onFailure(e -> reply(request, unexpected(e)));
             }
         });
     }
@@ -76,18 +80,18 @@
         return AdminReply.of(500, "failed: see the log");
     }
 
-    private static void reply(HttpServerRequest r, AdminReply a) {
-        if (r.response().ended()) {
+    private static void reply(HttpServerRequest request, AdminReply reply) {
+        if (request.response().ended()) {
             return;
         }
-        if (a.allow() != null) {
-            r.response().putHeader("Allow", a.allow());
+        if (reply.allow() != null) {
+            request.response().putHeader("Allow", reply.allow());
         }
-        r.response()
-                .setStatusCode(a.status())
+        request.response()
+                .setStatusCode(reply.status())
                 .putHeader("Content-Type", "text/plain; charset=utf-8")
                 .putHeader("Connection", "close")
-                .end(a.text().endsWith("\n") ? a.text() : a.text() + "\n")
-                .onComplete(v -> r.connection().close());
+                .end(reply.text().endsWith("\n") ? reply.text() : reply.text() + "\n")
+                .onComplete(v -> request.connection().close());
     }
 }
--- a/src/main/java/pewtercourse/admin/CallTable.java
+++ b/src/main/java/pewtercourse/admin/CallTable.java
@@ -5,43 +5,50 @@
 import pewtercourse.Timers;
 
 /**
- * The open connections of callers. Guards against callers that connect and never finish a call: each has a while, and
- * on a full table the one that has waited longest makes room, so that they never keep the others waiting.
+ * Tracks the open connections of operators. Protects against callers that connect and never finish a call: a call must be
+ * complete within a time limit, and when the table is full, the oldest connection is closed for a new one.
  */
 final class CallTable<C> {
-    static final int MOST = 12;
-    static final long WHOLE_MS = 2_000;
+    static final int MAX_CONNECTIONS = 12;
+    static final long CALL_TIMEOUT_MS = 2_000;
 
-    private final Map<C, Long> open = new LinkedHashMap<>(); // With their timers, the oldest first.
+    private final Map<C, Long> timersByConnection = new LinkedHashMap<>(); // The oldest connection first.
     private final Timers timers;
-    private final java.util.function.Consumer<C> close;
-
-    /** {@code close} ends a connection; its end is told to {@link #ended} as for every other. */
-    CallTable(Timers timers, java.util.function.Consumer<C> close) {
+    private final java.util.function.Consumer<C> closeConnection;
+
+    /**
+     * Creates a table.
+     *
+     * @param closeConnection closes a connection; its close is reported to {@link #onClosed} like any other
+     */
+    CallTable(Timers timers, java.util.function.Consumer<C> closeConnection) {
         this.timers = timers;
-        this.close = close;
+        this.closeConnection = closeConnection;
     }
 
-    void opened(C c) {
-        if (open.size() >= MOST) {
-            end(open.keySet().iterator().next());
+    /** Adds a connection; closes the oldest one if the table is full. */
+    void onOpened(C connection) {
+        if (timersByConnection.size() >= MAX_CONNECTIONS) {
+            close(timersByConnection.keySet().iterator().next());
         }
-        open.put(c, timers.set(WHOLE_MS, () -> end(c)));
+        timersByConnection.put(connection, timers.set(CALL_TIMEOUT_MS, () -> close(connection)));
     }
 
-    void ended(C c) {
-        Long timer = open.remove(c);
+    /** Removes a connection that has been closed. */
+    void onClosed(C connection) {
+        Long timer = timersByConnection.remove(connection);
         if (timer != null) {
             timers.cancel(timer);
         }
     }
 
+    /** The number of open connections. */
     int size() {
-        return open.size();
+        return timersByConnection.size();
     }
 
-    private void end(C c) {
-        ended(c);
-        close.accept(c);
+    private void close(C connection) {
+        onClosed(connection);
+        closeConnection.accept(connection);
     }
 }
--- a/src/main/java/pewtercourse/admin/ClusterApi.java
+++ b/src/main/java/pewtercourse/admin/ClusterApi.java
@@ -4,10 +4,11 @@
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
 
-/** The operators' calls on the cluster. 409 is a no for a reason that is told, 503 one that trying again may mend. */
+/** Runs the operators' calls on the cluster. 409 refuses a call with the reason; after 503 a retry may succeed. */
 final class ClusterApi {
     private ClusterApi() {}
 
+    /** Runs a call whose path begins with /cluster/ or /sites/. */
     static Future<AdminReply> handle(ClusterCalls cluster, AdminCall call) {
         String method = switch (call.path()) {
             case "/cluster/status", "/sites/status" -> "GET";
@@ -42,33 +43,35 @@
         } catch (DecodeException e) {
             return Future.succeededFuture(AdminReply.of(400, "the body is no JSON object"));
         }
-        String name = word(body, "name"), duty = word(body, "duty"), to = word(body, "to");
-        String address = word(body, "address");
+        String name = stringOrEmpty(body, "name");
+        String duty = stringOrEmpty(body, "duty");
+        String member = stringOrEmpty(body, "to");
+        String address = stringOrEmpty(body, "address");
         return switch (call.path()) {
             case "/cluster/hand-on" ->
                 duty.isEmpty()
                         ? missing("duty")
-                        : cluster.handOn(duty, to)
-                                .map(ClusterApi::verdict)
+                        : cluster.handOn(duty, member)
+                                .map(ClusterApi::reply)
                                 .otherwise(e -> AdminReply.of(503, e.getMessage()));
             case "/sites/drill", "/sites/hold", "/sites/release" ->
                 name.isEmpty()
                         ? missing("name")
                         : cluster.site(call.path().substring("/sites/".length()), name)
-                                .map(ClusterApi::verdict)
+                                .map(ClusterApi::reply)
                                 .otherwise(e -> AdminReply.of(503, e.getMessage()));
-            case "/cluster/transfer" -> Future.succeededFuture(verdict(cluster.transfer(to)));
+            case "/cluster/transfer" -> Future.succeededFuture(reply(cluster.transfer(member)));
             case "/cluster/add" ->
                 name.isEmpty()
                         ? missing("name")
                         : address.isEmpty()
                                 ? missing("address")
-                                : Future.succeededFuture(verdict(cluster.add(name, address)));
-            default -> name.isEmpty() ? missing("name") : Future.succeededFuture(verdict(cluster.remove(name)));
+                                : Future.succeededFuture(reply(cluster.add(name, address)));
+            default -> name.isEmpty() ? missing("name") : Future.succeededFuture(reply(cluster.remove(name)));
         };
     }
 
-    private static String word(JsonObject body, String key) {
+    private static String stringOrEmpty(JsonObject body, String key) {
         return body.getValue(key) instanceof String s ? s : "";
     }
 
@@ -76,7 +79,7 @@
         return Future.succeededFuture(AdminReply.of(400, key + ": missing"));
     }
 
-    private static AdminReply verdict(String why) {
-        return why == null ? AdminReply.of(200, "done") : AdminReply.of(409, why);
+    private static AdminReply reply(String refusal) {
+        return refusal == null ? AdminReply.of(200, "done") : AdminReply.of(409, refusal);
     }
 }
--- a/src/main/java/pewtercourse/admin/Operations.java
+++ b/src/main/java/pewtercourse/admin/Operations.java
@@ -2,39 +2,50 @@
 
 import io.vertx.core.Future;
 
-/** What operators may ask of a director, whatever protocol the call came by. All run on the event loop. */
+/** The operations of a director that operators may call, independent of the protocol. All run on the event loop. */
 public interface Operations {
-    /** Whether this process can serve. */
+    /** Whether this process can serve clients. */
     boolean canServe();
 
-    /** The figures: a line for each, NAME=VALUE. */
+    /** The metrics, one line NAME=VALUE for each. */
     String metrics();
 
-    /** What became of a call: done; or not, as nothing of this name is known; or not for the reason told. */
+    /**
+     * The result of a call.
+     *
+     * @param known whether the target of the call exists
+     * @param refused the reason why the call was refused, or null
+     */
     record Verdict(boolean known, String refused) {
-        public static final Verdict DONE = new Verdict(true, null), UNKNOWN = new Verdict(false, null);
+        /** The call was carried out. */
+        public static final Verdict DONE = new Verdict(true, null);
 
-        public static Verdict refused(String why) {
-            return new Verdict(true, why);
+        /** The target does not exist. */
+        public static final Verdict UNKNOWN = new Verdict(false, null);
+
+        /** The call was refused for this reason. */
+        public static Verdict refused(String reason) {
+            return new Verdict(true, reason);
         }
     }
 
-    /** Takes a cache out until {@link #exitMaintenance}. Never fails. */
+    /** Takes a cache out of rotation until {@link #exitMaintenance}. The future never fails. */
     Future<Verdict> enterMaintenance(String target);
 
-    /** It may serve again, however often it was taken out. Never fails. */
+    /** Puts a cache back into rotation, however often it was taken out. The future never fails. */
     Future<Verdict> exitMaintenance(String target);
 
-    /** Reads the configuration again, as at SIGHUP: refused with the faulty key, and nothing has changed, or done. */
+    /** Reloads the configuration, as SIGHUP does. An invalid one is refused with its faulty key, and nothing changes. */
     Future<Verdict> reload();
 
-    /** The calls on the cluster of directors, if this one belongs to one. */
+    /** The calls on the cluster that this director belongs to, or null. */
     default ClusterCalls cluster() {
         return null;
     }
 
-    /** Clients are sent away until {@link #active}. Twice is as good as once. */
+    /** Sends clients to other directors until {@link #active}. Repeated calls have no further effect. */
     void standby();
 
+    /** Ends the standby. */
     void active();
 }
--- a/src/main/java/pewtercourse/admin/package-info.java
+++ b/src/main/java/pewtercourse/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' address: plain HTTP calls that show a director's state, take caches out of rotation and put it on
- * standby.
+ * The operators' HTTP interface: calls that show the state of a director, take caches out of rotation, put the director on
+ * standby, reload its configuration and manage its cluster.
  */
 package pewtercourse.admin;
--- a/src/main/java/pewtercourse/front/Answer.java
+++ b/src/main/java/pewtercourse/front/Answer.java
@@ -2,9 +2,14 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** The one final answer to a client. {@code holdOffMs} 0: no advice when to come again. */
+/**
+ * The only and final answer to a client's request.
+ *
+ * @param tag the entity tag of the object, or null
+ * @param holdOffMs how long the client should wait before it tries again; 0 for no advice
+ */
 public record Answer(Kind kind, Buffer body, String tag, long holdOffMs) {
-    /** {@code SAME}: served, by telling the client that its own copy holds. */
+    /** The outcome. {@code SAME}: the request is served, and the client's own copy is still valid. */
     public enum Kind {
         SERVED,
         SAME,
@@ -12,21 +17,25 @@
         FAILED
     }
 
-    private static final Buffer NOTHING = Buffer.buffer();
+    private static final Buffer EMPTY_BODY = Buffer.buffer();
 
+    /** Serves the request with this body; {@code tag} may be null. */
     public static Answer served(Buffer body, String tag) {
         return new Answer(Kind.SERVED, body, tag, 0);
     }
 
+    /** Serves the request by confirming the copy that the client has. */
     public static Answer same(String tag) {
-        return new Answer(Kind.SAME, NOTHING, tag, 0);
+        return new Answer(Kind.SAME, EMPTY_BODY, tag, 0);
     }
 
+    /** Refuses the request for now. */
     public static Answer refused(long holdOffMs) {
-        return new Answer(Kind.REFUSED, NOTHING, null, holdOffMs);
+        return new Answer(Kind.REFUSED, EMPTY_BODY, null, holdOffMs);
     }
 
+    /** Reports that the request failed. */
     public static Answer failed() {
-        return new Answer(Kind.FAILED, NOTHING, null, 0);
+        return new Answer(Kind.FAILED, EMPTY_BODY, null, 0);
     }
 }
--- a/src/main/java/pewtercourse/front/ClientRequest.java
+++ b/src/main/java/pewtercourse/front/ClientRequest.java
@@ -3,9 +3,11 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * A client's request, whatever protocol it came by. {@code takenAt} is the clock (microseconds) at its last
- * byte, {@code deadlineMs} how long the client waits from then on, {@code known} the tag of a copy that the
- * client holds, or null.
+ * A client's complete request, independent of the protocol.
+ *
+ * @param known the tag of a copy that the client has, or null
+ * @param takenAt the clock in microseconds when the last byte was read
+ * @param deadlineMs how long the client waits for the answer from then on
  */
 public record ClientRequest(
         String id,
--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -4,11 +4,16 @@
 import java.util.Map;
 
 /**
- * How far a director has gone in sending its clients away. Each cause has its own plan of steps, counted from when it
- * began; the furthest step counts. Knows no sockets; times are microseconds of the caller's clock.
+ * Tracks the stage of a director's drain, in which its clients are sent to other directors. Each cause has its own delays
+ * for the stages, counted from when the cause began; the furthest stage of all causes applies. Uses no sockets; times are
+ * microseconds of the caller's clock.
  */
 public final class Drain {
-    /** What happens to kept connections: nothing, closed after a rest, closed once empty, and new requests refused. */
+    /**
+     * What happens to kept connections. {@code OPEN}: nothing. {@code CLOSE_RESTING}: they are closed after a pause without
+     * a request. {@code CLOSE_EMPTY}: they are closed as soon as no request is open. {@code REFUSE}: also, new requests are
+     * refused.
+     */
     public enum Step {
         OPEN,
         CLOSE_RESTING,
@@ -17,58 +22,63 @@
     }
 
     /**
-     * {@code STANDBY}: new connections come for 0.3 s, and 4 s after the call nothing may be held that came in its
-     * last 2 s. {@code HANDOVER}: another process takes all new connections; what comes in the first 0.7 s is served.
-     * {@code SHUTDOWN}: clients come as ever until the cut-off; what is read after it is refused and never sent on.
+     * Why the director drains, with the delays of the stages in milliseconds. {@code STANDBY}: clients open new
+     * connections for another 0.3 s, and 4 s after the operator's call the director may have no open request that arrived
+     * in the last 2 s. {@code HANDOVER}: another process accepts all new connections; requests that arrive in the first
+     * 0.7 s are served. {@code SHUTDOWN}: clients are served as usual until the cut-off; requests read after the cut-off
+     * are refused and never sent to a cache.
      */
     public enum Cause {
         STANDBY(400, 1_200, 1_800),
         HANDOVER(0, 350, 650),
         SHUTDOWN(750, 750, 750);
 
-        private final long[] afterMs;
+        private final long[] stageDelaysMs;
 
-        Cause(long... afterMs) {
-            this.afterMs = afterMs;
+        Cause(long... stageDelaysMs) {
+            this.stageDelaysMs = stageDelaysMs;
         }
     }
 
-    private final Map<Cause, Long> since = new EnumMap<>(Cause.class);
+    private final Map<Cause, Long> startedAtMicros = new EnumMap<>(Cause.class);
 
-    /** A second call doesn't begin anew. */
-    public void begin(Cause cause, long now) {
-        since.putIfAbsent(cause, now);
+    /** Starts the drain for this cause; no effect if it has started already. */
+    public void begin(Cause cause, long nowMicros) {
+        startedAtMicros.putIfAbsent(cause, nowMicros);
     }
 
+    /** Ends the drain for this cause. */
     public void end(Cause cause) {
-        since.remove(cause);
+        startedAtMicros.remove(cause);
     }
 
+    /** Whether the drain for this cause has started and not ended. */
     public boolean has(Cause cause) {
-        return since.containsKey(cause);
+        return startedAtMicros.containsKey(cause);
     }
 
-    public Step step(long now) {
-        int furthest = 0;
-        for (Map.Entry<Cause, Long> e : since.entrySet()) {
-            for (int i = 0; i < e.getKey().afterMs.length; i++) {
-                if (now - e.getValue() >= e.getKey().afterMs[i] * 1000) {
-                    furthest = Math.max(furthest, i + 1);
+    /** The furthest stage of all causes at this time. */
+    public Step step(long nowMicros) {
+        int furthestIndex = 0;
+        for (Map.Entry<Cause, Long> entry : startedAtMicros.entrySet()) {
+            for (int stageIndex = 0; stageIndex < entry.getKey().stageDelaysMs.length; stageIndex++) {
+                if (nowMicros - entry.getValue() >= entry.getKey().stageDelaysMs[stageIndex] * 1000) {
+                    furthestIndex = Math.max(furthestIndex, stageIndex + 1);
                 }
             }
         }
-        return Step.values()[furthest];
+        return Step.values()[furthestIndex];
     }
 
-    /** Milliseconds until some plan's next step, at least 1; -1 if none is left. */
-    public long nextMs(long now) {
-        long next = Long.MAX_VALUE;
-        for (Map.Entry<Cause, Long> e : since.entrySet()) {
-            for (long after : e.getKey().afterMs) {
-                long left = e.getValue() + after * 1000 - now;
-                next = left > 0 ? Math.min(next, (left + 999) / 1000) : next;
+    /** Milliseconds until the next stage of any cause, at least 1; -1 if no stage is left. */
+    public long nextMs(long nowMicros) {
+        long nextMs = Long.MAX_VALUE;
+        for (Map.Entry<Cause, Long> entry : startedAtMicros.entrySet()) {
+            for (long delayMs : entry.getKey().stageDelaysMs) {
+                long leftMicros = entry.getValue() + delayMs * 1000 - nowMicros;
+                nextMs = leftMicros > 0 ? Math.min(nextMs, (leftMicros + 999) / 1000) : nextMs;
             }
         }
-        return next == Long.MAX_VALUE ? -1 : next;
+        return nextMs == Long.MAX_VALUE ? -1 : nextMs;
     }
 }
--- a/src/main/java/pewtercourse/front/FrontLimits.java
+++ b/src/main/java/pewtercourse/front/FrontLimits.java
@@ -1,7 +1,10 @@
 package pewtercourse.front;
 
 /**
- * What a front may take up: connections, bytes of requests that aren't whole yet, and bytes of answers that
- * their clients haven't read yet, each over all connections.
+ * The limits of a front, each over all its connections.
+ *
+ * @param connections maximum number of connections
+ * @param requestBytes maximum bytes of incomplete requests
+ * @param answerBytes maximum bytes of answers that clients have not read yet
  */
 public record FrontLimits(int connections, long requestBytes, long answerBytes) {}
--- a/src/main/java/pewtercourse/front/FrontTransport.java
+++ b/src/main/java/pewtercourse/front/FrontTransport.java
@@ -7,9 +7,9 @@
 import io.vertx.core.transport.Transport;
 
 /**
- * The library's sockets, but for the event loop's waits ({@link WholeMillisecondWaits}) and for the clients' server, which
- * listens on a given channel: the first one that is opened after {@link #frontNext}. Others, such as a cluster's, may be
- * opened before and after.
+ * The NIO transport of Vert.x with two changes: the event loop waits in whole milliseconds
+ * ({@link WholeMillisecondWaits}), and the clients' server listens on the given channel. The clients' server is the first
+ * server that is opened after {@link #frontNext}; other servers, such as the cluster's, may be opened before and after.
  */
 public final class FrontTransport implements Transport {
     private final ServerChannel listener;
@@ -19,7 +19,7 @@
         this.listener = listener;
     }
 
-    /** The next server that is opened is the clients'. */
+    /** Gives the listener of the clients to the next server that is opened. */
     public void frontNext() {
         frontNext = true;
     }
@@ -49,11 +49,11 @@
 
             @Override
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-                ChannelFactory<? extends ServerChannel> plain = super.serverChannelFactory(domainSocket);
+                ChannelFactory<? extends ServerChannel> defaultFactory = super.serverChannelFactory(domainSocket);
                 return () -> {
-                    boolean front = frontNext;
+                    boolean isFront = frontNext;
                     frontNext = false;
-                    return front ? listener : plain.newChannel();
+                    return isFront ? listener : defaultFactory.newChannel();
                 };
             }
         };
--- a/src/main/java/pewtercourse/front/LimitedListener.java
+++ b/src/main/java/pewtercourse/front/LimitedListener.java
@@ -11,53 +11,55 @@
 import pewtercourse.Log;
 
 /**
- * A listening socket with a bound on the connections that are open on it. The library accepts on a thread of its own:
- * while the event loop is busy, as at a start, clients could else use up the descriptors that the control feed and the
- * caches need. Past the bound a connection is closed unread.
+ * A listening socket that limits the number of its open connections. Vert.x accepts on a thread of its own: without the
+ * limit, clients could use up the descriptors that the control feed and the caches need while the event loop is busy, as it
+ * is at a start. Connections over the limit are closed unread.
  */
 public class LimitedListener extends NioServerSocketChannel {
-    // The JDK gives a closed socket's descriptor back when its selector has turned once more.
-    private static final long FREED_MS = 5;
+    // The JDK releases the descriptor of a closed socket only in the next run of its selector.
+    private static final long DESCRIPTOR_RELEASE_MS = 5;
 
-    private final int most;
-    private final AtomicInteger open = new AtomicInteger();
+    private final int maxConnections;
+    private final AtomicInteger openConnections = new AtomicInteger();
 
-    public LimitedListener(int most) {
-        this.most = most;
+    /** Creates a listener on a new socket. */
+    public LimitedListener(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    public LimitedListener(ServerSocketChannel socket, int most) {
+    /** Creates a listener on an existing socket. */
+    public LimitedListener(ServerSocketChannel socket, int maxConnections) {
         super(socket);
-        this.most = most;
+        this.maxConnections = maxConnections;
     }
 
     @Override
-    protected int doReadMessages(List<Object> into) throws Exception {
-        if (open.get() >= most) {
-            closeNext();
+    protected int doReadMessages(List<Object> accepted) throws Exception {
+        if (openConnections.get() >= maxConnections) {
+            rejectNextConnection();
             return 0;
         }
-        int before = into.size();
-        int read = super.doReadMessages(into);
-        for (Object accepted : into.subList(before, into.size())) {
-            open.incrementAndGet();
-            Channel channel = (Channel) accepted;
-            channel.closeFuture().addListener(closed -> freed(channel.eventLoop()));
+        int sizeBefore = accepted.size();
+        int acceptedCount = super.doReadMessages(accepted);
+        for (Object child : accepted.subList(sizeBefore, accepted.size())) {
+            openConnections.incrementAndGet();
+            Channel channel = (Channel) child;
+            channel.closeFuture().addListener(closed -> onChannelClosed(channel.eventLoop()));
         }
-        return read;
+        return acceptedCount;
     }
 
-    private void freed(EventLoop loop) {
-        if (!loop.isShuttingDown()) {
-            loop.schedule(open::decrementAndGet, FREED_MS, TimeUnit.MILLISECONDS);
+    private void onChannelClosed(EventLoop eventLoop) {
+        if (!eventLoop.isShuttingDown()) {
+            eventLoop.schedule(openConnections::decrementAndGet, DESCRIPTOR_RELEASE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void closeNext() throws Exception {
-        SocketChannel next = javaChannel().accept();
-        if (next != null) {
-            next.close();
-            Log.counted("front.no_descriptor", "connections", open.get());
+    private void rejectNextConnection() throws Exception {
+        SocketChannel connection = javaChannel().accept();
+        if (connection != null) {
+            connection.close();
+            Log.counted("front.no_descriptor", "connections", openConnections.get());
         }
     }
 }
--- a/src/main/java/pewtercourse/front/RequestHandler.java
+++ b/src/main/java/pewtercourse/front/RequestHandler.java
@@ -2,12 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** What stands behind a front: takes requests, and answers each at most once. */
+/** Processes the requests of a front, and answers each at most once. */
 public interface RequestHandler {
-    /** Returns what to run when the client stops waiting; from then on no answer may be given. */
+    /**
+     * Processes a request. Returns the action that the front runs when the client stops waiting; from then on the request
+     * must not be answered.
+     */
     Runnable handle(ClientRequest request, Consumer<Answer> answer);
 
-    /** Whether clients may be told to come. */
+    /** Whether health checks report that the director is ready for clients. */
     default boolean ready() {
         return true;
     }
--- a/src/main/java/pewtercourse/front/WholeMillisecondWaits.java
+++ b/src/main/java/pewtercourse/front/WholeMillisecondWaits.java
@@ -7,99 +7,99 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Waits of the event loop in whole milliseconds, rounded up. The library's selector takes milliseconds and rounds to the
- * nearest: with less than half a millisecond to go until the next timer it does not wait at all, and the event loop polls the
- * selector until the timer is due. A timer may come up to a millisecond later instead.
+ * Makes the event loop wait in whole milliseconds, rounded up. The selector of Netty takes milliseconds and rounds to the
+ * nearest: when the next timer is due in less than half a millisecond, it does not wait at all, and the event loop polls the
+ * selector until the timer is due. With rounding up, a timer may fire up to a millisecond late instead.
  */
 final class WholeMillisecondWaits implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final IoHandler library;
+    private final IoHandler delegate;
 
-    private WholeMillisecondWaits(IoHandler library) {
-        this.library = library;
+    private WholeMillisecondWaits(IoHandler delegate) {
+        this.delegate = delegate;
     }
 
-    /** The library's handlers, with these waits. */
-    static IoHandlerFactory factory(IoHandlerFactory library) {
+    /** Wraps the handlers of the given factory. */
+    static IoHandlerFactory factory(IoHandlerFactory delegate) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(io.netty.util.concurrent.ThreadAwareExecutor executor) {
-                return new WholeMillisecondWaits(library.newHandler(executor));
+                return new WholeMillisecondWaits(delegate.newHandler(executor));
             }
 
             @Override
             public boolean isChangingThreadSupported() {
-                return library.isChangingThreadSupported();
+                return delegate.isChangingThreadSupported();
             }
         };
     }
 
-    /** {@code nanos} to the next whole millisecond; what is due already, or never, as it is. */
-    static long roundedUp(long nanos) {
-        boolean dueOrNever = nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MILLI;
-        return dueOrNever ? nanos : (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
+    /** Rounds a delay up to a whole millisecond; the delays of timers that are due or never fire stay as they are. */
+    static long roundedUp(long delayNanos) {
+        boolean dueOrNever = delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI;
+        return dueOrNever ? delayNanos : (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
     }
 
-    private record RoundedContext(IoHandlerContext loop) implements IoHandlerContext {
+    private record RoundedContext(IoHandlerContext delegate) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return loop.canBlock();
+            return delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            return roundedUp(loop.delayNanos(currentTimeNanos));
+            return roundedUp(delegate.delayNanos(currentTimeNanos));
         }
 
         @Override
         public long deadlineNanos() {
-            return loop.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long activeNanos) {
-            loop.reportActiveIoTime(activeNanos);
+            delegate.reportActiveIoTime(activeNanos);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return loop.shouldReportActiveIoTime();
+            return delegate.shouldReportActiveIoTime();
         }
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        return library.run(new RoundedContext(context));
+        return delegate.run(new RoundedContext(context));
     }
 
     @Override
     public void initialize() {
-        library.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        library.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        library.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return library.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        library.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> handleType) {
-        return library.isCompatible(handleType);
+        return delegate.isCompatible(handleType);
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
+++ b/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
@@ -6,109 +6,115 @@
 import pewtercourse.front.Answer;
 import pewtercourse.front.ClientRequest;
 
-/** The fields of a request as CGI parameters, and an answer as a CGI response. */
+/** Decodes requests from CGI parameters, and encodes answers as CGI responses. */
 final class CgiRequest {
-    private static final String PREFIX = "/ops/", HEALTH = "/alive";
+    private static final String CLASS_PATH_PREFIX = "/ops/";
+    private static final String HEALTH_PATH = "/alive";
 
-    // Far past what any class has; a size this large would take half a minute to send.
-    private static final double DEADLINE_MOST = 60_000, SIZE_MOST = 100_000;
-    private static final int GROUP_MOST = 255, KNOWN_MOST = 64;
-    private static final Pattern PLAIN = Pattern.compile("[0-9]+(\\.[0-9]+)?");
+    // Far above the values of any class; an object of this size would take half a minute to send.
+    private static final double MAX_DEADLINE_MS = 60_000;
+    private static final double MAX_SIZE_KB = 100_000;
+    private static final int MAX_GROUP = 255;
+    private static final int MAX_TAG_LENGTH = 64;
+    private static final Pattern PLAIN_NUMBER = Pattern.compile("[0-9]+(\\.[0-9]+)?");
 
     private CgiRequest() {}
 
+    /** Whether the request is a health check of the director itself. */
     static boolean isHealthCheck(Map<String, String> params) {
-        return HEALTH.equals(params.get("SCRIPT_NAME"));
+        return HEALTH_PATH.equals(params.get("SCRIPT_NAME"));
     }
 
-    static ClientRequest decode(Map<String, String> params, Buffer body, long now) throws MalformedRecordException {
+    /** Decodes a complete request; throws if a parameter is missing or invalid. */
+    static ClientRequest decode(Map<String, String> params, Buffer body, long nowMicros) throws MalformedRecordException {
         String script = params.getOrDefault("SCRIPT_NAME", "");
-        if (!script.startsWith(PREFIX) || script.length() == PREFIX.length()) {
-            throw new MalformedRecordException("SCRIPT_NAME names no class");
+        if (!script.startsWith(CLASS_PATH_PREFIX) || script.length() == CLASS_PATH_PREFIX.length()) {
+            throw new MalformedRecordException("SCRIPT_NAME is not /ops/ followed by a class");
         }
-        double left = number(params, "HTTP_X_DEADLINE_MS", DEADLINE_MOST, -1);
-        if (left < 0) {
+        double deadlineMs = number(params, "HTTP_X_DEADLINE_MS", MAX_DEADLINE_MS, -1);
+        if (deadlineMs < 0) {
             throw new MalformedRecordException("HTTP_X_DEADLINE_MS is missing");
         }
         return new ClientRequest(
                 hex(params, "HTTP_X_CORRELATION_ID"),
-                script.substring(PREFIX.length()),
+                script.substring(CLASS_PATH_PREFIX.length()),
                 hex(params, "HTTP_X_SUBJECT"),
-                whole(params, "HTTP_X_CHUNK", Integer.MAX_VALUE),
-                whole(params, "HTTP_X_TAG", GROUP_MOST),
-                number(params, "HTTP_X_NEED_KB", SIZE_MOST, 0),
-                known(params.get("HTTP_X_KNOWN")),
+                integer(params, "HTTP_X_CHUNK", Integer.MAX_VALUE),
+                integer(params, "HTTP_X_TAG", MAX_GROUP),
+                number(params, "HTTP_X_NEED_KB", MAX_SIZE_KB, 0),
+                clientTag(params.get("HTTP_X_KNOWN")),
                 body,
-                now,
-                left);
+                nowMicros,
+                deadlineMs);
     }
 
-    // It goes on into a header: what isn't a plain word could end that header and begin another.
-    private static String known(String tag) throws MalformedRecordException {
+    // The tag is copied into a header: a space or control character could end that header and begin another.
+    private static String clientTag(String tag) throws MalformedRecordException {
         if (tag == null || tag.isEmpty()) {
             return null;
         }
-        if (tag.length() > KNOWN_MOST || !tag.chars().allMatch(c -> c > ' ' && c < 127)) {
-            throw new MalformedRecordException("HTTP_X_KNOWN is no tag");
+        if (tag.length() > MAX_TAG_LENGTH || !tag.chars().allMatch(c -> c > ' ' && c < 127)) {
+            throw new MalformedRecordException("HTTP_X_KNOWN is not a tag of at most " + MAX_TAG_LENGTH + " printable ASCII characters");
         }
         return tag;
     }
 
     private static String hex(Map<String, String> params, String name) throws MalformedRecordException {
-        String v = params.getOrDefault(name, "");
-        if (v.length() != 16 || !v.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
+        String value = params.getOrDefault(name, "");
+        if (value.length() != 16 || !value.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
             throw new MalformedRecordException(name + " is not 16 hex digits");
         }
-        return v;
+        return value;
     }
 
-    private static int whole(Map<String, String> params, String name, int most) throws MalformedRecordException {
-        double d = number(params, name, most, 0);
-        if (d != Math.rint(d)) {
-            throw unusable(name, params.get(name));
+    private static int integer(Map<String, String> params, String name, int max) throws MalformedRecordException {
+        double parsed = number(params, name, max, 0);
+        if (parsed != Math.rint(parsed)) {
+            throw invalidNumber(name, params.get(name));
         }
-        return (int) d;
+        return (int) parsed;
     }
 
-    private static double number(Map<String, String> params, String name, double most, double otherwise)
+    private static double number(Map<String, String> params, String name, double max, double defaultValue)
             throws MalformedRecordException {
-        String v = params.get(name);
-        if (v == null || v.isEmpty()) {
-            return otherwise;
+        String value = params.get(name);
+        if (value == null || value.isEmpty()) {
+            return defaultValue;
         }
-        // Plain digits only: the language's own parser would also take signs, exponents, hex and NaN.
-        if (v.length() <= 24 && PLAIN.matcher(v).matches()) {
-            double d = Double.parseDouble(v);
-            if (d <= most) {
-                return d;
+        // Only plain digits: Double.parseDouble also accepts signs, exponents, hexadecimal numbers and NaN.
+        if (value.length() <= 24 && PLAIN_NUMBER.matcher(value).matches()) {
+            double parsed = Double.parseDouble(value);
+            if (parsed <= max) {
+                return parsed;
             }
         }
-        throw unusable(name, v);
+        throw invalidNumber(name, value);
     }
 
-    private static MalformedRecordException unusable(String name, String v) {
-        return new MalformedRecordException(name + " '" + (v.length() <= 40 ? v : v.substring(0, 40) + "...")
-                + "' is not a number that can be used");
+    private static MalformedRecordException invalidNumber(String name, String value) {
+        return new MalformedRecordException(name + " '" + (value.length() <= 40 ? value : value.substring(0, 40) + "...")
+                + "' is not a number in the allowed range");
     }
 
-    static Buffer encode(Answer a) {
-        String status = switch (a.kind()) {
+    /** Encodes an answer as a CGI response, head and body. */
+    static Buffer encode(Answer answer) {
+        String status = switch (answer.kind()) {
             case SERVED, SAME -> "200 OK";
             case REFUSED -> "503 Service Unavailable";
             case FAILED -> "502 Bad Gateway";
         };
         StringBuilder head = new StringBuilder("Status: ").append(status).append("\r\n");
         head.append("Content-Type: application/octet-stream\r\n");
-        head.append("Content-Length: ").append(a.body().length()).append("\r\n");
-        if (a.tag() != null) {
-            head.append("ETag: ").append(a.tag()).append("\r\n");
+        head.append("Content-Length: ").append(answer.body().length()).append("\r\n");
+        if (answer.tag() != null) {
+            head.append("ETag: ").append(answer.tag()).append("\r\n");
         }
-        if (a.kind() == Answer.Kind.SAME) {
+        if (answer.kind() == Answer.Kind.SAME) {
             head.append("X-Valid: 1\r\n");
         }
-        if (a.kind() == Answer.Kind.REFUSED && a.holdOffMs() > 0) {
-            head.append("X-Pushback-Ms: ").append(a.holdOffMs()).append("\r\n");
+        if (answer.kind() == Answer.Kind.REFUSED && answer.holdOffMs() > 0) {
+            head.append("X-Pushback-Ms: ").append(answer.holdOffMs()).append("\r\n");
         }
-        return Buffer.buffer(head.append("\r\n").toString()).appendBuffer(a.body());
+        return Buffer.buffer(head.append("\r\n").toString()).appendBuffer(answer.body());
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
+++ b/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
@@ -8,13 +8,15 @@
 import pewtercourse.front.Drain;
 
 /**
- * All connections of a front, and what they hold together. Guards against clients that open hundreds and say
- * nothing, or ask once and stay: on a full table the one that is missed least makes room.
+ * Tracks all connections of a front and the bytes of their incomplete requests. Protects against clients that open hundreds
+ * of connections and send nothing, or send one request and keep the connection: when the table is full, a new connection
+ * replaces a closing, silent or idle one. Confined to the event loop.
  */
 final class ConnectionTable {
     /**
-     * {@code NEW}: no request has come whole yet. {@code WORKING}: one is open that has. {@code CLOSING}: its output is
-     * shut, and it waits for the client to close.
+     * The state of a connection. {@code NEW}: no request has ended yet, and none is complete. {@code WORKING}: at least one
+     * complete request is open. {@code IDLE}: no complete request is open, and an earlier request has ended.
+     * {@code CLOSING}: the output is shut down, and the connection waits for the client to close. {@code ENDED}: closed.
      */
     enum State {
         NEW,
@@ -24,93 +26,97 @@
         ENDED
     }
 
-    // A client that has just connected is still about to speak.
-    private static final long ABOUT_TO_SPEAK = 500_000;
+    // How long a client that has just connected may take for its first request before it is closed
+    // for another one.
+    private static final long FIRST_REQUEST_GRACE_MICROS = 500_000;
 
-    private final int most;
-    private final long heldMost;
-    private final Set<FastCgiConnection> fresh = new LinkedHashSet<>();
-    private final Set<FastCgiConnection> idle = new LinkedHashSet<>();
-    private final Set<FastCgiConnection> closing = new LinkedHashSet<>();
-    private int count;
-    private long held;
-    private Drain.Step draining = Drain.Step.OPEN;
+    private final int maxConnections;
+    private final long maxRequestBytes;
+    private final Set<FastCgiConnection> newConnections = new LinkedHashSet<>();
+    private final Set<FastCgiConnection> idleConnections = new LinkedHashSet<>();
+    private final Set<FastCgiConnection> closingConnections = new LinkedHashSet<>();
+    private int connectionCount;
+    private long requestBytes;
+    private Drain.Step drainStage = Drain.Step.OPEN;
 
-    /** {@code most} connections, that hold at most {@code heldMost} bytes of requests which aren't whole yet. */
-    ConnectionTable(int most, long heldMost) {
-        this.most = most;
-        this.heldMost = heldMost;
+    /** Creates a table; {@code maxRequestBytes} limits the bytes of incomplete requests on all connections. */
+    ConnectionTable(int maxConnections, long maxRequestBytes) {
+        this.maxConnections = maxConnections;
+        this.maxRequestBytes = maxRequestBytes;
     }
 
-    /** Makes room for a new connection; false if all others are at work. */
-    boolean admit(long now) {
-        if (count < most) {
+    /** Makes room for a new connection; false if the table is full and no connection may be closed for it. */
+    boolean admit(long nowMicros) {
+        if (connectionCount < maxConnections) {
             return true;
         }
-        FastCgiConnection victim = leastMissed(now);
-        Log.counted("front.full", "connections", count, "ended", victim == null ? "the newest" : victim);
-        if (victim != null) {
-            victim.close();
+        FastCgiConnection evicted = selectConnectionToClose(nowMicros);
+        Log.counted("front.full", "connections", connectionCount, "ended", evicted == null ? "the newest" : evicted);
+        if (evicted != null) {
+            evicted.close();
         }
-        return victim != null;
+        return evicted != null;
     }
 
-    private FastCgiConnection leastMissed(long now) {
-        if (!closing.isEmpty()) {
-            return first(closing);
+    private FastCgiConnection selectConnectionToClose(long nowMicros) {
+        if (!closingConnections.isEmpty()) {
+            return first(closingConnections);
         }
-        FastCgiConnection silent = first(fresh);
-        FastCgiConnection unused = first(idle);
-        boolean late = silent != null && now - silent.since() > ABOUT_TO_SPEAK;
-        return silent != null && (late || unused == null) ? silent : unused;
+        FastCgiConnection oldestNew = first(newConnections);
+        FastCgiConnection longestIdle = first(idleConnections);
+        boolean graceExpired = oldestNew != null && nowMicros - oldestNew.acceptedAtMicros() > FIRST_REQUEST_GRACE_MICROS;
+        return oldestNew != null && (graceExpired || longestIdle == null) ? oldestNew : longestIdle;
     }
 
-    private static FastCgiConnection first(Set<FastCgiConnection> of) {
-        Iterator<FastCgiConnection> i = of.iterator();
-        return i.hasNext() ? i.next() : null;
+    private static FastCgiConnection first(Set<FastCgiConnection> connections) {
+        Iterator<FastCgiConnection> iterator = connections.iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 
-    /** Called at each change; the last to become idle is the last to go. */
-    void moved(FastCgiConnection c, State from, State to) {
-        count += (from == null ? 1 : 0) - (to == State.ENDED ? 1 : 0);
-        fresh.remove(c);
-        idle.remove(c);
-        closing.remove(c);
+    /** Records each change of state; the connection that became idle last is the last idle one to be closed. */
+    void onStateChanged(FastCgiConnection connection, State from, State to) {
+        connectionCount += (from == null ? 1 : 0) - (to == State.ENDED ? 1 : 0);
+        newConnections.remove(connection);
+        idleConnections.remove(connection);
+        closingConnections.remove(connection);
         switch (to) {
-            case NEW -> fresh.add(c);
-            case IDLE -> idle.add(c);
-            case CLOSING -> closing.add(c);
+            case NEW -> newConnections.add(connection);
+            case IDLE -> idleConnections.add(connection);
+            case CLOSING -> closingConnections.add(connection);
             default -> {}
         }
     }
 
     /**
-     * How kept connections are treated from now on, those that are idle at once; once requests are refused, also those
-     * on which none has come yet.
+     * Sets the stage of the drain. It applies to the idle connections at once, and to the new ones once requests are
+     * refused.
      */
-    void drain(Drain.Step to) {
-        draining = to;
-        List.copyOf(idle).forEach(FastCgiConnection::rest);
-        if (to == Drain.Step.REFUSE) {
-            List.copyOf(fresh).forEach(FastCgiConnection::rest);
+    void setDrainStage(Drain.Step stage) {
+        drainStage = stage;
+        List.copyOf(idleConnections).forEach(FastCgiConnection::startIdleTimer);
+        if (stage == Drain.Step.REFUSE) {
+            List.copyOf(newConnections).forEach(FastCgiConnection::startIdleTimer);
         }
     }
 
-    Drain.Step draining() {
-        return draining;
+    /** The current stage of the drain. */
+    Drain.Step drainStage() {
+        return drainStage;
     }
 
-    /** Bytes more, or fewer, of requests that aren't whole; false past the limit. */
-    boolean hold(long bytes) {
-        held += bytes;
-        return held <= heldMost;
+    /** Adds to the bytes of incomplete requests, or subtracts if negative; false if the sum is over the limit. */
+    boolean addRequestBytes(long bytes) {
+        requestBytes += bytes;
+        return requestBytes <= maxRequestBytes;
     }
 
-    int count() {
-        return count;
+    /** The number of connections that have not ended. */
+    int connectionCount() {
+        return connectionCount;
     }
 
-    long held() {
-        return held;
+    /** The bytes of incomplete requests on all connections. */
+    long requestBytes() {
+        return requestBytes;
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
@@ -8,7 +8,7 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.Map;
 
-/** Asks a FastCGI server, as a front would, one request after the other on a connection that is kept. */
+/** Sends requests to a FastCGI server as a web server does, one at a time on a kept connection. */
 public final class FastCgiClient {
     private final NetSocket socket;
     private final RecordReader reader = new RecordReader();
@@ -18,13 +18,14 @@
 
     private FastCgiClient(NetSocket socket) {
         this.socket = socket;
-        socket.closeHandler(v -> {
+        socket.closeHandler(closing -> {
             closed = true;
             answer.tryFail("closed");
         });
         socket.handler(this::read);
     }
 
+    /** Connects to a server. */
     public static Future<FastCgiClient> connect(Vertx vertx, SocketAddress server) {
         return vertx.createNetClient().connect(server).map(FastCgiClient::new);
     }
@@ -32,10 +33,10 @@
     private void read(Buffer bytes) {
         reader.add(bytes);
         try {
-            for (Record r = reader.next(); r != null; r = reader.next()) {
-                if (r.type() == Record.STDOUT) {
-                    out.appendBuffer(r.content());
-                } else if (r.type() == Record.END) {
+            for (Record record = reader.next(); record != null; record = reader.next()) {
+                if (record.type() == Record.STDOUT) {
+                    out.appendBuffer(record.content());
+                } else if (record.type() == Record.END) {
                     answer.tryComplete(out);
                 }
             }
@@ -44,7 +45,7 @@
         }
     }
 
-    /** The CGI response: head and body. Only one may be asked for at a time. */
+    /** Sends a request; completes with the CGI response, head and body. Only one request may be open at a time. */
     public Future<Buffer> ask(Map<String, String> params) {
         if (closed) {
             return Future.failedFuture("closed");
@@ -58,6 +59,7 @@
         return answer.future();
     }
 
+    /** Closes the connection. */
     public void close() {
         socket.close();
     }
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -16,57 +16,70 @@
 import pewtercourse.front.RequestHandler;
 
 /**
- * One connection from the front, with up to 32 requests open on it. A request collects PARAMS and STDIN, is
- * handed on once both have ended, and leaves when it is answered or aborted. Bad input ends the request, or,
- * where the stream of records itself is broken, the connection.
+ * One connection from a web server, with up to 32 open requests. A request collects PARAMS and STDIN, is handed over to the
+ * {@link RequestHandler} once both have ended, and is removed when it is answered or aborted. Malformed input fails the
+ * request, or closes the connection if the stream of records itself is malformed. Confined to the event loop.
  */
 final class FastCgiConnection {
-    static final int OPEN_MOST = 32;
-    private static final int PARAMS_MOST = 16_384, BODY_MOST = 48_000;
-    // While this much is waiting to be written, requests that have come whole wait too: a client that doesn't read gets
-    // no more work done. Its records are read on, so that an abort or its end is seen at once.
-    private static final int PENDING_MOST = 1 << 20;
-    // What the library holds for one connection: 341 clients that don't read must fit into the direct memory.
-    private static final int WRITE_QUEUE = 48 * 1024;
-    // From its connection on, or its first record, a request must come whole within this; the usual clients send it
-    // at once. A connection that has been of use may be idle for a second longer than they keep theirs.
-    static final long SPEAK_MS = 2_500, IDLE_MS = 5_000;
-    // While the director drains: so long after its answer a client has read it, and nothing of its next request is
-    // here.
-    // SETTLE_MS: the loop reads what has come before a timer runs, so that nothing that is here is cut off.
-    // NEW_REST_MS: the same for a connection on which nothing has come yet.
-    static final long REST_MS = 30, SETTLE_MS = 1, NEW_REST_MS = 100;
-    // A graceful close waits so long for the client's own close before it ends the connection.
-    static final long LINGER_MS = 150;
-    // After bad input a connection is not read for a while, longer each time: a client that repeats it at full
-    // speed must not take the time of the others. Its answers are not delayed. Under the 100 ms within which nothing
-    // may begin for a client that has gone: its close is not seen meanwhile.
-    static final long PENALTY_FIRST_MS = 20, PENALTY_MOST_MS = 80;
-    // Advice to clients that are turned away for lack of room.
-    private static final long HOLD_OFF_MS = 250;
-
-    /** Answers that wait for slow readers, on all connections: past the limit the one that waits is closed. */
+    static final int MAX_OPEN_REQUESTS = 32;
+    private static final int MAX_PARAMS_BYTES = 16_384;
+    private static final int MAX_BODY_BYTES = 48_000;
+    // While more bytes than this wait to be written, complete requests are deferred: no more work is done for
+    // a client that does not read its answers. Its records are still read, so that an abort or a close is
+    // seen at once.
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
+    // Limits what Vert.x buffers for one connection: 341 clients that do not read must fit into
+    // the direct memory.
+    private static final int WRITE_QUEUE_BYTES = 48 * 1024;
+    // A request must be complete within this time: the first one counted from the connect, later ones from their
+    // first record. Usual clients send a request at once.
+    static final long REQUEST_TIMEOUT_MS = 2_500;
+    // One second longer than usual clients keep an idle connection.
+    static final long IDLE_TIMEOUT_MS = 5_000;
+    // During a drain, a connection is closed this long after its last answer: the client has read the answer by
+    // then, and no part of its next request has arrived.
+    static final long DRAIN_IDLE_MS = 30;
+    // During a drain, for connections that are closed once empty. The event loop reads received bytes before it
+    // runs a timer, so nothing that has arrived is cut off.
+    static final long DRAIN_EMPTY_MS = 1;
+    // The same for a connection that has had no request yet.
+    static final long DRAIN_NEW_MS = 100;
+    // How long a graceful close waits for the client's close before it closes the connection.
+    static final long LINGER_TIMEOUT_MS = 150;
+    // After malformed input the connection is not read for a while, longer each time, so that a client that
+    // repeats such input at full speed does not slow down the others. Its answers are not delayed. A close by the
+    // client is not seen meanwhile, so the maximum is below the 100 ms after which no work may start for a client
+    // that has closed.
+    static final long FIRST_PENALTY_MS = 20;
+    static final long MAX_PENALTY_MS = 80;
+    // The pushback for clients that are refused because a limit is reached.
+    private static final long PUSHBACK_MS = 250;
+
+    /** Counts the bytes of unwritten answers on all connections; over the limit, a connection that has some is closed. */
     static final class Backlog {
-        final long most;
+        final long maxBytes;
         long bytes;
 
-        Backlog(long most) {
-            this.most = most;
+        Backlog(long maxBytes) {
+            this.maxBytes = maxBytes;
         }
     }
 
-    private static final class Incoming {
+    private static final class OpenRequest {
         final int id;
-        final boolean keep;
+        final boolean keepConnection;
         final Buffer params = Buffer.buffer();
         final Buffer body = Buffer.buffer();
-        boolean paramsEnded, whole, handed;
-        long timer = -1, wholeAt;
-        Runnable gone;
-
-        Incoming(int id, boolean keep) {
+        boolean paramsEnded;
+        boolean isComplete;
+        boolean isHandedOver;
+        long timer = -1;
+        long completedAtMicros;
+        Runnable onClientGone;
+
+        OpenRequest(int id, boolean keepConnection) {
             this.id = id;
-            this.keep = keep;
+            this.keepConnection = keepConnection;
         }
     }
 
@@ -76,15 +89,26 @@
     private final Timers timers;
     private final ConnectionTable table;
     private final Backlog backlog;
-    private final long since;
+    private final long acceptedAtMicros;
     private final RecordReader reader = new RecordReader();
-    private final Map<Integer, Incoming> open = new HashMap<>();
-    private final Deque<Buffer> pending = new ArrayDeque<>();
-    private final Deque<Incoming> waiting = new ArrayDeque<>(); // Whole requests, until the client reads its answers.
+    private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
+    private final Deque<Buffer> unwritten = new ArrayDeque<>();
+    private final Deque<OpenRequest> deferred = new ArrayDeque<>(); // Complete, until the client reads.
     private ConnectionTable.State state;
-    private long pendingBytes, held, unused = -1, penalty = -1, partial = -1, penaltyMs, restedOut;
-    private int working;
-    private boolean closed, closing, closeWhenWritten, paused, spoke, strayed;
+    private long unwrittenBytes;
+    private long countedRecordBytes;
+    private long idleTimer = -1;
+    private long penaltyTimer = -1;
+    private long partialRecordTimer = -1;
+    private long penaltyMs;
+    private long drainCutoffMicros;
+    private int handedOverCount;
+    private boolean closed;
+    private boolean closing;
+    private boolean closeWhenWritten;
+    private boolean readingPaused;
+    private boolean hadRequest;
+    private boolean strayRecordSeen;
 
     FastCgiConnection(
             NetSocket socket,
@@ -93,28 +117,28 @@
             Timers timers,
             ConnectionTable table,
             Backlog backlog,
-            Runnable gone) {
+            Runnable onSocketClosed) {
         this.socket = socket;
         this.handler = handler;
         this.clock = clock;
         this.timers = timers;
         this.table = table;
         this.backlog = backlog;
-        this.since = clock.getAsLong();
-        socket.setWriteQueueMaxSize(WRITE_QUEUE);
+        this.acceptedAtMicros = clock.getAsLong();
+        socket.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
         socket.handler(this::read);
-        socket.drainHandler(v -> pump());
+        socket.drainHandler(v -> writeQueued());
         socket.exceptionHandler(e -> Log.counted("front.connection_error", "error", e));
         socket.closeHandler(v -> {
-            ended();
-            gone.run();
+            onClosed();
+            onSocketClosed.run();
         });
-        move();
+        updateState();
     }
 
-    /** Clock time at which it was accepted. */
-    long since() {
-        return since;
+    /** The clock in microseconds when the connection was accepted. */
+    long acceptedAtMicros() {
+        return acceptedAtMicros;
     }
 
     @Override
@@ -122,98 +146,99 @@
         return String.valueOf(socket.remoteAddress());
     }
 
-    // While nothing that came whole is open, the connection waits for its client, but not for long.
-    private void move() {
-        ConnectionTable.State to = present();
-        if (to == state) {
+    // Without an open complete request, the connection waits for its client only for a limited time.
+    private void updateState() {
+        ConnectionTable.State newState = currentState();
+        if (newState == state) {
             return;
         }
-        table.moved(this, state, to);
-        state = to;
-        strayed = false;
-        timers.cancel(unused);
-        switch (to) {
-            case NEW -> unused = timers.set(SPEAK_MS, this::close);
-            case IDLE -> rest();
-            case CLOSING -> unused = timers.set(LINGER_MS, this::close);
+        table.onStateChanged(this, state, newState);
+        state = newState;
+        strayRecordSeen = false;
+        timers.cancel(idleTimer);
+        switch (newState) {
+            case NEW -> idleTimer = timers.set(REQUEST_TIMEOUT_MS, this::close);
+            case IDLE -> startIdleTimer();
+            case CLOSING -> idleTimer = timers.set(LINGER_TIMEOUT_MS, this::close);
             default -> {}
         }
     }
 
-    private ConnectionTable.State present() {
+    private ConnectionTable.State currentState() {
         if (closed) {
             return ConnectionTable.State.ENDED;
         }
         if (closing) {
             return ConnectionTable.State.CLOSING;
         }
-        if (working > 0) {
+        if (handedOverCount > 0) {
             return ConnectionTable.State.WORKING;
         }
-        return spoke ? ConnectionTable.State.IDLE : ConnectionTable.State.NEW;
+        return hadRequest ? ConnectionTable.State.IDLE : ConnectionTable.State.NEW;
     }
 
-    /** Nothing is open on it: how long it stays depends on how far the director's drain has gone. */
-    void rest() {
-        timers.cancel(unused);
-        restedOut = clock.getAsLong() + SPEAK_MS * 1000;
-        unused = timers.set(restMs(), this::leave);
+    /** Starts the timer that closes the idle connection; its delay depends on the stage of the director's drain. */
+    void startIdleTimer() {
+        timers.cancel(idleTimer);
+        drainCutoffMicros = clock.getAsLong() + REQUEST_TIMEOUT_MS * 1000;
+        idleTimer = timers.set(idleTimeoutMs(), this::closeAfterIdle);
     }
 
-    private long restMs() {
-        return switch (table.draining()) {
-            case OPEN -> IDLE_MS;
-            case CLOSE_RESTING -> REST_MS;
-            case CLOSE_EMPTY, REFUSE -> spoke ? SETTLE_MS : NEW_REST_MS;
+    private long idleTimeoutMs() {
+        return switch (table.drainStage()) {
+            case OPEN -> IDLE_TIMEOUT_MS;
+            case CLOSE_RESTING -> DRAIN_IDLE_MS;
+            case CLOSE_EMPTY, REFUSE -> hadRequest ? DRAIN_EMPTY_MS : DRAIN_NEW_MS;
         };
     }
 
-    // A drain cuts off neither a request that has begun to come nor an answer that is still being read.
-    private void leave() {
-        boolean inUse = !open.isEmpty() || reader.pending() > 0 || !pending.isEmpty() || penalty >= 0;
+    // A drain interrupts neither a request that has partly arrived nor an answer that the client
+    // is still reading.
+    private void closeAfterIdle() {
+        boolean inUse = !openRequests.isEmpty() || reader.pending() > 0 || !unwritten.isEmpty() || penaltyTimer >= 0;
         if (!inUse) {
             closeGracefully();
-        } else if (table.draining() != Drain.Step.OPEN && clock.getAsLong() < restedOut) {
-            unused = timers.set(REST_MS, this::leave);
+        } else if (table.drainStage() != Drain.Step.OPEN && clock.getAsLong() < drainCutoffMicros) {
+            idleTimer = timers.set(DRAIN_IDLE_MS, this::closeAfterIdle);
         } else {
             close();
         }
     }
 
     /**
-     * Shuts the output behind the last answer and waits for the client to close: a close over bytes that have come
-     * unread would reset the connection, and what the client hasn't read of its answer would be lost with it. What comes
-     * from now on is thrown away, as behind any close.
+     * Shuts down the output after the last answer and waits for the client to close. A plain close while received bytes are
+     * unread would reset the connection, and the client would lose the part of the answer that it has not read. Bytes that
+     * arrive from now on are discarded, as after any close.
      */
     private void closeGracefully() {
         if (closed || closing) {
             return;
         }
         closing = true;
-        timers.cancel(partial);
-        move();
+        timers.cancel(partialRecordTimer);
+        updateState();
         GracefulClose.shutOutput(socket);
     }
 
-    private void hold() {
-        long more = reader.pending() - held;
-        held += more;
-        if (!table.hold(more) && reader.pending() > 0 && working == 0) {
-            bad("no room for its record");
+    private void countPartialRecord() {
+        long addedBytes = reader.pending() - countedRecordBytes;
+        countedRecordBytes += addedBytes;
+        if (!table.addRequestBytes(addedBytes) && reader.pending() > 0 && handedOverCount == 0) {
+            reportMalformed("the limit for the bytes of incomplete requests on all connections is reached");
             close();
         }
     }
 
-    // A record that has begun must come whole in time, also on a connection that has been of use.
-    private void awaitRest(boolean progress) {
+    // A record that has begun must be complete in time, also on a connection that has had requests.
+    private void updatePartialRecordTimer(boolean progress) {
         if (progress || reader.pending() == 0) {
-            timers.cancel(partial);
-            partial = -1;
+            timers.cancel(partialRecordTimer);
+            partialRecordTimer = -1;
         }
-        if (partial < 0 && reader.pending() > 0) {
-            partial = timers.set(SPEAK_MS, () -> {
-                partial = -1;
-                bad("a record that is not whole in time");
+        if (partialRecordTimer < 0 && reader.pending() > 0) {
+            partialRecordTimer = timers.set(REQUEST_TIMEOUT_MS, () -> {
+                partialRecordTimer = -1;
+                reportMalformed("a record was not complete in time");
                 close();
             });
         }
@@ -226,18 +251,18 @@
         try {
             reader.add(bytes);
             boolean progress = false;
-            for (Record r = reader.next(); r != null && !closed && !closing; r = reader.next()) {
-                take(r);
+            for (Record record = reader.next(); record != null && !closed && !closing; record = reader.next()) {
+                handleRecord(record);
                 progress = true;
             }
             if (!closed && !closing) {
-                hold();
+                countPartialRecord();
             }
             if (!closed && !closing) {
-                awaitRest(progress);
+                updatePartialRecordTimer(progress);
             }
         } catch (MalformedRecordException e) {
-            bad(e.getMessage());
+            reportMalformed(e.getMessage());
             close();
         } catch (RuntimeException e) {
             Log.error("front.unexpected", e);
@@ -245,295 +270,295 @@
         }
     }
 
-    // What belongs to no request: legal behind an abort, but no reason to stay. A request must begin in time, or this
-    // would
-    // go on for as long as an idle connection may.
-    private void passedOver() {
-        if (state == ConnectionTable.State.IDLE && !strayed && table.draining() == Drain.Step.OPEN) {
-            strayed = true;
-            timers.cancel(unused);
-            unused = timers.set(SPEAK_MS, this::leave);
+    // Records without an open request are legal after an abort, but do not keep the connection open: a request
+    // must begin in time, or the client could send such records for as long as a connection may be idle.
+    private void limitStrayRecords() {
+        if (state == ConnectionTable.State.IDLE && !strayRecordSeen && table.drainStage() == Drain.Step.OPEN) {
+            strayRecordSeen = true;
+            timers.cancel(idleTimer);
+            idleTimer = timers.set(REQUEST_TIMEOUT_MS, this::closeAfterIdle);
         }
     }
 
-    private void take(Record r) throws MalformedRecordException {
-        Incoming in = open.get(r.id());
-        if (in == null && r.type() != Record.BEGIN) {
-            passedOver();
+    private void handleRecord(Record record) throws MalformedRecordException {
+        OpenRequest request = openRequests.get(record.id());
+        if (request == null && record.type() != Record.BEGIN) {
+            limitStrayRecords();
         }
-        switch (r.type()) {
-            case Record.BEGIN -> begin(r, in);
-            case Record.ABORT -> abort(r.id(), in);
+        switch (record.type()) {
+            case Record.BEGIN -> begin(record, request);
+            case Record.ABORT -> abort(record.id(), request);
             case Record.PARAMS -> {
-                if (in != null && !in.paramsEnded) {
-                    in.paramsEnded = r.content().length() == 0;
-                    collect(r, in, in.params, PARAMS_MOST);
+                if (request != null && !request.paramsEnded) {
+                    request.paramsEnded = record.content().length() == 0;
+                    append(record, request, request.params, MAX_PARAMS_BYTES);
                 }
             }
             case Record.STDIN -> {
-                if (in != null && !in.whole) {
-                    collect(r, in, in.body, BODY_MOST);
-                    if (r.content().length() == 0 && open.get(r.id()) == in) {
-                        complete(in);
+                if (request != null && !request.isComplete) {
+                    append(record, request, request.body, MAX_BODY_BYTES);
+                    if (record.content().length() == 0 && openRequests.get(record.id()) == request) {
+                        onRequestComplete(request);
                     }
                 }
             }
-            case Record.GET_VALUES -> manage(Record.encode(Record.GET_VALUES_RESULT, 0, values(r.content())));
+            case Record.GET_VALUES -> writeManagementAnswer(Record.encode(Record.GET_VALUES_RESULT, 0, encodeLimits(record.content())));
             default -> {
-                if (r.id() == 0) {
-                    manage(Record.unknownType(r.type()));
+                if (record.id() == 0) {
+                    writeManagementAnswer(Record.unknownType(record.type()));
                 }
             }
         }
     }
 
-    // Asked for at any rate and never read, such answers would fill the memory.
-    private void manage(Buffer answer) {
+    // A client that requests such answers at full speed and never reads them would fill the memory.
+    private void writeManagementAnswer(Buffer answer) {
         write(answer);
-        if (pendingBytes > PENDING_MOST) {
-            punish();
+        if (unwrittenBytes > MAX_UNWRITTEN_BYTES) {
+            pauseReading();
         }
     }
 
-    private void begin(Record r, Incoming in) throws MalformedRecordException {
-        if (r.id() == 0 || in != null || r.content().length() < 8) {
-            throw new MalformedRecordException("BEGIN_REQUEST that can't be used, id " + r.id());
+    private void begin(Record record, OpenRequest request) throws MalformedRecordException {
+        if (record.id() == 0 || request != null || record.content().length() < 8) {
+            throw new MalformedRecordException("BEGIN_REQUEST with id 0, an id in use or less than 8 bytes: id " + record.id());
         }
-        boolean keep = (r.content().getByte(2) & Record.KEEP_CONN) != 0;
-        if (r.content().getUnsignedShort(0) != Record.RESPONDER) {
-            write(Record.end(r.id(), Record.UNKNOWN_ROLE));
-            closeWhenWritten |= !keep;
+        boolean keepConnection = (record.content().getByte(2) & Record.KEEP_CONN) != 0;
+        if (record.content().getUnsignedShort(0) != Record.RESPONDER) {
+            write(Record.end(record.id(), Record.UNKNOWN_ROLE));
+            closeWhenWritten |= !keepConnection;
             return;
         }
-        Incoming fresh = new Incoming(r.id(), keep);
-        if (open.size() >= OPEN_MOST) {
-            reply(r.id(), fresh, Answer.refused(HOLD_OFF_MS), Record.OVERLOADED);
-            punish();
+        OpenRequest newRequest = new OpenRequest(record.id(), keepConnection);
+        if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+            reply(record.id(), newRequest, Answer.refused(PUSHBACK_MS), Record.OVERLOADED);
+            pauseReading();
             return;
         }
-        open.put(r.id(), fresh);
-        long left = spoke ? SPEAK_MS : Math.max(1, SPEAK_MS - (clock.getAsLong() - since) / 1000);
-        fresh.timer = timers.set(left, () -> reject(r.id(), fresh, "not whole in time"));
+        openRequests.put(record.id(), newRequest);
+        long timeoutMs = hadRequest ? REQUEST_TIMEOUT_MS : Math.max(1, REQUEST_TIMEOUT_MS - (clock.getAsLong() - acceptedAtMicros) / 1000);
+        newRequest.timer = timers.set(timeoutMs, () -> reject(record.id(), newRequest, "the request was not complete in time"));
     }
 
-    private void collect(Record r, Incoming in, Buffer into, int most) {
-        into.appendBuffer(r.content());
-        boolean room = table.hold(r.content().length());
-        if (into.length() > most) {
-            // Whatever follows would only be thrown away: it may be tens of megabytes.
+    private void append(Record record, OpenRequest request, Buffer collected, int maxBytes) {
+        collected.appendBuffer(record.content());
+        boolean fits = table.addRequestBytes(record.content().length());
+        if (collected.length() > maxBytes) {
+            // The rest of the request would only be discarded, and may be tens of megabytes.
             closeWhenWritten = true;
-            reject(r.id(), in, (into == in.params ? "PARAMS" : "STDIN") + " over " + most + " bytes");
-        } else if (!room) {
-            bad("no room for its request");
-            answer(r.id(), in, Answer.refused(HOLD_OFF_MS));
+            reject(record.id(), request, (collected == request.params ? "PARAMS" : "STDIN") + " over " + maxBytes + " bytes");
+        } else if (!fits) {
+            reportMalformed("the limit for the bytes of incomplete requests on all connections is reached");
+            answer(record.id(), request, Answer.refused(PUSHBACK_MS));
         }
     }
 
-    /** Bad input: the request fails at once, and the client is read from more slowly. */
-    private void reject(int id, Incoming in, String why) {
-        bad(why);
-        answer(id, in, Answer.failed());
+    /** Fails a malformed request at once, and reads from the client more slowly. */
+    private void reject(int id, OpenRequest request, String reason) {
+        reportMalformed(reason);
+        answer(id, request, Answer.failed());
     }
 
-    private void bad(String why) {
-        Log.counted("front.malformed", "from", this, "error", why);
-        punish();
+    private void reportMalformed(String reason) {
+        Log.counted("front.malformed", "from", this, "error", reason);
+        pauseReading();
     }
 
-    private void punish() {
-        if (penalty < 0 && !closed) {
-            penaltyMs = Math.min(PENALTY_MOST_MS, Math.max(PENALTY_FIRST_MS, 2 * penaltyMs));
-            penalty = timers.set(penaltyMs, () -> {
-                penalty = -1;
-                pump();
+    private void pauseReading() {
+        if (penaltyTimer < 0 && !closed) {
+            penaltyMs = Math.min(MAX_PENALTY_MS, Math.max(FIRST_PENALTY_MS, 2 * penaltyMs));
+            penaltyTimer = timers.set(penaltyMs, () -> {
+                penaltyTimer = -1;
+                writeQueued();
             });
-            pump();
+            writeQueued();
         }
     }
 
-    /** It is out of {@code open} by now: nothing of it may stay, neither a timer nor its bytes in the count. */
-    private void release(Incoming in) {
-        timers.cancel(in.timer);
-        if (in.handed) {
-            working--;
+    /** Cancels the timer of a request that is no longer open, and subtracts its bytes from the table. */
+    private void release(OpenRequest request) {
+        timers.cancel(request.timer);
+        if (request.isHandedOver) {
+            handedOverCount--;
         } else {
-            table.hold(-in.params.length() - in.body.length());
+            table.addRequestBytes(-request.params.length() - request.body.length());
         }
-        spoke = true;
+        hadRequest = true;
     }
 
-    private void abort(int id, Incoming in) {
-        if (in == null) {
+    private void abort(int id, OpenRequest request) {
+        if (request == null) {
             return;
         }
-        open.remove(id);
-        release(in);
-        if (in.gone != null) {
-            in.gone.run();
+        openRequests.remove(id);
+        release(request);
+        if (request.onClientGone != null) {
+            request.onClientGone.run();
         }
-        closeWhenWritten |= !in.keep;
+        closeWhenWritten |= !request.keepConnection;
         write(Record.end(id, Record.REQUEST_COMPLETE));
-        move();
+        updateState();
     }
 
-    private void complete(Incoming in) {
-        timers.cancel(in.timer);
-        in.whole = true;
-        in.wholeAt = clock.getAsLong();
-        if (pendingBytes > PENDING_MOST) {
-            waiting.add(in);
+    private void onRequestComplete(OpenRequest request) {
+        timers.cancel(request.timer);
+        request.isComplete = true;
+        request.completedAtMicros = clock.getAsLong();
+        if (unwrittenBytes > MAX_UNWRITTEN_BYTES) {
+            deferred.add(request);
         } else {
-            hand(in);
+            handOver(request);
         }
     }
 
-    private void handWaiting() {
-        while (!closed && pendingBytes <= PENDING_MOST && !waiting.isEmpty()) {
-            Incoming in = waiting.poll();
-            if (open.get(in.id) == in) {
-                hand(in);
+    private void handOverDeferred() {
+        while (!closed && unwrittenBytes <= MAX_UNWRITTEN_BYTES && !deferred.isEmpty()) {
+            OpenRequest request = deferred.poll();
+            if (openRequests.get(request.id) == request) {
+                handOver(request);
             }
         }
     }
 
-    private void hand(Incoming in) {
-        int id = in.id;
-        in.handed = true;
-        table.hold(-in.params.length() - in.body.length());
-        working++;
-        move();
+    private void handOver(OpenRequest request) {
+        int id = request.id;
+        request.isHandedOver = true;
+        table.addRequestBytes(-request.params.length() - request.body.length());
+        handedOverCount++;
+        updateState();
         try {
-            Map<String, String> params = Record.pairs(in.params);
+            Map<String, String> params = Record.pairs(request.params);
             if (CgiRequest.isHealthCheck(params)) {
                 answer(
                         id,
-                        in,
-                        handler.ready() ? Answer.served(Buffer.buffer("ok\n"), null) : Answer.refused(HOLD_OFF_MS));
+                        request,
+                        handler.ready() ? Answer.served(Buffer.buffer("ok\n"), null) : Answer.refused(PUSHBACK_MS));
                 return;
             }
-            ClientRequest request = CgiRequest.decode(params, in.body, in.wholeAt);
-            Runnable gone = handler.handle(request, a -> answer(id, in, a));
-            in.gone = gone;
-            // Answered on the spot: it could not be used, unless the director drains. What a client that is not read
-            // from
-            // has sent would then be lost with the connection.
-            if (open.get(id) != in && table.draining() != Drain.Step.REFUSE) {
-                punish();
+            ClientRequest decoded = CgiRequest.decode(params, request.body, request.completedAtMicros);
+            Runnable onClientGone = handler.handle(decoded, answer -> answer(id, request, answer));
+            request.onClientGone = onClientGone;
+            // A request that is answered at once was invalid, unless the director drains. During a drain reading
+            // goes on: requests that a client sends while it is not read would be lost with the connection.
+            if (openRequests.get(id) != request && table.drainStage() != Drain.Step.REFUSE) {
+                pauseReading();
             } else {
                 penaltyMs = 0;
             }
         } catch (MalformedRecordException e) {
-            reject(id, in, e.getMessage());
+            reject(id, request, e.getMessage());
         } catch (RuntimeException e) {
             Log.error("front.unexpected", e);
-            answer(id, in, Answer.failed());
+            answer(id, request, Answer.failed());
         }
     }
 
-    /** Only the request that is open under this id is answered: never one that was aborted meanwhile. */
-    private void answer(int id, Incoming in, Answer answer) {
-        if (closed || in == null || open.get(id) != in) {
+    /** Answers the request if it is still the open one with this id, and was not aborted meanwhile. */
+    private void answer(int id, OpenRequest request, Answer answer) {
+        if (closed || request == null || openRequests.get(id) != request) {
             return;
         }
-        open.remove(id);
-        release(in);
-        reply(id, in, answer, Record.REQUEST_COMPLETE);
-        move();
+        openRequests.remove(id);
+        release(request);
+        reply(id, request, answer, Record.REQUEST_COMPLETE);
+        updateState();
     }
 
-    // Its last piece goes out with the records that end it: each write of its own costs a call of the system.
-    private void reply(int id, Incoming in, Answer answer, int protocolStatus) {
-        Buffer out = CgiRequest.encode(answer);
-        int at = 0;
-        for (; out.length() - at > Record.PIECE; at += Record.PIECE) {
-            queue(Record.encode(Record.STDOUT, id, out.slice(at, at + Record.PIECE)));
+    // The last piece is written together with the records that end the answer, as each write costs a system call.
+    private void reply(int id, OpenRequest request, Answer answer, int protocolStatus) {
+        Buffer response = CgiRequest.encode(answer);
+        int offset = 0;
+        for (; response.length() - offset > Record.STDOUT_PIECE_BYTES; offset += Record.STDOUT_PIECE_BYTES) {
+            enqueue(Record.encode(Record.STDOUT, id, response.slice(offset, offset + Record.STDOUT_PIECE_BYTES)));
         }
-        closeWhenWritten |= !in.keep;
-        write(Record.encode(Record.STDOUT, id, out.slice(at, out.length()))
+        closeWhenWritten |= !request.keepConnection;
+        write(Record.encode(Record.STDOUT, id, response.slice(offset, response.length()))
                 .appendBuffer(Record.encode(Record.STDOUT, id, Buffer.buffer()))
                 .appendBuffer(Record.end(id, protocolStatus)));
     }
 
-    private static Buffer values(Buffer asked) throws MalformedRecordException {
-        Map<String, String> known = new LinkedHashMap<>();
-        for (String name : Record.pairs(asked).keySet()) {
+    private static Buffer encodeLimits(Buffer names) throws MalformedRecordException {
+        Map<String, String> limits = new LinkedHashMap<>();
+        for (String name : Record.pairs(names).keySet()) {
             switch (name) {
-                case "FCGI_MAX_CONNS" -> known.put(name, "300");
-                case "FCGI_MAX_REQS" -> known.put(name, String.valueOf(300 * OPEN_MOST));
-                case "FCGI_MPXS_CONNS" -> known.put(name, "1");
+                case "FCGI_MAX_CONNS" -> limits.put(name, "300");
+                case "FCGI_MAX_REQS" -> limits.put(name, String.valueOf(300 * MAX_OPEN_REQUESTS));
+                case "FCGI_MPXS_CONNS" -> limits.put(name, "1");
                 default -> {}
             }
         }
-        return Record.pairs(known);
+        return Record.pairs(limits);
     }
 
-    private void queue(Buffer b) {
-        pending.add(b);
-        count(b.length());
+    private void enqueue(Buffer bytes) {
+        unwritten.add(bytes);
+        addUnwritten(bytes.length());
     }
 
-    private void count(long bytes) {
-        pendingBytes += bytes;
+    private void addUnwritten(long bytes) {
+        unwrittenBytes += bytes;
         backlog.bytes += bytes;
     }
 
-    private void write(Buffer b) {
-        queue(b);
-        pump();
+    private void write(Buffer bytes) {
+        enqueue(bytes);
+        writeQueued();
     }
 
-    private void pump() {
-        while (!closed && !pending.isEmpty() && !socket.writeQueueFull()) {
-            Buffer b = pending.poll();
-            count(-b.length());
-            socket.write(b);
+    // Writes until the socket is full, then pauses or resumes reading and closes the connection if it is
+    // to be closed.
+    private void writeQueued() {
+        while (!closed && !unwritten.isEmpty() && !socket.writeQueueFull()) {
+            Buffer bytes = unwritten.poll();
+            addUnwritten(-bytes.length());
+            socket.write(bytes);
         }
         if (closed) {
             return;
         }
-        if (pendingBytes > 0 && backlog.bytes > backlog.most) {
-            Log.counted("front.slow_reader", "from", socket.remoteAddress(), "waiting", pendingBytes);
+        if (unwrittenBytes > 0 && backlog.bytes > backlog.maxBytes) {
+            Log.counted("front.slow_reader", "from", socket.remoteAddress(), "waiting", unwrittenBytes);
             close();
             return;
         }
-        if (paused != penalty >= 0) {
-            paused = !paused;
-            if (paused) {
+        if (readingPaused != penaltyTimer >= 0) {
+            readingPaused = !readingPaused;
+            if (readingPaused) {
                 socket.pause();
             } else {
                 socket.resume();
             }
         }
-        handWaiting();
-        if (closeWhenWritten && pending.isEmpty() && open.isEmpty()) {
+        handOverDeferred();
+        if (closeWhenWritten && unwritten.isEmpty() && openRequests.isEmpty()) {
             closeGracefully();
         }
     }
 
-    /** Ends it, whatever is open on it. */
+    /** Closes the connection at once, with all its open requests. */
     void close() {
         socket.close();
-        ended();
+        onClosed();
     }
 
-    private void ended() {
+    private void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        pending.clear();
-        waiting.clear();
-        count(-pendingBytes);
-        timers.cancel(penalty);
-        timers.cancel(partial);
-        table.hold(-held);
-        for (Incoming in : open.values()) {
-            release(in);
-            if (in.gone != null) {
-                in.gone.run();
+        unwritten.clear();
+        deferred.clear();
+        addUnwritten(-unwrittenBytes);
+        timers.cancel(penaltyTimer);
+        timers.cancel(partialRecordTimer);
+        table.addRequestBytes(-countedRecordBytes);
+        for (OpenRequest request : openRequests.values()) {
+            release(request);
+            if (request.onClientGone != null) {
+                request.onClientGone.run();
             }
         }
-        open.clear();
-        move();
+        openRequests.clear();
+        updateState();
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
@@ -13,7 +13,7 @@
 import pewtercourse.front.FrontLimits;
 import pewtercourse.front.RequestHandler;
 
-/** Listens for the front's connections, on one address only. */
+/** Accepts the connections of the web servers on one address. Used on the event loop. */
 public final class FastCgiServer {
     private final NetServer server;
     private final Timers timers;
@@ -21,9 +21,10 @@
     private final LongSupplier clock;
     private final ConnectionTable table;
     private final FastCgiConnection.Backlog backlog;
-    private long nextStep = -1;
-    private int sockets;
+    private long nextStageTimer = -1;
+    private int socketCount;
 
+    /** Creates a server; {@code clock} counts microseconds. */
     public FastCgiServer(Vertx vertx, RequestHandler handler, LongSupplier clock, FrontLimits limits) {
         this.timers = Timers.of(vertx);
         this.handler = handler;
@@ -37,34 +38,36 @@
     }
 
     private void accept(NetSocket socket) {
-        sockets++;
+        socketCount++;
         if (table.admit(clock.getAsLong())) {
-            new FastCgiConnection(socket, handler, clock, timers, table, backlog, () -> sockets--);
+            new FastCgiConnection(socket, handler, clock, timers, table, backlog, () -> socketCount--);
         } else {
-            socket.closeHandler(v -> sockets--);
+            socket.closeHandler(v -> socketCount--);
             socket.close();
         }
     }
 
-    /** The drain has begun or ended: kept connections go step by step. */
+    /** Applies the drain to the kept connections now and at each of its further stages; called when it begins or ends. */
     public void drain(Drain drain) {
-        timers.cancel(nextStep);
-        long now = clock.getAsLong();
-        table.drain(drain.step(now));
-        long next = drain.nextMs(now);
-        nextStep = next < 0 ? -1 : timers.set(next, () -> drain(drain));
+        timers.cancel(nextStageTimer);
+        long nowMicros = clock.getAsLong();
+        table.setDrainStage(drain.step(nowMicros));
+        long nextMs = drain.nextMs(nowMicros);
+        nextStageTimer = nextMs < 0 ? -1 : timers.set(nextMs, () -> drain(drain));
     }
 
-    /** Also those that only wait for their last bytes to be read. */
+    /** The number of open sockets, with those that only wait until the client has read the last bytes. */
     public int connections() {
-        return sockets;
+        return socketCount;
     }
 
+    /** Stops listening and closes all connections. */
     public Future<Void> close() {
         return server.close();
     }
 
-    public Future<NetServer> listen(SocketAddress at) {
-        return server.listen(at);
+    /** Starts listening. */
+    public Future<NetServer> listen(SocketAddress address) {
+        return server.listen(address);
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/GracefulClose.java
+++ b/src/main/java/pewtercourse/front/fastcgi/GracefulClose.java
@@ -6,11 +6,11 @@
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
 
-/** The first half of a lingering close: the output is shut, the input is still read. */
+/** Performs the first half of a lingering close: the output is shut down, the input is still read. */
 final class GracefulClose {
     private GracefulClose() {}
 
-    /** Sends the end of the stream behind all that was written; the socket stays open for reading. */
+    /** Ends the output after everything that was written; the socket stays open for reading. */
     static void shutOutput(NetSocket socket) {
         if (socket instanceof NetSocketInternal s
                 && s.channelHandlerContext().channel() instanceof DuplexChannel channel) {
--- a/src/main/java/pewtercourse/front/fastcgi/MalformedRecordException.java
+++ b/src/main/java/pewtercourse/front/fastcgi/MalformedRecordException.java
@@ -1,6 +1,6 @@
 package pewtercourse.front.fastcgi;
 
-/** Input that is not FastCGI, or a request that can't be used. */
+/** Thrown for input that is not FastCGI and for a request with invalid parameters. */
 final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/pewtercourse/front/fastcgi/Record.java
+++ b/src/main/java/pewtercourse/front/fastcgi/Record.java
@@ -5,23 +5,28 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One FastCGI 1.0 record, its padding already gone, and how such records are written. */
+/** A FastCGI 1.0 record without its padding, and the encoding of records. */
 record Record(int version, int type, int id, Buffer content) {
-    static final int BEGIN = 1,
-            ABORT = 2,
-            END = 3,
-            PARAMS = 4,
-            STDIN = 5,
-            STDOUT = 6,
-            GET_VALUES = 9,
-            GET_VALUES_RESULT = 10,
-            UNKNOWN_TYPE = 11;
-    static final int HEADER = 8, CONTENT_MOST = 65_535;
-    static final int RESPONDER = 1, KEEP_CONN = 1;
-    static final int REQUEST_COMPLETE = 0, OVERLOADED = 2, UNKNOWN_ROLE = 3;
-    /** STDOUT is cut into pieces of this size, so that requests on one connection take turns. */
-    static final int PIECE = 32_760;
+    static final int BEGIN = 1;
+    static final int ABORT = 2;
+    static final int END = 3;
+    static final int PARAMS = 4;
+    static final int STDIN = 5;
+    static final int STDOUT = 6;
+    static final int GET_VALUES = 9;
+    static final int GET_VALUES_RESULT = 10;
+    static final int UNKNOWN_TYPE = 11;
+    static final int HEADER = 8;
+    static final int MAX_CONTENT_BYTES = 65_535;
+    static final int RESPONDER = 1;
+    static final int KEEP_CONN = 1;
+    static final int REQUEST_COMPLETE = 0;
+    static final int OVERLOADED = 2;
+    static final int UNKNOWN_ROLE = 3;
+    /** Answers are split into STDOUT records of this size, so that the requests of a connection take turns. */
+    static final int STDOUT_PIECE_BYTES = 32_760;
 
+    /** Encodes a record with its header and padding. */
     static Buffer encode(int type, int id, Buffer content) {
         int padding = -content.length() & 7;
         return Buffer.buffer(HEADER + content.length() + padding)
@@ -35,6 +40,7 @@
                 .appendBytes(new byte[padding]);
     }
 
+    /** Encodes the END_REQUEST record of a request. */
     static Buffer end(int id, int protocolStatus) {
         return encode(
                 END,
@@ -42,57 +48,59 @@
                 Buffer.buffer(8).appendInt(0).appendByte((byte) protocolStatus).appendBytes(new byte[3]));
     }
 
+    /** Encodes the answer to a management record of an unknown type. */
     static Buffer unknownType(int type) {
         return encode(UNKNOWN_TYPE, 0, Buffer.buffer(8).appendByte((byte) type).appendBytes(new byte[7]));
     }
 
-    /** Name-value pairs; a length that points past the end is malformed. */
+    /** Decodes name-value pairs; throws if a length points past the end. */
     static Map<String, String> pairs(Buffer in) throws MalformedRecordException {
         Map<String, String> pairs = new LinkedHashMap<>();
-        int[] at = {0};
-        while (at[0] < in.length()) {
-            int name = length(in, at);
-            int value = length(in, at);
-            if ((long) at[0] + name + value > in.length()) {
-                throw new MalformedRecordException("a name-value pair ends past its stream");
+        int[] position = {0};
+        while (position[0] < in.length()) {
+            int nameLength = length(in, position);
+            int valueLength = length(in, position);
+            if ((long) position[0] + nameLength + valueLength > in.length()) {
+                throw new MalformedRecordException("a name-value pair ends after the end of its stream");
             }
             pairs.put(
-                    in.getString(at[0], at[0] + name, StandardCharsets.UTF_8.name()),
-                    in.getString(at[0] + name, at[0] + name + value, StandardCharsets.UTF_8.name()));
-            at[0] += name + value;
+                    in.getString(position[0], position[0] + nameLength, StandardCharsets.UTF_8.name()),
+                    in.getString(position[0] + nameLength, position[0] + nameLength + valueLength, StandardCharsets.UTF_8.name()));
+            position[0] += nameLength + valueLength;
         }
         return pairs;
     }
 
-    private static int length(Buffer in, int[] at) throws MalformedRecordException {
-        if (at[0] < in.length() && in.getByte(at[0]) >= 0) {
-            return in.getByte(at[0]++);
+    private static int length(Buffer in, int[] position) throws MalformedRecordException {
+        if (position[0] < in.length() && in.getByte(position[0]) >= 0) {
+            return in.getByte(position[0]++);
         }
-        if (at[0] + 4 > in.length()) {
-            throw new MalformedRecordException("a name-value pair has no length");
+        if (position[0] + 4 > in.length()) {
+            throw new MalformedRecordException("the length of a name-value pair is missing");
         }
-        int n = in.getInt(at[0]) & 0x7fffffff;
-        at[0] += 4;
-        return n;
+        int length = in.getInt(position[0]) & 0x7fffffff;
+        position[0] += 4;
+        return length;
     }
 
+    /** Encodes name-value pairs. */
     static Buffer pairs(Map<String, String> pairs) {
         Buffer out = Buffer.buffer();
         pairs.forEach((name, value) -> {
-            Buffer n = Buffer.buffer(name);
-            Buffer v = Buffer.buffer(value);
-            appendLength(out, n.length());
-            appendLength(out, v.length());
-            out.appendBuffer(n).appendBuffer(v);
+            Buffer nameBytes = Buffer.buffer(name);
+            Buffer valueBytes = Buffer.buffer(value);
+            appendLength(out, nameBytes.length());
+            appendLength(out, valueBytes.length());
+            out.appendBuffer(nameBytes).appendBuffer(valueBytes);
         });
         return out;
     }
 
-    private static void appendLength(Buffer out, int n) {
-        if (n < 128) {
-            out.appendByte((byte) n);
+    private static void appendLength(Buffer out, int length) {
+        if (length < 128) {
+            out.appendByte((byte) length);
         } else {
-            out.appendInt(n | 0x80000000);
+            out.appendInt(length | 0x80000000);
         }
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
+++ b/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
@@ -2,47 +2,48 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Cuts a stream of bytes into records, wherever the bytes were split on their way. */
+/** Splits a stream of bytes into records, however the bytes were fragmented by the network. */
 final class RecordReader {
-    private Buffer rest = Buffer.buffer();
-    private int at;
+    private Buffer unread = Buffer.buffer();
+    private int position;
 
+    /** Appends received bytes. */
     void add(Buffer bytes) {
-        if (at == rest.length()) {
-            rest = bytes;
+        if (position == unread.length()) {
+            unread = bytes;
         } else {
-            rest = Buffer.buffer(rest.length() - at + bytes.length())
-                    .appendBuffer(rest, at, rest.length() - at)
+            unread = Buffer.buffer(unread.length() - position + bytes.length())
+                    .appendBuffer(unread, position, unread.length() - position)
                     .appendBuffer(bytes);
         }
-        at = 0;
+        position = 0;
     }
 
-    /** Bytes of a record that isn't whole yet. */
+    /** The number of bytes of the incomplete record. */
     int pending() {
-        return rest.length() - at;
+        return unread.length() - position;
     }
 
-    /** The next whole record, or null until more bytes have come. */
+    /** The next complete record, or null until more bytes are added. */
     Record next() throws MalformedRecordException {
-        if (rest.length() - at < Record.HEADER) {
+        if (unread.length() - position < Record.HEADER) {
             return null;
         }
-        int version = rest.getUnsignedByte(at);
+        int version = unread.getUnsignedByte(position);
         if (version != 1) {
-            throw new MalformedRecordException("version " + version + " where 1 is expected");
+            throw new MalformedRecordException("version " + version + ", expected 1");
         }
-        int length = rest.getUnsignedShort(at + 4);
-        int end = at + Record.HEADER + length + rest.getUnsignedByte(at + 6);
-        if (rest.length() < end) {
+        int length = unread.getUnsignedShort(position + 4);
+        int end = position + Record.HEADER + length + unread.getUnsignedByte(position + 6);
+        if (unread.length() < end) {
             return null;
         }
-        Record r = new Record(
+        Record record = new Record(
                 version,
-                rest.getUnsignedByte(at + 1),
-                rest.getUnsignedShort(at + 2),
-                rest.getBuffer(at + Record.HEADER, at + Record.HEADER + length));
-        at = end;
-        return r;
+                unread.getUnsignedByte(position + 1),
+                unread.getUnsignedShort(position + 2),
+                unread.getBuffer(position + Record.HEADER, position + Record.HEADER + length));
+        position = end;
+        return record;
     }
 }
--- a/src/main/java/pewtercourse/front/fastcgi/package-info.java
+++ b/src/main/java/pewtercourse/front/fastcgi/package-info.java
@@ -1,2 +1,2 @@
-/** FastCGI, the protocol of the web servers in front. */
+/** FastCGI, the protocol that the web servers in front of the director use. */
 package pewtercourse.front.fastcgi;
--- a/src/main/java/pewtercourse/front/package-info.java
+++ b/src/main/java/pewtercourse/front/package-info.java
@@ -1,2 +1,2 @@
-/** Takes requests from clients, by whichever protocol, and their answers back; bounds on connections and shutdown. */
+/** Receives the requests of clients over any protocol and returns the answers; limits connections and drains them. */
 package pewtercourse.front;
--- a/src/test/java/pewtercourse/admin/AdminServerTest.java
+++ b/src/test/java/pewtercourse/admin/AdminServerTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The operators' address over real sockets. */
+/** Tests the operators' HTTP interface over real sockets. */
 class AdminServerTest {
     private final Vertx vertx = Vertx.vertx();
-    private final List<String> done = new CopyOnWriteArrayList<>();
-    private volatile boolean serves;
+    private final List<String> operations = new CopyOnWriteArrayList<>();
+    private volatile boolean canServe;
     private int port;
 
     @BeforeEach
@@ -28,7 +28,7 @@
         Operations director = new Operations() {
             @Override
             public boolean canServe() {
-                return serves;
+                return canServe;
             }
 
             @Override
@@ -39,31 +39,31 @@
             @Override
             public Future<Verdict> enterMaintenance(String target) {
                 return Future.succeededFuture(
-                        target.equals("s-1") && done.add("out " + target) ? Verdict.DONE : Verdict.UNKNOWN);
+                        target.equals("s-1") && operations.add("out " + target) ? Verdict.DONE : Verdict.UNKNOWN);
             }
 
             @Override
             public Future<Verdict> exitMaintenance(String target) {
                 return Future.succeededFuture(
-                        target.equals("s-1") && done.add("in " + target) ? Verdict.DONE : Verdict.UNKNOWN);
+                        target.equals("s-1") && operations.add("in " + target) ? Verdict.DONE : Verdict.UNKNOWN);
             }
 
             @Override
             public Future<Verdict> reload() {
                 return Future.succeededFuture(
-                        done.add("reload") && serves
+                        operations.add("reload") && canServe
                                 ? Verdict.DONE
                                 : Verdict.refused("feed: 'nowhere' is not ADDRESS:PORT"));
             }
 
             @Override
             public void standby() {
-                done.add("standby");
+                operations.add("standby");
             }
 
             @Override
             public void active() {
-                done.add("active");
+                operations.add("active");
             }
         };
         port = new AdminServer(vertx, director)
@@ -79,84 +79,84 @@
         vertx.close();
     }
 
-    /** Says this and reads until the connection ends: one call to a connection. */
-    private String say(String text) throws Exception {
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(30_000);
-            s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    /** Sends the text on a new connection, and reads until the connection is closed. */
+    private String send(String text) throws Exception {
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(30_000);
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    private int status(String method, String path, String body) throws Exception {
-        String answer = say(
+    private int callForStatus(String method, String path, String body) throws Exception {
+        String answer = send(
                 method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         assertTrue(answer.toLowerCase().contains("connection: close"), answer);
         return Integer.parseInt(answer.substring(9, 12));
     }
 
     @Test
-    void eachPathHasItsMethodAndItsAnswer() throws Exception {
-        assertEquals(503, status("GET", "/status", ""));
-        serves = true;
-        assertEquals(200, status("GET", "/status", ""));
-        assertEquals(405, status("POST", "/status", ""));
-        assertEquals(405, status("GET", "/standby", ""));
-        assertEquals(404, status("GET", "/nowhere", ""));
-        assertTrue(say("GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n").endsWith("\r\n\r\nopen_requests=14\n"));
-        assertEquals(200, status("POST", "/standby", ""));
-        assertEquals(200, status("POST", "/standby", "{}"));
-        assertEquals(200, status("POST", "/active", ""));
-        assertEquals(List.of("standby", "standby", "active"), done);
+    void answersEachPathWithItsMethodOnly() throws Exception {
+        assertEquals(503, callForStatus("GET", "/status", ""));
+        canServe = true;
+        assertEquals(200, callForStatus("GET", "/status", ""));
+        assertEquals(405, callForStatus("POST", "/status", ""));
+        assertEquals(405, callForStatus("GET", "/standby", ""));
+        assertEquals(404, callForStatus("GET", "/nowhere", ""));
+        assertTrue(send("GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n").endsWith("\r\n\r\nopen_requests=14\n"));
+        assertEquals(200, callForStatus("POST", "/standby", ""));
+        assertEquals(200, callForStatus("POST", "/standby", "{}"));
+        assertEquals(200, callForStatus("POST", "/active", ""));
+        assertEquals(List.of("standby", "standby", "active"), operations);
     }
 
     @Test
-    void aReloadTellsTheFaultyKeyOrThatItCounts() throws Exception {
-        assertEquals(422, status("POST", "/reload", ""));
-        serves = true;
-        assertEquals(200, status("POST", "/reload", ""));
-        assertEquals(405, status("GET", "/reload", ""));
-        assertEquals(List.of("reload", "reload"), done);
+    void refusesAReloadOfAnInvalidConfigurationAndConfirmsAValidOne() throws Exception {
+        assertEquals(422, callForStatus("POST", "/reload", ""));
+        canServe = true;
+        assertEquals(200, callForStatus("POST", "/reload", ""));
+        assertEquals(405, callForStatus("GET", "/reload", ""));
+        assertEquals(List.of("reload", "reload"), operations);
     }
 
     @Test
-    void aTargetIsNamedInTheBody() throws Exception {
-        assertEquals(200, status("POST", "/maintenance/enter", "{\"target\":\"s-1\"}"));
-        assertEquals(200, status("POST", "/maintenance/exit", "{\"target\" : \"s-1\",\"by\":\"me\"}"));
-        assertEquals(404, status("POST", "/maintenance/enter", "{\"target\":\"s-2\"}"));
-        assertEquals(404, status("POST", "/maintenance/exit", "{\"target\":\"s-2\"}"));
+    void readsTheTargetOfMaintenanceCallsFromTheBody() throws Exception {
+        assertEquals(200, callForStatus("POST", "/maintenance/enter", "{\"target\":\"s-1\"}"));
+        assertEquals(200, callForStatus("POST", "/maintenance/exit", "{\"target\" : \"s-1\",\"by\":\"me\"}"));
+        assertEquals(404, callForStatus("POST", "/maintenance/enter", "{\"target\":\"s-2\"}"));
+        assertEquals(404, callForStatus("POST", "/maintenance/exit", "{\"target\":\"s-2\"}"));
         for (String body : List.of("", "s-1", "[]", "{}", "{\"target\":1}", "{\"target\":\"\"}", "{\"target\":null}")) {
-            assertEquals(400, status("POST", "/maintenance/enter", body), body);
+            assertEquals(400, callForStatus("POST", "/maintenance/enter", body), body);
         }
-        assertEquals(405, status("GET", "/maintenance/enter", ""));
-        assertEquals(List.of("out s-1", "in s-1"), done);
+        assertEquals(405, callForStatus("GET", "/maintenance/enter", ""));
+        assertEquals(List.of("out s-1", "in s-1"), operations);
     }
 
     @Test
-    void whatIsNoCallIsANoOrAnEnd() throws Exception {
-        String nonsense = say("nonsense\r\n\r\n");
+    void refusesMalformedAndOversizedCalls() throws Exception {
+        String nonsense = send("nonsense\r\n\r\n");
         assertTrue(nonsense.startsWith("HTTP/1.0 400"), nonsense);
-        assertEquals(413, status("POST", "/standby", "x".repeat(5_000)));
-        String longHead = say("GET /status HTTP/1.1\r\nX: " + "x".repeat(9_000) + "\r\n\r\n");
+        assertEquals(413, callForStatus("POST", "/standby", "x".repeat(5_000)));
+        String longHead = send("GET /status HTTP/1.1\r\nX: " + "x".repeat(9_000) + "\r\n\r\n");
         assertTrue(longHead.isEmpty() || longHead.startsWith("HTTP/1.1 4"), longHead);
-        assertEquals(List.of(), done);
+        assertEquals(List.of(), operations);
     }
 
-    // They would else hold all places, and no operator's call would come through.
+    // Callers that never finish a call could otherwise occupy the whole table and block the operators' calls.
     @Test
-    void callersThatFinishNoCallKeepNobodyWaiting() throws Exception {
-        serves = true;
+    void closesSilentConnectionsSoThatOtherCallsAreServed() throws Exception {
+        canServe = true;
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * CallTable.MOST; i++) {
-            Socket s = new Socket("127.0.0.1", port);
-            s.getOutputStream().write("GET /sta".getBytes(StandardCharsets.ISO_8859_1));
-            silent.add(s);
+        for (int i = 0; i < 3 * CallTable.MAX_CONNECTIONS; i++) {
+            Socket socket = new Socket("127.0.0.1", port);
+            socket.getOutputStream().write("GET /sta".getBytes(StandardCharsets.ISO_8859_1));
+            silent.add(socket);
         }
-        assertEquals(200, status("GET", "/status", ""));
-        for (Socket s : silent) {
-            s.setSoTimeout(30_000);
-            assertEquals(-1, s.getInputStream().read(), "ended, sooner or later");
-            s.close();
+        assertEquals(200, callForStatus("GET", "/status", ""));
+        for (Socket socket : silent) {
+            socket.setSoTimeout(30_000);
+            assertEquals(-1, socket.getInputStream().read(), "the silent connection is closed");
+            socket.close();
         }
     }
 }
--- a/src/test/java/pewtercourse/admin/CallTableTest.java
+++ b/src/test/java/pewtercourse/admin/CallTableTest.java
@@ -12,20 +12,21 @@
 import net.jqwik.api.constraints.IntRange;
 import pewtercourse.Timers;
 
-/** Callers that come, finish or stay silent in any order, against a list of who may still be there. */
+/** Compares the table with a list of the open connections while callers connect, finish or stay silent in any order. */
 class CallTableTest {
     @Property(tries = 300, seed = "7")
-    void theOldestMakeRoomAndNoWaitIsLeft(@ForAll List<@IntRange(max = 5) Integer> steps) {
+    void closesTheOldestConnectionsWhenFullAndLeavesNoTimerBehind(@ForAll List<@IntRange(max = 5) Integer> steps) {
         TreeMap<Long, Runnable> timers = new TreeMap<>();
-        List<Integer> model = new ArrayList<>(), closed = new ArrayList<>();
+        List<Integer> expectedOpen = new ArrayList<>();
+        List<Integer> closed = new ArrayList<>();
         CallTable<Integer> table = new CallTable<>(
                 new Timers() {
-                    private long next;
+                    private long lastTimer;
 
                     @Override
-                    public long set(long delayMs, Runnable then) {
-                        timers.put(++next, then);
-                        return next;
+                    public long set(long delayMs, Runnable callback) {
+                        timers.put(++lastTimer, callback);
+                        return lastTimer;
                     }
 
                     @Override
@@ -34,28 +35,28 @@
                     }
                 },
                 closed::add);
-        int serial = 0;
-        for (int s : steps) {
-            int expected = closed.size();
-            if (s > 1) {
-                if (model.size() == CallTable.MOST) {
-                    expected++;
-                    model.remove(0);
+        int nextConnection = 0;
+        for (int step : steps) {
+            int expectedClosedCount = closed.size();
+            if (step > 1) {
+                if (expectedOpen.size() == CallTable.MAX_CONNECTIONS) {
+                    expectedClosedCount++;
+                    expectedOpen.remove(0);
                 }
-                model.add(serial);
-                table.opened(serial++);
-            } else if (!model.isEmpty() && s == 1) {
-                table.ended(model.remove(model.size() / 2)); // It finished its call, or left.
-            } else if (!model.isEmpty()) {
-                timers.pollFirstEntry().getValue().run(); // It was silent for too long.
-                assertEquals(model.remove(0), closed.get(closed.size() - 1));
-                expected++;
+                expectedOpen.add(nextConnection);
+                table.onOpened(nextConnection++);
+            } else if (!expectedOpen.isEmpty() && step == 1) {
+                table.onClosed(expectedOpen.remove(expectedOpen.size() / 2)); // Finished its call, or closed.
+            } else if (!expectedOpen.isEmpty()) {
+                timers.pollFirstEntry().getValue().run(); // Timed out.
+                assertEquals(expectedOpen.remove(0), closed.get(closed.size() - 1));
+                expectedClosedCount++;
             }
-            assertEquals(expected, closed.size());
-            assertEquals(model.size(), table.size());
-            assertEquals(model.size(), timers.size(), "one wait for each caller");
-            assertTrue(table.size() <= CallTable.MOST);
-            model.forEach(c -> assertFalse(closed.contains(c)));
+            assertEquals(expectedClosedCount, closed.size());
+            assertEquals(expectedOpen.size(), table.size());
+            assertEquals(expectedOpen.size(), timers.size(), "one timer for each connection");
+            assertTrue(table.size() <= CallTable.MAX_CONNECTIONS);
+            expectedOpen.forEach(connection -> assertFalse(closed.contains(connection)));
         }
     }
 }
--- a/src/test/java/pewtercourse/front/DrainTest.java
+++ b/src/test/java/pewtercourse/front/DrainTest.java
@@ -12,53 +12,53 @@
 import pewtercourse.front.Drain.Step;
 
 class DrainTest {
-    // What comes in the last 2 s of the 4 s after the call must not be held then, nor may anything idle.
+    // 4 s after the call, no request of the last 2 s may be open, and no idle connection either.
     @Example
-    void aStandbyRefusesBeforeTheLastTwoSecondsBegin() {
-        Drain d = new Drain();
-        d.begin(Cause.STANDBY, 5_000_000);
-        assertEquals(Step.OPEN, d.step(5_300_000), "new connections still come");
-        assertEquals(Step.REFUSE, d.step(6_900_000));
-        d.begin(Cause.STANDBY, 6_900_000);
-        assertEquals(Step.REFUSE, d.step(6_900_000), "a second call doesn't begin anew");
-        d.end(Cause.STANDBY);
-        assertEquals(Step.OPEN, d.step(6_900_000));
+    void standbyRefusesRequestsBeforeTheLastTwoSecondsBegin() {
+        Drain drain = new Drain();
+        drain.begin(Cause.STANDBY, 5_000_000);
+        assertEquals(Step.OPEN, drain.step(5_300_000), "clients still open new connections");
+        assertEquals(Step.REFUSE, drain.step(6_900_000));
+        drain.begin(Cause.STANDBY, 6_900_000);
+        assertEquals(Step.REFUSE, drain.step(6_900_000), "a second call does not restart the drain");
+        drain.end(Cause.STANDBY);
+        assertEquals(Step.OPEN, drain.step(6_900_000));
     }
 
     @Example
-    void aShutdownServesAsEverUntilItsCutOffAndRefusesFromThenOn() {
-        Drain d = new Drain();
-        d.begin(Cause.SHUTDOWN, 1_000_000);
-        assertEquals(Step.OPEN, d.step(1_749_999));
-        assertEquals(750, d.nextMs(1_000_000));
-        assertEquals(Step.REFUSE, d.step(1_750_000));
-        assertEquals(-1, d.nextMs(1_750_000));
+    void shutdownServesUntilItsCutOffAndRefusesAfterwards() {
+        Drain drain = new Drain();
+        drain.begin(Cause.SHUTDOWN, 1_000_000);
+        assertEquals(Step.OPEN, drain.step(1_749_999));
+        assertEquals(750, drain.nextMs(1_000_000));
+        assertEquals(Step.REFUSE, drain.step(1_750_000));
+        assertEquals(-1, drain.nextMs(1_750_000));
     }
 
     @Property(tries = 300, seed = "7")
-    void whoWaitsForTheNextStepMissesNone(
+    void noStageChangesBetweenTheReportedTimes(
             @ForAll List<@IntRange(max = 6) Integer> calls, @ForAll @IntRange(min = 1, max = 900) int pauseMs) {
-        Drain d = new Drain();
-        long now = 1_000_000;
-        Step last = Step.OPEN;
+        Drain drain = new Drain();
+        long nowMicros = 1_000_000;
+        Step lastStage = Step.OPEN;
         for (int call : calls) {
             Cause cause = Cause.values()[call % 3];
             if (call < 3) {
-                d.begin(cause, now);
+                drain.begin(cause, nowMicros);
             } else if (call < 6) {
-                d.end(cause);
-                last = Step.OPEN;
+                drain.end(cause);
+                lastStage = Step.OPEN;
             }
-            for (long next = d.nextMs(now), end = now + pauseMs * 1000L;
-                    next > 0 && now + next * 1000 <= end;
-                    next = d.nextMs(now)) {
-                Step before = d.step(now + next * 1000 - 1_001);
-                assertEquals(d.step(now), before, "it changed while nobody looked");
-                now += next * 1000;
+            for (long nextMs = drain.nextMs(nowMicros), end = nowMicros + pauseMs * 1000L;
+                    nextMs > 0 && nowMicros + nextMs * 1000 <= end;
+                    nextMs = drain.nextMs(nowMicros)) {
+                Step stageJustBefore = drain.step(nowMicros + nextMs * 1000 - 1_001);
+                assertEquals(drain.step(nowMicros), stageJustBefore, "the stage changed before the reported time");
+                nowMicros += nextMs * 1000;
             }
-            assertTrue(d.step(now).compareTo(last) >= 0, "it goes back only when a cause ends");
-            last = d.step(now);
-            now += 1_000;
+            assertTrue(drain.step(nowMicros).compareTo(lastStage) >= 0, "the stage goes back only when a cause ends");
+            lastStage = drain.step(nowMicros);
+            nowMicros += 1_000;
         }
     }
 }
--- a/src/test/java/pewtercourse/front/FrontTransportTest.java
+++ b/src/test/java/pewtercourse/front/FrontTransportTest.java
@@ -8,21 +8,21 @@
 import org.junit.jupiter.api.Test;
 
 class FrontTransportTest {
-    // It was the first server of all: where directors form a cluster that is the members', which is opened before.
+    // The listener once went to the first server of all, which in a cluster is the server for the members.
     @Test
-    void onlyTheClientsServerGetsTheGivenListener() {
+    void onlyTheServerAfterFrontNextGetsTheListener() {
         LimitedListener listener = new LimitedListener(1);
         FrontTransport transport = new FrontTransport(listener);
-        ChannelFactory<? extends ServerChannel> servers =
+        ChannelFactory<? extends ServerChannel> serverChannels =
                 transport.implementation().serverChannelFactory(false);
-        ServerChannel before = servers.newChannel();
-        assertNotSame(listener, before);
+        ServerChannel serverBefore = serverChannels.newChannel();
+        assertNotSame(listener, serverBefore);
         transport.frontNext();
-        assertSame(listener, servers.newChannel());
-        ServerChannel after = servers.newChannel();
-        assertNotSame(listener, after);
-        before.unsafe().closeForcibly();
-        after.unsafe().closeForcibly();
+        assertSame(listener, serverChannels.newChannel());
+        ServerChannel serverAfter = serverChannels.newChannel();
+        assertNotSame(listener, serverAfter);
+        serverBefore.unsafe().closeForcibly();
+        serverAfter.unsafe().closeForcibly();
         listener.unsafe().closeForcibly();
     }
 }
--- a/src/test/java/pewtercourse/front/WholeMillisecondWaitsTest.java
+++ b/src/test/java/pewtercourse/front/WholeMillisecondWaitsTest.java
@@ -17,14 +17,14 @@
 
 class WholeMillisecondWaitsTest {
     private static final int TIMERS = 200;
-    private static final long DELAY_MICROS = 1_300; // The library waits for one millisecond and polls for the rest.
-    private static final int TURNS_MOST = 10; // For each timer; polling takes some hundred.
+    private static final long DELAY_MICROS = 1_300; // Netty waits for one millisecond and polls for the rest.
+    private static final int MAX_RUNS_PER_TIMER = 10; // Polling takes some hundred runs.
 
-    /** Counts the turns of the event loop. */
-    private record Counting(IoHandler handler, AtomicLong turns) implements IoHandler {
+    /** Counts the runs of the event loop. */
+    private record CountingHandler(IoHandler handler, AtomicLong runs) implements IoHandler {
         @Override
         public int run(IoHandlerContext context) {
-            turns.incrementAndGet();
+            runs.incrementAndGet();
             return handler.run(context);
         }
 
@@ -60,25 +60,25 @@
     }
 
     @Test
-    void theEventLoopSleepsUntilItsTimersAreDue() throws Exception {
-        AtomicLong turns = new AtomicLong();
+    void eventLoopSleepsUntilItsTimersAreDue() throws Exception {
+        AtomicLong runs = new AtomicLong();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(
                 1,
-                executor -> new Counting(
-                        WholeMillisecondWaits.factory(NioIoHandler.newFactory()).newHandler(executor), turns));
+                executor -> new CountingHandler(
+                        WholeMillisecondWaits.factory(NioIoHandler.newFactory()).newHandler(executor), runs));
         CountDownLatch fired = new CountDownLatch(TIMERS);
-        next(group.next(), fired);
+        scheduleNext(group.next(), fired);
         assertTrue(fired.await(60, TimeUnit.SECONDS));
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        assertTrue(turns.get() <= TIMERS * TURNS_MOST, turns + " turns for " + TIMERS + " timers");
+        assertTrue(runs.get() <= TIMERS * MAX_RUNS_PER_TIMER, runs + " runs for " + TIMERS + " timers");
     }
 
-    private static void next(EventLoop loop, CountDownLatch fired) {
+    private static void scheduleNext(EventLoop loop, CountDownLatch fired) {
         loop.schedule(
                 () -> {
                     fired.countDown();
                     if (fired.getCount() > 0) {
-                        next(loop, fired);
+                        scheduleNext(loop, fired);
                     }
                 },
                 DELAY_MICROS,
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void whatIsDueOrNeverComesStaysAsItIs() {
+    void delaysOfDueAndNeverDueTimersStayUnchanged() {
         assertEquals(-5, WholeMillisecondWaits.roundedUp(-5));
         assertEquals(0, WholeMillisecondWaits.roundedUp(0));
         assertEquals(1_000_000, WholeMillisecondWaits.roundedUp(1));
--- a/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
@@ -21,20 +21,22 @@
 import pewtercourse.front.RequestHandler;
 
 /**
- * A connection is closed while bytes of its client stand unread at it, and while most of its last answer is still with the
- * sending system, since the client's window is small. A plain close resets such a connection, and what the client has not
- * received is lost.
+ * The server closes a connection while bytes from the client are unread, and while most of the last answer is still in the
+ * send buffer because the client's window is small. A plain close would reset the connection, and the client would lose the
+ * part of the answer that it has not received.
  */
 class CloseOverUnreadBytesTest {
     private static final int WAIT_SECONDS = 30;
-    private static final int SMALL_WINDOW = 4_096;
+    private static final int SMALL_WINDOW_BYTES = 4_096;
     private static final int ANSWER_BYTES = 150_000;
-    // As much as the systems take while nobody reads.
-    private static final int EXCESS_RECORDS = 10, EXCESS_RECORD_BYTES = 30_000, SEND_BUFFER = 400_000;
+    // The socket buffers take this much while the server does not read.
+    private static final int STRAY_RECORDS = 10;
+    private static final int STRAY_RECORD_BYTES = 30_000;
+    private static final int SEND_BUFFER_BYTES = 400_000;
 
     private final Vertx vertx = Vertx.vertx();
-    private final CountDownLatch answering = new CountDownLatch(1);
-    private final CountDownLatch excessWritten = new CountDownLatch(1);
+    private final CountDownLatch answerStarted = new CountDownLatch(1);
+    private final CountDownLatch strayRecordsWritten = new CountDownLatch(1);
     private InetSocketAddress address;
 
     @BeforeEach
@@ -43,7 +45,7 @@
         vertx.getOrCreateContext()
                 .runOnContext(v -> new FastCgiServer(
                                 vertx,
-                                new Crossing(),
+                                new LateAnsweringHandler(),
                                 () -> TimeUnit.NANOSECONDS.toMicros(System.nanoTime()),
                                 new FrontLimits(20, 1 << 20, 4 << 20))
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
@@ -56,58 +58,58 @@
         vertx.close();
     }
 
-    /** Answers in a turn of the event loop that lasts until more bytes have come: they stand unread as it closes. */
-    private final class Crossing implements RequestHandler {
+    /** Blocks the event loop until stray records have arrived, then answers: they are unread when the connection closes. */
+    private final class LateAnsweringHandler implements RequestHandler {
         @Override
         public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
             vertx.runOnContext(v -> {
-                answering.countDown();
-                awaitExcess();
-                answer.accept(Answer.served(Buffer.buffer(body()), "tag"));
+                answerStarted.countDown();
+                awaitStrayRecords();
+                answer.accept(Answer.served(Buffer.buffer(answerBody()), "tag"));
             });
             return () -> {};
         }
 
-        private void awaitExcess() {
+        private void awaitStrayRecords() {
             try {
-                assertTrue(excessWritten.await(WAIT_SECONDS, TimeUnit.SECONDS));
+                assertTrue(strayRecordsWritten.await(WAIT_SECONDS, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    private static String body() {
+    private static String answerBody() {
         return "x".repeat(ANSWER_BYTES);
     }
 
-    /** A request after whose answer the connection ends. */
+    /** A request without the flag KEEP_CONN: the server closes the connection after the answer. */
     private static byte[] lastRequest() {
         byte[] request = RawFrontClient.request(1, "page", "0000000000000001", 20_000);
-        request[Record.HEADER + 2] = 0; // Of BEGIN_REQUEST: not kept.
+        request[Record.HEADER + 2] = 0; // The flags of BEGIN_REQUEST.
         return request;
     }
 
-    /** Records for no request, as they are legal behind an abort. */
-    private static byte[] excess() {
+    /** Records without an open request, which are legal after an abort. */
+    private static byte[] strayRecords() {
         Buffer bytes = Buffer.buffer();
-        for (int i = 0; i < EXCESS_RECORDS; i++) {
-            bytes.appendBuffer(Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[EXCESS_RECORD_BYTES])));
+        for (int i = 0; i < STRAY_RECORDS; i++) {
+            bytes.appendBuffer(Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[STRAY_RECORD_BYTES])));
         }
         return bytes.getBytes();
     }
 
     @RepeatedTest(3)
-    void theLastAnswerArrivesWholeAndTheConnectionIsNotReset() throws Exception {
-        try (RawFrontClient client = new RawFrontClient(address, SMALL_WINDOW, SEND_BUFFER)) {
+    void lastAnswerArrivesCompleteAndTheConnectionIsNotReset() throws Exception {
+        try (RawFrontClient client = new RawFrontClient(address, SMALL_WINDOW_BYTES, SEND_BUFFER_BYTES)) {
             client.write(lastRequest());
-            assertTrue(answering.await(WAIT_SECONDS, TimeUnit.SECONDS));
-            client.write(excess());
-            excessWritten.countDown();
-            String last = client.readAnswer();
-            assertNotNull(last, "ended without its last answer");
-            assertTrue(last.endsWith(body()), "not whole: " + last.length());
-            assertNull(client.readAnswer(), "closed, and not reset");
+            assertTrue(answerStarted.await(WAIT_SECONDS, TimeUnit.SECONDS));
+            client.write(strayRecords());
+            strayRecordsWritten.countDown();
+            String lastAnswer = client.readAnswer();
+            assertNotNull(lastAnswer, "closed without the last answer");
+            assertTrue(lastAnswer.endsWith(answerBody()), "incomplete, length " + lastAnswer.length());
+            assertNull(client.readAnswer(), "closed, not reset");
         }
     }
 }
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
@@ -32,13 +32,13 @@
 import pewtercourse.front.Answer;
 import pewtercourse.front.Drain;
 
-/** A front connection under random steps, against a model of what each of its ids is owed. */
+/** Compares a connection under random steps with a model of the answer that is expected for each request id. */
 class FastCgiModelTest {
     private static final int IDS = 5;
-    private static final int PENDING_MOST = 1 << 20; // Past this a client that doesn't read gets no more work done.
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 20; // Requests are deferred over this.
 
-    /** What the front has done under one id, and what it may expect. */
-    private enum Owed {
+    /** What the web server still expects, or has to send, for a request id. */
+    private enum Expected {
         NOTHING,
         BODY,
         ANSWER
@@ -46,23 +46,33 @@
 
     private static final class Model {
         final Random random = new Random(5);
-        final Map<Integer, Owed> owed = new HashMap<>();
-        final Map<Integer, Consumer<Answer>> handed = new HashMap<>();
-        final Map<Integer, Buffer> expected = new HashMap<>();
-        final Map<Integer, Deque<Buffer>> due = new HashMap<>(); // Bodies of answers not yet read, by id.
-        final Map<String, Integer> ids = new HashMap<>();
+        final Map<Integer, Expected> expectedById = new HashMap<>();
+        final Map<Integer, Consumer<Answer>> handedOver = new HashMap<>();
+        final Map<Integer, Buffer> bodies = new HashMap<>();
+        final Map<Integer, Deque<Buffer>> unreadAnswers = new HashMap<>(); // The bodies, by id.
+        final Map<String, Integer> idsByCorrelationId = new HashMap<>();
         final List<Consumer<Answer>> aborted = new ArrayList<>();
-        final RecordReader written = new RecordReader();
+        final RecordReader writtenRecords = new RecordReader();
         final FastCgiConnection.Backlog backlog;
-        final Buffer all = Buffer.buffer();
-        final Map<Integer, Buffer> answers = new HashMap<>();
+        final Buffer output = Buffer.buffer();
+        final Map<Integer, Buffer> partialAnswers = new HashMap<>();
         final ConnectionTable table;
         final Map<Long, Runnable> timers = new TreeMap<>();
-        long now = 1000, nextTimer;
-        int gone, abortedOpen, serial, writes;
-        boolean full, closed, paused, draining, broken, refusing;
-        Handler<Buffer> input;
-        Handler<Void> drain, close;
+        long nowMicros = 1000;
+        long lastTimer;
+        int clientGoneCount;
+        int abortedHandedOver;
+        int lastCorrelationId;
+        int writeCount;
+        boolean writeQueueFull;
+        boolean closed;
+        boolean readingPaused;
+        boolean draining;
+        boolean malformed;
+        boolean refusesRequests;
+        Handler<Buffer> dataHandler;
+        Handler<Void> drainHandler;
+        Handler<Void> closeHandler;
 
         Model() {
             this(new ConnectionTable(4, 1 << 20));
@@ -73,25 +83,25 @@
         }
 
         @SuppressWarnings("unchecked")
-        Model(ConnectionTable table, long backlogMost) {
+        Model(ConnectionTable table, long maxBacklogBytes) {
             this.table = table;
-            this.backlog = new FastCgiConnection.Backlog(backlogMost);
+            this.backlog = new FastCgiConnection.Backlog(maxBacklogBytes);
             NetSocket socket = (NetSocket) Proxy.newProxyInstance(
                     NetSocket.class.getClassLoader(),
                     new Class<?>[] {NetSocket.class},
-                    (p, m, a) -> switch (m.getName()) {
-                        case "handler" -> set(() -> input = (Handler<Buffer>) a[0], p);
-                        case "drainHandler" -> set(() -> drain = (Handler<Void>) a[0], p);
-                        case "closeHandler" -> set(() -> close = (Handler<Void>) a[0], p);
-                        case "pause" -> set(() -> paused = true, p);
-                        case "resume" -> set(() -> paused = false, p);
-                        case "writeQueueFull" -> full;
+                    (proxy, method, arguments) -> switch (method.getName()) {
+                        case "handler" -> set(() -> dataHandler = (Handler<Buffer>) arguments[0], proxy);
+                        case "drainHandler" -> set(() -> drainHandler = (Handler<Void>) arguments[0], proxy);
+                        case "closeHandler" -> set(() -> closeHandler = (Handler<Void>) arguments[0], proxy);
+                        case "pause" -> set(() -> readingPaused = true, proxy);
+                        case "resume" -> set(() -> readingPaused = false, proxy);
+                        case "writeQueueFull" -> writeQueueFull;
                         case "write" ->
                             set(
                                     () -> {
-                                        writes++;
-                                        written.add((Buffer) a[0]);
-                                        all.appendBuffer((Buffer) a[0]);
+                                        writeCount++;
+                                        writtenRecords.add((Buffer) arguments[0]);
+                                        output.appendBuffer((Buffer) arguments[0]);
                                     },
                                     null);
                         case "close", "end" ->
@@ -99,34 +109,34 @@
                                     () -> {
                                         assertTrue(
                                                 !draining
-                                                        || broken
-                                                        || !owed.containsValue(Owed.BODY) && handed.isEmpty(),
-                                                "a drain cuts off a request: " + owed);
+                                                        || malformed
+                                                        || !expectedById.containsValue(Expected.BODY) && handedOver.isEmpty(),
+                                                "a drain interrupts a request: " + expectedById);
                                         closed = true;
                                     },
                                     null);
-                        case "setWriteQueueMaxSize", "exceptionHandler" -> p;
+                        case "setWriteQueueMaxSize", "exceptionHandler" -> proxy;
                         default -> null;
                     });
             new FastCgiConnection(
                     socket,
-                    (r, answer) -> {
-                        if (refusing) {
+                    (request, answer) -> {
+                        if (refusesRequests) {
                             answer.accept(Answer.refused(50));
                             return () -> {};
                         }
-                        int id = ids.get(r.id());
-                        assertEquals(Owed.ANSWER, owed.get(id), "handed on before its last byte");
-                        assertTrue(expected.get(id).equals(r.body()), "another body");
-                        assertNull(handed.put(id, answer), "handed on twice");
-                        return () -> gone++;
+                        int id = idsByCorrelationId.get(request.id());
+                        assertEquals(Expected.ANSWER, expectedById.get(id), "handed over before its last byte");
+                        assertTrue(bodies.get(id).equals(request.body()), "a different body");
+                        assertNull(handedOver.put(id, answer), "handed over twice");
+                        return () -> clientGoneCount++;
                     },
-                    () -> now,
+                    () -> nowMicros,
                     new Timers() {
                         @Override
-                        public long set(long delayMs, Runnable then) {
-                            timers.put(++nextTimer, then);
-                            return nextTimer;
+                        public long set(long delayMs, Runnable callback) {
+                            timers.put(++lastTimer, callback);
+                            return lastTimer;
                         }
 
                         @Override
@@ -139,34 +149,34 @@
                     () -> {});
         }
 
-        private static Object set(Runnable r, Object then) {
-            r.run();
-            return then;
+        private static Object set(Runnable action, Object result) {
+            action.run();
+            return result;
         }
 
         String text() {
-            return all.toString("ISO-8859-1");
+            return output.toString("ISO-8859-1");
         }
 
-        /** Records come in pieces of any length. */
+        /** Delivers the bytes in pieces of random lengths. */
         void feed(Buffer bytes) {
-            for (int at = 0; at < bytes.length() && !closed; ) {
-                int n = Math.min(bytes.length() - at, 1 + random.nextInt(40));
-                input.handle(bytes.getBuffer(at, at + n));
-                at += n;
+            for (int position = 0; position < bytes.length() && !closed; ) {
+                int length = Math.min(bytes.length() - position, 1 + random.nextInt(40));
+                dataHandler.handle(bytes.getBuffer(position, position + length));
+                position += length;
             }
         }
 
         void begin(int id) {
-            if (owed.getOrDefault(id, Owed.NOTHING) == Owed.NOTHING && !closed) {
-                owed.put(id, Owed.BODY);
-                expected.put(id, Buffer.buffer());
+            if (expectedById.getOrDefault(id, Expected.NOTHING) == Expected.NOTHING && !closed) {
+                expectedById.put(id, Expected.BODY);
+                bodies.put(id, Buffer.buffer());
                 feed(Record.encode(Record.BEGIN, id, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
                 Map<String, String> params = new LinkedHashMap<>();
-                String name = String.format("%016x", ++serial);
-                ids.put(name, id);
+                String correlationId = String.format("%016x", ++lastCorrelationId);
+                idsByCorrelationId.put(correlationId, id);
                 params.put("SCRIPT_NAME", "/ops/page");
-                params.put("HTTP_X_CORRELATION_ID", name);
+                params.put("HTTP_X_CORRELATION_ID", correlationId);
                 params.put("HTTP_X_SUBJECT", "7f3a9c21e0b4d655");
                 params.put("HTTP_X_DEADLINE_MS", "1500");
                 params.put("FILLER", "x".repeat(random.nextInt(300)));
@@ -175,45 +185,45 @@
             }
         }
 
-        void body(int id, int length) {
-            if (owed.get(id) == Owed.BODY && !closed) {
+        void sendBody(int id, int length) {
+            if (expectedById.get(id) == Expected.BODY && !closed) {
                 byte[] bytes = new byte[length];
                 random.nextBytes(bytes);
-                expected.get(id).appendBytes(bytes);
-                owed.put(id, length == 0 ? Owed.ANSWER : Owed.BODY);
-                boolean reading = backlog.bytes <= PENDING_MOST;
+                bodies.get(id).appendBytes(bytes);
+                expectedById.put(id, length == 0 ? Expected.ANSWER : Expected.BODY);
+                boolean reading = backlog.bytes <= MAX_UNWRITTEN_BYTES;
                 feed(Record.encode(Record.STDIN, id, Buffer.buffer(bytes)));
                 assertEquals(
-                        length == 0 && reading, handed.containsKey(id), "handed on when whole, while its client reads");
+                        length == 0 && reading, handedOver.containsKey(id), "handed over when complete, while its client reads");
             }
         }
 
         void answer(int id, int length) {
-            Consumer<Answer> to = handed.remove(id);
-            if (to != null && !closed) {
+            Consumer<Answer> receiver = handedOver.remove(id);
+            if (receiver != null && !closed) {
                 byte[] bytes = new byte[length];
                 random.nextBytes(bytes);
-                owed.put(id, Owed.NOTHING);
-                to.accept(Answer.served(Buffer.buffer(bytes), "t"));
-                to.accept(Answer.failed()); // A second answer must go nowhere.
-                due.computeIfAbsent(id, i -> new ArrayDeque<>()).add(Buffer.buffer(bytes));
+                expectedById.put(id, Expected.NOTHING);
+                receiver.accept(Answer.served(Buffer.buffer(bytes), "t"));
+                receiver.accept(Answer.failed()); // A second answer must have no effect.
+                unreadAnswers.computeIfAbsent(id, i -> new ArrayDeque<>()).add(Buffer.buffer(bytes));
             }
         }
 
         void abort(int id) {
             if (!closed) {
-                if (handed.containsKey(id)) {
-                    aborted.add(handed.remove(id));
-                    abortedOpen++;
+                if (handedOver.containsKey(id)) {
+                    aborted.add(handedOver.remove(id));
+                    abortedHandedOver++;
                 }
-                owed.put(id, Owed.NOTHING);
+                expectedById.put(id, Expected.NOTHING);
                 feed(Record.encode(Record.ABORT, id, Buffer.buffer()));
-                aborted.forEach(a -> a.accept(Answer.served(Buffer.buffer("late"), null)));
-                assertEquals(abortedOpen, gone, "each aborted request is dropped, once");
+                aborted.forEach(receiver -> receiver.accept(Answer.served(Buffer.buffer("late"), null)));
+                assertEquals(abortedHandedOver, clientGoneCount, "each aborted request is dropped once");
             }
         }
 
-        void noise(int kind) {
+        void sendOtherRecord(int kind) {
             if (!closed) {
                 Buffer values = Record.pairs(Map.of("FCGI_MPXS_CONNS", "", "OTHER", ""));
                 feed(
@@ -225,26 +235,26 @@
             }
         }
 
-        /** The client stops or goes on reading. */
-        void reads(boolean on) {
-            full = !on;
-            if (on) {
-                drain.handle(null);
+        /** Lets the client read, or stops it. */
+        void setReading(boolean reading) {
+            writeQueueFull = !reading;
+            if (reading) {
+                drainHandler.handle(null);
                 readAnswers();
             }
         }
 
         void readAnswers() {
             try {
-                for (Record r = written.next(); r != null; r = written.next()) {
-                    if (r.type() == Record.STDOUT) {
-                        answers.computeIfAbsent(r.id(), i -> Buffer.buffer()).appendBuffer(r.content());
-                    } else if (r.type() == Record.END && answers.containsKey(r.id())) {
-                        Buffer whole = answers.remove(r.id());
-                        String head = whole.getString(0, Math.min(200, whole.length()), "ISO-8859-1");
+                for (Record record = writtenRecords.next(); record != null; record = writtenRecords.next()) {
+                    if (record.type() == Record.STDOUT) {
+                        partialAnswers.computeIfAbsent(record.id(), i -> Buffer.buffer()).appendBuffer(record.content());
+                    } else if (record.type() == Record.END && partialAnswers.containsKey(record.id())) {
+                        Buffer response = partialAnswers.remove(record.id());
+                        String head = response.getString(0, Math.min(200, response.length()), "ISO-8859-1");
                         assertTrue(head.startsWith("Status: 200 OK\r\n"), head.substring(0, 16));
-                        Buffer body = whole.getBuffer(head.indexOf("\r\n\r\n") + 4, whole.length());
-                        assertTrue(body.equals(due.get(r.id()).poll()), "not the answer that was owed");
+                        Buffer answerBody = response.getBuffer(head.indexOf("\r\n\r\n") + 4, response.length());
+                        assertTrue(answerBody.equals(unreadAnswers.get(record.id()).poll()), "not the expected answer");
                     }
                 }
             } catch (MalformedRecordException e) {
@@ -252,192 +262,193 @@
             }
         }
 
-        void drain(Drain.Step to) {
-            draining |= to != Drain.Step.OPEN;
-            table.drain(to);
+        void setDrainStage(Drain.Step stage) {
+            draining |= stage != Drain.Step.OPEN;
+            table.setDrainStage(stage);
         }
 
-        void garbage() {
+        void sendMalformedBytes() {
             if (!closed) {
-                broken = true;
-                int open = handed.size();
-                handed.clear();
-                gone -= open;
+                malformed = true;
+                int handedOverCount = handedOver.size();
+                handedOver.clear();
+                clientGoneCount -= handedOverCount;
                 feed(Buffer.buffer(new byte[] {9, 9, 9, 9, 9, 9, 9, 9}));
-                assertTrue(closed, "a broken stream of records ends the connection");
-                assertEquals(abortedOpen, gone, "and drops its requests, once");
+                assertTrue(closed, "a malformed stream of records closes the connection");
+                assertEquals(abortedHandedOver, clientGoneCount, "and drops its requests once");
             }
         }
     }
 
     @Property(tries = 300, seed = "7")
-    void whateverTheOrderOfStepsEachRequestGetsItsOneAnswer(@ForAll("chains") ActionChain<Model> chain) {
-        Model m = chain.run();
-        if (!m.closed) {
-            m.reads(true);
+    void eachRequestGetsOneAnswerInAnyOrderOfSteps(@ForAll("steps") ActionChain<Model> chain) {
+        Model model = chain.run();
+        if (!model.closed) {
+            model.setReading(true);
             for (int id = 1; id <= IDS; id++) {
-                m.answer(id, 240_000);
+                model.answer(id, 240_000);
             }
-            m.readAnswers();
-            assertTrue(m.due.values().stream().allMatch(Deque::isEmpty), "an answer was never written");
-            assertFalse(m.owed.containsValue(Owed.ANSWER), "a request still waits");
-            assertFalse(m.paused, "reads again once all is written");
+            model.readAnswers();
+            assertTrue(model.unreadAnswers.values().stream().allMatch(Deque::isEmpty), "an answer was never written");
+            assertFalse(model.expectedById.containsValue(Expected.ANSWER), "a request still waits");
+            assertFalse(model.readingPaused, "reading resumes once everything is written");
             assertEquals(
-                    m.owed.values().stream().filter(o -> o == Owed.BODY).count() + 1,
-                    m.timers.size(),
-                    "one wait for each request that isn't whole, and one for the connection");
+                    model.expectedById.values().stream().filter(state -> state == Expected.BODY).count() + 1,
+                    model.timers.size(),
+                    "one timer for each incomplete request, and one for the connection");
         }
-        m.close.handle(null);
-        assertEquals(Map.of(), m.timers, "a wait that nobody needs");
-        assertEquals(0, m.table.count());
-        assertEquals(0, m.table.held());
+        model.closeHandler.handle(null);
+        assertEquals(Map.of(), model.timers, "a timer is left");
+        assertEquals(0, model.table.connectionCount());
+        assertEquals(0, model.table.requestBytes());
     }
 
-    /** The first wait that was set, or the last, runs out. */
-    private static void expire(Model m, boolean first) {
-        List<Long> all = new ArrayList<>(m.timers.keySet());
-        m.timers.remove(all.get(first ? 0 : all.size() - 1)).run();
+    /** Fires the timer that was set first, or the one that was set last. */
+    private static void expire(Model model, boolean first) {
+        List<Long> timers = new ArrayList<>(model.timers.keySet());
+        model.timers.remove(timers.get(first ? 0 : timers.size() - 1)).run();
     }
 
     @Property(tries = 300, seed = "7")
-    void aDrainClosesWhatRestsAndCutsNothingOff(@ForAll("drained") ActionChain<Model> chain) {
-        Model m = chain.run();
-        m.drain(Drain.Step.CLOSE_EMPTY);
-        if (!m.closed) {
-            m.reads(true);
+    void aDrainClosesIdleConnectionsAndInterruptsNoRequest(@ForAll("stepsWithDrain") ActionChain<Model> chain) {
+        Model model = chain.run();
+        model.setDrainStage(Drain.Step.CLOSE_EMPTY);
+        if (!model.closed) {
+            model.setReading(true);
             for (int id = 1; id <= IDS; id++) {
-                m.body(id, 0);
-                m.answer(id, 50_000);
+                model.sendBody(id, 0);
+                model.answer(id, 50_000);
             }
-            m.readAnswers();
-            assertTrue(m.due.values().stream().allMatch(Deque::isEmpty), "an answer was never written");
-            for (int i = 0; i < 3 && !m.closed; i++) {
-                expire(m, false);
+            model.readAnswers();
+            assertTrue(model.unreadAnswers.values().stream().allMatch(Deque::isEmpty), "an answer was never written");
+            for (int i = 0; i < 3 && !model.closed; i++) {
+                expire(model, false);
             }
-            assertTrue(m.closed, "empty, and still held");
+            assertTrue(model.closed, "empty, but still open");
         }
-        m.close.handle(null);
-        assertEquals(Map.of(), m.timers, "a wait that nobody needs");
-        assertEquals(0, m.table.count());
+        model.closeHandler.handle(null);
+        assertEquals(Map.of(), model.timers, "a timer is left");
+        assertEquals(0, model.table.connectionCount());
     }
 
     @Example
-    void whatWasClosedByADrainIsNotMissedOnceItEnds() {
-        Model m = new Model();
-        m.begin(1);
-        m.body(1, 0);
-        m.drain(Drain.Step.CLOSE_RESTING);
-        m.drain(Drain.Step.OPEN);
-        m.answer(1, 10);
-        assertFalse(m.closed, "kept, as before");
-        m.drain(Drain.Step.CLOSE_RESTING);
-        assertFalse(m.closed, "its client may not have read its answer yet");
-        expire(m, true);
-        assertTrue(m.closed);
+    void keepsConnectionsOnceADrainHasEnded() {
+        Model model = new Model();
+        model.begin(1);
+        model.sendBody(1, 0);
+        model.setDrainStage(Drain.Step.CLOSE_RESTING);
+        model.setDrainStage(Drain.Step.OPEN);
+        model.answer(1, 10);
+        assertFalse(model.closed, "kept as before");
+        model.setDrainStage(Drain.Step.CLOSE_RESTING);
+        assertFalse(model.closed, "its client may not have read its answer yet");
+        expire(model, true);
+        assertTrue(model.closed);
     }
 
-    // It was: what such clients had sent meanwhile was lost with their connections, fifteen requests an upgrade.
+    // Such connections were not read for a while: the requests that arrived meanwhile were lost, fifteen
+    // in an upgrade.
     @Example
-    void aClientThatADrainTurnsAwayIsStillReadFrom() {
-        Model m = new Model();
-        m.drain(Drain.Step.REFUSE);
-        m.refusing = true;
-        m.begin(1);
-        m.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
-        assertTrue(m.text().contains("Status: 503") && m.text().contains("X-Pushback-Ms: 50"), m.text());
-        assertFalse(m.paused);
-        m.owed.clear();
-        expire(m, true);
-        assertTrue(m.closed);
+    void aClientThatADrainRefusesIsStillRead() {
+        Model model = new Model();
+        model.setDrainStage(Drain.Step.REFUSE);
+        model.refusesRequests = true;
+        model.begin(1);
+        model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
+        assertTrue(model.text().contains("Status: 503") && model.text().contains("X-Pushback-Ms: 50"), model.text());
+        assertFalse(model.readingPaused);
+        model.expectedById.clear();
+        expire(model, true);
+        assertTrue(model.closed);
     }
 
     @Example
-    void aConnectionThatIsNotReadFromIsNotClosedByADrain() {
-        Model m = new Model();
-        m.begin(1);
-        m.feed(Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[10])));
-        expire(m, false); // Not whole in time: bad input.
-        m.owed.clear();
-        assertTrue(m.paused);
-        m.drain(Drain.Step.CLOSE_EMPTY);
-        expire(m, false);
-        assertFalse(m.closed, "what has come meanwhile is not read yet");
-        expire(m, true);
-        assertFalse(m.paused);
-        expire(m, true);
-        assertTrue(m.closed);
+    void aDrainDoesNotCloseAConnectionWhileReadingIsPaused() {
+        Model model = new Model();
+        model.begin(1);
+        model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[10])));
+        expire(model, false); // Not complete in time: malformed.
+        model.expectedById.clear();
+        assertTrue(model.readingPaused);
+        model.setDrainStage(Drain.Step.CLOSE_EMPTY);
+        expire(model, false);
+        assertFalse(model.closed, "bytes that arrived meanwhile are not read yet");
+        expire(model, true);
+        assertFalse(model.readingPaused);
+        expire(model, true);
+        assertTrue(model.closed);
     }
 
     @Example
-    void aSilentConnectionIsEnded() {
-        Model m = new Model();
-        expire(m, true);
-        assertTrue(m.closed);
-        assertEquals(0, m.table.count());
+    void closesASilentConnection() {
+        Model model = new Model();
+        expire(model, true);
+        assertTrue(model.closed);
+        assertEquals(0, model.table.connectionCount());
     }
 
     @Example
-    void aHalfSpokenRequestFailsAndItsConnectionEndsLater() {
-        Model m = new Model();
-        m.begin(1);
-        m.body(1, 100);
-        expire(m, false);
-        assertEquals(100, m.expected.get(1).length());
-        assertTrue(m.text().contains("Status: 502"), m.text());
-        assertFalse(m.closed);
-        assertEquals(0, m.table.held());
-        expire(m, true); // The client is read from again.
-        expire(m, true);
-        assertTrue(m.closed);
+    void anIncompleteRequestFailsAndItsConnectionIsClosedLater() {
+        Model model = new Model();
+        model.begin(1);
+        model.sendBody(1, 100);
+        expire(model, false);
+        assertEquals(100, model.bodies.get(1).length());
+        assertTrue(model.text().contains("Status: 502"), model.text());
+        assertFalse(model.closed);
+        assertEquals(0, model.table.requestBytes());
+        expire(model, true); // Reading resumes.
+        expire(model, true);
+        assertTrue(model.closed);
     }
 
     @Example
-    void aConnectionAtWorkHasNoTimeLimitAndAnIdleOneHas() {
-        Model m = new Model();
-        m.begin(1);
-        m.body(1, 0);
-        assertEquals(Map.of(), m.timers);
-        m.answer(1, 10);
-        assertEquals(1, m.timers.size());
-        expire(m, true);
-        assertTrue(m.closed);
+    void onlyIdleConnectionsHaveATimeLimit() {
+        Model model = new Model();
+        model.begin(1);
+        model.sendBody(1, 0);
+        assertEquals(Map.of(), model.timers);
+        model.answer(1, 10);
+        assertEquals(1, model.timers.size());
+        expire(model, true);
+        assertTrue(model.closed);
     }
 
     @Example
-    void aBodyOverTheLimitFailsAtOnceAndIsNotReadToItsEnd() {
-        Model m = new Model();
-        m.begin(1);
-        m.feed(Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[48_001])));
-        assertTrue(m.closed);
-        assertTrue(m.text().contains("Status: 502"));
+    void aBodyOverTheLimitFailsAtOnceAndTheConnectionIsClosed() {
+        Model model = new Model();
+        model.begin(1);
+        model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[48_001])));
+        assertTrue(model.closed);
+        assertTrue(model.text().contains("Status: 502"));
     }
 
     @Example
-    void requestsThatAreNotWholeAreRefusedPastWhatAllMayHold() {
-        Model m = new Model();
+    void refusesIncompleteRequestsOverTheLimitOfAllConnections() {
+        Model model = new Model();
         for (int id = 1; id <= 30; id++) {
-            m.begin(id);
-            m.feed(Record.encode(Record.STDIN, id, Buffer.buffer(new byte[40_000])));
-            assertTrue(m.table.held() <= 1 << 20);
+            model.begin(id);
+            model.feed(Record.encode(Record.STDIN, id, Buffer.buffer(new byte[40_000])));
+            assertTrue(model.table.requestBytes() <= 1 << 20);
         }
-        assertTrue(m.text().contains("Status: 503") && m.text().contains("X-Pushback-Ms: "));
+        assertTrue(model.text().contains("Status: 503") && model.text().contains("X-Pushback-Ms: "));
     }
 
-    // Each write is a call of the system, and a third of a core has to do.
+    // Each write costs a system call, and the director has only a third of a core.
     @Example
     void anAnswerOfOnePieceTakesOneWrite() {
-        Model m = new Model();
-        m.feed(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
-        m.feed(Record.encode(Record.PARAMS, 1, Record.pairs(Map.of("SCRIPT_NAME", "/alive"))));
-        m.feed(Record.encode(Record.PARAMS, 1, Buffer.buffer()));
-        m.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
-        assertTrue(m.text().contains("ok\n"), m.text());
-        assertEquals(1, m.writes);
+        Model model = new Model();
+        model.feed(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
+        model.feed(Record.encode(Record.PARAMS, 1, Record.pairs(Map.of("SCRIPT_NAME", "/alive"))));
+        model.feed(Record.encode(Record.PARAMS, 1, Buffer.buffer()));
+        model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
+        assertTrue(model.text().contains("ok\n"), model.text());
+        assertEquals(1, model.writeCount);
     }
 
     @Property(tries = 200, seed = "7")
-    void figuresOutOfRangeFailAndAreNeverHandedOn(@ForAll("bad") Map.Entry<String, String> field) {
-        Model m = new Model();
+    void requestsWithInvalidParametersFailAndAreNeverHandedOver(@ForAll("invalidFields") Map.Entry<String, String> field) {
+        Model model = new Model();
         Map<String, String> params = new LinkedHashMap<>(Map.of(
                 "SCRIPT_NAME",
                 "/ops/page",
@@ -448,19 +459,19 @@
                 "HTTP_X_DEADLINE_MS",
                 "1500"));
         params.put(field.getKey(), field.getValue());
-        m.feed(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
-        m.feed(Record.encode(Record.PARAMS, 1, Record.pairs(params)));
-        m.feed(Record.encode(Record.PARAMS, 1, Buffer.buffer()));
-        m.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
-        assertEquals(Map.of(), m.handed);
-        assertTrue(m.text().contains("Status: 502"), m.text());
-        assertTrue(m.paused, "read from on at full speed");
-        expire(m, true);
-        assertFalse(m.paused);
+        model.feed(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
+        model.feed(Record.encode(Record.PARAMS, 1, Record.pairs(params)));
+        model.feed(Record.encode(Record.PARAMS, 1, Buffer.buffer()));
+        model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
+        assertEquals(Map.of(), model.handedOver);
+        assertTrue(model.text().contains("Status: 502"), model.text());
+        assertTrue(model.readingPaused, "still read at full speed");
+        expire(model, true);
+        assertFalse(model.readingPaused);
     }
 
     @Provide
-    Arbitrary<Map.Entry<String, String>> bad() {
+    Arbitrary<Map.Entry<String, String>> invalidFields() {
         return Arbitraries.of(
                 Map.entry("HTTP_X_TAG", "256"),
                 Map.entry("HTTP_X_TAG", "1e1"),
@@ -481,149 +492,152 @@
     }
 
     @Example
-    void onAFullTableTheOneThatIsMissedLeastMakesRoom() {
+    void aFullTableClosesIdleOrSilentConnectionsButNoWorkingOnes() {
         ConnectionTable table = new ConnectionTable(3, 1 << 20);
-        Model silent = new Model(table), idle = new Model(table), busy = new Model(table);
+        Model silent = new Model(table);
+        Model idle = new Model(table);
+        Model busy = new Model(table);
         idle.begin(1);
-        idle.body(1, 0);
+        idle.sendBody(1, 0);
         idle.answer(1, 10);
         busy.begin(1);
-        busy.body(1, 0);
+        busy.sendBody(1, 0);
         assertTrue(table.admit(1000));
-        assertTrue(idle.closed && !silent.closed, "it may be about to speak");
+        assertTrue(idle.closed && !silent.closed, "the silent client may still send its first request");
         Model second = new Model(table);
         assertTrue(table.admit(1_000_000));
-        assertTrue(silent.closed && !second.closed, "the one that was silent longest");
+        assertTrue(silent.closed && !second.closed, "the connection that was silent longest is closed");
         second.begin(1);
-        second.body(1, 0);
+        second.sendBody(1, 0);
         Model third = new Model(table);
         third.begin(1);
-        third.body(1, 0);
-        assertFalse(table.admit(9_000_000), "none at work is ended");
+        third.sendBody(1, 0);
+        assertFalse(table.admit(9_000_000), "no working connection is closed");
         assertFalse(busy.closed || second.closed || third.closed);
     }
 
     @Example
-    void aClientThatNeverReadsIsClosedBeforeItFillsTheMemory() {
-        Model m = new Model(new ConnectionTable(4, 1 << 20), 900_000);
-        m.reads(false);
-        for (int i = 0; i < 200 && !m.closed; i++) {
-            m.begin(1);
-            m.body(1, 0);
-            m.answer(1, 240_000);
-            assertTrue(m.backlog.bytes <= m.backlog.most);
+    void closesAClientThatNeverReadsAtTheBacklogLimit() {
+        Model model = new Model(new ConnectionTable(4, 1 << 20), 900_000);
+        model.setReading(false);
+        for (int i = 0; i < 200 && !model.closed; i++) {
+            model.begin(1);
+            model.sendBody(1, 0);
+            model.answer(1, 240_000);
+            assertTrue(model.backlog.bytes <= model.backlog.maxBytes);
         }
-        assertTrue(m.closed);
-        assertEquals(0, m.backlog.bytes);
+        assertTrue(model.closed);
+        assertEquals(0, model.backlog.bytes);
     }
 
     @Example
-    void aClientThatNeverReadsGetsNoMoreWorkDoneAndIsEnded() {
-        Model m = new Model();
-        m.reads(false);
+    void defersRequestsOfAClientThatNeverReadsAndClosesItsConnection() {
+        Model model = new Model();
+        model.setReading(false);
         for (int i = 0; i < 200; i++) {
-            m.begin(1);
-            m.body(1, 0);
-            m.answer(1, 240_000);
-            assertTrue(m.backlog.bytes <= PENDING_MOST + 250_000, "no answer is made for what it may never read");
+            model.begin(1);
+            model.sendBody(1, 0);
+            model.answer(1, 240_000);
+            assertTrue(model.backlog.bytes <= MAX_UNWRITTEN_BYTES + 250_000, "no answer is produced that the client may never read");
         }
-        assertEquals(Owed.ANSWER, m.owed.get(1));
-        assertEquals(Map.of(), m.handed);
-        expire(m, true);
-        assertTrue(m.closed, "it is idle, with answers that it doesn't read");
-        assertEquals(0, m.backlog.bytes);
+        assertEquals(Expected.ANSWER, model.expectedById.get(1));
+        assertEquals(Map.of(), model.handedOver);
+        expire(model, true);
+        assertTrue(model.closed, "the connection is idle, and its client does not read");
+        assertEquals(0, model.backlog.bytes);
     }
 
-    // It was not read from meanwhile: an abort went unseen, and the request was sent on for a client that had gone.
+    // Reading stopped meanwhile: an abort was not seen, and the request was sent to a cache for a client
+    // that had left.
     @Example
-    void whatAClientThatDoesNotReadAbortsIsDroppedAtOnce() {
-        Model m = new Model();
-        m.reads(false);
+    void dropsAbortedRequestsOfAClientThatDoesNotReadAtOnce() {
+        Model model = new Model();
+        model.setReading(false);
         for (int id = 1; id <= 5; id++) {
-            m.begin(id);
-            m.body(id, 0);
+            model.begin(id);
+            model.sendBody(id, 0);
         }
-        m.answer(1, 240_000);
-        m.answer(2, 240_000);
-        m.answer(3, 240_000);
-        m.answer(4, 240_000);
-        m.begin(6);
-        m.body(6, 0);
-        m.begin(1);
-        m.answer(6, 240_000);
-        m.body(1, 0);
-        assertFalse(m.handed.containsKey(1), "it waits until its client reads");
-        m.abort(5);
-        assertEquals(1, m.gone, "dropped at once");
-        m.abort(1);
-        m.reads(true);
-        assertEquals(Map.of(), m.handed, "handed on after its abort");
+        model.answer(1, 240_000);
+        model.answer(2, 240_000);
+        model.answer(3, 240_000);
+        model.answer(4, 240_000);
+        model.begin(6);
+        model.sendBody(6, 0);
+        model.begin(1);
+        model.answer(6, 240_000);
+        model.sendBody(1, 0);
+        assertFalse(model.handedOver.containsKey(1), "the request is deferred until its client reads");
+        model.abort(5);
+        assertEquals(1, model.clientGoneCount, "the aborted request is dropped at once");
+        model.abort(1);
+        model.setReading(true);
+        assertEquals(Map.of(), model.handedOver, "handed over after its abort");
     }
 
     @Example
-    void aRecordThatIsNotWholeInTimeEndsAConnectionThatWasOfUse() {
-        Model m = new Model();
-        m.begin(1);
-        m.body(1, 0);
-        m.answer(1, 10);
-        m.input.handle(
+    void anIncompleteRecordClosesAUsedConnectionInTime() {
+        Model model = new Model();
+        model.begin(1);
+        model.sendBody(1, 0);
+        model.answer(1, 10);
+        model.dataHandler.handle(
                 Record.encode(Record.BEGIN, 2, Buffer.buffer(new byte[8])).getBuffer(0, 5));
-        assertEquals(2, m.timers.size(), "one for the idle connection, one for the record");
-        m.input.handle(Buffer.buffer(new byte[1]));
-        expire(m, false);
-        assertTrue(m.closed);
+        assertEquals(2, model.timers.size(), "one for the idle connection, one for the record");
+        model.dataHandler.handle(Buffer.buffer(new byte[1]));
+        expire(model, false);
+        assertTrue(model.closed);
     }
 
-    // A table that is full of them would else turn everybody away until their clients have closed.
+    // Otherwise a table full of closing connections would refuse new ones until the clients have closed.
     @Example
-    void whatIsClosingMakesRoomFirst() {
+    void aFullTableClosesClosingConnectionsFirst() {
         ConnectionTable table = new ConnectionTable(2, 1 << 20);
         Model closing = new Model(table);
         closing.begin(1);
-        closing.body(1, 0);
+        closing.sendBody(1, 0);
         closing.answer(1, 10);
-        table.drain(Drain.Step.CLOSE_EMPTY);
+        table.setDrainStage(Drain.Step.CLOSE_EMPTY);
         expire(closing, true);
-        assertTrue(closing.closed, "its output is shut");
-        assertEquals(1, table.count(), "its descriptor is still in use");
+        assertTrue(closing.closed, "its output is shut down");
+        assertEquals(1, table.connectionCount(), "its descriptor is still in use");
         Model silent = new Model(table);
         assertTrue(table.admit(9_000_000));
-        assertEquals(1, table.count());
+        assertEquals(1, table.connectionCount());
         assertFalse(silent.closed);
     }
 
     @Provide
-    Arbitrary<ActionChain<Model>> chains() {
+    Arbitrary<ActionChain<Model>> steps() {
         Arbitrary<Integer> id = Arbitraries.integers().between(1, IDS);
         return ActionChain.startWith(Model::new)
-                .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, m -> m.begin(i)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, m -> m.body(i, i * 700)))))
-                .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, m -> m.body(i, 0)))))
-                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, m -> m.answer(i, i * 50_000)))))
-                .withAction(2, step(id.map(i -> Transformer.mutate("abort " + i, m -> m.abort(i)))))
-                .withAction(2, step(id.map(i -> Transformer.mutate("noise " + i, m -> m.noise(i % 3)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, m -> m.reads(i % 2 == 0)))))
-                .withAction(1, step(id.filter(i -> i == IDS).map(i -> Transformer.mutate("garbage", Model::garbage))))
+                .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, model -> model.begin(i)))))
+                .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, model -> model.sendBody(i, i * 700)))))
+                .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, model -> model.sendBody(i, 0)))))
+                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
+                .withAction(2, step(id.map(i -> Transformer.mutate("abort " + i, model -> model.abort(i)))))
+                .withAction(2, step(id.map(i -> Transformer.mutate("noise " + i, model -> model.sendOtherRecord(i % 3)))))
+                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
+                .withAction(1, step(id.filter(i -> i == IDS).map(i -> Transformer.mutate("malformed bytes", Model::sendMalformedBytes))))
                 .withMaxTransformations(60);
     }
 
     @Provide
-    Arbitrary<ActionChain<Model>> drained() {
+    Arbitrary<ActionChain<Model>> stepsWithDrain() {
         Arbitrary<Integer> id = Arbitraries.integers().between(1, IDS);
         return ActionChain.startWith(Model::new)
-                .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, m -> m.begin(i)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, m -> m.body(i, i * 700)))))
-                .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, m -> m.body(i, 0)))))
-                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, m -> m.answer(i, i * 50_000)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, m -> m.reads(i % 2 == 0)))))
+                .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, model -> model.begin(i)))))
+                .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, model -> model.sendBody(i, i * 700)))))
+                .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, model -> model.sendBody(i, 0)))))
+                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
+                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
                 .withAction(
                         2,
                         step(Arbitraries.of(Drain.Step.values())
-                                .map(to -> Transformer.mutate("drain " + to, m -> m.drain(to)))))
+                                .map(stage -> Transformer.mutate("drain " + stage, model -> model.setDrainStage(stage)))))
                 .withMaxTransformations(40);
     }
 
-    private static Action.Independent<Model> step(Arbitrary<Transformer<Model>> of) {
-        return () -> of;
+    private static Action.Independent<Model> step(Arbitrary<Transformer<Model>> transformers) {
+        return () -> transformers;
     }
 }
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
@@ -21,15 +21,15 @@
 import pewtercourse.front.FrontLimits;
 import pewtercourse.front.RequestHandler;
 
-/** The front on real sockets, against clients that close, abort or send too much at the wrong instant. */
+/** Tests the server on real sockets with clients that close, abort or send too much at an unfavourable time. */
 class FastCgiServerTest {
-    private static final long MICROS = 1_000;
-    // Nothing begins for a client that has gone longer than this; read with some room for a slow machine.
-    private static final long GONE_SEEN_MS = 2_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    // The close of a client must be detected within 100 ms; the test allows more for a slow machine.
+    private static final long CLOSE_DETECTED_MS = 2_000;
 
     private final Vertx vertx = Vertx.vertx();
-    private final CompletableFuture<Consumer<Answer>> handed = new CompletableFuture<>();
-    private final CompletableFuture<Void> gone = new CompletableFuture<>();
+    private final CompletableFuture<Consumer<Answer>> handedOver = new CompletableFuture<>();
+    private final CompletableFuture<Void> clientGone = new CompletableFuture<>();
     private InetSocketAddress address;
 
     @BeforeEach
@@ -41,11 +41,11 @@
                                 new RequestHandler() {
                                     @Override
                                     public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-                                        handed.complete(answer);
-                                        return () -> gone.complete(null);
+                                        handedOver.complete(answer);
+                                        return () -> clientGone.complete(null);
                                     }
                                 },
-                                () -> System.nanoTime() / MICROS,
+                                () -> System.nanoTime() / NANOS_PER_MICRO,
                                 new FrontLimits(20, 1 << 20, 4 << 20))
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
                         .onComplete(s -> port.complete(s.result().actualPort())));
@@ -61,9 +61,9 @@
         return RawFrontClient.request(id, "", "0000000000000001", 1_500);
     }
 
-    // The close reset the connection over what had come unread: the refusal was lost with it.
+    // A plain close over unread bytes reset the connection, and the client lost the answer.
     @Test
-    void aClientThatSendsTooMuchIsToldSoAndNotReset() throws Exception {
+    void aClientThatSendsTooMuchGetsAnAnswerAndIsNotReset() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 0, 0, 0, 0, 0, 0}))
                     .getBytes());
@@ -72,59 +72,59 @@
             client.write(Record.encode(Record.PARAMS, 1, Buffer.buffer()).getBytes());
             byte[] piece = Record.encode(Record.STDIN, 1, Buffer.buffer(new byte[40_000]))
                     .getBytes();
-            // Far more than the sockets hold: some of it is always unread while the connection is closed.
+            // Far more than the socket buffers take: some bytes are always unread when the connection is closed.
             Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < 200; i++) {
                         client.write(piece);
                     }
                 } catch (java.io.IOException e) {
-                    // Closed meanwhile; what counts is what the client reads.
+                    // Closed meanwhile; the test checks only what the client reads.
                 }
             });
             writer.start();
             String answer = client.readAnswer();
             assertNotNull(answer);
             assertTrue(answer.startsWith("Status: 502"), answer);
-            assertNull(client.readAnswer(), "closed, and not reset");
+            assertNull(client.readAnswer(), "closed, not reset");
             client.close();
             writer.join();
         }
     }
 
     @Test
-    void aClientThatClosesWhileItIsPunishedIsSeenToHaveGone() throws Exception {
+    void detectsTheCloseOfAClientDuringItsPenalty() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
-            handed.get(30, TimeUnit.SECONDS);
+            handedOver.get(30, TimeUnit.SECONDS);
             for (int id = 2; id < 8; id++) {
                 client.write(badRequest(id));
                 client.readAnswer();
             }
         }
         long closedAt = System.nanoTime();
-        gone.get(30, TimeUnit.SECONDS);
-        assertTrue((System.nanoTime() - closedAt) / 1_000_000 < GONE_SEEN_MS);
-        assertTrue(FastCgiConnection.PENALTY_MOST_MS < 100, "a close is not seen while the connection isn't read");
+        clientGone.get(30, TimeUnit.SECONDS);
+        assertTrue((System.nanoTime() - closedAt) / 1_000_000 < CLOSE_DETECTED_MS);
+        assertTrue(FastCgiConnection.MAX_PENALTY_MS < 100, "a close is not detected while the connection is not read");
     }
 
     @Test
-    void anAbortBehindOtherCommandsIsSeen() throws Exception {
+    void handlesAnAbortAfterOtherRequests() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
-            handed.get(30, TimeUnit.SECONDS);
+            handedOver.get(30, TimeUnit.SECONDS);
             Buffer commands = Buffer.buffer();
             for (int id = 2; id < 12; id++) {
                 commands.appendBytes(
                         RawFrontClient.request(id, "page", "000000000000000" + Integer.toHexString(id), 20_000));
             }
             client.write(commands.appendBytes(RawFrontClient.abort(1)).getBytes());
-            gone.get(30, TimeUnit.SECONDS);
+            clientGone.get(30, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void bytesThatAreNoRecordsEndTheConnectionAtOnce() throws Exception {
+    void closesTheConnectionAtOnceOnBytesThatAreNotRecords() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
             assertEquals(-1, client.input().read());
@@ -132,39 +132,39 @@
     }
 
     @Test
-    void recordsForNoRequestAreClosedWithinThreeSecondsAlsoOnAConnectionOfUse() throws Exception {
+    void closesAUsedConnectionWithinThreeSecondsOfStrayRecords() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
-            handed.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
+            handedOver.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
             assertTrue(client.readAnswer().startsWith("Status: 503"));
-            byte[] stray =
+            byte[] strayRecord =
                     Record.encode(Record.STDIN, 7, Buffer.buffer(new byte[100])).getBytes();
-            long from = System.nanoTime();
-            long until = from + TimeUnit.SECONDS.toNanos(10);
-            while (System.nanoTime() < until) {
+            long startNanos = System.nanoTime();
+            long endNanos = startNanos + TimeUnit.SECONDS.toNanos(10);
+            while (System.nanoTime() < endNanos) {
                 try {
-                    client.write(stray);
-                    Thread.sleep(20); // A drip, for as long as the connection stays.
+                    client.write(strayRecord);
+                    Thread.sleep(20); // A slow sequence of records, until the connection is closed.
                 } catch (java.io.IOException e) {
                     break;
                 }
             }
-            long tookMs = (System.nanoTime() - from) / 1_000_000;
+            long tookMs = (System.nanoTime() - startNanos) / 1_000_000;
             assertTrue(tookMs < 3_000, "closed after " + tookMs + " ms");
         }
     }
 
     @Test
-    void aRecordThatNeverEndsIsClosedWithinThreeSecondsAlsoOnAConnectionOfUse() throws Exception {
+    void closesAUsedConnectionWithinThreeSecondsOfAnIncompleteRecord() throws Exception {
         try (RawFrontClient client = new RawFrontClient(address)) {
             client.write(RawFrontClient.request(1, "page", "0000000000000001", 20_000));
-            handed.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
+            handedOver.get(30, TimeUnit.SECONDS).accept(Answer.refused(50));
             assertTrue(client.readAnswer().startsWith("Status: 503"));
             byte[] request = RawFrontClient.request(2, "page", "0000000000000002", 20_000);
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             client.write(request, 0, 13);
             assertEquals(-1, client.input().read());
-            long tookMs = (System.nanoTime() - from) / 1_000_000;
+            long tookMs = (System.nanoTime() - startNanos) / 1_000_000;
             assertTrue(tookMs < 3_000, "closed after " + tookMs + " ms");
         }
     }
--- a/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
+++ b/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A blocking FastCGI client whose every byte the test writes when it wants to. */
+/** A blocking FastCGI client that gives a test control over each byte and its time. */
 public final class RawFrontClient implements Closeable {
     private static final int TIMEOUT_MS = 30_000;
 
@@ -21,32 +21,34 @@
     private final DataInputStream in;
     private final Map<Integer, Buffer> partial = new HashMap<>();
 
-    public RawFrontClient(InetSocketAddress to) throws IOException {
-        this(to, 0, 0);
+    /** Connects with the default socket buffers. */
+    public RawFrontClient(InetSocketAddress server) throws IOException {
+        this(server, 0, 0);
     }
 
     /**
-     * With buffers of so many bytes, 0 for the usual ones. A small receive buffer leaves most of a large answer with its sender
-     * until it is read; a large send buffer takes so many bytes at once, read or not.
+     * Connects with socket buffers of these sizes in bytes; 0 keeps the default. With a small receive buffer, most of a large
+     * answer stays at the sender until it is read; a large send buffer takes that many bytes at once, read or not.
      */
-    public RawFrontClient(InetSocketAddress to, int receiveBuffer, int sendBuffer) throws IOException {
-        if (receiveBuffer > 0) {
-            socket.setReceiveBufferSize(receiveBuffer);
+    public RawFrontClient(InetSocketAddress server, int receiveBufferBytes, int sendBufferBytes) throws IOException {
+        if (receiveBufferBytes > 0) {
+            socket.setReceiveBufferSize(receiveBufferBytes);
         }
-        if (sendBuffer > 0) {
-            socket.setSendBufferSize(sendBuffer);
+        if (sendBufferBytes > 0) {
+            socket.setSendBufferSize(sendBufferBytes);
         }
         socket.setTcpNoDelay(true);
-        socket.connect(to, TIMEOUT_MS);
+        socket.connect(server, TIMEOUT_MS);
         socket.setSoTimeout(TIMEOUT_MS);
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** A whole request for an object of 10 KB, on a connection that is kept. */
+    /** A complete request for an object of 10 KB, on a kept connection. */
     public static byte[] request(int requestId, String className, String correlationId, int deadlineMs) {
         return request(requestId, className, correlationId, "7f3a9c21e0b4d655", deadlineMs);
     }
 
+    /** The same for this object. */
     public static byte[] request(int requestId, String className, String correlationId, String object, int deadlineMs) {
         Map<String, String> params = new LinkedHashMap<>();
         params.put("SCRIPT_NAME", "/ops/" + className);
@@ -58,7 +60,7 @@
         return request(requestId, params);
     }
 
-    /** A complete request with these parameters, on a connection that is kept. */
+    /** A complete request with these parameters, on a kept connection. */
     public static byte[] request(int requestId, Map<String, String> params) {
         return Record.encode(Record.BEGIN, requestId, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0}))
                 .appendBuffer(Record.encode(Record.PARAMS, requestId, Record.pairs(params)))
@@ -67,20 +69,23 @@
                 .getBytes();
     }
 
+    /** The record that aborts a request. */
     public static byte[] abort(int requestId) {
         return Record.encode(Record.ABORT, requestId, Buffer.buffer()).getBytes();
     }
 
+    /** Writes all the bytes. */
     public RawFrontClient write(byte[] bytes) throws IOException {
         return write(bytes, 0, bytes.length);
     }
 
-    public RawFrontClient write(byte[] bytes, int from, int to) throws IOException {
-        socket.getOutputStream().write(bytes, from, to - from);
+    /** Writes the bytes from one index up to another, exclusive. */
+    public RawFrontClient write(byte[] bytes, int from, int end) throws IOException {
+        socket.getOutputStream().write(bytes, from, end - from);
         return this;
     }
 
-    /** The next whole answer: head and body as one text. Null if the connection ended instead; throws if it was reset. */
+    /** Reads the next complete answer, head and body. Null if the connection was closed instead; throws if it was reset. */
     public String readAnswer() throws IOException {
         while (true) {
             byte[] head = new byte[Record.HEADER];
@@ -97,17 +102,18 @@
             if (header.getUnsignedByte(1) == Record.STDOUT) {
                 partial.computeIfAbsent(id, i -> Buffer.buffer()).appendBytes(content);
             } else if (header.getUnsignedByte(1) == Record.END) {
-                Buffer whole = partial.remove(id);
-                return whole == null ? "" : whole.toString(StandardCharsets.ISO_8859_1);
+                Buffer response = partial.remove(id);
+                return response == null ? "" : response.toString(StandardCharsets.ISO_8859_1);
             }
         }
     }
 
+    /** The bytes that the server sends. */
     public InputStream input() {
         return in;
     }
 
-    /** Closes with a reset. */
+    /** Resets the connection. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
