--- a/src/main/java/pewtercourse/admin/AdminApi.java
+++ b/src/main/java/pewtercourse/admin/AdminApi.java
@@ -38,8 +38,9 @@
                 return maintenance(call);
             case "/reload":
                 return director.reload()
-                        .map(verdict ->
-                                verdict.refused() == null ? AdminReply.of(200, "reloaded") : AdminReply.of(422, verdict.refused()));
+                        .map(verdict -> verdict.refused() == null
+                                ? AdminReply.of(200, "reloaded")
+                                : AdminReply.of(422, verdict.refused()));
             case "/standby":
                 director.standby();
                 return Future.succeededFuture(AdminReply.of(200, "standby"));
--- a/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
+++ b/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
@@ -26,7 +26,8 @@
     }
 
     /** Decodes a complete request; throws if a parameter is missing or invalid. */
-    static ClientRequest decode(Map<String, String> params, Buffer body, long nowMicros) throws MalformedRecordException {
+    static ClientRequest decode(Map<String, String> params, Buffer body, long nowMicros)
+            throws MalformedRecordException {
         String script = params.getOrDefault("SCRIPT_NAME", "");
         if (!script.startsWith(CLASS_PATH_PREFIX) || script.length() == CLASS_PATH_PREFIX.length()) {
             throw new MalformedRecordException("SCRIPT_NAME is not /ops/ followed by a class");
@@ -54,7 +55,8 @@
             return null;
         }
         if (tag.length() > MAX_TAG_LENGTH || !tag.chars().allMatch(c -> c > ' ' && c < 127)) {
-            throw new MalformedRecordException("HTTP_X_KNOWN is not a tag of at most " + MAX_TAG_LENGTH + " printable ASCII characters");
+            throw new MalformedRecordException(
+                    "HTTP_X_KNOWN is not a tag of at most " + MAX_TAG_LENGTH + " printable ASCII characters");
         }
         return tag;
     }
@@ -92,8 +94,9 @@
     }
 
     private static MalformedRecordException invalidNumber(String name, String value) {
-        return new MalformedRecordException(name + " '" + (value.length() <= 40 ? value : value.substring(0, 40) + "...")
-                + "' is not a number in the allowed range");
+        return new MalformedRecordException(
+                name + " '" + (value.length() <= 40 ? value : value.substring(0, 40) + "...")
+                        + "' is not a number in the allowed range");
     }
 
     /** Encodes an answer as a CGI response, head and body. */
--- a/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
+++ b/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
@@ -64,7 +64,8 @@
         }
         FastCgiConnection oldestNew = first(newConnections);
         FastCgiConnection longestIdle = first(idleConnections);
-        boolean graceExpired = oldestNew != null && nowMicros - oldestNew.acceptedAtMicros() > FIRST_REQUEST_GRACE_MICROS;
+        boolean graceExpired =
+                oldestNew != null && nowMicros - oldestNew.acceptedAtMicros() > FIRST_REQUEST_GRACE_MICROS;
         return oldestNew != null && (graceExpired || longestIdle == null) ? oldestNew : longestIdle;
     }
 
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -302,7 +302,8 @@
                     }
                 }
             }
-            case Record.GET_VALUES -> writeManagementAnswer(Record.encode(Record.GET_VALUES_RESULT, 0, encodeLimits(record.content())));
+            case Record.GET_VALUES ->
+                writeManagementAnswer(Record.encode(Record.GET_VALUES_RESULT, 0, encodeLimits(record.content())));
             default -> {
                 if (record.id() == 0) {
                     writeManagementAnswer(Record.unknownType(record.type()));
@@ -321,7 +322,8 @@
 
     private void begin(Record record, OpenRequest request) throws MalformedRecordException {
         if (record.id() == 0 || request != null || record.content().length() < 8) {
-            throw new MalformedRecordException("BEGIN_REQUEST with id 0, an id in use or less than 8 bytes: id " + record.id());
+            throw new MalformedRecordException(
+                    "BEGIN_REQUEST with id 0, an id in use or less than 8 bytes: id " + record.id());
         }
         boolean keepConnection = (record.content().getByte(2) & Record.KEEP_CONN) != 0;
         if (record.content().getUnsignedShort(0) != Record.RESPONDER) {
@@ -336,8 +338,11 @@
             return;
         }
         openRequests.put(record.id(), newRequest);
-        long timeoutMs = hadRequest ? REQUEST_TIMEOUT_MS : Math.max(1, REQUEST_TIMEOUT_MS - (clock.getAsLong() - acceptedAtMicros) / 1000);
-        newRequest.timer = timers.set(timeoutMs, () -> reject(record.id(), newRequest, "the request was not complete in time"));
+        long timeoutMs = hadRequest
+                ? REQUEST_TIMEOUT_MS
+                : Math.max(1, REQUEST_TIMEOUT_MS - (clock.getAsLong() - acceptedAtMicros) / 1000);
+        newRequest.timer =
+                timers.set(timeoutMs, () -> reject(record.id(), newRequest, "the request was not complete in time"));
     }
 
     private void append(Record record, OpenRequest request, Buffer collected, int maxBytes) {
@@ -346,7 +351,10 @@
         if (collected.length() > maxBytes) {
             // The rest of the request would only be discarded, and may be tens of megabytes.
             closeWhenWritten = true;
-            reject(record.id(), request, (collected == request.params ? "PARAMS" : "STDIN") + " over " + maxBytes + " bytes");
+            reject(
+                    record.id(),
+                    request,
+                    (collected == request.params ? "PARAMS" : "STDIN") + " over " + maxBytes + " bytes");
         } else if (!fits) {
             reportMalformed("the limit for the bytes of incomplete requests on all connections is reached");
             answer(record.id(), request, Answer.refused(PUSHBACK_MS));
--- a/src/main/java/pewtercourse/front/fastcgi/Record.java
+++ b/src/main/java/pewtercourse/front/fastcgi/Record.java
@@ -65,7 +65,10 @@
             }
             pairs.put(
                     in.getString(position[0], position[0] + nameLength, StandardCharsets.UTF_8.name()),
-                    in.getString(position[0] + nameLength, position[0] + nameLength + valueLength, StandardCharsets.UTF_8.name()));
+                    in.getString(
+                            position[0] + nameLength,
+                            position[0] + nameLength + valueLength,
+                            StandardCharsets.UTF_8.name()));
             position[0] += nameLength + valueLength;
         }
         return pairs;
--- a/src/main/java/pewtercourse/lease/CommandCodec.java
+++ b/src/main/java/pewtercourse/lease/CommandCodec.java
@@ -47,7 +47,8 @@
             case PUBLISH_FAILOVER_PLAN -> publishFailoverPlan(wire.getPublishFailoverPlan());
             case PAUSE_SITE_RECOVERY -> pauseSiteRecovery(wire.getPauseSiteRecovery());
             case START_FAILOVER_DRILL -> startFailoverDrill(wire.getStartFailoverDrill());
-            case KIND_NOT_SET -> throw new InvalidProtocolBufferException("unknown kind of command: it comes from a later version");
+            case KIND_NOT_SET ->
+                throw new InvalidProtocolBufferException("unknown kind of command: it comes from a later version");
         };
     }
 
--- a/src/main/java/pewtercourse/lease/DrainTable.java
+++ b/src/main/java/pewtercourse/lease/DrainTable.java
@@ -82,8 +82,8 @@
 
     /** Removes the cache with the smallest value, that is with the earliest time or log entry. */
     private static void removeOldest(Map<String, Long> byTarget) {
-        byTarget.remove(
-                Collections.min(byTarget.entrySet(), Map.Entry.comparingByValue()).getKey());
+        byTarget.remove(Collections.min(byTarget.entrySet(), Map.Entry.comparingByValue())
+                .getKey());
     }
 
     void writeTo(LeaseWire.Snapshot.Builder snapshot) {
--- a/src/main/java/pewtercourse/lease/LeaseWatch.java
+++ b/src/main/java/pewtercourse/lease/LeaseWatch.java
@@ -17,7 +17,9 @@
     void onStateChanged(long now, ClusterState state) {
         state.leases().forEach((name, lease) -> {
             Observation lastObservation = observations.get(name);
-            if (lastObservation == null || lastObservation.token() != lease.token() || lastObservation.renewals() != lease.renewals()) {
+            if (lastObservation == null
+                    || lastObservation.token() != lease.token()
+                    || lastObservation.renewals() != lease.renewals()) {
                 observations.put(name, new Observation(lease.token(), lease.renewals(), now));
             }
         });
--- a/src/main/java/pewtercourse/lease/OwnLeases.java
+++ b/src/main/java/pewtercourse/lease/OwnLeases.java
@@ -64,7 +64,8 @@
 
     /** Proposes the renewals and releases that are due. */
     void propose(long now, ClusterState state, boolean eligible, Consumer<Command.Envelope> proposals) {
-        leases.forEach((name, lease) -> nextProposal(now, name, lease, state, eligible).ifPresent(proposals));
+        leases.forEach(
+                (name, lease) -> nextProposal(now, name, lease, state, eligible).ifPresent(proposals));
     }
 
     private Optional<Command.Envelope> nextProposal(
--- a/src/main/java/pewtercourse/lease/OwnQuota.java
+++ b/src/main/java/pewtercourse/lease/OwnQuota.java
@@ -63,7 +63,8 @@
         Long proposedAt = proposedAtByRequestEntry.remove(command.requestEntry());
         if (proposedAt != null) {
             long usableMicros = settings.quotaPolicy().usableMicros(settings.clockDrift());
-            grants.put(entry, new TimedGrant(validityStart.applyAsLong(proposedAt) + usableMicros, command.thousandths()));
+            grants.put(
+                    entry, new TimedGrant(validityStart.applyAsLong(proposedAt) + usableMicros, command.thousandths()));
         }
     }
 
--- a/src/main/java/pewtercourse/lease/QuotaAllocator.java
+++ b/src/main/java/pewtercourse/lease/QuotaAllocator.java
@@ -81,7 +81,8 @@
      * that a member has already counts against its share, so that a member that requests often does not get everything.
      */
     static Map<String, Long> divide(Map<String, Long> requested, Map<String, Long> granted, long pool) {
-        long freeQuota = pool - granted.values().stream().mapToLong(Long::longValue).sum();
+        long freeQuota =
+                pool - granted.values().stream().mapToLong(Long::longValue).sum();
         Map<String, Long> amounts = new TreeMap<>();
         List<String> unserved = new ArrayList<>(requested.keySet());
         unserved.sort((left, right) -> Long.compare(
@@ -94,7 +95,8 @@
                     .mapToLong(other -> granted.getOrDefault(other, 0L))
                     .sum();
             long equalShare = (freeQuota + alreadyGranted + grantedToOthers) / (unserved.size() + 1);
-            long amount = Math.max(0, Math.min(Math.min(requested.get(member), equalShare - alreadyGranted), freeQuota));
+            long amount =
+                    Math.max(0, Math.min(Math.min(requested.get(member), equalShare - alreadyGranted), freeQuota));
             amounts.put(member, amount);
             freeQuota -= amount;
         }
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
@@ -110,7 +110,8 @@
                                         assertTrue(
                                                 !draining
                                                         || malformed
-                                                        || !expectedById.containsValue(Expected.BODY) && handedOver.isEmpty(),
+                                                        || !expectedById.containsValue(Expected.BODY)
+                                                                && handedOver.isEmpty(),
                                                 "a drain interrupts a request: " + expectedById);
                                         closed = true;
                                     },
@@ -194,7 +195,9 @@
                 boolean reading = backlog.bytes <= MAX_UNWRITTEN_BYTES;
                 feed(Record.encode(Record.STDIN, id, Buffer.buffer(bytes)));
                 assertEquals(
-                        length == 0 && reading, handedOver.containsKey(id), "handed over when complete, while its client reads");
+                        length == 0 && reading,
+                        handedOver.containsKey(id),
+                        "handed over when complete, while its client reads");
             }
         }
 
@@ -248,13 +251,16 @@
             try {
                 for (Record record = writtenRecords.next(); record != null; record = writtenRecords.next()) {
                     if (record.type() == Record.STDOUT) {
-                        partialAnswers.computeIfAbsent(record.id(), i -> Buffer.buffer()).appendBuffer(record.content());
+                        partialAnswers
+                                .computeIfAbsent(record.id(), i -> Buffer.buffer())
+                                .appendBuffer(record.content());
                     } else if (record.type() == Record.END && partialAnswers.containsKey(record.id())) {
                         Buffer response = partialAnswers.remove(record.id());
                         String head = response.getString(0, Math.min(200, response.length()), "ISO-8859-1");
                         assertTrue(head.startsWith("Status: 200 OK\r\n"), head.substring(0, 16));
                         Buffer answerBody = response.getBuffer(head.indexOf("\r\n\r\n") + 4, response.length());
-                        assertTrue(answerBody.equals(unreadAnswers.get(record.id()).poll()), "not the expected answer");
+                        assertTrue(
+                                answerBody.equals(unreadAnswers.get(record.id()).poll()), "not the expected answer");
                     }
                 }
             } catch (MalformedRecordException e) {
@@ -293,7 +299,10 @@
             assertFalse(model.expectedById.containsValue(Expected.ANSWER), "a request still waits");
             assertFalse(model.readingPaused, "reading resumes once everything is written");
             assertEquals(
-                    model.expectedById.values().stream().filter(state -> state == Expected.BODY).count() + 1,
+                    model.expectedById.values().stream()
+                                    .filter(state -> state == Expected.BODY)
+                                    .count()
+                            + 1,
                     model.timers.size(),
                     "one timer for each incomplete request, and one for the connection");
         }
@@ -447,7 +456,8 @@
     }
 
     @Property(tries = 200, seed = "7")
-    void requestsWithInvalidParametersFailAndAreNeverHandedOver(@ForAll("invalidFields") Map.Entry<String, String> field) {
+    void requestsWithInvalidParametersFailAndAreNeverHandedOver(
+            @ForAll("invalidFields") Map.Entry<String, String> field) {
         Model model = new Model();
         Map<String, String> params = new LinkedHashMap<>(Map.of(
                 "SCRIPT_NAME",
@@ -538,7 +548,9 @@
             model.begin(1);
             model.sendBody(1, 0);
             model.answer(1, 240_000);
-            assertTrue(model.backlog.bytes <= MAX_UNWRITTEN_BYTES + 250_000, "no answer is produced that the client may never read");
+            assertTrue(
+                    model.backlog.bytes <= MAX_UNWRITTEN_BYTES + 250_000,
+                    "no answer is produced that the client may never read");
         }
         assertEquals(Expected.ANSWER, model.expectedById.get(1));
         assertEquals(Map.of(), model.handedOver);
@@ -613,11 +625,17 @@
                 .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, model -> model.begin(i)))))
                 .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, model -> model.sendBody(i, i * 700)))))
                 .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, model -> model.sendBody(i, 0)))))
-                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
+                .withAction(
+                        5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
                 .withAction(2, step(id.map(i -> Transformer.mutate("abort " + i, model -> model.abort(i)))))
-                .withAction(2, step(id.map(i -> Transformer.mutate("noise " + i, model -> model.sendOtherRecord(i % 3)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
-                .withAction(1, step(id.filter(i -> i == IDS).map(i -> Transformer.mutate("malformed bytes", Model::sendMalformedBytes))))
+                .withAction(
+                        2, step(id.map(i -> Transformer.mutate("noise " + i, model -> model.sendOtherRecord(i % 3)))))
+                .withAction(
+                        3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
+                .withAction(
+                        1,
+                        step(id.filter(i -> i == IDS)
+                                .map(i -> Transformer.mutate("malformed bytes", Model::sendMalformedBytes))))
                 .withMaxTransformations(60);
     }
 
@@ -628,12 +646,15 @@
                 .withAction(6, step(id.map(i -> Transformer.mutate("begin " + i, model -> model.begin(i)))))
                 .withAction(3, step(id.map(i -> Transformer.mutate("body " + i, model -> model.sendBody(i, i * 700)))))
                 .withAction(6, step(id.map(i -> Transformer.mutate("last byte " + i, model -> model.sendBody(i, 0)))))
-                .withAction(5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
-                .withAction(3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
+                .withAction(
+                        5, step(id.map(i -> Transformer.mutate("answer " + i, model -> model.answer(i, i * 50_000)))))
+                .withAction(
+                        3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
                 .withAction(
                         2,
                         step(Arbitraries.of(Drain.Step.values())
-                                .map(stage -> Transformer.mutate("drain " + stage, model -> model.setDrainStage(stage)))))
+                                .map(stage ->
+                                        Transformer.mutate("drain " + stage, model -> model.setDrainStage(stage)))))
                 .withMaxTransformations(40);
     }
 
--- a/src/test/java/pewtercourse/lease/CommandStream.java
+++ b/src/test/java/pewtercourse/lease/CommandStream.java
@@ -103,7 +103,8 @@
     private Command drawMaintenanceDecision(String drawnTarget, boolean isGrant, long unixMs) {
         long number = drawNumber(state.maintenanceRequests());
         boolean hasMatchingTarget = state.maintenanceRequests().containsKey(number) && random.nextInt(5) > 0;
-        String target = hasMatchingTarget ? state.maintenanceRequests().get(number).target() : drawnTarget;
+        String target =
+                hasMatchingTarget ? state.maintenanceRequests().get(number).target() : drawnTarget;
         long token = random.nextInt(4) == 0 ? 0 : drawToken(LeaseNames.MAINTENANCE);
         return isGrant
                 ? new Command.GrantMaintenance(target, number, token, unixMs)
--- a/src/test/java/pewtercourse/lease/SampleCommands.java
+++ b/src/test/java/pewtercourse/lease/SampleCommands.java
@@ -105,7 +105,9 @@
                 new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("site-3", 100.0 / 3, 1e6)), 17);
         SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         cases.put("site-1", new TreeMap<>(java.util.Map.of("site-1", site1Distribution)));
-        cases.put("site-1+site-2", new TreeMap<>(java.util.Map.of("site-1", site1Distribution, "site-2", site2Distribution)));
+        cases.put(
+                "site-1+site-2",
+                new TreeMap<>(java.util.Map.of("site-1", site1Distribution, "site-2", site2Distribution)));
         return new FailoverPlan(cases);
     }
 }
--- a/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
+++ b/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
@@ -126,7 +126,8 @@
             long entry = isHeld ? 26 : isDrill ? 27 : 19 + number;
             expected.put(
                     "site-" + number,
-                    new SiteStatus(phases[number % phases.length], health, number, 10 + number, isHeld, isDrill, entry));
+                    new SiteStatus(
+                            phases[number % phases.length], health, number, 10 + number, isHeld, isDrill, entry));
         }
         assertEquals(expected, decoded.failover().statuses());
         assertEquals(7, expected.size());
--- a/src/test/java/pewtercourse/lease/VirtualCluster.java
+++ b/src/test/java/pewtercourse/lease/VirtualCluster.java
@@ -69,8 +69,8 @@
     private final Set<Integer> seenKinds;
     private final List<Node> nodes = new ArrayList<>();
     private final List<byte[]> agreedLog = new ArrayList<>();
-    private final PriorityQueue<SentCommand> sentCommands = new PriorityQueue<>(
-            (left, right) -> left.arrivesAt() != right.arrivesAt()
+    private final PriorityQueue<SentCommand> sentCommands =
+            new PriorityQueue<>((left, right) -> left.arrivesAt() != right.arrivesAt()
                     ? Long.compare(left.arrivesAt(), right.arrivesAt())
                     : Long.compare(left.sequenceNumber(), right.sequenceNumber()));
     private final boolean countsValidityFromApplication;
@@ -129,7 +129,8 @@
         }
         if (random.nextInt(500) == 0) {
             randomNode.manager.restore(
-                    randomNode.clock(), ClusterState.decode(randomNode.manager.state().encode()));
+                    randomNode.clock(),
+                    ClusterState.decode(randomNode.manager.state().encode()));
         }
         if (!isCalm && random.nextInt(600) == 0) {
             restart(randomNode);
@@ -218,7 +219,9 @@
         if (tick % 50 == nodes.indexOf(node)) {
             propose(node.manager.reportObservations(observations(node)));
         }
-        node.manager.planInput(clock).ifPresent(planRequest -> node.manager.planComputed(clock, plan(planRequest.loads())));
+        node.manager
+                .planInput(clock)
+                .ifPresent(planRequest -> node.manager.planComputed(clock, plan(planRequest.loads())));
         Optional<Command.Envelope> quotaRequest = node.manager.requestQuota(clock, node.requestedQuota);
         if (quotaRequest.isPresent()) {
             propose(quotaRequest.get());
