--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -284,7 +284,7 @@
 
     /** Whether what is read from now on is refused and never sent on. */
     boolean refuses() {
-        return drain.step(director.clock().getAsLong()) == Drain.Step.REFUSE;
+        return drain.stageAt(director.clock().getAsLong()) == Drain.Stage.REFUSE;
     }
 
     /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -10,14 +10,14 @@
  */
 public final class Drain {
     /**
-     * What happens to kept connections. {@code OPEN}: nothing. {@code CLOSE_RESTING}: they are closed after a pause without
-     * a request. {@code CLOSE_EMPTY}: they are closed as soon as no request is open. {@code REFUSE}: also, new requests are
+     * What happens to kept connections. {@code OPEN}: nothing. {@code CLOSE_IDLE_AFTER_PAUSE}: they are closed after a pause without
+     * a request. {@code CLOSE_IDLE}: they are closed as soon as no request is open. {@code REFUSE}: also, new requests are
      * refused.
      */
-    public enum Step {
+    public enum Stage {
         OPEN,
-        CLOSE_RESTING,
-        CLOSE_EMPTY,
+        CLOSE_IDLE_AFTER_PAUSE,
+        CLOSE_IDLE,
         REFUSE
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** The furthest stage of all causes at this time. */
-    public Step step(long nowMicros) {
+    public Stage stageAt(long nowMicros) {
         int furthestIndex = 0;
         for (Map.Entry<Cause, Long> entry : startedAtMicros.entrySet()) {
             for (int stageIndex = 0; stageIndex < entry.getKey().stageDelaysMs.length; stageIndex++) {
@@ -67,11 +67,11 @@
                 }
             }
         }
-        return Step.values()[furthestIndex];
+        return Stage.values()[furthestIndex];
     }
 
     /** Milliseconds until the next stage of any cause, at least 1; -1 if no stage is left. */
-    public long nextMs(long nowMicros) {
+    public long millisUntilNextStage(long nowMicros) {
         long nextMs = Long.MAX_VALUE;
         for (Map.Entry<Cause, Long> entry : startedAtMicros.entrySet()) {
             for (long delayMs : entry.getKey().stageDelaysMs) {
--- a/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
+++ b/src/main/java/pewtercourse/front/fastcgi/ConnectionTable.java
@@ -37,7 +37,7 @@
     private final Set<FastCgiConnection> closingConnections = new LinkedHashSet<>();
     private int connectionCount;
     private long requestBytes;
-    private Drain.Step drainStage = Drain.Step.OPEN;
+    private Drain.Stage drainStage = Drain.Stage.OPEN;
 
     /** Creates a table; {@code maxRequestBytes} limits the bytes of incomplete requests on all connections. */
     ConnectionTable(int maxConnections, long maxRequestBytes) {
@@ -92,16 +92,16 @@
      * Sets the stage of the drain. It applies to the idle connections at once, and to the new ones once requests are
      * refused.
      */
-    void setDrainStage(Drain.Step stage) {
+    void setDrainStage(Drain.Stage stage) {
         drainStage = stage;
         List.copyOf(idleConnections).forEach(FastCgiConnection::startIdleTimer);
-        if (stage == Drain.Step.REFUSE) {
+        if (stage == Drain.Stage.REFUSE) {
             List.copyOf(newConnections).forEach(FastCgiConnection::startIdleTimer);
         }
     }
 
     /** The current stage of the drain. */
-    Drain.Step drainStage() {
+    Drain.Stage drainStage() {
         return drainStage;
     }
 
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiConnection.java
@@ -187,8 +187,8 @@
     private long idleTimeoutMs() {
         return switch (table.drainStage()) {
             case OPEN -> IDLE_TIMEOUT_MS;
-            case CLOSE_RESTING -> DRAIN_IDLE_MS;
-            case CLOSE_EMPTY, REFUSE -> hadRequest ? DRAIN_EMPTY_MS : DRAIN_NEW_MS;
+            case CLOSE_IDLE_AFTER_PAUSE -> DRAIN_IDLE_MS;
+            case CLOSE_IDLE, REFUSE -> hadRequest ? DRAIN_EMPTY_MS : DRAIN_NEW_MS;
         };
     }
 
@@ -198,7 +198,7 @@
         boolean inUse = !openRequests.isEmpty() || reader.pending() > 0 || !unwritten.isEmpty() || penaltyTimer >= 0;
         if (!inUse) {
             closeGracefully();
-        } else if (table.drainStage() != Drain.Step.OPEN && clock.getAsLong() < drainCutoffMicros) {
+        } else if (table.drainStage() != Drain.Stage.OPEN && clock.getAsLong() < drainCutoffMicros) {
             idleTimer = timers.set(DRAIN_IDLE_MS, this::closeAfterIdle);
         } else {
             close();
@@ -273,7 +273,7 @@
     // Records without an open request are legal after an abort, but do not keep the connection open: a request
     // must begin in time, or the client could send such records for as long as a connection may be idle.
     private void limitStrayRecords() {
-        if (state == ConnectionTable.State.IDLE && !strayRecordSeen && table.drainStage() == Drain.Step.OPEN) {
+        if (state == ConnectionTable.State.IDLE && !strayRecordSeen && table.drainStage() == Drain.Stage.OPEN) {
             strayRecordSeen = true;
             timers.cancel(idleTimer);
             idleTimer = timers.set(REQUEST_TIMEOUT_MS, this::closeAfterIdle);
@@ -448,7 +448,7 @@
             request.onClientGone = onClientGone;
             // A request that is answered at once was invalid, unless the director drains. During a drain reading
             // goes on: requests that a client sends while it is not read would be lost with the connection.
-            if (openRequests.get(id) != request && table.drainStage() != Drain.Step.REFUSE) {
+            if (openRequests.get(id) != request && table.drainStage() != Drain.Stage.REFUSE) {
                 pauseReading();
             } else {
                 penaltyMs = 0;
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiServer.java
@@ -51,8 +51,8 @@
     public void drain(Drain drain) {
         timers.cancel(nextStageTimer);
         long nowMicros = clock.getAsLong();
-        table.setDrainStage(drain.step(nowMicros));
-        long nextMs = drain.nextMs(nowMicros);
+        table.setDrainStage(drain.stageAt(nowMicros));
+        long nextMs = drain.millisUntilNextStage(nowMicros);
         nextStageTimer = nextMs < 0 ? -1 : timers.set(nextMs, () -> drain(drain));
     }
 
--- a/src/test/java/pewtercourse/front/DrainTest.java
+++ b/src/test/java/pewtercourse/front/DrainTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import pewtercourse.front.Drain.Cause;
-import pewtercourse.front.Drain.Step;
+import pewtercourse.front.Drain.Stage;
 
 class DrainTest {
     // 4 s after the call, no request of the last 2 s may be open, and no idle connection either.
@@ -17,22 +17,22 @@
     void standbyRefusesRequestsBeforeTheLastTwoSecondsBegin() {
         Drain drain = new Drain();
         drain.begin(Cause.STANDBY, 5_000_000);
-        assertEquals(Step.OPEN, drain.step(5_300_000), "clients still open new connections");
-        assertEquals(Step.REFUSE, drain.step(6_900_000));
+        assertEquals(Stage.OPEN, drain.stageAt(5_300_000), "clients still open new connections");
+        assertEquals(Stage.REFUSE, drain.stageAt(6_900_000));
         drain.begin(Cause.STANDBY, 6_900_000);
-        assertEquals(Step.REFUSE, drain.step(6_900_000), "a second call does not restart the drain");
+        assertEquals(Stage.REFUSE, drain.stageAt(6_900_000), "a second call does not restart the drain");
         drain.end(Cause.STANDBY);
-        assertEquals(Step.OPEN, drain.step(6_900_000));
+        assertEquals(Stage.OPEN, drain.stageAt(6_900_000));
     }
 
     @Example
     void shutdownServesUntilItsCutOffAndRefusesAfterwards() {
         Drain drain = new Drain();
         drain.begin(Cause.SHUTDOWN, 1_000_000);
-        assertEquals(Step.OPEN, drain.step(1_749_999));
-        assertEquals(750, drain.nextMs(1_000_000));
-        assertEquals(Step.REFUSE, drain.step(1_750_000));
-        assertEquals(-1, drain.nextMs(1_750_000));
+        assertEquals(Stage.OPEN, drain.stageAt(1_749_999));
+        assertEquals(750, drain.millisUntilNextStage(1_000_000));
+        assertEquals(Stage.REFUSE, drain.stageAt(1_750_000));
+        assertEquals(-1, drain.millisUntilNextStage(1_750_000));
     }
 
     @Property(tries = 300, seed = "7")
@@ -40,24 +40,24 @@
             @ForAll List<@IntRange(max = 6) Integer> calls, @ForAll @IntRange(min = 1, max = 900) int pauseMs) {
         Drain drain = new Drain();
         long nowMicros = 1_000_000;
-        Step lastStage = Step.OPEN;
+        Stage lastStage = Stage.OPEN;
         for (int call : calls) {
             Cause cause = Cause.values()[call % 3];
             if (call < 3) {
                 drain.begin(cause, nowMicros);
             } else if (call < 6) {
                 drain.end(cause);
-                lastStage = Step.OPEN;
+                lastStage = Stage.OPEN;
             }
-            for (long nextMs = drain.nextMs(nowMicros), end = nowMicros + pauseMs * 1000L;
+            for (long nextMs = drain.millisUntilNextStage(nowMicros), end = nowMicros + pauseMs * 1000L;
                     nextMs > 0 && nowMicros + nextMs * 1000 <= end;
-                    nextMs = drain.nextMs(nowMicros)) {
-                Step stageJustBefore = drain.step(nowMicros + nextMs * 1000 - 1_001);
-                assertEquals(drain.step(nowMicros), stageJustBefore, "the stage changed before the reported time");
+                    nextMs = drain.millisUntilNextStage(nowMicros)) {
+                Stage stageJustBefore = drain.stageAt(nowMicros + nextMs * 1000 - 1_001);
+                assertEquals(drain.stageAt(nowMicros), stageJustBefore, "the stage changed before the reported time");
                 nowMicros += nextMs * 1000;
             }
-            assertTrue(drain.step(nowMicros).compareTo(lastStage) >= 0, "the stage goes back only when a cause ends");
-            lastStage = drain.step(nowMicros);
+            assertTrue(drain.stageAt(nowMicros).compareTo(lastStage) >= 0, "the stage goes back only when a cause ends");
+            lastStage = drain.stageAt(nowMicros);
             nowMicros += 1_000;
         }
     }
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiModelTest.java
@@ -268,8 +268,8 @@
             }
         }
 
-        void setDrainStage(Drain.Step stage) {
-            draining |= stage != Drain.Step.OPEN;
+        void setDrainStage(Drain.Stage stage) {
+            draining |= stage != Drain.Stage.OPEN;
             table.setDrainStage(stage);
         }
 
@@ -321,7 +321,7 @@
     @Property(tries = 300, seed = "7")
     void aDrainClosesIdleConnectionsAndInterruptsNoRequest(@ForAll("stepsWithDrain") ActionChain<Model> chain) {
         Model model = chain.run();
-        model.setDrainStage(Drain.Step.CLOSE_EMPTY);
+        model.setDrainStage(Drain.Stage.CLOSE_IDLE);
         if (!model.closed) {
             model.setReading(true);
             for (int id = 1; id <= IDS; id++) {
@@ -345,11 +345,11 @@
         Model model = new Model();
         model.begin(1);
         model.sendBody(1, 0);
-        model.setDrainStage(Drain.Step.CLOSE_RESTING);
-        model.setDrainStage(Drain.Step.OPEN);
+        model.setDrainStage(Drain.Stage.CLOSE_IDLE_AFTER_PAUSE);
+        model.setDrainStage(Drain.Stage.OPEN);
         model.answer(1, 10);
         assertFalse(model.closed, "kept as before");
-        model.setDrainStage(Drain.Step.CLOSE_RESTING);
+        model.setDrainStage(Drain.Stage.CLOSE_IDLE_AFTER_PAUSE);
         assertFalse(model.closed, "its client may not have read its answer yet");
         expire(model, true);
         assertTrue(model.closed);
@@ -360,7 +360,7 @@
     @Example
     void aClientThatADrainRefusesIsStillRead() {
         Model model = new Model();
-        model.setDrainStage(Drain.Step.REFUSE);
+        model.setDrainStage(Drain.Stage.REFUSE);
         model.refusesRequests = true;
         model.begin(1);
         model.feed(Record.encode(Record.STDIN, 1, Buffer.buffer()));
@@ -379,7 +379,7 @@
         expire(model, false); // Not complete in time: malformed.
         model.expectedById.clear();
         assertTrue(model.readingPaused);
-        model.setDrainStage(Drain.Step.CLOSE_EMPTY);
+        model.setDrainStage(Drain.Stage.CLOSE_IDLE);
         expire(model, false);
         assertFalse(model.closed, "bytes that arrived meanwhile are not read yet");
         expire(model, true);
@@ -608,7 +608,7 @@
         closing.begin(1);
         closing.sendBody(1, 0);
         closing.answer(1, 10);
-        table.setDrainStage(Drain.Step.CLOSE_EMPTY);
+        table.setDrainStage(Drain.Stage.CLOSE_IDLE);
         expire(closing, true);
         assertTrue(closing.closed, "its output is shut down");
         assertEquals(1, table.connectionCount(), "its descriptor is still in use");
@@ -652,7 +652,7 @@
                         3, step(id.map(i -> Transformer.mutate("reads " + i, model -> model.setReading(i % 2 == 0)))))
                 .withAction(
                         2,
-                        step(Arbitraries.of(Drain.Step.values())
+                        step(Arbitraries.of(Drain.Stage.values())
                                 .map(stage ->
                                         Transformer.mutate("drain " + stage, model -> model.setDrainStage(stage)))))
                 .withMaxTransformations(40);
