--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -75,7 +75,7 @@
         director.start();
         director.onPeerMessage(upgrade ? () -> {} : warmup::missed);
         SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
-        transport.frontNext();
+        transport.useListenerForNextServer();
         return front.listen(at)
                 .compose(v -> config.adminListen() == null
                         ? Future.succeededFuture()
--- a/src/main/java/pewtercourse/front/FrontTransport.java
+++ b/src/main/java/pewtercourse/front/FrontTransport.java
@@ -9,19 +9,19 @@
 /**
  * The NIO transport of Vert.x with two changes: the event loop waits in whole milliseconds
  * ({@link WholeMillisecondWaits}), and the clients' server listens on the given channel. The clients' server is the first
- * server that is opened after {@link #frontNext}; other servers, such as the cluster's, may be opened before and after.
+ * server that is opened after {@link #useListenerForNextServer}; other servers, such as the cluster's, may be opened before and after.
  */
 public final class FrontTransport implements Transport {
     private final ServerChannel listener;
-    private volatile boolean frontNext;
+    private volatile boolean useListenerForNextServer;
 
     public FrontTransport(LimitedListener listener) {
         this.listener = listener;
     }
 
     /** Gives the listener of the clients to the next server that is opened. */
-    public void frontNext() {
-        frontNext = true;
+    public void useListenerForNextServer() {
+        useListenerForNextServer = true;
     }
 
     @Override
@@ -51,8 +51,8 @@
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
                 ChannelFactory<? extends ServerChannel> defaultFactory = super.serverChannelFactory(domainSocket);
                 return () -> {
-                    boolean isFront = frontNext;
-                    frontNext = false;
+                    boolean isFront = useListenerForNextServer;
+                    useListenerForNextServer = false;
                     return isFront ? listener : defaultFactory.newChannel();
                 };
             }
