--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -72,7 +72,7 @@
      */
     static long deadlineOf(ClientRequest request) {
         long waitMicros = (long) (request.deadlineMs() * 1000);
-        return request.takenAt()
+        return request.receivedAtMicros()
                 + waitMicros
                 - (long) Math.min(MAX_DEADLINE_MARGIN_MICROS, DEADLINE_MARGIN_FRACTION * waitMicros);
     }
@@ -330,7 +330,7 @@
                         "attempts",
                         attempts,
                         "ms",
-                        (director.clock.getAsLong() - request.takenAt()) / 1000);
+                        (director.clock.getAsLong() - request.receivedAtMicros()) / 1000);
             }
             director.recordAnswered(this);
             answer.accept(finalAnswer);
--- a/src/main/java/pewtercourse/front/ClientRequest.java
+++ b/src/main/java/pewtercourse/front/ClientRequest.java
@@ -6,7 +6,7 @@
  * A client's complete request, independent of the protocol.
  *
  * @param known the tag of a copy that the client has, or null
- * @param takenAt the clock in microseconds when the last byte was read
+ * @param receivedAtMicros the clock in microseconds when the last byte was read
  * @param deadlineMs how long the client waits for the answer from then on
  */
 public record ClientRequest(
@@ -18,5 +18,5 @@
         double sizeKb,
         String known,
         Buffer body,
-        long takenAt,
+        long receivedAtMicros,
         double deadlineMs) {}
