--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -10,9 +10,9 @@
  */
 public final class Drain {
     /**
-     * What happens to kept connections. {@code OPEN}: nothing. {@code CLOSE_IDLE_AFTER_PAUSE}: they are closed after a pause without
-     * a request. {@code CLOSE_IDLE}: they are closed as soon as no request is open. {@code REFUSE}: also, new requests are
-     * refused.
+     * What happens to kept connections. {@code OPEN}: nothing. {@code CLOSE_IDLE_AFTER_PAUSE}: they are closed after a short
+     * time without a request. {@code CLOSE_IDLE}: they are closed as soon as no request is open. {@code REFUSE}: the same,
+     * and new requests are refused.
      */
     public enum Stage {
         OPEN,
--- a/src/main/java/pewtercourse/front/FrontTransport.java
+++ b/src/main/java/pewtercourse/front/FrontTransport.java
@@ -9,11 +9,12 @@
 /**
  * The NIO transport of Vert.x with two changes: the event loop waits in whole milliseconds
  * ({@link WholeMillisecondWaits}), and the clients' server listens on the given channel. The clients' server is the first
- * server that is opened after {@link #useListenerForNextServer}; other servers, such as the cluster's, may be opened before and after.
+ * server that is opened after {@link #useListenerForNextServer}; other servers, such as the cluster's, may be opened before
+ * and after.
  */
 public final class FrontTransport implements Transport {
     private final ServerChannel listener;
-    private volatile boolean useListenerForNextServer;
+    private volatile boolean isFrontNext;
 
     public FrontTransport(LimitedListener listener) {
         this.listener = listener;
@@ -21,7 +22,7 @@
 
     /** Gives the listener of the clients to the next server that is opened. */
     public void useListenerForNextServer() {
-        useListenerForNextServer = true;
+        isFrontNext = true;
     }
 
     @Override
@@ -51,8 +52,8 @@
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
                 ChannelFactory<? extends ServerChannel> defaultFactory = super.serverChannelFactory(domainSocket);
                 return () -> {
-                    boolean isFront = useListenerForNextServer;
-                    useListenerForNextServer = false;
+                    boolean isFront = isFrontNext;
+                    isFrontNext = false;
                     return isFront ? listener : defaultFactory.newChannel();
                 };
             }
--- a/src/test/java/pewtercourse/front/DrainTest.java
+++ b/src/test/java/pewtercourse/front/DrainTest.java
@@ -49,14 +49,15 @@
                 drain.end(cause);
                 lastStage = Stage.OPEN;
             }
-            for (long nextMs = drain.millisUntilNextStage(nowMicros), end = nowMicros + pauseMs * 1000L;
-                    nextMs > 0 && nowMicros + nextMs * 1000 <= end;
+            for (long nextMs = drain.millisUntilNextStage(nowMicros), endMicros = nowMicros + pauseMs * 1000L;
+                    nextMs > 0 && nowMicros + nextMs * 1000 <= endMicros;
                     nextMs = drain.millisUntilNextStage(nowMicros)) {
                 Stage stageJustBefore = drain.stageAt(nowMicros + nextMs * 1000 - 1_001);
                 assertEquals(drain.stageAt(nowMicros), stageJustBefore, "the stage changed before the reported time");
                 nowMicros += nextMs * 1000;
             }
-            assertTrue(drain.stageAt(nowMicros).compareTo(lastStage) >= 0, "the stage goes back only when a cause ends");
+            assertTrue(
+                    drain.stageAt(nowMicros).compareTo(lastStage) >= 0, "the stage goes back only when a cause ends");
             lastStage = drain.stageAt(nowMicros);
             nowMicros += 1_000;
         }
