--- a/src/main/java/pewtercourse/front/Answer.java
+++ b/src/main/java/pewtercourse/front/Answer.java
@@ -6,9 +6,9 @@
  * The only and final answer to a client's request.
  *
  * @param tag the entity tag of the object, or null
- * @param holdOffMs how long the client should wait before it tries again; 0 for no advice
+ * @param pushbackMs how long the client should wait before it tries again; 0 for no advice
  */
-public record Answer(Kind kind, Buffer body, String tag, long holdOffMs) {
+public record Answer(Kind kind, Buffer body, String tag, long pushbackMs) {
     /** The outcome. {@code SAME}: the request is served, and the client's own copy is still valid. */
     public enum Kind {
         SERVED,
@@ -30,8 +30,8 @@
     }
 
     /** Refuses the request for now. */
-    public static Answer refused(long holdOffMs) {
-        return new Answer(Kind.REFUSED, EMPTY_BODY, null, holdOffMs);
+    public static Answer refused(long pushbackMs) {
+        return new Answer(Kind.REFUSED, EMPTY_BODY, null, pushbackMs);
     }
 
     /** Reports that the request failed. */
--- a/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
+++ b/src/main/java/pewtercourse/front/fastcgi/CgiRequest.java
@@ -115,8 +115,8 @@
         if (answer.kind() == Answer.Kind.SAME) {
             head.append("X-Valid: 1\r\n");
         }
-        if (answer.kind() == Answer.Kind.REFUSED && answer.holdOffMs() > 0) {
-            head.append("X-Pushback-Ms: ").append(answer.holdOffMs()).append("\r\n");
+        if (answer.kind() == Answer.Kind.REFUSED && answer.pushbackMs() > 0) {
+            head.append("X-Pushback-Ms: ").append(answer.pushbackMs()).append("\r\n");
         }
         return Buffer.buffer(head.append("\r\n").toString()).appendBuffer(answer.body());
     }
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -101,7 +101,7 @@
         });
         Answer a = got.get(30, TimeUnit.SECONDS);
         assertEquals(Answer.Kind.REFUSED, a.kind());
-        assertTrue(a.holdOffMs() > 0);
+        assertTrue(a.pushbackMs() > 0);
     }
 
     // No request of its own is ever answered here: only a sign that others are at work can end it, before or after
