--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -137,7 +137,7 @@
                 send.coalesce(),
                 send.onlyIfCached(),
                 send.refreshInBackground(),
-                request.known());
+                request.knownTag());
         int number = attempts - 1;
         attempt = new Attempt(
                 director.pool,
--- a/src/main/java/pewtercourse/front/ClientRequest.java
+++ b/src/main/java/pewtercourse/front/ClientRequest.java
@@ -5,7 +5,7 @@
 /**
  * A client's complete request, independent of the protocol.
  *
- * @param known the tag of a copy that the client has, or null
+ * @param knownTag the tag of a copy that the client has, or null
  * @param receivedAtMicros the clock in microseconds when the last byte was read
  * @param deadlineMs how long the client waits for the answer from then on
  */
@@ -16,7 +16,7 @@
         int part,
         int group,
         double sizeKb,
-        String known,
+        String knownTag,
         Buffer body,
         long receivedAtMicros,
         double deadlineMs) {}
