--- a/src/main/java/pewtercourse/Rehearsal.java
+++ b/src/main/java/pewtercourse/Rehearsal.java
@@ -52,7 +52,7 @@
                         })
                         .compose(front -> FastCgiClient.connect(
                                         vertx, SocketAddress.inetSocketAddress(front.actualPort(), HOST))
-                                .compose(c -> c.ask(Map.of(
+                                .compose(c -> c.send(Map.of(
                                         "SCRIPT_NAME",
                                         "/ops/menu-page",
                                         "HTTP_X_CORRELATION_ID",
--- a/src/main/java/pewtercourse/Warmup.java
+++ b/src/main/java/pewtercourse/Warmup.java
@@ -164,7 +164,7 @@
         out++;
         String id = String.format("%016x", random.nextLong());
         mine.add(id);
-        client.ask(Map.of(
+        client.send(Map.of(
                         "SCRIPT_NAME",
                         "/ops/" + classes.get(left % classes.size()),
                         "REQUEST_METHOD",
--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -134,7 +134,7 @@
             connections--;
             c.close();
         });
-        c.ask(params).onComplete(r -> {
+        c.send(params).onComplete(r -> {
             if (ended[0]) {
                 return;
             }
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
@@ -46,7 +46,7 @@
     }
 
     /** Sends a request; completes with the CGI response, head and body. Only one request may be open at a time. */
-    public Future<Buffer> ask(Map<String, String> params) {
+    public Future<Buffer> send(Map<String, String> params) {
         if (closed) {
             return Future.failedFuture("closed");
         }
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -168,7 +168,7 @@
         while (!answer.startsWith("Status: 200") && process.isAlive()) {
             try {
                 answer = FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(at[1]), at[0]))
-                        .compose(c -> c.ask(Map.of("SCRIPT_NAME", "/alive")))
+                        .compose(c -> c.send(Map.of("SCRIPT_NAME", "/alive")))
                         .toCompletionStage()
                         .toCompletableFuture()
                         .get(3, TimeUnit.SECONDS)
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -166,7 +166,7 @@
             return;
         }
         boolean order = id.hashCode() % 4 == 0;
-        c.ask(Map.of(
+        c.send(Map.of(
                         "SCRIPT_NAME",
                         order ? "/ops/place-order" : "/ops/menu-page",
                         "HTTP_X_CORRELATION_ID",
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -70,13 +70,13 @@
         SocketAddress at = SocketAddress.inetSocketAddress(port, "127.0.0.1");
         FastCgiClient client = get(FastCgiClient.connect(vertx, at));
         Map<String, String> alive = Map.of("SCRIPT_NAME", "/alive");
-        assertFalse(get(client.ask(alive)).toString().startsWith("Status: 200"));
+        assertFalse(get(client.send(alive)).toString().startsWith("Status: 200"));
         CompletableFuture<Void> done = new CompletableFuture<>();
         vertx.runOnContext(v -> warmup.run(at, true).onComplete(d -> done.complete(null)));
         done.get(30, TimeUnit.SECONDS);
         assertEquals(List.of(), served);
-        assertTrue(get(client.ask(alive)).toString().startsWith("Status: 200"));
-        assertTrue(get(client.ask(Map.of(
+        assertTrue(get(client.send(alive)).toString().startsWith("Status: 200"));
+        assertTrue(get(client.send(Map.of(
                         "SCRIPT_NAME",
                         "/ops/menu-page",
                         "HTTP_X_CORRELATION_ID",
