--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -146,14 +146,14 @@
         if (agreement == null) {
             director.applyOperatorState(told); // In a cluster what was agreed there counts.
         }
-        if (told.standby() != drain.has(Drain.Cause.STANDBY)) {
+        if (told.standby() != drain.isActive(Drain.Cause.STANDBY)) {
             standby(told.standby());
         }
     }
 
     private void write() {
         if (state != null) {
-            state.write(director.operatorState(drain.has(Drain.Cause.STANDBY)));
+            state.write(director.operatorState(drain.isActive(Drain.Cause.STANDBY)));
         }
     }
 
@@ -187,7 +187,7 @@
 
         @Override
         public boolean ready() {
-            return warmup.ready() && !drain.has(Drain.Cause.STANDBY);
+            return warmup.ready() && !drain.isActive(Drain.Cause.STANDBY);
         }
     }
 
--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -53,7 +53,7 @@
     }
 
     /** Whether the drain for this cause has started and not ended. */
-    public boolean has(Cause cause) {
+    public boolean isActive(Cause cause) {
         return startedAtMicros.containsKey(cause);
     }
 
