--- a/src/main/java/pewtercourse/admin/ClusterApi.java
+++ b/src/main/java/pewtercourse/admin/ClusterApi.java
@@ -35,7 +35,7 @@
             return Future.succeededFuture(AdminReply.of(200, sites.encode()));
         }
         if (method.equals("GET")) {
-            return cluster.status().map(s -> AdminReply.of(200, s.encode()));
+            return cluster.status().map(status -> AdminReply.of(200, status.encode()));
         }
         JsonObject body;
         try {
@@ -72,7 +72,7 @@
     }
 
     private static String stringOrEmpty(JsonObject body, String key) {
-        return body.getValue(key) instanceof String s ? s : "";
+        return body.getValue(key) instanceof String text ? text : "";
     }
 
     private static Future<AdminReply> missing(String key) {
--- a/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
+++ b/src/main/java/pewtercourse/front/fastcgi/FastCgiClient.java
@@ -13,7 +13,7 @@
     private final NetSocket socket;
     private final RecordReader reader = new RecordReader();
     private Promise<Buffer> answer = Promise.promise();
-    private Buffer out = Buffer.buffer();
+    private Buffer response = Buffer.buffer();
     private boolean closed;
 
     private FastCgiClient(NetSocket socket) {
@@ -35,9 +35,9 @@
         try {
             for (Record record = reader.next(); record != null; record = reader.next()) {
                 if (record.type() == Record.STDOUT) {
-                    out.appendBuffer(record.content());
+                    response.appendBuffer(record.content());
                 } else if (record.type() == Record.END) {
-                    answer.tryComplete(out);
+                    answer.tryComplete(response);
                 }
             }
         } catch (MalformedRecordException e) {
@@ -51,7 +51,7 @@
             return Future.failedFuture("closed");
         }
         answer = Promise.promise();
-        out = Buffer.buffer();
+        response = Buffer.buffer();
         socket.write(Record.encode(Record.BEGIN, 1, Buffer.buffer(new byte[] {0, 1, 1, 0, 0, 0, 0, 0})));
         socket.write(Record.encode(Record.PARAMS, 1, Record.pairs(params)));
         socket.write(Record.encode(Record.PARAMS, 1, Buffer.buffer()));
--- a/src/main/java/pewtercourse/front/fastcgi/Record.java
+++ b/src/main/java/pewtercourse/front/fastcgi/Record.java
@@ -16,7 +16,7 @@
     static final int GET_VALUES = 9;
     static final int GET_VALUES_RESULT = 10;
     static final int UNKNOWN_TYPE = 11;
-    static final int HEADER = 8;
+    static final int HEADER_BYTES = 8;
     static final int MAX_CONTENT_BYTES = 65_535;
     static final int RESPONDER = 1;
     static final int KEEP_CONN = 1;
@@ -29,7 +29,7 @@
     /** Encodes a record with its header and padding. */
     static Buffer encode(int type, int id, Buffer content) {
         int padding = -content.length() & 7;
-        return Buffer.buffer(HEADER + content.length() + padding)
+        return Buffer.buffer(HEADER_BYTES + content.length() + padding)
                 .appendByte((byte) 1)
                 .appendByte((byte) type)
                 .appendUnsignedShort(id)
--- a/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
+++ b/src/main/java/pewtercourse/front/fastcgi/RecordReader.java
@@ -26,7 +26,7 @@
 
     /** The next complete record, or null until more bytes are added. */
     Record next() throws MalformedRecordException {
-        if (unread.length() - position < Record.HEADER) {
+        if (unread.length() - position < Record.HEADER_BYTES) {
             return null;
         }
         int version = unread.getUnsignedByte(position);
@@ -34,7 +34,7 @@
             throw new MalformedRecordException("version " + version + ", expected 1");
         }
         int length = unread.getUnsignedShort(position + 4);
-        int end = position + Record.HEADER + length + unread.getUnsignedByte(position + 6);
+        int end = position + Record.HEADER_BYTES + length + unread.getUnsignedByte(position + 6);
         if (unread.length() < end) {
             return null;
         }
@@ -42,7 +42,7 @@
                 version,
                 unread.getUnsignedByte(position + 1),
                 unread.getUnsignedShort(position + 2),
-                unread.getBuffer(position + Record.HEADER, position + Record.HEADER + length));
+                unread.getBuffer(position + Record.HEADER_BYTES, position + Record.HEADER_BYTES + length));
         position = end;
         return record;
     }
--- a/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/CloseOverUnreadBytesTest.java
@@ -49,7 +49,7 @@
                                 () -> TimeUnit.NANOSECONDS.toMicros(System.nanoTime()),
                                 new FrontLimits(20, 1 << 20, 4 << 20))
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                        .onComplete(s -> port.complete(s.result().actualPort())));
+                        .onComplete(server -> port.complete(server.result().actualPort())));
         address = new InetSocketAddress("127.0.0.1", port.get(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
@@ -86,7 +86,7 @@
     /** A request without the flag KEEP_CONN: the server closes the connection after the answer. */
     private static byte[] lastRequest() {
         byte[] request = RawFrontClient.request(1, "page", "0000000000000001", 20_000);
-        request[Record.HEADER + 2] = 0; // The flags of BEGIN_REQUEST.
+        request[Record.HEADER_BYTES + 2] = 0; // The flags of BEGIN_REQUEST.
         return request;
     }
 
--- a/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
+++ b/src/test/java/pewtercourse/front/fastcgi/FastCgiServerTest.java
@@ -48,7 +48,7 @@
                                 () -> System.nanoTime() / NANOS_PER_MICRO,
                                 new FrontLimits(20, 1 << 20, 4 << 20))
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                        .onComplete(s -> port.complete(s.result().actualPort())));
+                        .onComplete(server -> port.complete(server.result().actualPort())));
         address = new InetSocketAddress("127.0.0.1", port.get(30, TimeUnit.SECONDS));
     }
 
--- a/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
+++ b/src/test/java/pewtercourse/front/fastcgi/RawFrontClient.java
@@ -88,7 +88,7 @@
     /** Reads the next complete answer, head and body. Null if the connection was closed instead; throws if it was reset. */
     public String readAnswer() throws IOException {
         while (true) {
-            byte[] head = new byte[Record.HEADER];
+            byte[] head = new byte[Record.HEADER_BYTES];
             try {
                 in.readFully(head);
             } catch (EOFException e) {
