--- a/src/main/java/pewtercourse/front/Drain.java
+++ b/src/main/java/pewtercourse/front/Drain.java
@@ -23,8 +23,8 @@
 
     /**
      * Why the director drains, with the delays of the stages in milliseconds. {@code STANDBY}: clients open new
-     * connections for another 0.3 s, and 4 s after the operator's call the director may have no open request that arrived
-     * in the last 2 s. {@code HANDOVER}: another process accepts all new connections; requests that arrive in the first
+     * connections for another 0.3 s, and 4 s after the operator's call nothing may be open that arrived in the last 2 s,
+     * neither a connection nor a request. {@code HANDOVER}: another process accepts all new connections; requests that arrive in the first
      * 0.7 s are served. {@code SHUTDOWN}: clients are served as usual until the cut-off; requests read after the cut-off
      * are refused and never sent to a cache.
      */
--- a/src/test/java/pewtercourse/front/DrainTest.java
+++ b/src/test/java/pewtercourse/front/DrainTest.java
@@ -12,7 +12,7 @@
 import pewtercourse.front.Drain.Stage;
 
 class DrainTest {
-    // 4 s after the call, no request of the last 2 s may be open, and no idle connection either.
+    // 4 s after the call, nothing that arrived in the last 2 s may be open, and no idle connection either.
     @Example
     void standbyRefusesRequestsBeforeTheLastTwoSecondsBegin() {
         Drain drain = new Drain();
