--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -75,7 +75,7 @@
         director.start();
         director.onPeerMessage(upgrade ? () -> {} : warmup::missed);
         SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
-        transport.frontNext();
+        transport.useListenerForNextServer();
         return front.listen(at)
                 .compose(v -> config.adminListen() == null
                         ? Future.succeededFuture()
@@ -146,14 +146,14 @@
         if (agreement == null) {
             director.applyOperatorState(told); // In a cluster what was agreed there counts.
         }
-        if (told.standby() != drain.has(Drain.Cause.STANDBY)) {
+        if (told.standby() != drain.isActive(Drain.Cause.STANDBY)) {
             standby(told.standby());
         }
     }
 
     private void write() {
         if (state != null) {
-            state.write(director.operatorState(drain.has(Drain.Cause.STANDBY)));
+            state.write(director.operatorState(drain.isActive(Drain.Cause.STANDBY)));
         }
     }
 
@@ -187,7 +187,7 @@
 
         @Override
         public boolean ready() {
-            return warmup.ready() && !drain.has(Drain.Cause.STANDBY);
+            return warmup.ready() && !drain.isActive(Drain.Cause.STANDBY);
         }
     }
 
@@ -284,7 +284,7 @@
 
     /** Whether what is read from now on is refused and never sent on. */
     boolean refuses() {
-        return drain.step(director.clock().getAsLong()) == Drain.Step.REFUSE;
+        return drain.stageAt(director.clock().getAsLong()) == Drain.Stage.REFUSE;
     }
 
     /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
