--- a/src/main/java/pewtercourse/handover/InheritedSocket.java
+++ b/src/main/java/pewtercourse/handover/InheritedSocket.java
@@ -14,13 +14,14 @@
 import pewtercourse.front.LimitedListener;
 
 /**
- * The clients' listening socket, held by the platform and inherited as descriptor 0, so that several processes accept from
- * it. The clients' server gets it through {@link #transport}; all other servers open sockets of their own. It is never
- * closed before the process ends: the JDK would then close the standard output as well.
+ * The listening socket for clients, which the platform opens and this process inherits as descriptor 0, so that
+ * several processes can accept from it. The server for clients uses it through {@link #transport}; all other servers
+ * open sockets of their own. The socket stays open until the process ends: closing it would make the JDK close the
+ * standard output as well.
  */
 public final class InheritedSocket {
     private static final String DESCRIPTOR_VARIABLE = "GW_SOCKET_FD";
-    // The only one that System.inheritedChannel gives.
+    // System.inheritedChannel supports descriptor 0 only.
     private static final String INHERITED_DESCRIPTOR = "0";
 
     private final PausableListener listener;
@@ -30,10 +31,10 @@
     }
 
     /**
-     * The socket that the environment names; empty if it names none.
+     * Returns the socket named by {@code GW_SOCKET_FD} in the environment; empty if the variable is missing or empty.
      *
-     * @param maxConnections how many connections may be accepted at once, see {@link LimitedListener}
-     * @throws ConfigException if the environment names another descriptor, or it is no listening socket
+     * @param maxConnections maximum number of open connections, see {@link LimitedListener}
+     * @throws ConfigException if the variable names another descriptor, or descriptor 0 is not a listening socket
      */
     public static Optional<InheritedSocket> fromEnvironment(Map<String, String> environment, int maxConnections) {
         String descriptor = environment.getOrDefault(DESCRIPTOR_VARIABLE, "");
@@ -52,28 +53,28 @@
             if (channel instanceof ServerSocketChannel server && server.getLocalAddress() != null) {
                 return server;
             }
-            throw new ConfigException(DESCRIPTOR_VARIABLE, "descriptor 0 is no listening socket");
+            throw new ConfigException(DESCRIPTOR_VARIABLE, "descriptor 0 is not a listening socket");
         } catch (IOException e) {
             throw new ConfigException(DESCRIPTOR_VARIABLE, "descriptor 0 can't be used: " + e.getMessage());
         }
     }
 
-    /** A transport whose clients' server listens on this socket. */
+    /** Returns a transport whose server for clients listens on this socket. */
     public FrontTransport transport() {
         return new FrontTransport(listener);
     }
 
-    /** Accepts connections from now on, or leaves them to other processes; completes once that holds. */
+    /** Starts accepting connections, or leaves them to other processes; completes once the change is in effect. */
     public Future<Void> accept(boolean accepting) {
-        Promise<Void> done = Promise.promise();
+        Promise<Void> changed = Promise.promise();
         listener.eventLoop().execute(() -> {
             listener.setAccepting(accepting);
-            done.complete();
+            changed.complete();
         });
-        return done.future();
+        return changed.future();
     }
 
-    /** A listener that accepts only while it is told to. */
+    /** A listener that accepts connections only while accepting is switched on. */
     private static final class PausableListener extends LimitedListener {
         private volatile boolean accepting;
         private boolean bound;
@@ -82,27 +83,27 @@
             super(channel, maxConnections);
         }
 
-        void setAccepting(boolean on) {
-            accepting = on;
-            config().setAutoRead(on);
-            if (on) {
+        void setAccepting(boolean newAccepting) {
+            accepting = newAccepting;
+            config().setAutoRead(newAccepting);
+            if (newAccepting) {
                 read();
             }
         }
 
-        // The socket was bound by the process that holds it.
+        // The platform has already bound the socket.
         @Override
         protected void doBind(SocketAddress address) {
             bound = true;
         }
 
-        // Netty adds its handler only once the channel is bound: what was accepted before would be dropped.
+        // Netty adds its handler only once the channel is bound, and would drop connections accepted before that.
         @Override
         public boolean isActive() {
             return bound && super.isActive();
         }
 
-        // After an error Netty resumes accepting by itself a second later.
+        // After an error Netty resumes accepting by itself a second later, so this checks the switch.
         @Override
         protected void doBeginRead() throws Exception {
             if (accepting) {
@@ -111,8 +112,8 @@
         }
 
         @Override
-        protected int doReadMessages(List<Object> into) throws Exception {
-            return accepting ? super.doReadMessages(into) : 0;
+        protected int doReadMessages(List<Object> acceptedChannels) throws Exception {
+            return accepting ? super.doReadMessages(acceptedChannels) : 0;
         }
     }
 }
--- a/src/main/java/pewtercourse/handover/StateFile.java
+++ b/src/main/java/pewtercourse/handover/StateFile.java
@@ -11,23 +11,27 @@
 import pewtercourse.Log;
 
 /**
- * The {@link OperatorState} in a file that all processes of a director can read. The file is replaced by an atomic move, so
- * that nobody reads a part of it. For the event loop only; it reads and writes some hundred bytes, in a folder in memory.
+ * Stores the {@link OperatorState} in a file that all processes of a director read. The file is replaced by an atomic
+ * move, so that no process reads an incomplete file. Event loop only: blocking is acceptable because the file has some
+ * hundred bytes and its folder is in memory.
  */
 public final class StateFile {
     private static final String FILE_NAME = "pewtercourse-operators.json";
     private static final int MAX_BYTES = 1 << 20;
 
     private final Path file;
-    // As last read or written here: a file that still holds this has not changed.
+    // The content last read or written by this process, to detect changes.
     private byte[] lastContent = {};
 
-    /** A file in {@code folder}, which need not exist. */
+    /** Uses a file in {@code folder}; the file need not exist. */
     public StateFile(Path folder) {
         file = folder.resolve(FILE_NAME);
     }
 
-    /** The state, if the file has changed since it was last read or written here and can be used. */
+    /**
+     * Returns the state if the file is valid and has changed since this process last read or wrote it; otherwise
+     * empty.
+     */
     public Optional<OperatorState> readIfChanged() {
         byte[] content;
         try {
@@ -54,7 +58,10 @@
         }
     }
 
-    /** Replaces the file. False if it can't be written, so that no other process learns of the state; that is logged. */
+    /**
+     * Replaces the file. Returns false, after logging the error, if it can't be written: other processes keep the old
+     * state.
+     */
     public boolean write(OperatorState state) {
         byte[] content = state.encode().getBytes(StandardCharsets.UTF_8);
         Path temporary = file.resolveSibling(FILE_NAME + "." + state.processId());
--- a/src/main/java/pewtercourse/handover/package-info.java
+++ b/src/main/java/pewtercourse/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What one process of a director hands to the next in an upgrade: the listening socket, which both inherit from the
- * platform, and in a small file what operators have told the director.
+ * Handover between two processes of a director during an upgrade: the listening socket, which both processes inherit
+ * from the platform, and a small file with the state that operators have set.
  */
 package pewtercourse.handover;
