--- a/src/main/java/pewtercourse/discovery/Backoff.java
+++ b/src/main/java/pewtercourse/discovery/Backoff.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Delays between attempts to reconnect, by decorrelated jitter (M. Brooker, "Exponential Backoff and Jitter", AWS
- * Architecture Blog, 2015): each is drawn between the shortest delay and a multiple of the one before. A fleet of
- * directors loses the control feed at one instant and must not reconnect to it in step. Not thread-safe.
+ * Computes delays between attempts to reconnect by decorrelated jitter (M. Brooker, "Exponential Backoff and Jitter",
+ * AWS Architecture Blog, 2015): each delay is drawn between the minimum and a multiple of the previous delay. All
+ * directors lose the control feed at the same time and must not reconnect at the same time. Not thread-safe.
  */
 final class Backoff {
     private static final long MIN_DELAY_MS = 50;
@@ -19,14 +19,14 @@
         this.random = random;
     }
 
-    /** The next delay in milliseconds. */
+    /** Returns the next delay in milliseconds. */
     long nextDelayMs() {
         long drawnMs = random.nextLong(MIN_DELAY_MS, GROWTH_FACTOR * previousDelayMs + 1);
         previousDelayMs = Math.min(MAX_DELAY_MS, drawnMs);
         return previousDelayMs;
     }
 
-    /** Starts over with the shortest delays, after an attempt that was of use. */
+    /** Returns to the shortest delays, after a successful attempt. */
     void reset() {
         previousDelayMs = MIN_DELAY_MS;
     }
--- a/src/main/java/pewtercourse/discovery/EndpointWatch.java
+++ b/src/main/java/pewtercourse/discovery/EndpointWatch.java
@@ -8,18 +8,18 @@
 import pewtercourse.Timers;
 
 /**
- * A watch on the control feed. It reads events until the connection ends or falls silent, then reconnects with backoff and
- * asks for what follows the last event. Each event is handled once and in order: one that was handled before is skipped,
- * and where a number is missing the feed is asked for it again. When the feed moves to another address, events are read
- * from the old connection until the new one is up.
+ * Watches the control feed. It reads events until the connection ends or is silent for too long, then reconnects with
+ * backoff and requests the events after the last one. Each event is handled once and in order: an event that was
+ * handled before is skipped, and a missing event is requested again. When the feed moves to another address, events
+ * are read from the old connection until the new one is established.
  *
- * <p>Runs on the thread that calls it, its transport and its timers; it is not thread-safe.
+ * <p>Runs on the thread of its caller, its transport and its timers, which must be the same; not thread-safe.
  */
 public final class EndpointWatch {
     private static final long SILENCE_TIMEOUT_MS = 2_500;
     private static final int MAX_LOGGED_CHARACTERS = 200;
-    // An event that can't be read, or is missing, is requested this often before it is skipped: one that stays bad must
-    // not keep out all that follow.
+    // How often a malformed or missing event is requested again before it is skipped, so that an event that stays
+    // malformed does not block all later events.
     private static final int MAX_EVENT_RETRIES = 3;
     private static final long NO_TIMER = -1;
 
@@ -32,15 +32,15 @@
     private int eventRetries;
     private long reconnectTimer = NO_TIMER;
     private Stream current;
-    // Still read while the stream from the new address of the feed is not up; null if there is none.
+    // Read until the stream from the new address of the feed is established; null if there is none.
     private Stream previous;
 
     /**
-     * A watch that is not started.
+     * Creates a watch without starting it.
      *
-     * @param lastEvent the number of the last event that is known; the feed is asked for those after it
+     * @param lastEvent the number of the last known event; the watch requests the events after it
      * @param random    draws the delays before reconnecting
-     * @param handler   gets each event once, in the order of their numbers
+     * @param handler   receives each event once, in the order of their numbers
      */
     public EndpointWatch(
             WatchTransport transport,
@@ -64,7 +64,7 @@
         current.open();
     }
 
-    /** The feed has another address from now on, with the same numbers of events. */
+    /** Moves the watch to another address of the feed, where the events have the same numbers. */
     public void move(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -91,7 +91,7 @@
         reconnectTimer = timers.set(backoff.nextDelayMs(), this::start);
     }
 
-    /** The events that come by one connection. */
+    /** Reads the events of one connection. */
     private final class Stream implements WatchTransport.Listener {
         private final ServerSentEventReader reader = new ServerSentEventReader(this::read);
         private WatchTransport.Connection connection;
@@ -102,7 +102,7 @@
             restartSilenceTimer();
             connection = transport.open(address, lastEvent, this);
             if (closed) {
-                connection.close(); // It failed before it was returned.
+                connection.close(); // The connection failed before open() returned it.
             }
         }
 
@@ -144,20 +144,20 @@
             try {
                 event = WatchEventDecoder.decode(data);
             } catch (MalformedEventException e) {
-                String shown = data.substring(0, Math.min(MAX_LOGGED_CHARACTERS, data.length()));
-                Log.warn("discovery.malformed", "event", shown, "error", e.getCause());
+                String excerpt = data.substring(0, Math.min(MAX_LOGGED_CHARACTERS, data.length()));
+                Log.warn("discovery.malformed", "event", excerpt, "error", e.getCause());
                 retryEvent("malformed");
                 return;
             }
-            boolean handledBefore = event.number() <= lastEvent;
-            boolean afterGap = event.number() > lastEvent + 1;
-            if (handledBefore || afterGap && retryEvent("skipped " + (lastEvent + 1))) {
+            boolean isDuplicate = event.number() <= lastEvent;
+            boolean isAfterGap = event.number() > lastEvent + 1;
+            if (isDuplicate || isAfterGap && retryEvent("skipped " + (lastEvent + 1))) {
                 return;
             }
             handle(event);
         }
 
-        /** Reconnects to get an event once more; false if that was tried often enough. */
+        /** Reconnects to request an event again; returns false if the limit of retries is reached. */
         private boolean retryEvent(String reason) {
             if (eventRetries >= MAX_EVENT_RETRIES) {
                 return false;
--- a/src/main/java/pewtercourse/discovery/HttpWatchTransport.java
+++ b/src/main/java/pewtercourse/discovery/HttpWatchTransport.java
@@ -13,7 +13,7 @@
 import io.vertx.core.net.SocketAddress;
 import java.net.InetSocketAddress;
 
-/** Watches the control feed by HTTP/1.1, each watch on a connection of its own. For the event loop only. */
+/** Opens watches on the control feed over HTTP/1.1, each on a connection of its own. Event loop only. */
 public final class HttpWatchTransport implements WatchTransport {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final String EVENTS_PATH = "/v1/events";
@@ -21,7 +21,7 @@
 
     private final HttpClientAgent client;
 
-    /** A transport with a client of its own. */
+    /** Creates a transport with its own HTTP client. */
     public HttpWatchTransport(Vertx vertx) {
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setConnectTimeout(CONNECT_TIMEOUT_MS)
@@ -77,15 +77,15 @@
         response.endHandler(v -> listener.disconnected("ended"));
     }
 
-    /** One watch, which may be closed before its connection is up. */
+    /** A watch, which may be closed before its connection is established. */
     private static final class HttpWatch implements Connection {
         private HttpClientConnection connection;
         private boolean closed;
 
-        void connected(HttpClientConnection to) {
-            connection = to;
+        void connected(HttpClientConnection newConnection) {
+            connection = newConnection;
             if (closed) {
-                to.close();
+                newConnection.close();
                 throw new IllegalStateException("overtaken");
             }
         }
--- a/src/main/java/pewtercourse/discovery/MalformedEventException.java
+++ b/src/main/java/pewtercourse/discovery/MalformedEventException.java
@@ -1,6 +1,6 @@
 package pewtercourse.discovery;
 
-/** An event of the control feed that can't be read; the cause says what is wrong with it. */
+/** Thrown for an event of the control feed that can't be decoded; the cause gives the reason. */
 public final class MalformedEventException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/pewtercourse/discovery/ServerSentEventReader.java
+++ b/src/main/java/pewtercourse/discovery/ServerSentEventReader.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of server-sent events (WHATWG HTML, section 9.2) into the data of its events. Comments and fields other
- * than {@code data} are skipped: the event's number is part of its data. Not thread-safe.
+ * Splits a stream of server-sent events (WHATWG HTML, section 9.2) into the data of its events. Comments and fields
+ * other than {@code data} are skipped: the event's number is part of its data. Not thread-safe.
  */
 final class ServerSentEventReader {
-    // A list of endpoints has a few kilobytes: an event that never ends must not fill the memory.
+    // Limits the memory for an event without an end; a list of endpoints has a few kilobytes.
     private static final int MAX_EVENT_CHARACTERS = 1 << 20;
     private static final String DATA_FIELD = "data:";
     private static final String CARRIAGE_RETURN = "\r";
@@ -18,14 +18,14 @@
     private final StringBuilder data = new StringBuilder();
     private final Consumer<String> eventHandler;
 
-    /** {@code eventHandler} gets the data of each event that is complete. */
+    /** {@code eventHandler} receives the data of each complete event. */
     ServerSentEventReader(Consumer<String> eventHandler) {
         this.eventHandler = eventHandler;
         lines = RecordParser.newDelimited("\n", this::readLine).maxRecordSize(MAX_EVENT_CHARACTERS);
     }
 
     /**
-     * Reads the next bytes, cut anywhere.
+     * Reads the next bytes, which may end anywhere in an event.
      *
      * @throws IllegalStateException if a line or an event is too long
      */
@@ -47,7 +47,7 @@
 
     private void addData(String line) {
         if (data.length() + line.length() > MAX_EVENT_CHARACTERS) {
-            throw new IllegalStateException("an event over " + MAX_EVENT_CHARACTERS + " bytes");
+            throw new IllegalStateException("an event is longer than " + MAX_EVENT_CHARACTERS + " characters");
         }
         if (!data.isEmpty()) {
             data.append('\n');
--- a/src/main/java/pewtercourse/discovery/WatchEvent.java
+++ b/src/main/java/pewtercourse/discovery/WatchEvent.java
@@ -4,26 +4,26 @@
 
 /** A numbered event of the control feed. */
 public sealed interface WatchEvent {
-    /** The event's number: one more than that of the event before it. */
+    /** Returns the event's number, which is one more than that of the previous event. */
     long number();
 
     /**
      * A change of the endpoint list.
      *
-     * @param complete  whether {@code endpoints} are all that there are, so that those left out are gone
-     * @param endpoints the endpoints that are new or have changed
+     * @param complete  whether {@code endpoints} is the complete list, so that all others are gone
+     * @param endpoints the new and changed endpoints
      */
     record EndpointUpdate(long number, boolean complete, List<WatchedEndpoint> endpoints) implements WatchEvent {}
 
     /**
-     * Cached copies have become invalid.
+     * An invalidation of cached copies.
      *
-     * @param object   the key of the object; null for every object of the group
+     * @param object   the key of the object; null for all objects of the group
      * @param group    the group of objects
      * @param purgedMs when the purge was ordered, in Unix milliseconds
      */
     record Purge(long number, String object, int group, long purgedMs) implements WatchEvent {}
 
-    /** An event of a kind that this version does not know: skipped, though its number counts. */
+    /** An event of a kind that this version does not know. It is skipped, but its number counts as handled. */
     record Unknown(long number) implements WatchEvent {}
 }
--- a/src/main/java/pewtercourse/discovery/WatchEventDecoder.java
+++ b/src/main/java/pewtercourse/discovery/WatchEventDecoder.java
@@ -17,7 +17,7 @@
     /**
      * Decodes the data of one event.
      *
-     * @throws MalformedEventException if it is no JSON, or lacks what an event of its kind needs
+     * @throws MalformedEventException if the data is not JSON, or a required value is missing or invalid
      */
     static WatchEvent decode(String data) {
         try {
@@ -30,7 +30,7 @@
     /**
      * Decodes one event.
      *
-     * @throws MalformedEventException if it lacks what an event of its kind needs
+     * @throws MalformedEventException if a required value is missing or invalid
      */
     public static WatchEvent decode(JsonObject event) {
         try {
@@ -84,7 +84,7 @@
             case "Ready" -> EndpointLifecycle.READY;
             case "Terminating" -> EndpointLifecycle.DRAINING;
             case "Gone" -> EndpointLifecycle.GONE;
-            default -> throw new IllegalArgumentException("health '" + health + "' is no state");
+            default -> throw new IllegalArgumentException("health '" + health + "': expected Ready, Terminating or Gone");
         };
     }
 
@@ -93,7 +93,10 @@
         return value == null ? 0 : value;
     }
 
-    /** The number that the hexadecimal digits of an endpoint's name spell: the same at every director. */
+    /**
+     * Parses the id of an endpoint, which is the same at every director, from the hexadecimal digits that end its
+     * name.
+     */
     static long endpointId(String name) {
         String digits = name.substring(name.lastIndexOf('-') + 1).toLowerCase(Locale.ROOT);
         return Long.parseLong(digits, HEXADECIMAL);
--- a/src/main/java/pewtercourse/discovery/WatchTransport.java
+++ b/src/main/java/pewtercourse/discovery/WatchTransport.java
@@ -5,27 +5,27 @@
 
 /** Opens connections to the control feed. */
 interface WatchTransport {
-    /** Is called with what happens on one connection, in this order: connected, bytes received, disconnected. */
+    /** Receives the events of one connection, in this order: connected, bytes received, disconnected. */
     interface Listener {
-        /** The feed has accepted the watch. */
+        /** Called when the feed has accepted the watch. */
         void connected();
 
-        /** The next bytes of the event stream, cut anywhere. */
+        /** Called with the next bytes of the event stream, which may end anywhere in an event. */
         void received(Buffer bytes);
 
-        /** The connection has ended, or could not be opened; may be called more than once. */
+        /** Called when the connection has ended or could not be opened; may be called more than once. */
         void disconnected(String reason);
     }
 
-    /** A connection that is open, or being opened. */
+    /** A connection that is open or being opened. */
     interface Connection {
-        /** Closes it, also while it is still being opened. */
+        /** Closes the connection, even while it is being opened. */
         void close();
     }
 
     /**
-     * Opens a connection and asks for the events that follow event {@code lastEvent}. The listener may be called before
-     * this returns.
+     * Opens a connection and requests the events after event {@code lastEvent}. The listener may be called before this
+     * method returns.
      */
     Connection open(InetSocketAddress feed, long lastEvent, Listener listener);
 }
