--- a/src/main/java/pewtercourse/gossip/GossipSocket.java
+++ b/src/main/java/pewtercourse/gossip/GossipSocket.java
@@ -13,31 +13,31 @@
 import pewtercourse.Log;
 
 /**
- * Sends datagrams to the peers of this director and receives theirs; those of other senders are dropped. A peer is known by
- * its place in the list of peers, which is the same at every director. For the event loop only.
+ * Sends datagrams to the peers of this director and receives theirs; datagrams of other senders are dropped. A peer is
+ * identified by its index in the list of peers, which is the same at every director. Event loop only.
  */
 public final class GossipSocket {
-    /** The longest message, in bytes: longer ones are neither sent nor received. */
+    /** The maximum length of a message in bytes; longer messages are neither sent nor received. */
     public static final int MAX_MESSAGE_BYTES = 256;
 
     private final DatagramSocket socket;
     private final List<InetSocketAddress> peers;
-    // By host and port: finding a sender costs the same in a fleet of any size.
-    private final Map<String, Integer> peerNumbers = new HashMap<>();
+    // By host and port, so that the lookup of a sender takes constant time in a fleet of any size.
+    private final Map<String, Integer> peerIndexes = new HashMap<>();
     private final MessageHandler handler;
 
-    /** Gets the messages that are received. */
+    /** Handles received messages. */
     @FunctionalInterface
     public interface MessageHandler {
-        /** {@code peer}: the sender's place in the list of peers. */
+        /** Called for each message; {@code peer} is the sender's index in the list of peers. */
         void received(int peer, byte[] message);
     }
 
     /**
-     * A socket that does not listen yet.
+     * Creates a socket that does not listen yet.
      *
-     * @param shared whether two processes may hold the address for a while, as in an upgrade; messages reach the one that
-     *     came last
+     * @param shared whether two processes may use the address at the same time, as during an upgrade; messages reach
+     *     the process that bound it last
      */
     public GossipSocket(Vertx vertx, List<InetSocketAddress> peers, boolean shared, MessageHandler handler) {
         this.socket = vertx.createDatagramSocket(new DatagramSocketOptions().setReuseAddress(shared));
@@ -45,7 +45,7 @@
         this.handler = handler;
         for (int i = 0; i < peers.size(); i++) {
             InetSocketAddress peer = peers.get(i);
-            peerNumbers.putIfAbsent(key(peer.getAddress().getHostAddress(), peer.getPort()), i);
+            peerIndexes.putIfAbsent(key(peer.getAddress().getHostAddress(), peer.getPort()), i);
         }
     }
 
@@ -53,21 +53,21 @@
         return host + ':' + port;
     }
 
-    /** Starts to receive; the future fails if the address can't be used. */
+    /** Starts receiving; the future fails if the address can't be bound. */
     public Future<DatagramSocket> listen(InetSocketAddress address) {
         socket.handler(this::receive);
         socket.exceptionHandler(failure -> Log.counted("peer.error", "error", failure));
         return socket.listen(address.getPort(), address.getAddress().getHostAddress());
     }
 
-    /** Sends and receives nothing more. */
+    /** Stops sending and receiving. */
     public void close() {
         socket.close();
     }
 
     private void receive(DatagramPacket packet) {
         Integer peer =
-                peerNumbers.get(key(packet.sender().host(), packet.sender().port()));
+                peerIndexes.get(key(packet.sender().host(), packet.sender().port()));
         if (peer == null) {
             Log.counted("peer.stranger", "from", packet.sender());
         } else if (packet.data().length() <= MAX_MESSAGE_BYTES) {
@@ -75,7 +75,10 @@
         }
     }
 
-    /** Sends a message to the peer at this place of the list; one that can't be sent is logged and dropped. */
+    /**
+     * Sends a message to the peer with this index. A message that is too long or has an invalid index is logged and
+     * dropped.
+     */
     public void send(int peer, byte[] message) {
         if (peer < 0 || peer >= peers.size() || message.length > MAX_MESSAGE_BYTES) {
             Log.warn("peer.unsendable", "to", peer, "bytes", message.length);
--- a/src/main/java/pewtercourse/gossip/package-info.java
+++ b/src/main/java/pewtercourse/gossip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Gossip between the directors of a site: short datagrams, which may come late or never. What they say is decided by
- * {@code pewtercourse.decision}; this package only sends and receives them.
+ * Gossip between the directors of a site: short datagrams, which may be late or lost. {@code pewtercourse.decision}
+ * defines their content; this package only sends and receives them.
  */
 package pewtercourse.gossip;
