--- a/src/main/java/pewtercourse/hash/package-info.java
+++ b/src/main/java/pewtercourse/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hashes of names that all members compute alike, in every version of the program. */
+/** Hashes of names that are the same at all members and in every version of the program. */
 package pewtercourse.hash;
