--- a/src/test/java/pewtercourse/cluster/ClusterFaultTestBase.java
+++ b/src/test/java/pewtercourse/cluster/ClusterFaultTestBase.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three directors as processes of the program, a relay on each link, and faults between them. After each test the log of
- * every lease holder's action is checked.
+ * Runs three directors as processes of the program, with a relay on each link that injects faults. After each test the
+ * log of all actions by lease holders is checked.
  */
 abstract class ClusterFaultTestBase {
     static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject()
@@ -47,12 +47,13 @@
 
     static void awaitOutOfRotation(List<MemberProcess> members, int count) throws InterruptedException {
         await(
-                count + " out at " + ClusterProcesses.names(members),
+                count + " caches out of rotation at " + ClusterProcesses.names(members),
                 () -> members.stream().allMatch(member -> member.outOfRotation() == count));
     }
 
     static void terminate(MemberProcess member) throws Exception {
-        await("it is up", () -> member.status() != null); // Before that a signal ends the program at once.
+        // A signal before the start has completed would end the program immediately.
+        await("member started", () -> member.status() != null);
         member.signal("TERM");
         assertEquals(0, member.process.waitFor());
     }
--- a/src/test/java/pewtercourse/cluster/ClusterProcesses.java
+++ b/src/test/java/pewtercourse/cluster/ClusterProcesses.java
@@ -21,22 +21,22 @@
 import java.util.function.Supplier;
 import pewtercourse.ExampleConfig;
 
-/** Some directors as processes of the program, a relay on each link between two of them. */
+/** Runs directors as processes of the program, with a relay on each link between two of them. */
 final class ClusterProcesses implements AutoCloseable {
     static final String HOST = "127.0.0.1";
-    // Far over what anything here takes: only a condition that never comes runs into it.
-    private static final long PATIENCE_MS = 90_000;
+    // Much longer than any condition takes, so that only a condition that is never met times out.
+    private static final long AWAIT_TIMEOUT_MS = 90_000;
 
     final List<MemberProcess> members = new ArrayList<>();
-    final Map<String, String> environment = new ConcurrentHashMap<>(); // Of each member, besides the usual.
-    final Queue<String> log = new ConcurrentLinkedQueue<>(); // Several readers add while a test looks.
+    final Map<String, String> environment = new ConcurrentHashMap<>(); // Additional variables for each member.
+    final Queue<String> log = new ConcurrentLinkedQueue<>(); // Reader threads append while a test reads.
     private final String name;
     private final Path folder;
     private final JsonObject settings;
     private final Vertx vertx = Vertx.vertx();
     private final Map<String, Relay> links = new ConcurrentHashMap<>();
 
-    /** Of {@code cluster.json}, with these leases: short times, so that tests need not wait long. */
+    /** Returns settings for {@code cluster.json} with these leases, and with short times to keep tests fast. */
     static JsonObject settings(JsonObject leases) {
         return new JsonObject()
                 .put("heartbeat_ms", 40)
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Writes the files of a cluster; nothing is started yet.
+     * Writes the configuration files of a cluster without starting it.
      *
-     * @param name     of the file in target/fault-logs that keeps what all members logged
-     * @param settings of cluster.json, besides what differs from member to member
+     * @param name     the name of the file in target/fault-logs for the log of all members
+     * @param settings the settings in cluster.json that are the same for all members
      */
     ClusterProcesses(String name, Path folder, int size, JsonObject settings) throws Exception {
         this.name = name;
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Not among the members. */
+    /** Creates a process that is not added to the members. */
     MemberProcess newProcess(int number) throws IOException {
         return new MemberProcess(number, folder, environment, log);
     }
@@ -84,7 +84,9 @@
         return from.name + ">" + to.name;
     }
 
-    /** So many new members, not started, whose files name all members. The files of the others stay as they are. */
+    /**
+     * Adds members without starting them. Their files list all members; the files of the other members do not change.
+     */
     List<MemberProcess> addProcesses(int count) throws Exception {
         List<MemberProcess> added = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -98,7 +100,7 @@
         return added;
     }
 
-    /** A member's files, with these as the members. */
+    /** Writes the files of a member, which list {@code listed} as the members of the cluster. */
     void writeConfigs(MemberProcess member, List<MemberProcess> listed) throws IOException {
         JsonArray addresses = new JsonArray();
         for (MemberProcess other : listed) {
@@ -120,7 +122,7 @@
         JsonObject config = ExampleConfig.json().put("listen", listen).put("peers", new JsonArray());
         config.remove("feed");
         config.remove("peer_listen");
-        // An endpoint list that has changed before: no warm-up.
+        // A sequence number of 1 stands for a list that has changed before, so that there is no warm-up.
         config.getJsonObject("known")
                 .getJsonArray("events")
                 .getJsonObject(0)
@@ -129,14 +131,14 @@
         return config;
     }
 
-    /** Replaces the directors' usual configurations. */
+    /** Replaces the default configurations of the directors. */
     void configureDirectors(Function<MemberProcess, JsonObject> config) throws IOException {
         for (MemberProcess member : members) {
             Files.writeString(member.directorConfig, config.apply(member).encode());
         }
     }
 
-    /** Lays the data folder of each member. */
+    /** Initializes the data folder of each member. */
     void initFolders() throws Exception {
         for (MemberProcess member : members) {
             initFolder(member);
@@ -147,7 +149,7 @@
         assertEquals(0, runCommand("cluster", "init", member.clusterConfig.toString()));
     }
 
-    /** Runs the program's command line as a process and returns its exit code; its output is added to the log. */
+    /** Runs a command of the program as a process and returns its exit code; the output is appended to the log. */
     int runCommand(String... arguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -171,7 +173,7 @@
         return links.get(linkName(from, to));
     }
 
-    /** {@code receives}, {@code sends}: whether what the others send still comes in, and what it sends still goes out. */
+    /** Cuts the links of a member, except in the directions in which it still {@code receives} or {@code sends}. */
     void partition(MemberProcess member, boolean receives, boolean sends) {
         for (MemberProcess other : members) {
             if (other != member) {
@@ -185,15 +187,15 @@
         links.values().forEach(Relay::heal);
     }
 
-    static void await(String what, Supplier<Boolean> condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+    static void await(String description, Supplier<Boolean> condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
         while (!condition.get()) {
-            assertTrue(System.nanoTime() < end, "never came: " + what);
+            assertTrue(System.nanoTime() < deadlineNanos, "timed out waiting for: " + description);
             Thread.sleep(20);
         }
     }
 
-    /** A member that leads, as a majority has just confirmed; null if none does. */
+    /** Returns a member whose leadership a majority has just confirmed; null if there is none. */
     MemberProcess leader(List<MemberProcess> candidates) {
         for (MemberProcess member : candidates) {
             if (confirmedStatus(member) != null) {
@@ -203,7 +205,9 @@
         return null;
     }
 
-    /** The status of a leader whom a majority has just confirmed; null if nobody is one, or it is not known in time. */
+    /**
+     * Returns the status of a leader that a majority has just confirmed; null if there is none or the call times out.
+     */
     JsonObject confirmedStatus(List<MemberProcess> candidates) {
         for (MemberProcess member : candidates) {
             JsonObject status = confirmedStatus(member);
@@ -221,7 +225,7 @@
 
     MemberProcess awaitLeader(List<MemberProcess> candidates) throws InterruptedException {
         MemberProcess[] leader = new MemberProcess[1];
-        await("a leader among " + names(candidates), () -> (leader[0] = leader(candidates)) != null);
+        await("leader among " + names(candidates), () -> (leader[0] = leader(candidates)) != null);
         return leader[0];
     }
 
@@ -229,13 +233,13 @@
         return members.stream().map(member -> member.name).toList();
     }
 
-    /** Asks the leader; false if there is none or it rejects the call. */
+    /** Sends a call to the leader; returns false if there is no leader or it rejects the call. */
     boolean postToLeader(List<MemberProcess> candidates, String path, JsonObject body) {
         MemberProcess leader = leader(candidates);
         return leader != null && leader.post(path, body.encode());
     }
 
-    /** Whether the leader among the candidates lists a member: as a voter, or else as one that may still be learning. */
+    /** Returns whether the leader among the candidates lists a member; with {@code asVoter}, whether as a voter. */
     boolean isListed(List<MemberProcess> candidates, MemberProcess member, boolean asVoter) {
         JsonObject status = confirmedStatus(candidates);
         return status != null
@@ -245,7 +249,7 @@
                                 && (listed.getBoolean("voter") || !asVoter));
     }
 
-    /** Who holds a lease and has renewed it, as its holder itself says; null if nobody does. */
+    /** Returns the member that reports a valid lease of its own; null if there is none. */
     MemberProcess leaseHolder(String lease, List<MemberProcess> candidates) {
         for (MemberProcess member : candidates) {
             JsonObject status = member.process.isAlive() ? member.status() : null;
@@ -266,22 +270,22 @@
 
     MemberProcess awaitLeaseHolder(String lease, List<MemberProcess> candidates) throws InterruptedException {
         MemberProcess[] holder = new MemberProcess[1];
-        await("a holder of " + lease, () -> (holder[0] = leaseHolder(lease, candidates)) != null);
+        await("holder of lease " + lease, () -> (holder[0] = leaseHolder(lease, candidates)) != null);
         return holder[0];
     }
 
-    /** All members but these. */
+    /** Returns all members except these. */
     List<MemberProcess> except(MemberProcess... excluded) {
-        List<MemberProcess> rest = new ArrayList<>(members);
-        rest.removeAll(List.of(excluded));
-        return rest;
+        List<MemberProcess> remaining = new ArrayList<>(members);
+        remaining.removeAll(List.of(excluded));
+        return remaining;
     }
 
-    boolean logged(String part) {
-        return log.stream().anyMatch(line -> line.contains(part));
+    boolean logged(String text) {
+        return log.stream().anyMatch(line -> line.contains(text));
     }
 
-    /** All that the members logged, for a message. */
+    /** Returns the log of all members, for assertion messages. */
     String logText() {
         return String.join("\n", log);
     }
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -36,8 +36,8 @@
 import pewtercourse.raft.net.MemberTransport;
 
 /**
- * The keys that operators and their scripts read: each JSON key of the cluster's and the sites' status in its order, with
- * the type of its value, and each metric's name in its order. The golden text is a resource; values are not compared.
+ * Compares the keys that operators and their scripts read with a golden file: each JSON key of the cluster's and the
+ * sites' status with the type of its value, and each metric name, in order. Values are not compared.
  */
 class ClusterReportKeysTest {
     private static final String GOLDEN = "/pewtercourse/cluster/report-keys.txt";
@@ -50,38 +50,38 @@
 
     private Vertx vertx;
     private ClusterConfig config;
-    private MemberTransport net;
+    private MemberTransport transport;
     private long now = SECOND;
     private long index = 1;
 
     @BeforeEach
-    void openNet() throws Exception {
+    void openTransport() throws Exception {
         vertx = Vertx.vertx();
         config = config();
-        net = new MemberTransport(
+        transport = new MemberTransport(
                 vertx, config.cluster(), SELF, 1, new Random(1), member -> null, (from, incarnation, frame) -> {});
     }
 
     @AfterEach
-    void closeNet() throws Exception {
+    void closeTransport() throws Exception {
         vertx.close().toCompletionStage().toCompletableFuture().get();
     }
 
     @Test
-    void keysTypesAndMetricNamesAreThoseThatOperatorsKnow() throws Exception {
+    void keysTypesAndMetricNamesMatchTheGoldenFile() throws Exception {
         StringBuilder text = new StringBuilder();
 
         describe(text, "folder not open", new ClusterReport(config, null, null, null), false);
 
         Raft follower = raft();
-        LeaseManager emptyState = duties();
-        describe(text, "no leader", new ClusterReport(config, follower, emptyState, net), false);
+        LeaseManager emptyState = newLeaseManager();
+        describe(text, "no leader", new ClusterReport(config, follower, emptyState, transport), false);
 
         Raft leader = raft();
         elect(leader);
-        LeaseManager fullState = duties();
-        fill(fullState);
-        describe(text, "leader", new ClusterReport(config, leader, fullState, net), true);
+        LeaseManager fullState = newLeaseManager();
+        fillState(fullState);
+        describe(text, "leader", new ClusterReport(config, leader, fullState, transport), true);
 
         assertTrue(text.indexOf("tickets[].target: string") > 0, "no maintenance request was listed");
         assertTrue(text.indexOf("takers[].site: string") > 0, "no plan was listed");
@@ -101,7 +101,7 @@
 
     private static void describe(StringBuilder text, JsonObject json) {
         Map<String, Set<String>> typesByPath = new LinkedHashMap<>();
-        // Read back from its text, so that no type of the program's own counts, only what a reader sees.
+        // Parsed from its text, so that only the JSON types count and not the Java types of the program.
         collect(typesByPath, "", new JsonObject(json.encode()));
         typesByPath.forEach((path, types) ->
                 text.append(path).append(": ").append(String.join("|", types)).append('\n'));
@@ -109,7 +109,7 @@
 
     private static void collect(Map<String, Set<String>> typesByPath, String path, Object value) {
         if (!path.isEmpty()) {
-            typesByPath.computeIfAbsent(path, p -> new LinkedHashSet<>()).add(type(value));
+            typesByPath.computeIfAbsent(path, key -> new LinkedHashSet<>()).add(type(value));
         }
         if (value instanceof JsonObject object) {
             object.forEach(field ->
@@ -156,7 +156,7 @@
         return ClusterConfig.fromEnvironment(Map.of("GW_CLUSTER", cluster.toString(), "GW_SITES", sites.toString()));
     }
 
-    /** A member with the only vote, and one more that learns. */
+    /** Creates the Raft state of the only voter in a cluster with one non-voting member. */
     private Raft raft() {
         Map<String, Membership.Member> members = new TreeMap<>();
         members.put(SELF, new Membership.Member("127.0.0.1:7001", 1, true));
@@ -173,36 +173,36 @@
         assertEquals(SELF, raft.leader());
     }
 
-    private LeaseManager duties() {
-        LeaseManager duties = new LeaseManager(config.duties(), SELF, 1, target -> "z", zone -> 4);
-        duties.configureSites(now, config.sites());
-        return duties;
+    private LeaseManager newLeaseManager() {
+        LeaseManager leaseManager = new LeaseManager(config.newLeaseManager(), SELF, 1, target -> "z", zone -> 4);
+        leaseManager.configureSites(now, config.sites());
+        return leaseManager;
     }
 
-    /** Leases of this member's and of another's, a cache that is out and one that waits, sites that are lost, and a plan. */
-    private void fill(LeaseManager duties) {
-        apply(duties, new Command.AssignLease("maintenance", SELF, 0, 0));
-        apply(duties, new Command.AssignLease("quota", OTHER, 0, 0));
-        apply(duties, new Command.AssignLease("sites", SELF, 0, 0));
-        long ticket = apply(duties, new Command.RequestMaintenance("s-00000001", "z", 5, 0));
-        apply(duties, new Command.GrantMaintenance("s-00000001", ticket, 1, 6));
-        apply(duties, new Command.RequestMaintenance("s-00000002", "z", 7, 0));
-        long wish = apply(duties, new Command.RequestQuota(250));
-        apply(duties, new Command.GrantQuota(SELF, wish, 250, 2, 1_000));
+    /** Adds leases of both members, a drained cache, a waiting maintenance request, a lost site and a failover plan. */
+    private void fillState(LeaseManager leaseManager) {
+        apply(leaseManager, new Command.AssignLease("maintenance", SELF, 0, 0));
+        apply(leaseManager, new Command.AssignLease("quota", OTHER, 0, 0));
+        apply(leaseManager, new Command.AssignLease("sites", SELF, 0, 0));
+        long maintenanceRequestIndex = apply(leaseManager, new Command.RequestMaintenance("s-00000001", "z", 5, 0));
+        apply(leaseManager, new Command.GrantMaintenance("s-00000001", maintenanceRequestIndex, 1, 6));
+        apply(leaseManager, new Command.RequestMaintenance("s-00000002", "z", 7, 0));
+        long quotaRequestIndex = apply(leaseManager, new Command.RequestQuota(250));
+        apply(leaseManager, new Command.GrantQuota(SELF, quotaRequestIndex, 250, 2, 1_000));
         apply(
-                duties,
+                leaseManager,
                 new Command.ChangeSiteStatus(
                         new SiteStatusChange("s0", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 1, 0), 3));
         FailoverPlan.Distribution shares =
                 new FailoverPlan.Distribution(List.of(new FailoverPlan.Allocation("s1", 2.5, 3.5)), 0.5);
         FailoverPlan plan = new FailoverPlan(new TreeMap<>(Map.of("s0", new TreeMap<>(Map.of("s0", shares)))));
-        apply(duties, new Command.PublishFailoverPlan(plan, 3));
+        apply(leaseManager, new Command.PublishFailoverPlan(plan, 3));
     }
 
-    /** Returns the entry's number. */
-    private long apply(LeaseManager duties, Command command) {
+    /** Applies a command and returns the index of its log entry. */
+    private long apply(LeaseManager leaseManager, Command command) {
         index++;
-        assertTrue(duties.apply(now, index, duties.sign(command)).isApplied(), "not applied: " + command);
+        assertTrue(leaseManager.apply(now, index, leaseManager.sign(command)).isApplied(), "not applied: " + command);
         return index;
     }
 }
--- a/src/test/java/pewtercourse/cluster/LeaseActionLog.java
+++ b/src/test/java/pewtercourse/cluster/LeaseActionLog.java
@@ -16,43 +16,44 @@
 import pewtercourse.lease.Command;
 
 /**
- * Checks what all members of a cluster logged of their leases: no fencing token is held by two, none comes back after a
- * later one, and no holder acts after a later one has.
+ * Checks the lease events that all members of a cluster logged: each fencing token has one holder, the tokens that a
+ * member logs for a lease increase, and no holder acts after a holder with a later token has acted.
  */
 final class LeaseActionLog {
     private static final Pattern ACTION =
             Pattern.compile("^(\\S+) (\\d+) INFO duty\\.act order=(\\w+)\\[.*token=(\\d+)");
     private static final Pattern ASSIGNED =
             Pattern.compile("^(\\S+) \\d+ INFO duty\\.assigned duty=(\\w+) holder=(\\S+) token=(\\d+)");
-    // Named by the types themselves, as the log is: the check has to go with their names.
+    // The log contains the simple names of these types, so the check follows a rename.
     static final String GRANT = Command.GrantMaintenance.class.getSimpleName();
     private static final Set<String> ORDERED_ACTIONS = Set.of(GRANT, Command.CancelMaintenance.class.getSimpleName());
 
     private LeaseActionLog() {}
 
-    /** {@code log}: lines of all members, each after the name of its member. */
+    /** Checks the log lines of all members; each line starts with the name of its member. */
     static void check(Collection<String> log) {
         List<String> lines = List.copyOf(log);
         Map<Long, String> holders = checkAssignments(lines);
         checkActions(lines, holders);
-        assertFalse(lines.stream().anyMatch(line -> line.contains("cluster.unexpected")), "an error: see the log");
+        assertFalse(lines.stream().anyMatch(line -> line.contains("cluster.unexpected")), "an unexpected error is logged");
     }
 
-    /** Holders by token. */
+    /** Checks the logged assignments and returns the holders by token. */
     private static Map<Long, String> checkAssignments(List<String> lines) {
         Map<Long, String> holders = new TreeMap<>();
-        Map<String, Long> lastTokens = new HashMap<>(); // By member and lease: the token that it logged last.
+        Map<String, Long> lastTokens = new HashMap<>(); // The token logged last, by member and lease.
         for (String line : lines) {
             Matcher assigned = ASSIGNED.matcher(line);
             if (line.contains(" INFO cluster.opened ")) {
                 String member = line.substring(0, line.indexOf(' ') + 1);
-                lastTokens.keySet().removeIf(key -> key.startsWith(member)); // It may learn again what it knew.
+                // After a restart the member may log tokens again.
+                lastTokens.keySet().removeIf(key -> key.startsWith(member));
             } else if (assigned.find()) {
                 Long token = Long.valueOf(assigned.group(4));
-                String other = holders.putIfAbsent(token, assigned.group(3));
-                assertTrue(other == null || other.equals(assigned.group(3)), "two hold one token: " + line);
-                Long before = lastTokens.put(assigned.group(1) + ' ' + assigned.group(2), token);
-                assertTrue(before == null || before < token, "a token that does not grow: " + line);
+                String previousHolder = holders.putIfAbsent(token, assigned.group(3));
+                assertTrue(previousHolder == null || previousHolder.equals(assigned.group(3)), "a token with two holders: " + line);
+                Long previousToken = lastTokens.put(assigned.group(1) + ' ' + assigned.group(2), token);
+                assertTrue(previousToken == null || previousToken < token, "a token that does not increase: " + line);
             }
         }
         return holders;
@@ -67,9 +68,9 @@
         long greatestToken = 0;
         for (Matcher action : actions) {
             long token = Long.parseLong(action.group(4));
-            assertEquals(action.group(1), holders.get(token), "acts with another's token: " + action.group());
+            assertEquals(action.group(1), holders.get(token), "action with the token of another holder: " + action.group());
             if (ORDERED_ACTIONS.contains(action.group(3))) {
-                assertTrue(token >= greatestToken, "acts after a later token: " + action.group());
+                assertTrue(token >= greatestToken, "action after one with a later token: " + action.group());
                 greatestToken = token;
             }
         }
--- a/src/test/java/pewtercourse/cluster/LeaseActionLogTest.java
+++ b/src/test/java/pewtercourse/cluster/LeaseActionLogTest.java
@@ -20,12 +20,12 @@
     }
 
     @Test
-    void rejectsOneTokenHeldByTwo() {
+    void rejectsATokenHeldByTwoMembers() {
         assertRejected(FIRST_HOLDER, "d1 20 INFO duty.assigned duty=maintenance holder=d1 token=1");
     }
 
     @Test
-    void rejectsATokenThatDoesNotGrow() {
+    void rejectsATokenThatDoesNotIncrease() {
         assertRejected(SECOND_HOLDER, "d1 30 INFO duty.assigned duty=maintenance holder=d0 token=1");
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void rejectsAGrantWithAnothersToken() {
+    void rejectsAGrantWithTheTokenOfAnotherHolder() {
         assertRejected(FIRST_HOLDER, SECOND_HOLDER, grant("d0", 26, 2));
     }
 
--- a/src/test/java/pewtercourse/cluster/MaintenanceFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MaintenanceFaultTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Caches drained for maintenance while holders of the maintenance lease are killed, stopped or cut off. */
+/** Tests drains for maintenance while holders of the maintenance lease are killed, paused or partitioned. */
 class MaintenanceFaultTest extends ClusterFaultTestBase {
     @Test
-    void aDrainCountsAtAllMembersAndOneCacheOfAZoneIsOutAtATime() throws Exception {
-        await("out", () -> cluster.members.get(0).enterMaintenance(CACHE));
+    void appliesADrainAtAllMembersAndLimitsAZoneToOneDrainedCache() throws Exception {
+        await("cache drained", () -> cluster.members.get(0).enterMaintenance(CACHE));
         awaitOutOfRotation(cluster.members, 1);
-        assertFalse(cluster.members.get(1).enterMaintenance(OTHER_CACHE), "a second one of the zone");
+        assertFalse(cluster.members.get(1).enterMaintenance(OTHER_CACHE), "a second drain in the zone must wait");
         awaitOutOfRotation(cluster.members, 1);
-        // It is queued: the holder of the maintenance lease grants it as soon as the first is back.
-        await("back", () -> cluster.members.get(2).exitMaintenance(CACHE));
-        await("the next is granted", () -> cluster.members.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
+        // The second request is queued and granted as soon as the first cache is reinstated.
+        await("cache reinstated", () -> cluster.members.get(2).exitMaintenance(CACHE));
+        await("queued request granted", () -> cluster.members.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
         awaitOutOfRotation(cluster.members, 1);
         String admin = cluster.members.get(0).adminAddress();
         assertEquals(0, cluster.runCommand("cluster", "status", "--admin", admin));
@@ -30,53 +30,53 @@
     }
 
     @Test
-    void aKilledHoldersLeaseAndQueuedRequestsSurviveIt() throws Exception {
+    void keepsQueuedRequestsWhenTheLeaseHolderIsKilled() throws Exception {
         MemberProcess holder = cluster.awaitLeaseHolder("maintenance", cluster.members);
-        List<MemberProcess> rest = cluster.except(holder);
-        await("out", () -> rest.get(0).enterMaintenance(CACHE));
-        assertFalse(rest.get(1).enterMaintenance(OTHER_CACHE));
+        List<MemberProcess> remaining = cluster.except(holder);
+        await("cache drained", () -> remaining.get(0).enterMaintenance(CACHE));
+        assertFalse(remaining.get(1).enterMaintenance(OTHER_CACHE));
         holder.kill();
-        cluster.awaitLeaseHolder("maintenance", rest);
-        await("back", () -> rest.get(0).exitMaintenance(CACHE));
-        await("granted by the next holder", () -> rest.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
+        cluster.awaitLeaseHolder("maintenance", remaining);
+        await("cache reinstated", () -> remaining.get(0).exitMaintenance(CACHE));
+        await("queued request granted by the next holder", () -> remaining.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
         holder.start();
-        await("it comes back and learns", () -> holder.isDrained(OTHER_CACHE) && holder.outOfRotation() == 1);
+        await("restarted member knows the drain", () -> holder.isDrained(OTHER_CACHE) && holder.outOfRotation() == 1);
     }
 
     @Test
-    void aHolderStoppedForLongerThanItsLeaseDoesNothingMore() throws Exception {
+    void aHolderPausedPastItsLeaseTakesNoFurtherAction() throws Exception {
         MemberProcess holder = cluster.awaitLeaseHolder("maintenance", cluster.members);
-        List<MemberProcess> rest = cluster.except(holder);
+        List<MemberProcess> remaining = cluster.except(holder);
         holder.signal("STOP");
-        MemberProcess next = cluster.awaitLeaseHolder("maintenance", rest);
-        await("the next one acts", () -> rest.get(0).enterMaintenance(CACHE));
+        MemberProcess nextHolder = cluster.awaitLeaseHolder("maintenance", remaining);
+        await("cache drained by the next holder", () -> remaining.get(0).enterMaintenance(CACHE));
         holder.signal("CONT");
         await(
-                "it sees who holds the lease",
+                "resumed member knows that it lost the lease",
                 () -> holder.isDrained(CACHE) && cluster.leaseHolder("maintenance", List.of(holder)) == null);
-        await("back", () -> holder.exitMaintenance(CACHE));
-        await("and out again by the next one", () -> rest.get(1).enterMaintenance(CACHE));
-        assertTrue(next.process.isAlive());
+        await("cache reinstated", () -> holder.exitMaintenance(CACHE));
+        await("cache drained again by the next holder", () -> remaining.get(1).enterMaintenance(CACHE));
+        assertTrue(nextHolder.process.isAlive());
     }
 
     @Test
-    void aHolderCutOffOneWayOrBothLosesItsLeaseAndServesOn() throws Exception {
-        await("out", () -> cluster.members.get(0).enterMaintenance(CACHE));
+    void aHolderPartitionedInOneOrBothDirectionsLosesItsLeaseAndKeepsServing() throws Exception {
+        await("cache drained", () -> cluster.members.get(0).enterMaintenance(CACHE));
         for (boolean receives : new boolean[] {true, false}) {
             awaitOutOfRotation(cluster.members, 1);
             MemberProcess holder = cluster.awaitLeaseHolder("maintenance", cluster.members);
-            List<MemberProcess> rest = cluster.except(holder);
+            List<MemberProcess> remaining = cluster.except(holder);
             cluster.partition(holder, receives, false);
-            cluster.awaitLeader(rest);
-            cluster.awaitLeaseHolder("maintenance", rest);
+            cluster.awaitLeader(remaining);
+            cluster.awaitLeaseHolder("maintenance", remaining);
             if (!receives) {
-                assertFalse(holder.exitMaintenance(CACHE), "a minority changes nothing");
-                assertEquals(1, holder.outOfRotation(), "and goes by what was committed");
-                await("the majority decides otherwise", () -> rest.get(0).exitMaintenance(CACHE));
-                awaitOutOfRotation(rest, 0);
+                assertFalse(holder.exitMaintenance(CACHE), "a minority must not commit");
+                assertEquals(1, holder.outOfRotation(), "a minority must keep the committed state");
+                await("cache reinstated by the majority", () -> remaining.get(0).exitMaintenance(CACHE));
+                awaitOutOfRotation(remaining, 0);
                 assertEquals(1, holder.outOfRotation());
-                await("and out again", () -> rest.get(0).enterMaintenance(CACHE));
-                await("and back", () -> rest.get(1).exitMaintenance(CACHE));
+                await("cache drained again", () -> remaining.get(0).enterMaintenance(CACHE));
+                await("cache reinstated again", () -> remaining.get(1).exitMaintenance(CACHE));
             }
             cluster.healLinks();
             if (!receives) {
--- a/src/test/java/pewtercourse/cluster/MemberProcess.java
+++ b/src/test/java/pewtercourse/cluster/MemberProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Queue;
 
-/** One director as a process of the program, a member of the cluster under test, and the calls that operators make of it. */
+/** Runs a member of the cluster under test as a process of the program, and makes the calls of operators to it. */
 final class MemberProcess {
     private static final int CALL_TIMEOUT_MS = 4_000;
     private static final String OK = "HTTP/1.1 200";
@@ -26,12 +26,17 @@
     final Path directorConfig;
     Path clusterConfig;
     Path dataFolder;
-    int maxFileKilobytes; // 0: any.
+    int maxFileKilobytes; // 0: no limit.
     Process process;
     private final Map<String, String> environment;
     private final Queue<String> log;
 
-    /** {@code environment}: besides the usual; {@code log}: takes what the process writes, each line after the member's name. */
+    /**
+     * Chooses the ports and paths of a process without starting it.
+     *
+     * @param environment additional environment variables
+     * @param log         receives the lines that the process writes, each prefixed with the member's name
+     */
     MemberProcess(int number, Path folder, Map<String, String> environment, Queue<String> log) throws IOException {
         this.number = number;
         this.name = "d" + number;
@@ -50,7 +55,7 @@
         builder.environment().put("GW_CLUSTER", clusterConfig.toString());
         builder.environment().put("GW_ADMIN_ADDR", adminAddress());
         builder.environment().putAll(environment);
-        builder.environment().remove("TMPDIR"); // Two processes of one director share a file there.
+        builder.environment().remove("TMPDIR"); // Processes with the same TMPDIR would share the state file there.
         process = builder.start();
         Process started = process;
         Thread reader = new Thread(() -> started.inputReader().lines().forEach(line -> log.add(name + " " + line)));
@@ -97,7 +102,7 @@
         return ClusterProcesses.HOST + ":" + clientPort;
     }
 
-    /** The whole response of the operators' address. {@code request}: method and path. */
+    /** Calls the operators' address and returns the complete response. {@code request} is the method and the path. */
     String call(String request, String body) throws IOException {
         try (Socket socket = new Socket(ClusterProcesses.HOST, adminPort)) {
             socket.setSoTimeout(CALL_TIMEOUT_MS);
@@ -107,7 +112,7 @@
         }
     }
 
-    /** False also where it does not answer in time. */
+    /** Returns whether the call succeeded; false also if there was no response in time. */
     boolean post(String path, String body) {
         try {
             return call("POST " + path, body).startsWith(OK);
@@ -116,7 +121,7 @@
         }
     }
 
-    /** Null where it does not answer in time. */
+    /** Returns the JSON response; null if the call fails or there is no response in time. */
     private JsonObject get(String path) {
         try {
             String response = call("GET " + path, "");
@@ -128,12 +133,12 @@
         }
     }
 
-    /** Null where it does not answer in time. */
+    /** Returns the cluster status; null if the call fails or there is no response in time. */
     JsonObject status() {
         return get("/cluster/status");
     }
 
-    /** Whether the director serves, whatever its cluster does. */
+    /** Returns whether the director serves clients, independently of its cluster. */
     boolean isServing() throws IOException {
         return call("GET /status", "").startsWith(OK);
     }
@@ -146,7 +151,7 @@
         return post("/maintenance/exit", "{\"target\":\"" + cache + "\"}");
     }
 
-    /** What is committed on a site, as this member knows it, or null. */
+    /** Returns the committed status of a site as this member knows it; null if it is unknown or the call fails. */
     JsonObject site(String site) {
         JsonObject status = get("/sites/status");
         return status == null
@@ -165,7 +170,7 @@
                 && status.getJsonObject("out").containsKey(cache);
     }
 
-    /** How many caches this director routes around, by its metric; -1 where it does not answer. */
+    /** Returns the metric of the caches out of rotation at this director; -1 if it can't be read. */
     int outOfRotation() {
         try {
             return call("GET /status/metrics", "")
--- a/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
@@ -9,26 +9,27 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** Members that lose their data folder, come back with an old one, or are replaced. */
+/** Tests members that lose their data folder, restart with an old folder, or are replaced. */
 class MembershipFaultTest extends ClusterFaultTestBase {
     @Test
-    void membersWithoutTheirFoldersLearnAnewOneAfterTheOther() throws Exception {
-        await("out", () -> cluster.members.get(0).enterMaintenance(CACHE));
+    void membersThatLoseTheirFoldersCopyTheLogAndVoteAgain() throws Exception {
+        await("cache drained", () -> cluster.members.get(0).enterMaintenance(CACHE));
         MemberProcess leader = cluster.awaitLeader(cluster.members);
-        for (MemberProcess lost : cluster.except(leader)) {
-            lost.kill();
-            deleteFolder(lost.dataFolder);
-            lost.start(); // Not initialized again: a new member.
-            // Its state first: the leader's status from before it was seen to be new shows the vote of its old folder.
-            await("it votes again", () -> lost.isDrained(CACHE) && allVote());
+        for (MemberProcess restarted : cluster.except(leader)) {
+            restarted.kill();
+            deleteFolder(restarted.dataFolder);
+            restarted.start(); // Without a new initialization it joins as a new member.
+            // Its state is checked first: until the leader detects the lost folder, its status still lists the member as a
+            // voter.
+            await("restarted member votes again", () -> restarted.isDrained(CACHE) && allMembersVote());
         }
         awaitOutOfRotation(cluster.members, 1);
         leader.kill();
         cluster.awaitLeader(cluster.except(leader));
-        await("back", () -> cluster.except(leader).get(0).exitMaintenance(CACHE));
+        await("cache reinstated", () -> cluster.except(leader).get(0).exitMaintenance(CACHE));
     }
 
-    private boolean allVote() {
+    private boolean allMembersVote() {
         JsonObject status = cluster.confirmedStatus(cluster.members);
         return status != null
                 && status.getJsonArray("members").stream()
@@ -37,53 +38,53 @@
     }
 
     @Test
-    void aMemberBackWithAnOldFolderIsNoticedAndCountsNoMore() throws Exception {
-        // So also the old folder knows it as out: that it is known there proves nothing.
-        await("out before", () -> cluster.members.get(0).enterMaintenance(CACHE));
+    void aMemberRestoredFromAnOldFolderIsDetectedAndNotCounted() throws Exception {
+        // The old folder also contains this drain, so that knowing the drain does not show a current state.
+        await("cache drained before the copy", () -> cluster.members.get(0).enterMaintenance(CACHE));
         MemberProcess leader;
         MemberProcess candidate;
-        do { // Only the leader to whom it had said more notices.
+        do { // Only the leader that received the acknowledgements detects the loss.
             leader = cluster.awaitLeader(cluster.members);
             candidate = cluster.except(leader).get(0);
-        } while (!losesLogUnder(leader, candidate));
+        } while (!detectsLostLog(leader, candidate));
         MemberProcess restored = candidate;
         MemberProcess third = cluster.except(leader, restored).get(0);
         third.kill();
-        assertFalse(leader.exitMaintenance(CACHE), "what has forgotten makes no majority");
+        assertFalse(leader.exitMaintenance(CACHE), "a member that lost entries must not count for a majority");
         third.start();
-        await("the others commit without it", () -> third.enterMaintenance(CACHE));
+        await("the other two members commit", () -> third.enterMaintenance(CACHE));
         restored.kill();
         deleteFolder(restored.dataFolder);
         restored.start();
         await(
-                "emptied, it learns anew and votes",
+                "member with an empty folder has copied the log and votes",
                 () -> restored.isDrained(CACHE) && cluster.isListed(cluster.members, restored, true));
     }
 
     /**
-     * Has a follower say that it saved entries, and gives it a folder from before them. False if another member has come
-     * to lead meanwhile, who can't know.
+     * Lets a follower acknowledge saved entries, then restores its folder from before them. Returns whether the leader
+     * detects the loss; false if another member leads by then, which can't detect it.
      */
-    private boolean losesLogUnder(MemberProcess leader, MemberProcess follower) throws Exception {
+    private boolean detectsLostLog(MemberProcess leader, MemberProcess follower) throws Exception {
         long term = leader.status().getLong("term");
         MemberProcess third = cluster.except(leader, follower).get(0);
         follower.kill();
-        Path copy = folder.resolve("copy-" + term);
-        copyFolder(follower.dataFolder, copy);
+        Path oldFolder = folder.resolve("copy-" + term);
+        copyFolder(follower.dataFolder, oldFolder);
         follower.start();
-        await("new entries", () -> third.exitMaintenance(CACHE) && third.enterMaintenance(CACHE));
-        // A follower applies what is committed before its own disk has it: only the leader knows what it said it had
-        // saved.
+        await("new entries committed", () -> third.exitMaintenance(CACHE) && third.enterMaintenance(CACHE));
+        // A follower applies committed entries before they are on its disk, so only the leader's status shows which
+        // entries it has acknowledged.
         await(
-                "the follower has said that it saved them, unless another leads by now",
+                "the follower has acknowledged the entries, or another member leads",
                 () -> leads(leader, term, status -> lag(status, follower) == 0) || ledByAnother(leader, term));
         follower.kill();
         deleteFolder(follower.dataFolder);
-        copyFolder(copy, follower.dataFolder);
+        copyFolder(oldFolder, follower.dataFolder);
         follower.start();
-        String notice = "cluster.member_regressed name=" + follower.name;
-        await("noticed, unless another leads by now", () -> cluster.logged(notice) || ledByAnother(leader, term));
-        return cluster.logged(notice);
+        String lossEvent = "cluster.member_regressed name=" + follower.name;
+        await("the loss is detected, or another member leads", () -> cluster.logged(lossEvent) || ledByAnother(leader, term));
+        return cluster.logged(lossEvent);
     }
 
     private static boolean leads(MemberProcess member, long term, Predicate<JsonObject> condition) {
@@ -100,7 +101,7 @@
                 && (status.getLong("term") != term || !status.getString("role").equals("leader"));
     }
 
-    /** How many entries a member lacks of the leader's, by what it has said it saved. */
+    /** Returns the number of the leader's entries that a member has not acknowledged as saved. */
     private static long lag(JsonObject leaderStatus, MemberProcess member) {
         return leaderStatus.getJsonArray("members").stream()
                 .map(JsonObject.class::cast)
@@ -111,7 +112,7 @@
     }
 
     @Test
-    void twoMembersAreReplacedDuringARollingRestart() throws Exception {
+    void replacesTwoMembersDuringARollingRestart() throws Exception {
         MemberProcess kept = cluster.members.get(0);
         MemberProcess firstReplaced = cluster.members.get(1);
         MemberProcess secondReplaced = cluster.members.get(2);
@@ -119,9 +120,9 @@
         MemberProcess firstNew = added.get(0);
         MemberProcess secondNew = added.get(1);
         List<MemberProcess> finalMembers = List.of(kept, firstNew, secondNew);
-        await("out", () -> kept.enterMaintenance(CACHE));
+        await("cache drained", () -> kept.enterMaintenance(CACHE));
         try (RandomOperators operators =
-                new RandomOperators(cluster, 5, OTHER_CACHE)) { // It is queued all the while, or is cancelled.
+                new RandomOperators(cluster, 5, OTHER_CACHE)) { // Its requests are queued or cancelled.
             firstNew.start();
             secondNew.start();
             terminate(kept);
@@ -141,28 +142,28 @@
             firstNew.start();
         }
         awaitReplaced(finalMembers);
-        assertBearsLossOfLeader(finalMembers);
+        assertSurvivesLossOfLeader(finalMembers);
     }
 
     private void awaitReplaced(List<MemberProcess> finalMembers) throws Exception {
         cluster.awaitLeader(finalMembers);
         await(
-                "they know of themselves alone",
-                () -> finalMembers.stream().allMatch(member -> listsJust(member, finalMembers)));
-        await("what was committed is kept", () -> finalMembers.stream().allMatch(member -> member.isDrained(CACHE)));
+                "the members list only themselves",
+                () -> finalMembers.stream().allMatch(member -> listsExactly(member, finalMembers)));
+        await("the members keep the committed drain", () -> finalMembers.stream().allMatch(member -> member.isDrained(CACHE)));
         cluster.awaitLeaseHolder("maintenance", finalMembers);
     }
 
-    private void assertBearsLossOfLeader(List<MemberProcess> finalMembers) throws Exception {
+    private void assertSurvivesLossOfLeader(List<MemberProcess> finalMembers) throws Exception {
         MemberProcess leader = cluster.awaitLeader(finalMembers);
         leader.kill();
         await(
-                "the new ones bear a loss",
+                "the remaining members commit without the leader",
                 () -> finalMembers.stream().anyMatch(member -> member != leader && member.exitMaintenance(CACHE)));
     }
 
-    /** Whether a member lists these, all as voters, and nobody else. */
-    private static boolean listsJust(MemberProcess member, List<MemberProcess> expected) {
+    /** Returns whether a member lists exactly these members, all as voters. */
+    private static boolean listsExactly(MemberProcess member, List<MemberProcess> expected) {
         JsonObject status = member.status();
         return status != null
                 && status.getJsonArray("members").stream()
@@ -172,21 +173,21 @@
                 && status.getJsonArray("members").size() == expected.size();
     }
 
-    private void addMember(MemberProcess member, List<MemberProcess> by) throws Exception {
+    private void addMember(MemberProcess member, List<MemberProcess> contacts) throws Exception {
         JsonObject request = new JsonObject()
                 .put("name", member.name)
                 .put("address", ClusterProcesses.HOST + ":" + member.clusterPort);
         await(member.name + " votes", () -> {
-            if (!cluster.isListed(by, member, false)) {
-                cluster.postToLeader(by, "/cluster/add", request);
+            if (!cluster.isListed(contacts, member, false)) {
+                cluster.postToLeader(contacts, "/cluster/add", request);
             }
-            return cluster.isListed(by, member, true);
+            return cluster.isListed(contacts, member, true);
         });
     }
 
-    private void removeMember(MemberProcess member, List<MemberProcess> by) throws Exception {
-        await(member.name + " is a member no more", () -> {
-            JsonObject status = cluster.confirmedStatus(by);
+    private void removeMember(MemberProcess member, List<MemberProcess> contacts) throws Exception {
+        await(member.name + " removed", () -> {
+            JsonObject status = cluster.confirmedStatus(contacts);
             if (status == null) {
                 return false;
             }
@@ -194,7 +195,7 @@
                     .map(JsonObject.class::cast)
                     .anyMatch(other -> other.getString("name").equals(member.name));
             if (listed) {
-                cluster.postToLeader(by, "/cluster/remove", new JsonObject().put("name", member.name));
+                cluster.postToLeader(contacts, "/cluster/remove", new JsonObject().put("name", member.name));
             }
             return !listed;
         });
--- a/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
+++ b/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
@@ -24,8 +24,8 @@
 import pewtercourse.emulator.Emulation;
 
 /**
- * Pins what operators call at a director's address: paths and methods, the statuses of the answers, the keys of their JSON
- * and the names of the metrics. Directors are processes of the program, so that nothing but the interface is used.
+ * Compares the operators' HTTP interface with golden files: paths and methods, response statuses, JSON keys and metric
+ * names. Directors run as processes of the program, so that the test uses only their external interface.
  */
 class OperatorInterfaceCompatibilityTest {
     private static final List<String> PATHS = List.of(
@@ -55,11 +55,11 @@
             "/sites/release",
             "/sites/unknown",
             "/unknown");
-    private static final Set<String> CHANGING =
+    private static final Set<String> STATE_CHANGING_PATHS =
             Set.of("/standby", "/active", "/reload", "/cluster/transfer", "/cluster/remove");
     private static final String CACHE = "s-00000001";
-    private static final String NEIGHBOUR = "s-00000002";
-    private static final int BODY_LIMIT = 4_096;
+    private static final String OTHER_CACHE = "s-00000002";
+    private static final int MAX_BODY_BYTES = 4_096;
 
     @TempDir
     Path folder;
@@ -77,14 +77,14 @@
         cluster.close();
     }
 
-    /** A director without a cluster: one that was given no member's file. */
-    private MemberProcess startAlone() throws Exception {
+    /** Starts a director without a cluster configuration. */
+    private MemberProcess startStandalone() throws Exception {
         cluster = new ClusterProcesses("interfaces-alone", folder, 1, ClusterProcesses.settings(new JsonObject()));
-        MemberProcess alone = cluster.members.get(0);
+        MemberProcess standalone = cluster.members.get(0);
         cluster.environment.put("GW_CLUSTER", "");
-        alone.start();
-        await("it serves", () -> serves(alone));
-        return alone;
+        standalone.start();
+        await("director serves", () -> serves(standalone));
+        return standalone;
     }
 
     private static boolean serves(MemberProcess member) {
@@ -96,48 +96,48 @@
     }
 
     @Test
-    void pathsAndMetricsOfADirectorAlone() throws Exception {
-        MemberProcess alone = startAlone();
-        recordMetrics("alone", alone);
-        recordMethods(alone);
+    void pathsAndMetricsOfADirectorWithoutACluster() throws Exception {
+        MemberProcess standalone = startStandalone();
+        recordMetrics("alone", standalone);
+        recordMethods(standalone);
         for (String body :
                 List.of("", "x", "[]", "{}", "{\"target\":1}", "{\"target\":\"\"}", "{\"target\":\"s-9\"}")) {
-            record(alone, "POST", "/maintenance/enter", body);
-            record(alone, "POST", "/maintenance/exit", body);
+            record(standalone, "POST", "/maintenance/enter", body);
+            record(standalone, "POST", "/maintenance/exit", body);
         }
         String target = new JsonObject().put("target", CACHE).encode();
         for (String path : List.of("/maintenance/enter", "/maintenance/enter", "/maintenance/exit")) {
-            record(alone, "POST", path, target);
+            record(standalone, "POST", path, target);
         }
-        record(alone, "POST", "/standby", "x".repeat(BODY_LIMIT));
-        record(alone, "POST", "/active", "x".repeat(BODY_LIMIT + 1));
-        record(alone, "POST", "/active", "");
-        record(alone, "POST", "/reload", "");
-        Path file = folder.resolve("config-" + alone.name + ".json");
+        record(standalone, "POST", "/standby", "x".repeat(MAX_BODY_BYTES));
+        record(standalone, "POST", "/active", "x".repeat(MAX_BODY_BYTES + 1));
+        record(standalone, "POST", "/active", "");
+        record(standalone, "POST", "/reload", "");
+        Path file = folder.resolve("config-" + standalone.name + ".json");
         Files.writeString(file, ExampleConfig.json().put("feed", "nowhere").encode());
-        record(alone, "POST", "/reload", "");
-        report.append("nonsense: ").append(send(alone, "nonsense\r\n\r\n").replace("\r\n", "|"));
-        assertRecorded("operators-alone.txt", report.toString());
+        record(standalone, "POST", "/reload", "");
+        report.append("nonsense: ").append(send(standalone, "nonsense\r\n\r\n").replace("\r\n", "|"));
+        assertRecorded("operators-standalone.txt", report.toString());
     }
 
     @Test
-    void pathsKeysAndMetricsOfAMember() throws Exception {
+    void pathsKeysAndMetricsOfAClusterMember() throws Exception {
         startCluster();
         MemberProcess leader = cluster.awaitLeader(cluster.members);
         MemberProcess follower = cluster.except(leader).get(0);
         recordMetrics("leader", leader);
         recordMetrics("follower", follower);
         recordMethods(leader);
-        recordRefusedCalls(leader);
-        await("out", () -> leader.enterMaintenance(CACHE));
-        assertEquals(503, status(leader.call("POST /maintenance/enter", target(NEIGHBOUR))));
-        recordShapes();
-        recordAgreed(leader, "/maintenance/enter", target(CACHE));
-        record(leader, "POST", "/maintenance/enter", target(NEIGHBOUR));
-        recordAgreed(leader, "/maintenance/exit", target(NEIGHBOUR));
-        recordAgreed(leader, "/maintenance/exit", target(CACHE));
-        recordAgreed(leader, "/sites/hold", named("s1"));
-        recordAgreed(leader, "/sites/release", named("s1"));
+        recordRejectedCalls(leader);
+        await("cache drained", () -> leader.enterMaintenance(CACHE));
+        assertEquals(503, status(leader.call("POST /maintenance/enter", target(OTHER_CACHE))));
+        recordJsonShapes();
+        recordCommittedCall(leader, "/maintenance/enter", target(CACHE));
+        record(leader, "POST", "/maintenance/enter", target(OTHER_CACHE));
+        recordCommittedCall(leader, "/maintenance/exit", target(OTHER_CACHE));
+        recordCommittedCall(leader, "/maintenance/exit", target(CACHE));
+        recordCommittedCall(leader, "/sites/hold", named("s1"));
+        recordCommittedCall(leader, "/sites/release", named("s1"));
         record(leader, "POST", "/standby", "");
         record(leader, "GET", "/status", "");
         record(leader, "POST", "/active", "");
@@ -170,13 +170,13 @@
                 .toArray(CompletableFuture<?>[]::new);
         CompletableFuture.allOf(initialized).join();
         cluster.start();
-        for (String held : List.of("maintenance", "quota", "sites")) {
-            cluster.awaitLeaseHolder(held, cluster.members);
+        for (String lease : List.of("maintenance", "quota", "sites")) {
+            cluster.awaitLeaseHolder(lease, cluster.members);
         }
-        await("they serve", () -> cluster.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
+        await("all directors serve", () -> cluster.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
         emulation.startClients();
         await(
-                "a plan for what clients ask for",
+                "failover plan for the load of clients",
                 () -> cluster.members.stream().allMatch(member -> {
                     JsonObject site = member.site("s0");
                     return site != null && !site.getJsonArray("takers").isEmpty();
@@ -192,24 +192,24 @@
     }
 
     private JsonObject sites() {
-        JsonArray all = new JsonArray();
+        JsonArray sites = new JsonArray();
         for (MemberProcess member : cluster.members) {
             JsonArray takers = new JsonArray();
             cluster.except(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
-            all.add(new JsonObject()
+            sites.add(new JsonObject()
                     .put("name", "s" + member.number)
                     .put("directors", new JsonArray().add(member.name))
                     .put("capacity", 12)
                     .put("takers", takers));
         }
-        return new JsonObject().put("sites", all);
+        return new JsonObject().put("sites", sites);
     }
 
-    private void recordRefusedCalls(MemberProcess member) throws IOException {
+    private void recordRejectedCalls(MemberProcess member) throws IOException {
         for (String path : PATHS.stream()
                 .filter(path -> path.matches("/(cluster|sites)/.+"))
                 .toList()) {
-            if (!path.equals("/cluster/transfer")) { // Without a body it is a whole call.
+            if (!path.equals("/cluster/transfer")) { // A valid call even without a body.
                 record(member, "POST", path, "");
             }
             record(member, "POST", path, "x");
@@ -231,9 +231,12 @@
         }
     }
 
-    /** A call that a majority has to agree to: called again while that takes longer than a call waits. */
-    private void recordAgreed(MemberProcess member, String path, String body) throws Exception {
-        await(path + " is agreed", () -> {
+    /**
+     * Records a call that a majority has to commit. Repeats it while the commit takes longer than the timeout of a
+     * call.
+     */
+    private void recordCommittedCall(MemberProcess member, String path, String body) throws Exception {
+        await(path + " committed", () -> {
             try {
                 return status(member.call("POST " + path, body)) != 503;
             } catch (IOException e) {
@@ -243,11 +246,11 @@
         record(member, "POST", path, body);
     }
 
-    /** Keys of the answers in JSON, of all members together: what a holder alone knows is null at the others. */
-    private void recordShapes() throws Exception {
+    /** Keys of the answers in JSON, of all members together: what a holder standalone knows is null at the others. */
+    private void recordJsonShapes() throws Exception {
         List<JsonObject> statuses = new ArrayList<>();
         List<JsonObject> sites = new ArrayList<>();
-        await("statuses with a leader, holders and a plan", () -> {
+        await("statuses with a leader, lease holders and a plan", () -> {
             statuses.clear();
             sites.clear();
             try {
@@ -258,10 +261,10 @@
             } catch (IOException e) {
                 return false;
             }
-            String all = statuses + " " + sites;
-            return all.contains("\"confirmed\":true")
-                    && all.contains("\"most\":")
-                    && all.matches("(?s).*left_ms\":\\d.*");
+            String allStatuses = statuses + " " + sites;
+            return allStatuses.contains("\"confirmed\":true")
+                    && allStatuses.contains("\"most\":")
+                    && allStatuses.matches("(?s).*left_ms\":\\d.*");
         });
         report.append("GET /cluster/status\n").append(GoldenText.shape(Set.of("out"), statuses));
         report.append("GET /sites/status\n").append(GoldenText.shape(Set.of(), sites));
@@ -271,9 +274,9 @@
         return new JsonObject(answer.substring(answer.indexOf("\r\n\r\n") + 4));
     }
 
-    private void recordMetrics(String whose, MemberProcess member) throws IOException {
+    private void recordMetrics(String label, MemberProcess member) throws IOException {
         String answer = member.call("GET /status/metrics", "");
-        report.append("metrics of ").append(whose).append(": ");
+        report.append("metrics of ").append(label).append(": ");
         report.append(answer.substring(answer.indexOf("\r\n\r\n") + 4)
                 .lines()
                 .map(line -> line.replaceFirst("=\\d+$", "=N"))
@@ -281,11 +284,11 @@
         report.append('\n');
     }
 
-    /** Each path with each method, but for calls that would change something. */
+    /** Records each path with each method, except calls that would change the state. */
     private void recordMethods(MemberProcess member) throws IOException {
         for (String path : PATHS) {
             for (String method : List.of("GET", "POST", "PUT", "DELETE", "HEAD")) {
-                if (!method.equals("POST") || !CHANGING.contains(path)) {
+                if (!method.equals("POST") || !STATE_CHANGING_PATHS.contains(path)) {
                     record(member, method, path, "");
                 }
             }
@@ -295,23 +298,23 @@
     private void record(MemberProcess member, String method, String path, String body) throws IOException {
         String answer = member.call(method + " " + path, body);
         int status = status(answer);
-        int head = answer.indexOf("\r\n\r\n");
-        String text = answer.substring(head + 4).strip();
+        int headLength = answer.indexOf("\r\n\r\n");
+        String text = answer.substring(headLength + 4).strip();
         report.append(method).append(' ').append(path).append(' ');
         report.append(body.length() > 99 ? body.length() + " bytes" : body)
                 .append(" -> ")
                 .append(status);
-        for (String line : answer.substring(0, head).split("\r\n")) {
+        for (String line : answer.substring(0, headLength).split("\r\n")) {
             if (line.toLowerCase().matches("(allow|content-type|connection): .*")) {
                 report.append(' ').append(line);
             }
         }
-        // Reasons are sentences for people, the others are read by scripts.
-        boolean sentence = status == 409 || status == 422 || status == 503 && !path.equals("/status");
-        boolean values =
+        // Reasons are text for people and may change; scripts read the other bodies.
+        boolean isReason = status == 409 || status == 422 || status == 503 && !path.equals("/status");
+        boolean hasVaryingValues =
                 status == 200 && (path.endsWith("/status") && text.startsWith("{") || path.endsWith("/metrics"));
         report.append(" [")
-                .append(sentence ? "a reason" : values ? "values" : text)
+                .append(isReason ? "a reason" : hasVaryingValues ? "values" : text)
                 .append("]\n");
     }
 
--- a/src/test/java/pewtercourse/cluster/RandomFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/RandomFaultTest.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Directors as processes, under faults drawn by a seed, while operators drain and reinstate caches at any of them. More
- * seeds than here: {@code mvn -Dtest=RandomFaultTest -Dfault.first=100 -Dfault.seeds=50 test}.
+ * Injects faults drawn by a seed into directors that run as processes, while operators drain and reinstate caches. To
+ * run more seeds: {@code mvn -Dtest=RandomFaultTest -Dfault.first=100 -Dfault.seeds=50 test}.
  */
 class RandomFaultTest {
-    private static final int FAULTS = 6;
+    private static final int FAULTS_PER_SEED = 6;
     private static final String[] CACHES = {"s-00000001", "s-00000002"};
     private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject()
             .put("maintenance", new JsonObject().put("most", 1).put("out_most_ms", 600_000))
             .put("quota", new JsonObject().put("reserve", 0.5).put("loan_ms", 500)));
 
-    /** What is done to one or two members. */
+    /** Faults that are injected into one or more members. */
     private enum Fault {
         KILL,
         STOP,
@@ -45,8 +45,8 @@
         }
     }
 
-    /** Each is drawn as often as it stands here; the order belongs to what a seed means. */
-    private static final List<Fault> DRAWN = List.of(
+    /** Faults to draw from, repeated by weight. The order determines which faults a seed draws. */
+    private static final List<Fault> WEIGHTED_FAULT_LIST = List.of(
             Fault.KILL,
             Fault.KILL,
             Fault.STOP,
@@ -63,7 +63,7 @@
 
     private ClusterProcesses cluster;
     private Random random;
-    private final List<String> script = new ArrayList<>();
+    private final List<String> injectedFaults = new ArrayList<>();
 
     static LongStream seeds() {
         long first = Long.getLong("fault.first", 1);
@@ -72,7 +72,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whatWasAcceptedHoldsThroughAnyFaultsAndAllRecover(long seed) throws Exception {
+    void keepsAcceptedDrainsAndRecoversAfterRandomFaults(long seed) throws Exception {
         random = new Random(seed);
         cluster = new ClusterProcesses("random-" + seed, folder, 3, SETTINGS);
         try {
@@ -80,15 +80,15 @@
             cluster.start();
             cluster.awaitLeader(cluster.members);
             RandomOperators operators = new RandomOperators(cluster, seed, CACHES);
-            for (int i = 0; i < FAULTS; i++) {
+            for (int i = 0; i < FAULTS_PER_SEED; i++) {
                 injectFaultAndRecover();
             }
-            assertEquals(List.of(), operators.end(), "seed " + seed + ": " + script);
-            assertTrue(operators.comparisons() > 0, "seed " + seed + ": no answer was ever compared");
+            assertEquals(List.of(), operators.end(), "seed " + seed + ": " + injectedFaults);
+            assertTrue(operators.comparisons() > 0, "seed " + seed + ": no status was compared");
             awaitRecovery();
             awaitDrains(operators.expectedDrains());
         } catch (AssertionError e) {
-            throw new AssertionError("seed " + seed + ", " + script + ": " + e.getMessage(), e);
+            throw new AssertionError("seed " + seed + ", " + injectedFaults + ": " + e.getMessage(), e);
         } finally {
             cluster.close();
         }
@@ -96,7 +96,7 @@
     }
 
     private void awaitDrains(Map<String, Boolean> expected) throws InterruptedException {
-        await("all go by what was accepted: " + expected + " after " + script, () -> {
+        await("all members apply the accepted drains: " + expected + " after " + injectedFaults, () -> {
             JsonObject status = cluster.confirmedStatus(cluster.members);
             return status != null
                     && expected.entrySet().stream()
@@ -105,12 +105,12 @@
         });
     }
 
-    // One or two members are hurt, and are well again before the next fault.
+    // All members recover before the next fault.
     private void injectFaultAndRecover() throws Exception {
         List<MemberProcess> order = new ArrayList<>(cluster.members);
         Collections.shuffle(order, random);
-        Fault fault = DRAWN.get(random.nextInt(DRAWN.size()));
-        script.add(fault + " " + order.get(0).name + order.get(1).name);
+        Fault fault = WEIGHTED_FAULT_LIST.get(random.nextInt(WEIGHTED_FAULT_LIST.size()));
+        injectedFaults.add(fault + " " + order.get(0).name + order.get(1).name);
         inject(fault, order);
         if (fault.leavesMajority()) {
             List<MemberProcess> majority = fault == Fault.SLOW_LINKS ? cluster.members : cluster.except(order.get(0));
@@ -144,8 +144,8 @@
                 order.get(1).kill();
             }
             case KILL_ALL -> {
-                for (MemberProcess each : order) {
-                    each.kill();
+                for (MemberProcess killed : order) {
+                    killed.kill();
                 }
             }
         }
@@ -158,18 +158,18 @@
     }
 
     private static void assertServesWithoutMajority(MemberProcess survivor) throws Exception {
-        await("the one that is left has no majority", () -> {
+        await("the remaining member knows no leader", () -> {
             JsonObject status = survivor.status();
             return status != null && status.getValue("leader") == null;
         });
-        assertTrue(survivor.isServing(), "and serves on");
+        assertTrue(survivor.isServing(), "the director must serve without a majority");
     }
 
     private void awaitRecovery() throws InterruptedException {
         cluster.awaitLeader(cluster.members);
         cluster.awaitLeaseHolder("maintenance", cluster.members);
         cluster.awaitLeaseHolder("quota", cluster.members);
-        await("all know what is committed", () -> {
+        await("all members know one leader and at most one drain", () -> {
             Set<String> leaders = new TreeSet<>();
             for (MemberProcess member : cluster.members) {
                 JsonObject status = member.status();
--- a/src/test/java/pewtercourse/cluster/RandomOperators.java
+++ b/src/test/java/pewtercourse/cluster/RandomOperators.java
@@ -13,36 +13,38 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Operators that drain caches and reinstate them while parts fail, one call after the other for each cache. What was
- * accepted must be what a confirmed leader then says, until something else is asked for; after a rejection, or no answer,
- * either may be.
+ * Simulates operators that drain and reinstate caches during faults, with one call at a time for each cache. After an
+ * accepted call a confirmed leader must report the requested state until the next call; after a rejected call, or one
+ * without a response, either state is possible.
  */
 final class RandomOperators implements AutoCloseable {
-    /** What an operator knows of one cache. Written by its thread, read by others once that has ended. */
-    private static final class KnownState {
+    /**
+     * The state that an operator expects of a cache. Written by its thread, read by others after the thread has ended.
+     */
+    private static final class ExpectedState {
         private Optional<Boolean> drained = Optional.empty();
 
-        void asked() {
+        void onCallSent() {
             drained = Optional.empty();
         }
 
-        void answered(boolean accepted, boolean wantedDrained) {
-            drained = accepted ? Optional.of(wantedDrained) : Optional.empty();
+        void onCallCompleted(boolean accepted, boolean requestedDrain) {
+            drained = accepted ? Optional.of(requestedDrain) : Optional.empty();
         }
     }
 
     private final ClusterProcesses cluster;
     private final List<Thread> operators = new ArrayList<>();
-    private final Map<String, KnownState> knownByCache = new TreeMap<>();
+    private final Map<String, ExpectedState> expectedByCache = new TreeMap<>();
     private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
     private volatile boolean ended;
     private volatile int comparisons;
 
-    /** One operator for each of the caches. */
+    /** Starts one operator for each cache. */
     RandomOperators(ClusterProcesses cluster, long seed, String... caches) {
         this.cluster = cluster;
         for (String cache : caches) {
-            knownByCache.put(cache, new KnownState());
+            expectedByCache.put(cache, new ExpectedState());
         }
         for (String cache : caches) {
             Random random = new Random(seed * 31 + cache.hashCode());
@@ -54,7 +56,7 @@
     }
 
     private void operate(Random random, String cache) {
-        KnownState known = knownByCache.get(cache);
+        ExpectedState expected = expectedByCache.get(cache);
         while (!ended) {
             List<MemberProcess> running =
                     cluster.members.stream().filter(MemberProcess::isRunning).toList();
@@ -63,27 +65,27 @@
             }
             MemberProcess member = running.get(random.nextInt(running.size()));
             boolean drain = random.nextBoolean();
-            known.asked();
+            expected.onCallSent();
             boolean accepted = drain ? member.enterMaintenance(cache) : member.exitMaintenance(cache);
-            known.answered(accepted, drain);
-            compare(cache, known, member);
+            expected.onCallCompleted(accepted, drain);
+            compare(cache, expected, member);
         }
     }
 
-    private void compare(String cache, KnownState known, MemberProcess acceptedBy) {
-        JsonObject status = known.drained.isEmpty() ? null : cluster.confirmedStatus(cluster.members);
+    private void compare(String cache, ExpectedState expected, MemberProcess acceptedBy) {
+        JsonObject status = expected.drained.isEmpty() ? null : cluster.confirmedStatus(cluster.members);
         if (status == null) {
             return;
         }
         comparisons++;
-        boolean expected = known.drained.get();
+        boolean expectedDrained = expected.drained.get();
         Set<String> drained = new TreeSet<>(status.getJsonObject("out").fieldNames());
         if (drained.size() > 1) {
-            violations.add("more are out than the maintenance budget allows: " + status);
+            violations.add("more caches are drained than the maintenance budget allows: " + status);
         }
-        if (drained.contains(cache) != expected) {
-            violations.add(cache + " is " + (expected ? "in, and " : "out, and ") + acceptedBy.name
-                    + " had accepted the contrary: " + status);
+        if (drained.contains(cache) != expectedDrained) {
+            violations.add(cache + " is " + (expectedDrained ? "in rotation, but " : "drained, but ") + acceptedBy.name
+                    + " accepted the opposite: " + status);
         }
     }
 
@@ -91,7 +93,7 @@
         return comparisons;
     }
 
-    /** Ends the calls and returns what was wrong, empty if nothing was. */
+    /** Stops the operators and returns the violations that they found. */
     List<String> end() throws InterruptedException {
         ended = true;
         for (Thread operator : operators) {
@@ -100,18 +102,18 @@
         return List.copyOf(violations);
     }
 
-    /** What must be seen everywhere once all faults are over: by cache, whether it is drained; without those that may be either. */
+    /** Returns whether each cache must be drained after recovery; caches whose state is unknown are left out. */
     Map<String, Boolean> expectedDrains() {
         Map<String, Boolean> expected = new TreeMap<>();
-        knownByCache.forEach((cache, known) -> known.drained.ifPresent(drained -> expected.put(cache, drained)));
+        expectedByCache.forEach((cache, state) -> state.drained.ifPresent(drained -> expected.put(cache, drained)));
         return expected;
     }
 
     @Override
     public void close() throws InterruptedException {
-        List<String> found = end();
-        if (!found.isEmpty()) {
-            throw new AssertionError(String.join("\n", found));
+        List<String> foundViolations = end();
+        if (!foundViolations.isEmpty()) {
+            throw new AssertionError(String.join("\n", foundViolations));
         }
     }
 }
--- a/src/test/java/pewtercourse/cluster/Relay.java
+++ b/src/test/java/pewtercourse/cluster/Relay.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One link between two processes: what comes to its port is forwarded to another. It can be cut (nothing is carried and
- * nobody is told, in one direction or both), delayed, reset, or slowed down.
+ * Relays a link between two processes by forwarding the connections of its port destination another port. The link can
+ * be cut (bytes are dropped silently in one or both directions), delayed, slowed down or reset.
  */
 final class Relay {
     private static final int UNLIMITED = Integer.MAX_VALUE;
@@ -39,22 +39,22 @@
         return server.actualPort();
     }
 
-    private void accept(NetSocket from) {
-        sockets.add(from);
-        from.pause();
+    private void accept(NetSocket source) {
+        sockets.add(source);
+        source.pause();
         vertx.createNetClient()
                 .connect(SocketAddress.inetSocketAddress(targetPort, ClusterProcesses.HOST))
                 .onComplete(connected -> {
                     if (connected.failed()) {
-                        sockets.remove(from);
-                        from.close();
+                        sockets.remove(source);
+                        source.close();
                         return;
                     }
-                    NetSocket to = connected.result();
-                    sockets.add(to);
-                    pipe(from, to, false);
-                    pipe(to, from, true);
-                    from.resume();
+                    NetSocket destination = connected.result();
+                    sockets.add(destination);
+                    pipe(source, destination, false);
+                    pipe(destination, source, true);
+                    source.resume();
                 });
     }
 
@@ -62,36 +62,41 @@
         return backward ? backwardCut : forwardCut;
     }
 
-    private void pipe(NetSocket from, NetSocket to, boolean backward) {
-        from.exceptionHandler(e -> {});
-        from.closeHandler(v -> {
-            sockets.remove(from);
+    private void pipe(NetSocket source, NetSocket destination, boolean backward) {
+        source.exceptionHandler(e -> {});
+        source.closeHandler(v -> {
+            sockets.remove(source);
             if (!isCut(backward)) {
-                to.close();
+                destination.close();
             }
         });
-        from.handler(buffer -> {
-            if (!isCut(backward)) { // Else it is lost, and nobody is told.
-                forward(buffer, to);
+        source.handler(buffer -> {
+            if (!isCut(backward)) { // Otherwise the bytes are dropped silently.
+                forward(buffer, destination);
             }
         });
     }
 
-    private void forward(Buffer buffer, NetSocket to) {
+    private void forward(Buffer buffer, NetSocket destination) {
         int pieceLength = bytesPerMs;
         long waitMs = delayMs;
-        for (int from = 0; from < buffer.length(); from = (int) Math.min(buffer.length(), (long) from + pieceLength)) {
-            Buffer piece = buffer.getBuffer(from, (int) Math.min(buffer.length(), (long) from + pieceLength));
+        for (int offset = 0;
+                offset < buffer.length();
+                offset = (int) Math.min(buffer.length(), (long) offset + pieceLength)) {
+            Buffer piece = buffer.getBuffer(offset, (int) Math.min(buffer.length(), (long) offset + pieceLength));
             if (waitMs == 0) {
-                to.write(piece);
+                destination.write(piece);
             } else {
-                vertx.setTimer(waitMs, timer -> to.write(piece));
+                vertx.setTimer(waitMs, timer -> destination.write(piece));
             }
-            waitMs++; // A piece a millisecond.
+            waitMs++; // One piece per millisecond.
         }
     }
 
-    /** Bytes are lost forward, or backward, or both ways; what has been lost breaks the stream once the link is whole again. */
+    /**
+     * Drops bytes in the given directions. Restoring both directions resets the connections, as their streams lack
+     * bytes.
+     */
     void cut(boolean forward, boolean backward) {
         forwardCut = forward;
         backwardCut = backward;
@@ -104,7 +109,7 @@
         delayMs = milliseconds;
     }
 
-    /** So many bytes at a time, one such piece a millisecond. */
+    /** Limits the rate destination one piece of {@code pieceBytes} bytes per millisecond. */
     void slow(int pieceBytes) {
         bytesPerMs = pieceBytes;
     }
@@ -114,7 +119,7 @@
         sockets.clear();
     }
 
-    /** Carries everything at once again. */
+    /** Removes all faults and resets the connections. */
     void heal() {
         delayMs = 0;
         bytesPerMs = UNLIMITED;
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -22,13 +22,14 @@
 import pewtercourse.emulator.Findings;
 
 /**
- * Three sites with a director each, as processes of the program, a relay on each link between them, emulated caches and
- * clients, and sites lost. After each script: one answer to each request, no order twice, no attempt after a drain's
- * cut-off, no cold cache pushed over, and no order of a holder of the sites lease with an older token than the last.
+ * Tests the loss of sites with three sites of one director each. The directors run as processes of the program with a
+ * relay on each link; caches and clients are emulated. After each test: one answer to each request, no order run
+ * twice, no attempt after a drain's cut-off, no cold cache overloaded, and no action of a sites lease holder with an
+ * older token than the last.
  */
 class SiteFaultTest {
     private static final JsonObject SETTINGS = ClusterProcesses.settings(new JsonObject());
-    private static final String LOST = "s0";
+    private static final String TESTED_SITE = "s0";
 
     @TempDir
     Path folder;
@@ -36,7 +37,7 @@
     private ClusterProcesses cluster;
     private Emulation emulation;
     private Path sitesPath;
-    private MemberProcess stoppedHolder;
+    private MemberProcess pausedHolder;
 
     @BeforeEach
     void startSites(TestInfo test) throws Exception {
@@ -58,12 +59,12 @@
         cluster.start();
         cluster.awaitLeader(cluster.members);
         cluster.awaitLeaseHolder("sites", cluster.members);
-        await("they serve", () -> cluster.members.stream().allMatch(SiteFaultTest::isServing));
+        await("all directors serve", () -> cluster.members.stream().allMatch(SiteFaultTest::isServing));
         emulation.startClients();
         await(
-                "a plan for what clients ask for",
+                "failover plan for the load of clients",
                 () -> cluster.members.stream().allMatch(member -> {
-                    JsonObject status = member.site(LOST);
+                    JsonObject status = member.site(TESTED_SITE);
                     return status != null
                             && status.getDouble("load") > 0
                             && !status.getJsonArray("takers").isEmpty();
@@ -79,13 +80,13 @@
     }
 
     private JsonObject sitesFile(boolean withTakers) {
-        JsonArray all = new JsonArray();
+        JsonArray sites = new JsonArray();
         for (MemberProcess member : cluster.members) {
             JsonArray takers = new JsonArray();
             if (withTakers) {
                 cluster.except(member).forEach(other -> takers.add(new JsonObject().put("site", "s" + other.number)));
             }
-            all.add(new JsonObject()
+            sites.add(new JsonObject()
                     .put("name", "s" + member.number)
                     .put("hub", "hub")
                     .put("directors", new JsonArray().add(member.name))
@@ -100,7 +101,7 @@
                 .put("flap_most_ms", 60_000)
                 .put("step_ms", 600)
                 .put("steps", new JsonArray().add(0.3).add(0.6).add(1))
-                .put("sites", all);
+                .put("sites", sites);
     }
 
     private void reloadSites(JsonObject file) throws Exception {
@@ -114,18 +115,18 @@
     void closeSitesAndCheckLog() throws Exception {
         try {
             emulation.endClients();
-            await("all have their answers", () -> emulation.open() == 0);
-            // What a director that stands still has taken it can't answer.
+            await("all requests answered", () -> emulation.open() == 0);
+            // A paused director can't answer the requests that it has accepted.
             assertEquals(
                     List.of(),
                     emulation.findings(Findings::broken).stream()
-                            .filter(broken -> stoppedHolder == null
-                                    || !broken.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
+                            .filter(violation -> pausedHolder == null
+                                    || !violation.contains(" by " + pausedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
-                assertEquals(0, emulation.falls("s" + member.number), "cold caches that fell at s" + member.number);
+                assertEquals(0, emulation.falls("s" + member.number), "overloaded cold caches at s" + member.number);
             }
-            assertTrue(emulation.findings(Findings::runs) > 0, "no order ran");
+            assertTrue(emulation.findings(Findings::runs) > 0, "no order was run");
         } finally {
             emulation.close();
             cluster.close();
@@ -133,12 +134,12 @@
         LeaseActionLog.check(cluster.log);
     }
 
-    private void awaitEverywhere(String what, List<MemberProcess> members, Predicate<JsonObject> condition)
+    private void awaitEverywhere(String description, List<MemberProcess> members, Predicate<JsonObject> condition)
             throws InterruptedException {
         await(
-                what + " at " + ClusterProcesses.names(members),
+                description + " at " + ClusterProcesses.names(members),
                 () -> members.stream().allMatch(member -> {
-                    JsonObject status = member.site(LOST);
+                    JsonObject status = member.site(TESTED_SITE);
                     return status != null && condition.test(status);
                 }));
     }
@@ -156,37 +157,37 @@
         return emulation.findings(f -> f.of(site).inTime);
     }
 
-    // Some more of a site's requests are answered in time.
+    // Waits until more than 15 further requests of the site's clients are answered in time.
     private void awaitServed(String site) throws InterruptedException {
-        int before = answeredInTime(site);
-        await(site + "'s clients are served", () -> answeredInTime(site) > before + 15);
+        int answeredBefore = answeredInTime(site);
+        await(site + "'s clients are served", () -> answeredInTime(site) > answeredBefore + 15);
     }
 
     @Test
-    void aSiteThatLostItsCachesIsServedByOthersAndRecoversByItself() throws Exception {
-        awaitServed(LOST);
-        int own = emulation.findings(f -> f.attempts(LOST));
-        assertTrue(own > 0);
-        emulation.lose(LOST);
+    void aSiteWithoutCachesIsServedByOthersAndRecoversAutomatically() throws Exception {
+        awaitServed(TESTED_SITE);
+        int ownAttempts = emulation.findings(f -> f.attempts(TESTED_SITE));
+        assertTrue(ownAttempts > 0);
+        emulation.lose(TESTED_SITE);
         awaitPhase("lost", cluster.members);
         awaitEverywhere(
-                "its directors live",
+                "only the caches of the site fail",
                 cluster.members,
                 status -> status.getString("health").equals("caches"));
-        emulation.list(LOST, "Gone");
-        awaitServed(LOST);
-        emulation.revive(LOST);
+        emulation.list(TESTED_SITE, "Gone");
+        awaitServed(TESTED_SITE);
+        emulation.revive(TESTED_SITE);
         awaitPhase("whole", cluster.members);
-        int before = emulation.findings(f -> f.attempts(LOST));
-        awaitServed(LOST);
-        assertTrue(emulation.findings(f -> f.attempts(LOST)) > before, "by its own caches again");
-        assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "step by step");
+        int attemptsBefore = emulation.findings(f -> f.attempts(TESTED_SITE));
+        awaitServed(TESTED_SITE);
+        assertTrue(emulation.findings(f -> f.attempts(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
+        assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "recovery must go step by step");
     }
 
     @Test
-    void aSiteLostWithTheHolderOfTheSitesLeaseIsServedByOthers() throws Exception {
+    void aSiteLostTogetherWithTheSitesLeaseHolderIsServedByOthers() throws Exception {
         MemberProcess firstMember = cluster.members.get(0);
-        await("the holder of the sites lease stands in it", () -> {
+        await("the site's director holds the sites lease", () -> {
             MemberProcess candidate = cluster.leaseHolder("sites", cluster.members);
             if (candidate != null && candidate != firstMember) {
                 try {
@@ -199,155 +200,155 @@
             return cluster.leaseHolder("sites", List.of(firstMember)) != null;
         });
         firstMember.kill();
-        emulation.lose(LOST);
-        List<MemberProcess> rest = cluster.except(firstMember);
-        emulation.list(LOST, "Gone");
-        awaitPhase("lost", rest);
+        emulation.lose(TESTED_SITE);
+        List<MemberProcess> remaining = cluster.except(firstMember);
+        emulation.list(TESTED_SITE, "Gone");
+        awaitPhase("lost", remaining);
         awaitEverywhere(
-                "with its directors", rest, status -> status.getString("health").equals("all"));
-        awaitServed(LOST); // Its clients go to other directors.
+                "caches and directors of the site fail", remaining, status -> status.getString("health").equals("all"));
+        awaitServed(TESTED_SITE); // Its clients use other directors.
         firstMember.start();
-        emulation.revive(LOST);
+        emulation.revive(TESTED_SITE);
         awaitPhase("whole", cluster.members);
-        awaitServed(LOST);
+        awaitServed(TESTED_SITE);
     }
 
     @Test
-    void aHolderStoppedDuringRecoveryIsFollowedByOneThatGoesOnFromTheCommittedStep() throws Exception {
-        emulation.lose(LOST);
+    void aNewLeaseHolderContinuesRecoveryFromTheCommittedStep() throws Exception {
+        emulation.lose(TESTED_SITE);
         awaitPhase("lost", cluster.members);
-        emulation.list(LOST, "Gone");
-        emulation.revive(LOST);
+        emulation.list(TESTED_SITE, "Gone");
+        emulation.revive(TESTED_SITE);
         awaitPhase("returning", cluster.members);
         MemberProcess holder = cluster.awaitLeaseHolder("sites", cluster.members);
-        stoppedHolder = holder;
+        pausedHolder = holder;
         holder.signal("STOP");
-        List<MemberProcess> rest = cluster.except(holder);
-        cluster.awaitLeaseHolder("sites", rest);
-        awaitPhase("whole", rest);
+        List<MemberProcess> remaining = cluster.except(holder);
+        cluster.awaitLeaseHolder("sites", remaining);
+        awaitPhase("whole", remaining);
         holder.signal("CONT");
         awaitPhase("whole", cluster.members);
-        long lost = cluster.log.stream()
+        long loggedLosses = cluster.log.stream()
                 .filter(line -> line.contains("site.status site=s0 phase=LOST"))
                 .count();
-        assertTrue(lost <= 3, "told once by each: " + lost);
+        assertTrue(loggedLosses <= 3, "each member must log the loss once: " + loggedLosses);
     }
 
     @Test
-    void aDirectorThatIsCutOffDeclaresNoLossAndServesOn() throws Exception {
+    void aPartitionedDirectorDeclaresNoSiteLostAndKeepsServing() throws Exception {
         MemberProcess firstMember = cluster.members.get(0);
         cluster.partition(firstMember, false, false);
-        List<MemberProcess> rest = cluster.except(firstMember);
-        cluster.awaitLeaseHolder("sites", rest);
+        List<MemberProcess> remaining = cluster.except(firstMember);
+        cluster.awaitLeaseHolder("sites", remaining);
         awaitEverywhere(
-                "its director is silent, its caches are not known to fail",
-                rest,
+                "site impaired because its director is silent",
+                remaining,
                 status -> status.getString("phase").equals("impaired")
                         && status.getString("health").equals("directors"));
-        awaitServed(LOST);
+        awaitServed(TESTED_SITE);
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
-        // What is lost while it is cut off it hears of later.
+        // The partitioned director learns of this loss once its links are restored.
         emulation.lose("s1");
-        await("declared", () -> rest.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
+        await("loss of s1 declared", () -> remaining.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         cluster.healLinks();
-        await("heard", () -> isInPhase(firstMember, "s1", "lost"));
+        await("loss of s1 known to the director that was partitioned", () -> isInPhase(firstMember, "s1", "lost"));
         emulation.revive("s1");
         await(
-                "whole",
+                "both sites whole",
                 () -> cluster.members.stream()
-                        .allMatch(member -> isInPhase(member, "s1", "whole") && isInPhase(member, LOST, "whole")));
+                        .allMatch(member -> isInPhase(member, "s1", "whole") && isInPhase(member, TESTED_SITE, "whole")));
     }
 
     @Test
-    void aRecoveryThatRelapsesWaitsLongerEachTime() throws Exception {
-        emulation.lose(LOST);
+    void aSiteLostAgainDuringRecoveryCountsAFlapAndIsServedByOthers() throws Exception {
+        emulation.lose(TESTED_SITE);
         awaitPhase("lost", cluster.members);
         for (int flaps = 1; flaps <= 2; flaps++) {
-            emulation.revive(LOST);
+            emulation.revive(TESTED_SITE);
             awaitPhase("returning", cluster.members);
-            emulation.lose(LOST);
-            int least = flaps;
+            emulation.lose(TESTED_SITE);
+            int minFlaps = flaps;
             awaitEverywhere(
-                    "lost again",
+                    "lost again with " + minFlaps + " flaps",
                     cluster.members,
-                    status -> status.getString("phase").equals("lost") && status.getInteger("flaps") >= least);
-            awaitServed(LOST);
+                    status -> status.getString("phase").equals("lost") && status.getInteger("flaps") >= minFlaps);
+            awaitServed(TESTED_SITE);
         }
-        emulation.revive(LOST);
+        emulation.revive(TESTED_SITE);
         awaitPhase("whole", cluster.members);
     }
 
     @Test
-    void oneEmptyListOrSlowAnswersAreNoLossAndALostTakerIsReplaced() throws Exception {
-        emulation.list(LOST, "Gone", "s1"); // Only its director hears so.
+    void anEmptyListOrSlowAnswersDeclareNoLossAndALostTakerIsReplaced() throws Exception {
+        emulation.list(TESTED_SITE, "Gone", "s1"); // Only the director of s1 receives this list.
         emulation.slow("s2", 12);
         await(
-                "seen as slow or well, not as lost",
+                "s2 reported as slow",
                 () -> cluster.members.get(1).site("s2").getString("health").equals("slow"));
         emulation.slow("s2", 1);
         assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
-        emulation.list(LOST, "Ready", "s1");
-        emulation.lose(LOST);
+        emulation.list(TESTED_SITE, "Ready", "s1");
+        emulation.lose(TESTED_SITE);
         awaitPhase("lost", cluster.members);
-        awaitServed(LOST);
+        awaitServed(TESTED_SITE);
         emulation.lose("s1");
-        await("both are lost", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
+        await("s1 lost", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         awaitEverywhere(
-                "planned anew",
+                "s2 is the only taker in the new plan",
                 cluster.members,
                 status -> status.getJsonArray("takers").size() == 1
                         && status.getJsonArray("takers")
                                 .getJsonObject(0)
                                 .getString("site")
                                 .equals("s2"));
-        awaitServed(LOST);
+        awaitServed(TESTED_SITE);
         awaitServed("s2");
-        emulation.revive(LOST);
+        emulation.revive(TESTED_SITE);
         emulation.revive("s1");
         awaitPhase("whole", cluster.members);
-        await("whole", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "whole")));
+        await("s1 whole", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "whole")));
     }
 
     @Test
-    void aSitesFileReplacedDuringALossCountsCompletelyOrNotAtAllAndOperatorsDrillHoldAndRelease() throws Exception {
-        MemberProcess any = cluster.members.get(1);
-        String admin = any.adminAddress();
+    void appliesASitesFileCompletelyOrNotAtAllDuringALossAndObeysOperatorCommands() throws Exception {
+        MemberProcess contact = cluster.members.get(1);
+        String admin = contact.adminAddress();
         assertEquals(0, cluster.runCommand("sites", "status", "--admin", admin));
-        assertEquals(0, cluster.runCommand("sites", "plan", LOST, "--admin", admin));
-        assertEquals(0, cluster.runCommand("sites", "drill", LOST, "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "plan", TESTED_SITE, "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "drill", TESTED_SITE, "--admin", admin));
         awaitPhase("lost", cluster.members);
-        awaitServed(LOST);
-        assertEquals(1, cluster.runCommand("sites", "status", "--admin", admin), "not whole");
-        // A file that can't be used changes nothing.
+        awaitServed(TESTED_SITE);
+        assertEquals(1, cluster.runCommand("sites", "status", "--admin", admin), "status must fail while a site is not whole");
+        // An invalid file changes nothing.
         reloadSites(sitesFile(true).put("steps", new JsonArray().add(2)));
         await(
-                "refused",
+                "invalid file rejected by all directors",
                 () -> cluster.log.stream()
                                 .filter(line -> line.contains("config.kept") && line.contains("steps"))
                                 .count()
                         == 3);
         awaitEverywhere(
-                "the plan stands",
+                "failover plan unchanged",
                 cluster.members,
                 status -> !status.getJsonArray("takers").isEmpty());
-        // One that forbids it counts at once, wherever the loss stands.
+        // A file without takers takes effect immediately, even during a loss.
         reloadSites(sitesFile(false));
         awaitEverywhere(
-                "nobody takes any more",
+                "no takers",
                 cluster.members,
                 status -> status.getJsonArray("takers").isEmpty());
-        assertEquals(1, cluster.runCommand("sites", "plan", LOST, "--admin", admin), "a loss that can't be borne");
-        assertEquals(0, cluster.runCommand("sites", "hold", LOST, "--admin", admin));
+        assertEquals(1, cluster.runCommand("sites", "plan", TESTED_SITE, "--admin", admin), "plan must fail without takers");
+        assertEquals(0, cluster.runCommand("sites", "hold", TESTED_SITE, "--admin", admin));
         reloadSites(sitesFile(true));
         awaitEverywhere(
-                "and take again",
+                "takers again and recovery held",
                 cluster.members,
                 status -> !status.getJsonArray("takers").isEmpty() && status.getBoolean("held"));
         assertEquals(2, cluster.runCommand("sites", "plan", "nowhere", "--admin", admin));
         assertEquals(1, cluster.runCommand("sites", "drill", "nowhere", "--admin", admin));
-        assertEquals(0, cluster.runCommand("sites", "release", LOST, "--admin", admin));
+        assertEquals(0, cluster.runCommand("sites", "release", TESTED_SITE, "--admin", admin));
         awaitPhase("whole", cluster.members);
-        awaitServed(LOST);
+        awaitServed(TESTED_SITE);
     }
 }
--- a/src/test/java/pewtercourse/cluster/StorageFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/StorageFaultTest.java
@@ -14,30 +14,30 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Full disks, and data folders that can't be used. */
+/** Tests full disks and unusable data folders. */
 class StorageFaultTest extends ClusterFaultTestBase {
-    private static final int UNUSABLE = 2; // The exit code of a start with a folder that can't be used.
+    private static final int UNUSABLE_FOLDER_EXIT_CODE = 2;
 
     @Test
-    void aFullDiskSilencesTheMemberAndNotTheDirector() throws Exception {
-        MemberProcess full =
+    void aFullDiskStopsTheMemberButNotTheDirector() throws Exception {
+        MemberProcess fullMember =
                 cluster.except(cluster.awaitLeader(cluster.members)).get(0);
-        List<MemberProcess> rest = cluster.except(full);
-        full.kill();
-        full.maxFileKilobytes = 8; // Soon there is no room for the log.
-        full.start();
+        List<MemberProcess> remaining = cluster.except(fullMember);
+        fullMember.kill();
+        fullMember.maxFileKilobytes = 8; // The log soon exceeds this limit.
+        fullMember.start();
         await("the disk is full", () -> {
-            rest.get(0).enterMaintenance(CACHE);
-            rest.get(1).exitMaintenance(CACHE);
+            remaining.get(0).enterMaintenance(CACHE);
+            remaining.get(1).exitMaintenance(CACHE);
             return cluster.log.stream()
-                    .anyMatch(line -> line.startsWith(full.name + " ") && line.contains("cluster.disk_failed"));
+                    .anyMatch(line -> line.startsWith(fullMember.name + " ") && line.contains("cluster.disk_failed"));
         });
-        await("the others go on committing", () -> rest.get(0).enterMaintenance(CACHE));
-        assertTrue(full.isServing(), "the director serves on");
-        full.kill();
-        full.maxFileKilobytes = 0;
-        full.start();
-        await("with room again it catches up", () -> full.isDrained(CACHE));
+        await("the other members commit", () -> remaining.get(0).enterMaintenance(CACHE));
+        assertTrue(fullMember.isServing(), "the director must keep serving");
+        fullMember.kill();
+        fullMember.maxFileKilobytes = 0;
+        fullMember.start();
+        await("restarted without the limit, the member has caught up", () -> fullMember.isDrained(CACHE));
     }
 
     @Test
@@ -45,17 +45,17 @@
         MemberProcess member = cluster.members.get(0);
         MemberProcess twin = cluster.newProcess(0);
         twin.clusterConfig = member.clusterConfig;
-        await("open", () -> member.status() != null);
+        await("member started", () -> member.status() != null);
         twin.start();
-        assertEquals(UNUSABLE, twin.process.waitFor());
-        await("told", () -> cluster.logged("is in use by another process"));
+        assertEquals(UNUSABLE_FOLDER_EXIT_CODE, twin.process.waitFor());
+        await("error logged", () -> cluster.logged("is in use by another process"));
         assertEquals(
                 1,
                 cluster.runCommand("cluster", "init", member.clusterConfig.toString()),
-                "a used folder stays as it is");
+                "init must reject a used folder");
         assertEquals(
-                0, cluster.runCommand("cluster", "inspect", member.dataFolder.toString()), "a look changes nothing");
-        await("unharmed", () -> member.status() != null && member.status().getBoolean("open"));
+                0, cluster.runCommand("cluster", "inspect", member.dataFolder.toString()), "inspect must work on a folder in use");
+        await("member still open", () -> member.status() != null && member.status().getBoolean("open"));
     }
 
     @Test
@@ -63,15 +63,15 @@
         MemberProcess member = cluster.members.get(0);
         member.kill();
         member.start();
-        await("entries", () -> member.enterMaintenance(CACHE) && member.exitMaintenance(CACHE));
+        await("entries committed", () -> member.enterMaintenance(CACHE) && member.exitMaintenance(CACHE));
         member.kill();
         Path log = longestLogSegment(member.dataFolder);
         try (FileChannel file = FileChannel.open(log, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             file.write(ByteBuffer.wrap(new byte[] {7, 7, 7}), file.size() / 2);
         }
         member.start();
-        assertEquals(UNUSABLE, member.process.waitFor());
-        await("told", () -> cluster.logged("empty the folder, so that the member copies the log from the others"));
+        assertEquals(UNUSABLE_FOLDER_EXIT_CODE, member.process.waitFor());
+        await("error logged", () -> cluster.logged("empty the folder, so that the member copies the log from the others"));
     }
 
     private static Path longestLogSegment(Path dataFolder) throws Exception {
@@ -83,28 +83,28 @@
     }
 
     @Test
-    void aPathThatCannotHoldTheFolderIsRejectedAndAMissingFolderIsLearnedAnew() throws Exception {
+    void rejectsAnUnusableFolderPathAndRecoversAMissingFolder() throws Exception {
         MemberProcess member = cluster.members.get(0);
         member.kill();
-        Path usable = member.dataFolder;
-        deleteFolder(usable);
-        Files.writeString(usable, "no folder");
+        Path usableFolder = member.dataFolder;
+        deleteFolder(usableFolder);
+        Files.writeString(usableFolder, "no folder");
         member.start();
-        assertEquals(UNUSABLE, member.process.waitFor());
-        Files.delete(usable);
-        member.dataFolder = Path.of("/proc/pewtercourse"); // Nobody can write there, whoever runs this.
+        assertEquals(UNUSABLE_FOLDER_EXIT_CODE, member.process.waitFor());
+        Files.delete(usableFolder);
+        member.dataFolder = Path.of("/proc/pewtercourse"); // No user can create a folder there.
         cluster.writeConfigs(member, cluster.members);
         member.start();
-        assertEquals(UNUSABLE, member.process.waitFor());
+        assertEquals(UNUSABLE_FOLDER_EXIT_CODE, member.process.waitFor());
         await(
-                "told",
+                "error logged",
                 () -> cluster.log.stream()
                         .anyMatch(line -> line.contains("cluster.unusable") && line.contains("/proc/pewtercourse")));
-        member.dataFolder = usable;
+        member.dataFolder = usableFolder;
         cluster.writeConfigs(member, cluster.members);
         member.start();
         await(
-                "as a new member it comes back",
+                "member rejoined with a missing folder",
                 () -> member.status() != null && member.status().getString("leader") != null);
     }
 }
--- a/src/test/java/pewtercourse/cluster/TestPorts.java
+++ b/src/test/java/pewtercourse/cluster/TestPorts.java
@@ -8,25 +8,25 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Ports for processes that are started later. */
+/** Finds ports for processes that are started later. */
 final class TestPorts {
-    // Below those that the system gives out by itself.
-    private static final int FROM = 12_000;
-    private static final int TO = 32_000;
+    // Below the ephemeral ports of the system.
+    private static final int MIN_PORT = 12_000;
+    private static final int MAX_PORT = 32_000;
     private static final int ATTEMPTS = 1_000;
-    private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+    private static final Set<Integer> ASSIGNED_PORTS = ConcurrentHashMap.newKeySet();
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private TestPorts() {}
 
     /**
-     * A port that nobody uses, and nobody is given by the system either: one that was drawn by binding 0 may be given to a
-     * connection, or a relay, before the process that is to listen on it starts.
+     * Returns an unused port outside the ephemeral range. The system could assign a port found by binding port 0 to a
+     * connection or a relay before the process starts to listen on it.
      */
     static int unused() throws IOException {
         for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-            int port = FROM + RANDOM.nextInt(TO - FROM);
-            if (GIVEN.add(port)) {
+            int port = MIN_PORT + RANDOM.nextInt(MAX_PORT - MIN_PORT);
+            if (ASSIGNED_PORTS.add(port)) {
                 try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(ClusterProcesses.HOST))) {
                     return socket.getLocalPort();
                 } catch (BindException e) {
@@ -34,6 +34,6 @@
                 }
             }
         }
-        throw new IOException("no free port from " + FROM + " to " + TO);
+        throw new IOException("no free port from " + MIN_PORT + " to " + MAX_PORT);
     }
 }
