--- a/src/test/java/pewtercourse/handover/StateFileCompatibilityTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileCompatibilityTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.Fixtures;
 
-/** The file that the two processes of an upgrade share, as the older version wrote it. */
+/** Compares the file that two processes of an upgrade share with a fixture written by an older version. */
 class StateFileCompatibilityTest {
     private static final String FOLDER = "operator-state";
-    private static final long AT_MS = 1_700_000_000_000L;
+    private static final long BASE_TIME_MS = 1_700_000_000_000L;
     private static final OperatorState STATE = new OperatorState(
             4_242,
             true,
-            Map.of("cache-2", AT_MS + 2, "cache-1", AT_MS + 1),
-            Map.of("cache-4", AT_MS + 4, "cache-3", AT_MS + 3));
+            Map.of("cache-2", BASE_TIME_MS + 2, "cache-1", BASE_TIME_MS + 1),
+            Map.of("cache-4", BASE_TIME_MS + 4, "cache-3", BASE_TIME_MS + 3));
 
     @TempDir
     Path folder;
 
     @Test
-    void isReadWithItsContent() throws Exception {
+    void readsTheFileOfTheOlderVersion() throws Exception {
         assertEquals(Optional.of(STATE), new StateFile(Fixtures.copy(FOLDER, folder)).readIfChanged());
     }
 
     @Test
-    void isWrittenWithTheSameBytes() throws Exception {
+    void writesTheSameBytesAsTheOlderVersion() throws Exception {
         assertTrue(new StateFile(folder).write(STATE));
         Fixtures.assertFolder(FOLDER, Fixtures.files(folder));
     }
--- a/src/test/java/pewtercourse/handover/StateFileTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileTest.java
@@ -20,19 +20,19 @@
     Path folder;
 
     @Test
-    void whatOneProcessWritesAnotherReadsOnce() {
-        StateFile first = new StateFile(folder);
-        StateFile second = new StateFile(folder);
-        assertEquals(Optional.empty(), second.readIfChanged(), "there is no file");
+    void aStateWrittenByOneProcessIsReadOnceByAnother() {
+        StateFile firstProcess = new StateFile(folder);
+        StateFile secondProcess = new StateFile(folder);
+        assertEquals(Optional.empty(), secondProcess.readIfChanged(), "there is no file yet");
 
-        assertTrue(first.write(STATE));
-        assertEquals(Optional.empty(), first.readIfChanged(), "its own content is no change");
-        assertEquals(Optional.of(STATE), second.readIfChanged());
-        assertEquals(Optional.empty(), second.readIfChanged());
+        assertTrue(firstProcess.write(STATE));
+        assertEquals(Optional.empty(), firstProcess.readIfChanged(), "a process must not read its own content as a change");
+        assertEquals(Optional.of(STATE), secondProcess.readIfChanged());
+        assertEquals(Optional.empty(), secondProcess.readIfChanged());
 
         OperatorState later = new OperatorState(8, false, Map.of(), Map.of());
-        assertTrue(second.write(later));
-        assertEquals(Optional.of(later), first.readIfChanged());
+        assertTrue(secondProcess.write(later));
+        assertEquals(Optional.of(later), firstProcess.readIfChanged());
     }
 
     @ParameterizedTest
