--- a/src/test/java/pewtercourse/discovery/BackoffTest.java
+++ b/src/test/java/pewtercourse/discovery/BackoffTest.java
@@ -14,7 +14,7 @@
     }
 
     @Example
-    void delaysGrowUpToTheirBound() {
+    void delaysGrowToTheMaximum() {
         long[] delays = delays(new Backoff(new Random(7)), 1_000);
 
         assertTrue(LongStream.of(delays).allMatch(delay -> delay >= 50 && delay <= 500));
@@ -22,7 +22,7 @@
     }
 
     @Example
-    void aResetStartsOverWithShortDelays() {
+    void resetReturnsToShortDelays() {
         Backoff backoff = new Backoff(new Random(7));
 
         for (int i = 0; i < 100; i++) {
@@ -33,9 +33,9 @@
         }
     }
 
-    /** The draws of one seed as they were recorded: their number, their order and their bounds. */
+    /** Fixes the number, the order and the bounds of the random draws for one seed. */
     @Example
-    void aSeedDrawsTheDelaysThatWereRecorded() {
+    void drawsTheRecordedDelaysForASeed() {
         long[] delays = delays(new Backoff(new Random(11)), 12);
 
         assertArrayEquals(new long[] {77, 183, 225, 295, 205, 328, 500, 500, 500, 500, 103, 274}, delays);
--- a/src/test/java/pewtercourse/discovery/EndpointWatchTest.java
+++ b/src/test/java/pewtercourse/discovery/EndpointWatchTest.java
@@ -18,12 +18,14 @@
 import net.jqwik.api.state.ActionChain;
 import net.jqwik.api.state.Transformer;
 
-/** A watch on a feed that sends events in part, twice, malformed or not at all, disconnects, falls silent and moves. */
+/**
+ * Tests a watch on a feed that sends incomplete, duplicate or malformed events, skips events, disconnects and moves.
+ */
 class EndpointWatchTest {
     private static final int DIRECTORS = 100;
 
     @Property(tries = 500, seed = "7")
-    void eachEventIsHandledOnceAndInOrder(@ForAll("chains") ActionChain<WatchedFeed> chain) {
+    void handlesEachEventOnceAndInOrder(@ForAll("chains") ActionChain<WatchedFeed> chain) {
         WatchedFeed feed = chain.withInvariant(WatchedFeed::checkInvariants).run();
 
         int handledBefore = feed.handled.size();
@@ -42,15 +44,15 @@
     @Provide
     Arbitrary<ActionChain<WatchedFeed>> chains() {
         Arbitrary<Integer> index = Arbitraries.integers().between(0, 20);
-        Arbitrary<WatchedFeed.Sending> disturbed = Arbitraries.of(
+        Arbitrary<WatchedFeed.Sending> disturbedSending = Arbitraries.of(
                 WatchedFeed.Sending.DUPLICATE,
                 WatchedFeed.Sending.PARTIAL,
                 WatchedFeed.Sending.COMMENT,
                 WatchedFeed.Sending.DISCONNECT);
-        // Malformed and missing events are rare here: the fourth in a row is skipped, as an example shows.
+        // Malformed and missing events are rare here because the watch skips the event after three retries.
         return ActionChain.startWith(WatchedFeed::new)
                 .withAction(8, step(index.map(i -> sending(i, WatchedFeed.Sending.COMPLETE))))
-                .withAction(6, step(index.flatMap(i -> disturbed.map(sending -> sending(i, sending)))))
+                .withAction(6, step(index.flatMap(i -> disturbedSending.map(sending -> sending(i, sending)))))
                 .withAction(1, step(index.map(EndpointWatchTest::malformedThenComplete)))
                 .withAction(3, step(index.map(i -> Transformer.mutate("timer " + i, feed -> feed.fireTimer(i)))))
                 .withAction(1, step(index.map(i -> Transformer.mutate("move", WatchedFeed::move))))
@@ -75,7 +77,7 @@
     }
 
     @Example
-    void afterAMoveTheOldConnectionIsReadUntilTheNewOneIsUp() {
+    void readsTheOldConnectionUntilTheNewOneIsEstablishedAfterAMove() {
         WatchedFeed feed = new WatchedFeed();
         feed.send(0, WatchedFeed.Sending.COMPLETE);
 
@@ -83,32 +85,32 @@
         assertEquals(1, feed.connections.get(1).lastSent);
 
         feed.send(0, WatchedFeed.Sending.COMPLETE);
-        assertFalse(feed.connections.get(0).closed, "closed before the new one was up");
+        assertFalse(feed.connections.get(0).closed, "closed before the new connection was established");
         feed.send(1, WatchedFeed.Sending.COMPLETE);
         assertTrue(feed.connections.get(0).closed);
         assertEquals(List.of(1L, 2L), feed.handled);
     }
 
-    /** The feed ends under a fleet: no two reconnect in step, and all soon again once it has sent an event. */
+    /** Directors that lose the feed together must draw different delays, and short ones again after an event. */
     @Example
-    void aFleetThatIsDisconnectedDoesNotReconnectInStep() {
+    void disconnectedDirectorsReconnectAtDifferentTimes() {
         Map<Long, Integer> directorsByFirstDelay = new TreeMap<>();
         for (int director = 0; director < DIRECTORS; director++) {
             WatchedFeed feed = new WatchedFeed(director);
             feed.send(0, WatchedFeed.Sending.COMPLETE);
-            directorsByFirstDelay.merge(disconnectOften(feed), 1, Integer::sum);
+            directorsByFirstDelay.merge(disconnectRepeatedly(feed), 1, Integer::sum);
 
             feed.send(0, WatchedFeed.Sending.COMPLETE);
-            assertTrue(feed.delayAfterDisconnect() <= 150, "not reset by an event");
+            assertTrue(feed.delayAfterDisconnect() <= 150, "the delay was not reset by an event");
         }
-        assertTrue(directorsByFirstDelay.size() > 30, directorsByFirstDelay.size() + " delays only");
+        assertTrue(directorsByFirstDelay.size() > 30, directorsByFirstDelay.size() + " different delays only");
         assertTrue(
                 directorsByFirstDelay.values().stream().allMatch(directors -> directors < 10),
-                "in step: " + directorsByFirstDelay);
+                "too many directors with the same delay: " + directorsByFirstDelay);
     }
 
-    /** The first of twenty delays, each of which is within the bounds. */
-    private static long disconnectOften(WatchedFeed feed) {
+    /** Checks the bounds of twenty delays and returns the first. */
+    private static long disconnectRepeatedly(WatchedFeed feed) {
         long firstDelay = 0;
         for (int i = 0; i < 20; i++) {
             long delay = feed.delayAfterDisconnect();
@@ -123,7 +125,7 @@
     }
 
     @Example
-    void anEventThatStaysMalformedIsSkippedInTheEnd() {
+    void skipsAnEventThatStaysMalformedAfterTheRetries() {
         WatchedFeed feed = new WatchedFeed();
 
         for (int i = 0; i < 3; i++) {
@@ -138,7 +140,7 @@
     }
 
     @Example
-    void anEventWithoutAnEndDoesNotFillTheMemory() {
+    void disconnectsWhenAnEventExceedsTheSizeLimit() {
         WatchedFeed feed = new WatchedFeed();
         WatchedFeed.FeedConnection connection = feed.connections.get(0);
 
--- a/src/test/java/pewtercourse/discovery/ServerSentEventReaderTest.java
+++ b/src/test/java/pewtercourse/discovery/ServerSentEventReaderTest.java
@@ -15,7 +15,7 @@
             + "data:{\"n\":42,\r\ndata: \"purge\":{}}\r\n\r\nid: 43\n\n";
 
     @Property(seed = "7")
-    void eventsAreCompleteWhereverTheBytesAreSplit(
+    void readsCompleteEventsWhereverTheBytesAreSplit(
             @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 30) Integer> lengths) {
         List<String> events = new ArrayList<>();
         ServerSentEventReader reader = new ServerSentEventReader(events::add);
--- a/src/test/java/pewtercourse/discovery/WatchEventDecoderTest.java
+++ b/src/test/java/pewtercourse/discovery/WatchEventDecoderTest.java
@@ -10,13 +10,13 @@
 
 class WatchEventDecoderTest {
     @Example
-    void namesHaveTheSameIdAtEveryDirector() {
+    void derivesTheIdFromTheHexadecimalDigitsOfTheName() {
         assertEquals(0x00c41f7aL, WatchEventDecoder.endpointId("s-00c41f7a"));
         assertEquals(0xb91d3ae5L, WatchEventDecoder.endpointId("s-B91D3AE5"));
     }
 
     @Example
-    void aChangeOfTheListBecomesAnEndpointUpdate() {
+    void decodesAListChangeAsAnEndpointUpdate() {
         WatchEvent event = WatchEventDecoder.decode("""
                 {"n":41,"members":{"seq":7,"whole":false,"hosts":[{"host":"s-00c41f7a","dial":"10.1.0.9:8443",
                 "site":"east","class":"std","block":2,"health":"Terminating","share":4,"born_ms":12}]}}""");
@@ -30,7 +30,7 @@
     }
 
     @Example
-    void aPurgeWithoutAKeyIsOfTheWholeGroup() {
+    void decodesAPurgeWithoutAKeyAsAPurgeOfTheGroup() {
         WatchEvent event = WatchEventDecoder.decode("{\"n\":43,\"purge\":{\"group\":17,\"at\":1764576000480}}");
 
         WatchEvent.Purge purge = assertInstanceOf(WatchEvent.Purge.class, event);
@@ -49,7 +49,7 @@
     }
 
     @Example
-    void whatIsNoJsonIsMalformed() {
+    void dataThatIsNotJsonIsMalformed() {
         assertThrows(MalformedEventException.class, () -> WatchEventDecoder.decode("{\"n\":1"));
     }
 }
--- a/src/test/java/pewtercourse/discovery/WatchedFeed.java
+++ b/src/test/java/pewtercourse/discovery/WatchedFeed.java
@@ -14,11 +14,11 @@
 import java.util.stream.LongStream;
 import pewtercourse.Timers;
 
-/** A watch with the feed, the connections and the timers around it, all driven by a test. */
+/** Runs a watch against a feed, connections and timers that a test controls. */
 final class WatchedFeed {
     private static final int MAX_CONNECTIONS = 2;
 
-    /** What the feed sends on a connection. */
+    /** The kinds of data that the feed sends on a connection, or a disconnect. */
     enum Sending {
         COMPLETE,
         DUPLICATE,
@@ -29,7 +29,7 @@
         DISCONNECT
     }
 
-    /** A connection of the watch to the feed, as the feed sees it. */
+    /** The feed's side of a connection of the watch. */
     static final class FeedConnection {
         final InetSocketAddress address;
         final WatchTransport.Listener listener;
@@ -44,14 +44,14 @@
         }
     }
 
-    /** Timers that fire when the test says so. */
+    /** Timers that the test fires. */
     private final class ManualTimers implements Timers {
         private long lastTimer;
 
         @Override
-        public long set(long delayMs, Runnable then) {
-            timers.put(++lastTimer, then);
-            delays.add(delayMs);
+        public long set(long delayMs, Runnable task) {
+            timers.put(++lastTimer, task);
+            delaysMs.add(delayMs);
             return lastTimer;
         }
 
@@ -66,7 +66,7 @@
     final List<Long> handled = new ArrayList<>();
 
     private final Map<Long, Runnable> timers = new TreeMap<>();
-    private final List<Long> delays = new ArrayList<>();
+    private final List<Long> delaysMs = new ArrayList<>();
     private final EndpointWatch watch;
     private int port = 1;
 
@@ -110,7 +110,7 @@
         watch.move(address(port));
     }
 
-    /** Sends on an open connection, {@code index} modulo their number; does nothing if none is open. */
+    /** Sends on the open connection at {@code index} modulo their number; does nothing if none is open. */
     void send(int index, Sending sending) {
         List<FeedConnection> open =
                 connections.stream().filter(connection -> !connection.closed).toList();
@@ -161,14 +161,14 @@
         connection.closed = true;
     }
 
-    /** Disconnects the only connection; returns the delay, in milliseconds, until the watch reconnects. */
+    /** Disconnects the only connection and returns the delay, in milliseconds, before the watch reconnects. */
     long delayAfterDisconnect() {
-        delays.clear();
+        delaysMs.clear();
         send(0, Sending.DISCONNECT);
-        return delays.get(delays.size() - 1);
+        return delaysMs.get(delaysMs.size() - 1);
     }
 
-    /** Fires a timer that is set, {@code index} modulo their number, in the order of setting. */
+    /** Fires the pending timer at {@code index} modulo their number, in the order in which they were set. */
     void fireTimer(int index) {
         if (!timers.isEmpty()) {
             Long timer = new ArrayList<>(timers.keySet()).get(index % timers.size());
@@ -181,10 +181,10 @@
     }
 
     void checkInvariants() {
-        assertEquals(LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "not once and in order");
-        assertTrue(openConnections() <= MAX_CONNECTIONS, "more connections than the old one and the new");
-        assertTrue(timers.size() <= MAX_CONNECTIONS, "a timer that nothing needs");
-        assertFalse(timers.isEmpty(), "neither silence nor a delay before reconnecting ends");
-        assertEquals(port, lastConnection().address.getPort(), "the last connection went elsewhere");
+        assertEquals(LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "events were not handled once and in order");
+        assertTrue(openConnections() <= MAX_CONNECTIONS, "more than the old and the new connection are open");
+        assertTrue(timers.size() <= MAX_CONNECTIONS, "more timers than connections");
+        assertFalse(timers.isEmpty(), "neither a silence timer nor a reconnect timer is set");
+        assertEquals(port, lastConnection().address.getPort(), "the last connection has another port");
     }
 }
