--- a/src/test/java/pewtercourse/gossip/GossipSocketTest.java
+++ b/src/test/java/pewtercourse/gossip/GossipSocketTest.java
@@ -25,7 +25,7 @@
     private record Received(int peer, byte[] message) {}
 
     @Test
-    void aMessageIsItsSendersWhereverThatStandsInTheListAndOthersAreDropped() throws Exception {
+    void identifiesSendersByListIndexAndDropsUnknownSendersAndLongMessages() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
             DatagramSocket unknownSender = open(vertx);
@@ -65,8 +65,7 @@
         return peers;
     }
 
-    // By a socket of the JDK, which gives its port back at once: the library's does so when its selector has turned
-    // once more.
+    // A JDK socket releases its port immediately; a Vert.x socket does so only after the next turn of its selector.
     private static int freePort() throws IOException {
         try (java.net.DatagramSocket free = new java.net.DatagramSocket(0, InetAddress.getByName(HOST))) {
             return free.getLocalPort();
