--- a/src/test/java/pewtercourse/hash/StableHashTest.java
+++ b/src/test/java/pewtercourse/hash/StableHashTest.java
@@ -7,15 +7,15 @@
 
 class StableHashTest {
     @Test
-    void theHashOfANameIsTheSameInEveryVersion() {
+    void hashOfANameMatchesTheRecordedValue() {
         assertEquals(-4_731_371_440_213_641_123L, StableHash.of("object 1"));
     }
 
     @Test
-    void theUnitIntervalIsOpenAtBothEnds() {
+    void toUnitIntervalExcludesZeroAndOne() {
         for (long hash = -1_000; hash < 1_000; hash++) {
-            double unit = StableHash.toUnitInterval(hash);
-            assertTrue(unit > 0 && unit < 1, hash + " gives " + unit);
+            double mapped = StableHash.toUnitInterval(hash);
+            assertTrue(mapped > 0 && mapped < 1, hash + " is mapped to " + mapped);
         }
     }
 }
