--- a/src/main/java/pewtercourse/cluster/ClusterHost.java
+++ b/src/main/java/pewtercourse/cluster/ClusterHost.java
@@ -35,11 +35,14 @@
      */
     double wantedQuota();
 
-    /** Returns this director's recent observations by site; empty where no sites are configured. */
+    /** Returns this director's observations of the last seconds by site; empty where no sites are configured. */
     default Map<String, SiteObservation> siteObservations() {
         return Map.of();
     }
 
-    /** Called when the committed failover state or the set of absent members has changed. */
+    /**
+     * Called when the committed failover state or the set of absent members has changed. Absent members are those from
+     * which the leader has received nothing for a long time.
+     */
     default void failoverChanged(FailoverState failover, Set<String> absentMembers) {}
 }
--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -41,7 +41,8 @@
         FailoverState failover = committedState().failover();
         Map<String, Double> loads = leaseManager == null ? Map.of() : leaseManager.siteLoads();
         JsonArray siteReports = new JsonArray();
-        sites.byName().forEach((name, site) -> siteReports.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
+        sites.byName()
+                .forEach((name, site) -> siteReports.add(site(failover, name, site, loads.getOrDefault(name, 0.0))));
         return new JsonObject()
                 .put("open", raft != null)
                 .put("controller", committedState().lease(LeaseNames.SITES).holder())
@@ -187,7 +188,8 @@
 
     private JsonArray maintenanceRequests() {
         JsonArray requests = new JsonArray();
-        committedState().maintenanceRequests()
+        committedState()
+                .maintenanceRequests()
                 .values()
                 .forEach(request -> requests.add(new JsonObject()
                         .put("target", request.target())
--- a/src/main/java/pewtercourse/cluster/LeaderCommandOutcome.java
+++ b/src/main/java/pewtercourse/cluster/LeaderCommandOutcome.java
@@ -35,7 +35,8 @@
         return switch (status) {
             case ACCEPTED -> null;
             case FOLDER_CLOSED -> ClusterMember.FOLDER_CLOSED;
-            case NOT_LEADER -> "this member is not the leader; the leader is " + (leader.isEmpty() ? "not known" : leader);
+            case NOT_LEADER ->
+                "this member is not the leader; the leader is " + (leader.isEmpty() ? "not known" : leader);
             case CHANGE_IN_PROGRESS -> "another change is in progress, or the leader is newly elected: try again";
             case TRANSFER_IN_PROGRESS -> "a transfer of leadership is in progress: try again";
             case BUSY -> "too many log entries wait to be committed: try again";
--- a/src/main/java/pewtercourse/cluster/LeaderCommands.java
+++ b/src/main/java/pewtercourse/cluster/LeaderCommands.java
@@ -25,10 +25,9 @@
      */
     LeaderCommandOutcome transferLeadership(String newLeader) {
         return carryOut(raft -> {
-            String successor = newLeader.isEmpty() ? raft.bestTransferCandidate(now()).orElse(null) : newLeader;
-            return successor == null
-                    ? Raft.Rejection.INELIGIBLE_MEMBER
-                    : raft.transferLeadership(now(), successor);
+            String successor =
+                    newLeader.isEmpty() ? raft.bestTransferCandidate(now()).orElse(null) : newLeader;
+            return successor == null ? Raft.Rejection.INELIGIBLE_MEMBER : raft.transferLeadership(now(), successor);
         });
     }
 
--- a/src/main/java/pewtercourse/cluster/LeadershipHandover.java
+++ b/src/main/java/pewtercourse/cluster/LeadershipHandover.java
@@ -34,7 +34,8 @@
         if (raft.role() != Raft.Role.LEADER) {
             return true;
         }
-        String successor = transferStartedAt < 0 ? raft.bestTransferCandidate(now()).orElse(null) : null;
+        String successor =
+                transferStartedAt < 0 ? raft.bestTransferCandidate(now()).orElse(null) : null;
         if (successor != null) {
             transferStartedAt = now();
             raft.transferLeadership(transferStartedAt, successor);
--- a/src/main/java/pewtercourse/cluster/MemberLifecycle.java
+++ b/src/main/java/pewtercourse/cluster/MemberLifecycle.java
@@ -67,7 +67,9 @@
             store = LogStore.open(config.data(), config.cluster(), config.name(), SEGMENT_BYTES);
             Saved saved = store.recover();
             LogStore openedStore = store;
-            environment.loop().runOnContext(v -> onOpened(thread, openedStore, saved).onComplete(started));
+            environment
+                    .loop()
+                    .runOnContext(v -> onOpened(thread, openedStore, saved).onComplete(started));
         } catch (IOException | RuntimeException e) {
             closeAfter(e, store);
             thread.shutdown();
--- a/src/main/java/pewtercourse/cluster/PendingProposals.java
+++ b/src/main/java/pewtercourse/cluster/PendingProposals.java
@@ -61,7 +61,8 @@
             return Future.failedFuture(ClusterMember.FOLDER_CLOSED);
         }
         if (pending.size() >= MAX_PENDING) {
-            return Future.failedFuture("too many commands wait to be committed: at most " + MAX_PENDING + " are allowed");
+            return Future.failedFuture(
+                    "too many commands wait to be committed: at most " + MAX_PENDING + " are allowed");
         }
         Proposal proposal = new Proposal(command);
         proposal.propose();
--- a/src/main/java/pewtercourse/discovery/WatchEventDecoder.java
+++ b/src/main/java/pewtercourse/discovery/WatchEventDecoder.java
@@ -84,7 +84,8 @@
             case "Ready" -> EndpointLifecycle.READY;
             case "Terminating" -> EndpointLifecycle.DRAINING;
             case "Gone" -> EndpointLifecycle.GONE;
-            default -> throw new IllegalArgumentException("health '" + health + "': expected Ready, Terminating or Gone");
+            default ->
+                throw new IllegalArgumentException("health '" + health + "': expected Ready, Terminating or Gone");
         };
     }
 
--- a/src/main/java/pewtercourse/handover/OperatorState.java
+++ b/src/main/java/pewtercourse/handover/OperatorState.java
@@ -47,14 +47,16 @@
         }
         if (!(json.getValue(PROCESS_ID_KEY) instanceof Number processId)
                 || !(json.getValue(STANDBY_KEY) instanceof Boolean standby)) {
-            throw new IllegalArgumentException("pid is missing or not a number, or standby is missing or not a boolean");
+            throw new IllegalArgumentException(
+                    "pid is missing or not a number, or standby is missing or not a boolean");
         }
         return new OperatorState(processId.longValue(), standby, times(json, DRAINED_KEY), times(json, REINSTATED_KEY));
     }
 
     private static Map<String, Long> times(JsonObject json, String key) {
         if (!(json.getValue(key) instanceof JsonObject byName) || byName.size() > MAX_NAMES) {
-            throw new IllegalArgumentException(key + " is missing, not an object or has more than " + MAX_NAMES + " names");
+            throw new IllegalArgumentException(
+                    key + " is missing, not an object or has more than " + MAX_NAMES + " names");
         }
         Map<String, Long> times = new TreeMap<>();
         for (String name : byName.fieldNames()) {
@@ -66,7 +68,8 @@
     private static long time(String key, String name, Object value) {
         boolean isValidName = !name.isEmpty() && name.length() <= MAX_NAME_CHARACTERS;
         if (!isValidName || !(value instanceof Number time) || time.longValue() < 0) {
-            throw new IllegalArgumentException(key + "." + name + ": expected a name of 1 to " + MAX_NAME_CHARACTERS + " characters and a time that is not negative");
+            throw new IllegalArgumentException(key + "." + name + ": expected a name of 1 to " + MAX_NAME_CHARACTERS
+                    + " characters and a time that is not negative");
         }
         return time.longValue();
     }
--- a/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
+++ b/src/test/java/pewtercourse/cluster/ClusterReportKeysTest.java
@@ -174,7 +174,7 @@
     }
 
     private LeaseManager newLeaseManager() {
-        LeaseManager leaseManager = new LeaseManager(config.newLeaseManager(), SELF, 1, target -> "z", zone -> 4);
+        LeaseManager leaseManager = new LeaseManager(config.duties(), SELF, 1, target -> "z", zone -> 4);
         leaseManager.configureSites(now, config.sites());
         return leaseManager;
     }
--- a/src/test/java/pewtercourse/cluster/LeaseActionLog.java
+++ b/src/test/java/pewtercourse/cluster/LeaseActionLog.java
@@ -35,7 +35,8 @@
         List<String> lines = List.copyOf(log);
         Map<Long, String> holders = checkAssignments(lines);
         checkActions(lines, holders);
-        assertFalse(lines.stream().anyMatch(line -> line.contains("cluster.unexpected")), "an unexpected error is logged");
+        assertFalse(
+                lines.stream().anyMatch(line -> line.contains("cluster.unexpected")), "an unexpected error is logged");
     }
 
     /** Checks the logged assignments and returns the holders by token. */
@@ -51,7 +52,9 @@
             } else if (assigned.find()) {
                 Long token = Long.valueOf(assigned.group(4));
                 String previousHolder = holders.putIfAbsent(token, assigned.group(3));
-                assertTrue(previousHolder == null || previousHolder.equals(assigned.group(3)), "a token with two holders: " + line);
+                assertTrue(
+                        previousHolder == null || previousHolder.equals(assigned.group(3)),
+                        "a token with two holders: " + line);
                 Long previousToken = lastTokens.put(assigned.group(1) + ' ' + assigned.group(2), token);
                 assertTrue(previousToken == null || previousToken < token, "a token that does not increase: " + line);
             }
@@ -68,7 +71,8 @@
         long greatestToken = 0;
         for (Matcher action : actions) {
             long token = Long.parseLong(action.group(4));
-            assertEquals(action.group(1), holders.get(token), "action with the token of another holder: " + action.group());
+            assertEquals(
+                    action.group(1), holders.get(token), "action with the token of another holder: " + action.group());
             if (ORDERED_ACTIONS.contains(action.group(3))) {
                 assertTrue(token >= greatestToken, "action after one with a later token: " + action.group());
                 greatestToken = token;
--- a/src/test/java/pewtercourse/cluster/MaintenanceFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MaintenanceFaultTest.java
@@ -18,7 +18,9 @@
         awaitOutOfRotation(cluster.members, 1);
         // The second request is queued and granted as soon as the first cache is reinstated.
         await("cache reinstated", () -> cluster.members.get(2).exitMaintenance(CACHE));
-        await("queued request granted", () -> cluster.members.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
+        await(
+                "queued request granted",
+                () -> cluster.members.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
         awaitOutOfRotation(cluster.members, 1);
         String admin = cluster.members.get(0).adminAddress();
         assertEquals(0, cluster.runCommand("cluster", "status", "--admin", admin));
@@ -38,7 +40,9 @@
         holder.kill();
         cluster.awaitLeaseHolder("maintenance", remaining);
         await("cache reinstated", () -> remaining.get(0).exitMaintenance(CACHE));
-        await("queued request granted by the next holder", () -> remaining.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
+        await(
+                "queued request granted by the next holder",
+                () -> remaining.stream().allMatch(member -> member.isDrained(OTHER_CACHE)));
         holder.start();
         await("restarted member knows the drain", () -> holder.isDrained(OTHER_CACHE) && holder.outOfRotation() == 1);
     }
--- a/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
@@ -19,8 +19,8 @@
             restarted.kill();
             deleteFolder(restarted.dataFolder);
             restarted.start(); // Without a new initialization it joins as a new member.
-            // Its state is checked first: until the leader detects the lost folder, its status still lists the member as a
-            // voter.
+            // Checks its state first: until the leader detects the lost folder, the leader's status still lists the
+            // member as a voter.
             await("restarted member votes again", () -> restarted.isDrained(CACHE) && allMembersVote());
         }
         awaitOutOfRotation(cluster.members, 1);
@@ -83,7 +83,9 @@
         copyFolder(oldFolder, follower.dataFolder);
         follower.start();
         String lossEvent = "cluster.member_regressed name=" + follower.name;
-        await("the loss is detected, or another member leads", () -> cluster.logged(lossEvent) || ledByAnother(leader, term));
+        await(
+                "the loss is detected, or another member leads",
+                () -> cluster.logged(lossEvent) || ledByAnother(leader, term));
         return cluster.logged(lossEvent);
     }
 
@@ -150,7 +152,9 @@
         await(
                 "the members list only themselves",
                 () -> finalMembers.stream().allMatch(member -> listsExactly(member, finalMembers)));
-        await("the members keep the committed drain", () -> finalMembers.stream().allMatch(member -> member.isDrained(CACHE)));
+        await(
+                "the members keep the committed drain",
+                () -> finalMembers.stream().allMatch(member -> member.isDrained(CACHE)));
         cluster.awaitLeaseHolder("maintenance", finalMembers);
     }
 
--- a/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
+++ b/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
@@ -117,7 +117,7 @@
         Files.writeString(file, ExampleConfig.json().put("feed", "nowhere").encode());
         record(standalone, "POST", "/reload", "");
         report.append("nonsense: ").append(send(standalone, "nonsense\r\n\r\n").replace("\r\n", "|"));
-        assertRecorded("operators-standalone.txt", report.toString());
+        assertRecorded("operators-alone.txt", report.toString());
     }
 
     @Test
@@ -173,7 +173,9 @@
         for (String lease : List.of("maintenance", "quota", "sites")) {
             cluster.awaitLeaseHolder(lease, cluster.members);
         }
-        await("all directors serve", () -> cluster.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
+        await(
+                "all directors serve",
+                () -> cluster.members.stream().allMatch(OperatorInterfaceCompatibilityTest::serves));
         emulation.startClients();
         await(
                 "failover plan for the load of clients",
@@ -246,7 +248,7 @@
         record(member, "POST", path, body);
     }
 
-    /** Keys of the answers in JSON, of all members together: what a holder standalone knows is null at the others. */
+    /** Records the JSON keys of all members together: values that only a lease holder knows are null at the others. */
     private void recordJsonShapes() throws Exception {
         List<JsonObject> statuses = new ArrayList<>();
         List<JsonObject> sites = new ArrayList<>();
--- a/src/test/java/pewtercourse/cluster/Relay.java
+++ b/src/test/java/pewtercourse/cluster/Relay.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Relays a link between two processes by forwarding the connections of its port destination another port. The link can
+ * Relays a link between two processes by forwarding the connections of its port to another port. The link can
  * be cut (bytes are dropped silently in one or both directions), delayed, slowed down or reset.
  */
 final class Relay {
@@ -109,7 +109,7 @@
         delayMs = milliseconds;
     }
 
-    /** Limits the rate destination one piece of {@code pieceBytes} bytes per millisecond. */
+    /** Limits the rate to one piece of {@code pieceBytes} bytes per millisecond. */
     void slow(int pieceBytes) {
         bytesPerMs = pieceBytes;
     }
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -180,7 +180,8 @@
         awaitPhase("whole", cluster.members);
         int attemptsBefore = emulation.findings(f -> f.attempts(TESTED_SITE));
         awaitServed(TESTED_SITE);
-        assertTrue(emulation.findings(f -> f.attempts(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
+        assertTrue(
+                emulation.findings(f -> f.attempts(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
         assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "recovery must go step by step");
     }
 
@@ -205,7 +206,9 @@
         emulation.list(TESTED_SITE, "Gone");
         awaitPhase("lost", remaining);
         awaitEverywhere(
-                "caches and directors of the site fail", remaining, status -> status.getString("health").equals("all"));
+                "caches and directors of the site fail",
+                remaining,
+                status -> status.getString("health").equals("all"));
         awaitServed(TESTED_SITE); // Its clients use other directors.
         firstMember.start();
         emulation.revive(TESTED_SITE);
@@ -257,7 +260,8 @@
         await(
                 "both sites whole",
                 () -> cluster.members.stream()
-                        .allMatch(member -> isInPhase(member, "s1", "whole") && isInPhase(member, TESTED_SITE, "whole")));
+                        .allMatch(
+                                member -> isInPhase(member, "s1", "whole") && isInPhase(member, TESTED_SITE, "whole")));
     }
 
     @Test
@@ -319,7 +323,10 @@
         assertEquals(0, cluster.runCommand("sites", "drill", TESTED_SITE, "--admin", admin));
         awaitPhase("lost", cluster.members);
         awaitServed(TESTED_SITE);
-        assertEquals(1, cluster.runCommand("sites", "status", "--admin", admin), "status must fail while a site is not whole");
+        assertEquals(
+                1,
+                cluster.runCommand("sites", "status", "--admin", admin),
+                "status must fail while a site is not whole");
         // An invalid file changes nothing.
         reloadSites(sitesFile(true).put("steps", new JsonArray().add(2)));
         await(
@@ -338,7 +345,8 @@
                 "no takers",
                 cluster.members,
                 status -> status.getJsonArray("takers").isEmpty());
-        assertEquals(1, cluster.runCommand("sites", "plan", TESTED_SITE, "--admin", admin), "plan must fail without takers");
+        assertEquals(
+                1, cluster.runCommand("sites", "plan", TESTED_SITE, "--admin", admin), "plan must fail without takers");
         assertEquals(0, cluster.runCommand("sites", "hold", TESTED_SITE, "--admin", admin));
         reloadSites(sitesFile(true));
         awaitEverywhere(
--- a/src/test/java/pewtercourse/cluster/StorageFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/StorageFaultTest.java
@@ -54,8 +54,12 @@
                 cluster.runCommand("cluster", "init", member.clusterConfig.toString()),
                 "init must reject a used folder");
         assertEquals(
-                0, cluster.runCommand("cluster", "inspect", member.dataFolder.toString()), "inspect must work on a folder in use");
-        await("member still open", () -> member.status() != null && member.status().getBoolean("open"));
+                0,
+                cluster.runCommand("cluster", "inspect", member.dataFolder.toString()),
+                "inspect must work on a folder in use");
+        await(
+                "member still open",
+                () -> member.status() != null && member.status().getBoolean("open"));
     }
 
     @Test
@@ -71,7 +75,9 @@
         }
         member.start();
         assertEquals(UNUSABLE_FOLDER_EXIT_CODE, member.process.waitFor());
-        await("error logged", () -> cluster.logged("empty the folder, so that the member copies the log from the others"));
+        await(
+                "error logged",
+                () -> cluster.logged("empty the folder, so that the member copies the log from the others"));
     }
 
     private static Path longestLogSegment(Path dataFolder) throws Exception {
--- a/src/test/java/pewtercourse/discovery/WatchedFeed.java
+++ b/src/test/java/pewtercourse/discovery/WatchedFeed.java
@@ -181,7 +181,10 @@
     }
 
     void checkInvariants() {
-        assertEquals(LongStream.rangeClosed(1, handled.size()).boxed().toList(), handled, "events were not handled once and in order");
+        assertEquals(
+                LongStream.rangeClosed(1, handled.size()).boxed().toList(),
+                handled,
+                "events were not handled once and in order");
         assertTrue(openConnections() <= MAX_CONNECTIONS, "more than the old and the new connection are open");
         assertTrue(timers.size() <= MAX_CONNECTIONS, "more timers than connections");
         assertFalse(timers.isEmpty(), "neither a silence timer nor a reconnect timer is set");
--- a/src/test/java/pewtercourse/handover/StateFileTest.java
+++ b/src/test/java/pewtercourse/handover/StateFileTest.java
@@ -26,7 +26,8 @@
         assertEquals(Optional.empty(), secondProcess.readIfChanged(), "there is no file yet");
 
         assertTrue(firstProcess.write(STATE));
-        assertEquals(Optional.empty(), firstProcess.readIfChanged(), "a process must not read its own content as a change");
+        assertEquals(
+                Optional.empty(), firstProcess.readIfChanged(), "a process must not read its own content as a change");
         assertEquals(Optional.of(STATE), secondProcess.readIfChanged());
         assertEquals(Optional.empty(), secondProcess.readIfChanged());
 
