--- a/src/main/java/pewtercourse/cluster/ClusterReport.java
+++ b/src/main/java/pewtercourse/cluster/ClusterReport.java
@@ -154,8 +154,8 @@
                 .put("dropped_frames", net.droppedFrames());
     }
 
-    // Lists a member until its removal is committed, and as a voter once its promotion is committed. Operators rely on
-    // this list when they stop other members.
+    // Lists a member until its removal is committed, and as a voter once its promotion is committed. Operators rely
+    // on this list when they stop other members.
     private JsonArray members(long now) {
         Map<String, Long> lagByMember = raft.lag();
         Set<String> activeMembers = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(now) : null;
--- a/src/main/java/pewtercourse/cluster/LeaderCommands.java
+++ b/src/main/java/pewtercourse/cluster/LeaderCommands.java
@@ -55,7 +55,7 @@
 
     private LeaderCommandOutcome carryOut(RaftDriver driver, Function<Raft, Raft.Rejection> command) {
         Raft raft = driver.raft();
-        raft.tick(now()); // Advances the clock first: after a pause of the process this member may no longer lead.
+        raft.tick(now()); // Clock first: after a pause of the process this member may no longer lead.
         Raft.Rejection rejection = command.apply(raft);
         driver.drive();
         String leader = raft.leader() == null ? "" : raft.leader();
--- a/src/main/java/pewtercourse/cluster/LeaseDriver.java
+++ b/src/main/java/pewtercourse/cluster/LeaseDriver.java
@@ -37,7 +37,7 @@
     private final SiteDriver sites;
     private final Subscribers subscribers;
     private final Supplier<Optional<RaftDriver>> openDriver;
-    private LeaseManager leaseManager; // Null until the data folder was first opened; still read after it was closed.
+    private LeaseManager leaseManager; // Null until the data folder was first opened; kept for reads after it closed.
     private long publishedDrainRevision = NONE_PUBLISHED;
     private boolean eligible = true;
 
@@ -170,7 +170,7 @@
         return new LeaseManager.View(raft.members().all().keySet(), activeMembers, System.currentTimeMillis());
     }
 
-    // These commands are logged with their fencing token, so that the log shows which lease holder took each action.
+    // These commands are logged with their fencing token: the log must show which lease holder took each action.
     private static boolean isLeaseHolderAction(Command command) {
         return command instanceof Command.GrantMaintenance
                 || command instanceof Command.GrantQuota
--- a/src/main/java/pewtercourse/cluster/MemberLifecycle.java
+++ b/src/main/java/pewtercourse/cluster/MemberLifecycle.java
@@ -129,8 +129,8 @@
         if (closed) {
             return;
         }
-        // A random delay from half to one and a half times the base keeps members that failed together from reopening
-        // at the same time.
+        // A random delay from half to one and a half times the base keeps members that failed together from
+        // reopening at the same time.
         long delayMs = reopenDelayMs / 2 + (long) (environment.random().nextDouble() * reopenDelayMs);
         reopenDelayMs = Math.min(MAX_REOPEN_DELAY_MS, 2 * reopenDelayMs);
         environment
--- a/src/main/java/pewtercourse/cluster/RaftDriver.java
+++ b/src/main/java/pewtercourse/cluster/RaftDriver.java
@@ -134,8 +134,8 @@
         return environment.clock().now();
     }
 
-    // A configured address takes precedence over the address in the log: members may reach one member by different
-    // addresses.
+    // A configured address takes precedence over the address in the log, because members may use different addresses
+    // for the same member.
     private SocketAddress address(String member) {
         String address = config.address(member);
         if (address == null && open && raft.members().all().containsKey(member)) {
@@ -160,7 +160,7 @@
             default -> {
                 Message message = Codec.decode(frame).orElse(null);
                 if (message != null) {
-                    // Advances the clock first: after a pause of the process this member's role may be out of date.
+                    // Clock first: after a pause of the process this member's role may be out of date.
                     raft.tick(now());
                     raft.receive(now(), from, incarnation, message);
                 }
--- a/src/test/java/pewtercourse/cluster/MemberProcess.java
+++ b/src/test/java/pewtercourse/cluster/MemberProcess.java
@@ -55,7 +55,7 @@
         builder.environment().put("GW_CLUSTER", clusterConfig.toString());
         builder.environment().put("GW_ADMIN_ADDR", adminAddress());
         builder.environment().putAll(environment);
-        builder.environment().remove("TMPDIR"); // Processes with the same TMPDIR would share the state file there.
+        builder.environment().remove("TMPDIR"); // Otherwise processes would share the state file there.
         process = builder.start();
         Process started = process;
         Thread reader = new Thread(() -> started.inputReader().lines().forEach(line -> log.add(name + " " + line)));
--- a/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/MembershipFaultTest.java
@@ -19,8 +19,8 @@
             restarted.kill();
             deleteFolder(restarted.dataFolder);
             restarted.start(); // Without a new initialization it joins as a new member.
-            // Checks its state first: until the leader detects the lost folder, the leader's status still lists the
-            // member as a voter.
+            // Checks its state first: until the leader detects the lost folder, its status still lists the member
+            // as a voter.
             await("restarted member votes again", () -> restarted.isDrained(CACHE) && allMembersVote());
         }
         awaitOutOfRotation(cluster.members, 1);
@@ -73,8 +73,8 @@
         copyFolder(follower.dataFolder, oldFolder);
         follower.start();
         await("new entries committed", () -> third.exitMaintenance(CACHE) && third.enterMaintenance(CACHE));
-        // A follower applies committed entries before they are on its disk, so only the leader's status shows which
-        // entries it has acknowledged.
+        // A follower applies committed entries before they are on its disk, so only the leader's status shows
+        // which entries it has acknowledged.
         await(
                 "the follower has acknowledged the entries, or another member leads",
                 () -> leads(leader, term, status -> lag(status, follower) == 0) || ledByAnother(leader, term));
--- a/src/test/java/pewtercourse/gossip/GossipSocketTest.java
+++ b/src/test/java/pewtercourse/gossip/GossipSocketTest.java
@@ -65,7 +65,7 @@
         return peers;
     }
 
-    // A JDK socket releases its port immediately; a Vert.x socket does so only after the next turn of its selector.
+    // A JDK socket releases its port immediately, a Vert.x socket only after the next turn of its selector.
     private static int freePort() throws IOException {
         try (java.net.DatagramSocket free = new java.net.DatagramSocket(0, InetAddress.getByName(HOST))) {
             return free.getLocalPort();
