--- a/src/test/java/pewtercourse/decision/DecisionTraceTest.java
+++ b/src/test/java/pewtercourse/decision/DecisionTraceTest.java
@@ -14,16 +14,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the decision module to its recorded decisions. {@link DecisionStream} plays random events by fixed seeds; the hash
- * of all actions of each stream is kept in {@code decision-trace.txt}. A changed hash is a changed decision. The hashes
- * depend on no name of a type or field, so that renames leave them alone.
+ * Compares the decisions of the router with recorded ones. {@link RandomEventStream} plays random events from fixed seeds.
+ * The file {@code decision-trace.txt} has a line for each stream: its seed, the hash of all actions, and the numbers of events
+ * and actions. A hash that differs means that a decision differs. The hashes contain no names of types or fields, so a rename
+ * does not change them.
  */
 class DecisionTraceTest {
-    private static final int STREAMS = 32;
-    private static final String GOLDEN = "decision-trace.txt";
-    private static final Path ACTUAL = Path.of("target", GOLDEN);
+    private static final int STREAM_COUNT = 32;
+    private static final String RECORDED_FILE = "decision-trace.txt";
+    private static final Path ACTUAL_FILE = Path.of("target", RECORDED_FILE);
 
-    /** Each of these must occur in the streams, or the hashes would say nothing of it. */
+    /** Each of these must occur in the streams: the hashes say nothing about a case that never occurs. */
     private static final Set<String> MUST_OCCUR = new TreeSet<>(Set.of(
             "action cancel",
             "action fail",
@@ -41,84 +42,84 @@
             "outcome 6",
             "outcome 7",
             "outcome 8",
-            "note 0",
-            "note 1",
-            "note 2",
-            "note 3",
-            "note 4",
-            "note 5",
-            "note 6",
-            "note 7",
-            "note 8",
-            "note 9",
-            "note 10",
-            "list 0",
-            "list 1",
-            "list 2",
-            "list 3",
-            "effect 0",
-            "effect 1",
-            "effect 2",
-            "group 0",
-            "group 1",
-            "group 2",
+            "cache status 0",
+            "cache status 1",
+            "cache status 2",
+            "cache status 3",
+            "cache status 4",
+            "cache status 5",
+            "cache status 6",
+            "cache status 7",
+            "cache status 8",
+            "cache status 9",
+            "cache status 10",
+            "endpoint update 0",
+            "endpoint update 1",
+            "endpoint update 2",
+            "endpoint update 3",
+            "idempotency 0",
+            "idempotency 1",
+            "idempotency 2",
+            "deduplication scope 0",
+            "deduplication scope 1",
+            "deduplication scope 2",
             "role 0",
             "role 1",
             "role 2",
-            "state 0",
-            "state 1",
-            "state 2",
-            "siblings 0",
-            "siblings 1",
-            "siblings 2",
-            "notes 0",
-            "notes 1",
-            "notes 2",
-            "rank 0",
-            "rank 1",
-            "rank 2",
-            "rank 3",
+            "lifecycle 0",
+            "lifecycle 1",
+            "lifecycle 2",
+            "sibling fill policy 0",
+            "sibling fill policy 1",
+            "sibling fill policy 2",
+            "cache status detail 0",
+            "cache status detail 1",
+            "cache status detail 2",
+            "retention rank 0",
+            "retention rank 1",
+            "retention rank 2",
+            "retention rank 3",
             "ejected",
-            "short of warm-up budget",
+            "slow start limited",
             "lost answer",
-            "client gone",
-            "stream begun",
+            "client disconnected",
+            "stream started",
             "purge of object",
             "purge of group",
-            "gossip whole",
-            "gossip cut",
+            "gossip well-formed",
+            "gossip truncated",
             "gossip too long",
             "gossip random",
             "quota changed",
-            "reconfigured",
+            "settings changed",
             "coalescing true",
             "coalescing false",
-            "bypass true",
-            "bypass false",
-            "gossip true",
-            "gossip false",
-            "parallel true",
-            "parallel false",
-            "cancel true",
-            "cancel false",
-            "pushed true",
-            "pushed false",
-            "weights told true",
-            "weights told false",
-            "client rate true",
-            "client rate false",
-            "link rate true",
-            "link rate false",
+            "cache bypass true",
+            "cache bypass false",
+            "gossip enabled true",
+            "gossip enabled false",
+            "parallel attempts true",
+            "parallel attempts false",
+            "attempt cancellation true",
+            "attempt cancellation false",
+            "pushed endpoint updates true",
+            "pushed endpoint updates false",
+            "weights are capacities true",
+            "weights are capacities false",
+            "client bandwidth known true",
+            "client bandwidth known false",
+            "fill link bandwidth known true",
+            "fill link bandwidth known false",
             "zones true",
             "zones false",
             "one router true",
             "one router false",
             "overload window true",
             "overload window false",
-            "stream true",
-            "stream false",
-            "fresh for ever true",
-            "fresh for ever false",
+            "streaming true",
+            "streaming false",
+            "fresh until purged true",
+            "fresh until purged false",
             "segmented true",
             "segmented false",
             "uncacheable true",
@@ -128,30 +129,33 @@
             "fill from origin",
             "no fill",
             "with timeout",
-            "with age bound",
+            "with maximum copy age",
             "second attempt",
             "attempt at parent"));
 
     @Test
-    void everyStreamOfEventsYieldsItsRecordedActions() throws IOException {
+    void everyEventStreamYieldsItsRecordedActions() throws IOException {
         TreeMap<String, Integer> occurrences = new TreeMap<>();
         StringBuilder actual = new StringBuilder();
-        for (int seed = 0; seed < STREAMS; seed++) {
-            DecisionStream stream = new DecisionStream(seed, occurrences);
+        for (int seed = 0; seed < STREAM_COUNT; seed++) {
+            RandomEventStream stream = new RandomEventStream(seed, occurrences);
             String hash = stream.play();
             actual.append(seed).append(' ').append(hash).append(' ').append(stream.eventCount());
             actual.append(' ').append(stream.actionCount()).append('\n');
         }
-        Files.writeString(ACTUAL, actual);
+        Files.writeString(ACTUAL_FILE, actual);
 
-        for (String what : MUST_OCCUR) {
-            assertTrue(occurrences.getOrDefault(what, 0) > 0, what + " never occurred; seen: " + occurrences);
+        for (String label : MUST_OCCUR) {
+            assertTrue(occurrences.getOrDefault(label, 0) > 0, label + " never occurred; occurrences: " + occurrences);
         }
-        assertEquals(golden(), actual.toString(), "decisions differ from the recorded ones; these are in " + ACTUAL);
+        assertEquals(
+                recorded(),
+                actual.toString(),
+                "decisions differ from the recorded ones; the present ones are in " + ACTUAL_FILE);
     }
 
-    private static String golden() throws IOException {
-        try (InputStream in = DecisionTraceTest.class.getResourceAsStream(GOLDEN)) {
+    private static String recorded() throws IOException {
+        try (InputStream in = DecisionTraceTest.class.getResourceAsStream(RECORDED_FILE)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
