--- a/src/main/java/pewtercourse/failover/AttemptCounter.java
+++ b/src/main/java/pewtercourse/failover/AttemptCounter.java
@@ -2,7 +2,7 @@
 
 import pewtercourse.cache.AttemptResult;
 
-/** Counts requests and attempts at one site's caches in one half of the observed window. */
+/** Counts the requests and the attempts at one site's caches in one half of the observation window. */
 final class AttemptCounter {
     private int onTime;
     private int late;
@@ -10,7 +10,7 @@
     private int rejected;
     private double serviceMicros;
 
-    /** Service time of all requests. */
+    /** The total service time of all counted requests, in microseconds. */
     double serviceMicros() {
         return serviceMicros;
     }
@@ -19,21 +19,21 @@
         return new AttemptCounts(onTime, late, failed, rejected);
     }
 
-    void addRequest(double micros) {
-        serviceMicros += micros;
+    void addRequest(double requestServiceMicros) {
+        serviceMicros += requestServiceMicros;
     }
 
     void addRejection() {
         rejected++;
     }
 
-    void addAttempt(AttemptResult end, boolean slow) {
-        switch (end) {
+    void addAttempt(AttemptResult result, boolean slow) {
+        switch (result) {
             case SERVED, NOT_MODIFIED, MISS -> addAnswer(slow);
             case FULL -> late++;
             case CANCELLED -> late += slow ? 1 : 0;
             case REFUSED, CONNECT_TIMEOUT, RESET, MALFORMED, TIMEOUT -> failed++;
-            // What the origin or this director may have caused says nothing of the site.
+            // The origin or this director may have caused these results, so they are no evidence about the site.
             case ERROR, EXPIRED, OVERTAKEN, NO_DESCRIPTOR, CANCELLED_UNSENT -> {}
         }
     }
--- a/src/main/java/pewtercourse/failover/FailoverController.java
+++ b/src/main/java/pewtercourse/failover/FailoverController.java
@@ -8,16 +8,17 @@
 import java.util.Set;
 
 /**
- * What the lease holder of the sites does: declares losses, paces recoveries and has plans computed before they are
- * needed. Every member feeds one. Durations that it measures by its own clock start anew when the lease moves to
- * another member; what is agreed does not. {@code now} is microseconds of this member's monotonic clock.
+ * Declares the losses of sites, paces their recoveries and requests failover plans before they are needed. Every member
+ * has a controller and passes observations to it, but only the holder of the lease on the sites proposes changes.
+ * Durations are measured by this member's clock and start again when the lease moves to another member; the agreed
+ * state is kept. {@code now} is in microseconds of this member's monotonic clock.
  */
 public final class FailoverController {
-    // A change that was not agreed by then is proposed again.
-    private static final long PROPOSE_AGAIN_MICROS = 300_000;
+    // A change that has not been agreed within this time is proposed again.
+    private static final long PROPOSAL_TIMEOUT_MICROS = 300_000;
 
-    /** When this member first saw a site's last change. */
-    private record SeenChange(long index, long at) {}
+    /** The log index of a site's last change and the time at which this member first saw it. */
+    private record SeenChange(long logIndex, long seenAt) {}
 
     private final Sites sites;
     private final SiteFailureDetector detector;
@@ -26,7 +27,7 @@
     private final Map<String, SeenChange> lastChanges = new HashMap<>(); // By site.
     private final Map<String, Long> proposedAt = new HashMap<>(); // By site.
 
-    /** A controller that has seen nothing yet. */
+    /** Creates a controller without observations. */
     public FailoverController(Sites sites) {
         this(sites, new SiteFailureDetector(sites));
     }
@@ -38,37 +39,37 @@
         this.planSchedule = new FailoverPlanSchedule(sites.byName().keySet());
     }
 
-    /** A controller for changed sites that keeps what was observed so far. */
+    /** Returns a controller for the changed sites that keeps the observations of this one. */
     public FailoverController withSites(Sites changed) {
         return new FailoverController(changed, detector.withSites(changed));
     }
 
-    /** The detector that members' observations are fed to. */
+    /** The detector that receives the members' observations. */
     public SiteFailureDetector detector() {
         return detector;
     }
 
-    /** Notes when each site's last change was made; to be called at every member, whether or not it holds the lease. */
+    /** Records when each site last changed. Every member calls this, whether or not it holds the lease. */
     public void trackChanges(long now, FailoverState state) {
         for (String site : sites.byName().keySet()) {
-            long index = state.status(site).lastChangeIndex();
-            SeenChange seen = lastChanges.get(site);
-            if (seen == null || seen.index() != index) {
-                lastChanges.put(site, new SeenChange(index, now));
+            long logIndex = state.status(site).lastChangeIndex();
+            SeenChange lastSeen = lastChanges.get(site);
+            if (lastSeen == null || lastSeen.logIndex() != logIndex) {
+                lastChanges.put(site, new SeenChange(logIndex, now));
                 proposedAt.remove(site);
             }
         }
     }
 
     /**
-     * The changes that the lease holder has to propose now.
+     * Returns the status changes that the lease holder has to propose now.
      *
      * @param absent members that the cluster counts as absent
      */
     public List<SiteStatusChange> proposeChanges(long now, FailoverState state, Set<String> absent) {
         trackChanges(now, state);
-        detector.judge(now, absent);
-        proposedAt.values().removeIf(at -> now - at >= PROPOSE_AGAIN_MICROS);
+        detector.assessSites(now, absent);
+        proposedAt.values().removeIf(proposalTime -> now - proposalTime >= PROPOSAL_TIMEOUT_MICROS);
         List<SiteStatusChange> changes = new ArrayList<>();
         for (String site : sites.byName().keySet()) {
             Optional<SiteStatusChange> change = policy.nextChange(situation(now, site, state.status(site)));
@@ -83,7 +84,7 @@
         return new SiteSituation(
                 site,
                 status,
-                now - lastChanges.get(site).at(),
+                now - lastChanges.get(site).seenAt(),
                 detector.health(site),
                 detector.healthAgeMicros(now, site),
                 detector.lossConfirmed(now, site),
@@ -91,18 +92,19 @@
     }
 
     /**
-     * What the lease holder has to have a plan computed from now; empty if none is due, or if one is being computed.
+     * Returns the request for the plan that is to be computed now; empty if no plan is due, or if one is being
+     * computed.
      */
     public Optional<FailoverPlanRequest> requestPlan(long now, FailoverState state) {
         return planSchedule.request(now, state, detector.loads());
     }
 
-    /** Takes the plan for the last {@link #requestPlan}; one that comes too late is dropped. */
+    /** Accepts the plan for the last {@link #requestPlan}; a plan that arrives too late is dropped. */
     public void planComputed(long now, FailoverPlan plan) {
         planSchedule.computed(now, plan);
     }
 
-    /** Hands out the computed plan once, to be proposed; empty if there is none, or if it is already in force. */
+    /** Returns the computed plan once, to be proposed; empty if there is none, or if it is already in force. */
     public Optional<FailoverPlan> takeComputedPlan(FailoverState state) {
         return planSchedule.takeComputed(state);
     }
--- a/src/main/java/pewtercourse/failover/FailoverPlan.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlan.java
@@ -8,40 +8,40 @@
 import java.util.TreeSet;
 
 /**
- * Where the load of lost sites goes, computed before they are lost.
+ * Assigns the load of lost sites to failover targets; computed before the sites are lost.
  *
- * @param cases for each set of lost sites that was planned for, by its {@link #key}: the distribution of each lost
- *              site's load, by its name
+ * @param cases the distributions of the lost sites' loads by site name, for each planned set of lost sites by its
+ *              {@link #key}
  */
 public record FailoverPlan(SortedMap<String, SortedMap<String, Distribution>> cases) {
-    /** Plans for nothing. */
+    /** A plan without any case. */
     public static final FailoverPlan EMPTY = new FailoverPlan(new TreeMap<>());
 
     /**
-     * One failover target's part of a lost site's load, in concurrent transfers.
+     * The part of a lost site's load that one failover target takes, in concurrent transfers.
      *
      * @param site the target's name
-     * @param load what goes there
-     * @param max  the most that may go there if clients ask for more than was planned for
+     * @param load the planned load
+     * @param max  the largest load that the target may take if clients ask for more than planned
      */
     public record Allocation(String site, double load, double max) {}
 
     /**
-     * Where the load of one lost site goes, in concurrent transfers.
+     * The distribution of one lost site's load over its failover targets, in concurrent transfers.
      *
-     * @param allocations one for each target that takes some
+     * @param allocations one for each target that takes a part of the load
      * @param rejected    load for which no target has capacity
      */
     public record Distribution(List<Allocation> allocations, double rejected) {
-        /** Of a site without load. */
+        /** The distribution of a site without load. */
         public static final Distribution EMPTY = new Distribution(List.of(), 0);
 
-        /** What all targets take together. */
+        /** The load that all targets take together. */
         public double allocated() {
             return allocations.stream().mapToDouble(Allocation::load).sum();
         }
 
-        /** All of the site's load that was planned for. */
+        /** The site's load that this distribution was computed for. */
         double total() {
             return allocated() + rejected;
         }
@@ -51,14 +51,15 @@
         }
     }
 
-    /** The name of a case: the lost sites in order, joined by plus signs. */
+    /** Returns the name of a case: the names of the lost sites in sorted order, joined by plus signs. */
     static String key(Set<String> lost) {
         return String.join("+", new TreeSet<>(lost));
     }
 
     /**
-     * The distributions of these lost sites by name. A set that was not planned for gets what was planned for each of
-     * them alone, divided among those of them that use the same target, so that none is overloaded.
+     * Returns the distributions of these lost sites by name. If this set was not planned for, each site gets the
+     * distribution for its single loss, and sites that use the same target divide its allocation so that no target is
+     * overloaded.
      */
     public SortedMap<String, Distribution> distributions(Set<String> lost) {
         SortedMap<String, Distribution> planned = cases.get(key(lost));
@@ -68,22 +69,22 @@
     private SortedMap<String, Distribution> combinedSingleLosses(Set<String> lost) {
         SortedMap<String, Distribution> combined = new TreeMap<>();
         for (String site : new TreeSet<>(lost)) {
-            Distribution alone = singleLoss(site);
-            List<Allocation> divided = alone.allocations().stream()
+            Distribution ofSingleLoss = singleLoss(site);
+            List<Allocation> divided = ofSingleLoss.allocations().stream()
                     .filter(allocation -> !lost.contains(allocation.site()))
                     .map(allocation -> divide(allocation, lost))
                     .toList();
             double allocated = new Distribution(divided, 0).allocated();
-            combined.put(site, new Distribution(divided, Math.max(0, alone.total() - allocated)));
+            combined.put(site, new Distribution(divided, Math.max(0, ofSingleLoss.total() - allocated)));
         }
         return combined;
     }
 
     private Allocation divide(Allocation allocation, Set<String> lost) {
-        long users = lost.stream()
+        long sharingSites = lost.stream()
                 .filter(site -> singleLoss(site).uses(allocation.site()))
                 .count();
-        return new Allocation(allocation.site(), allocation.load() / users, allocation.max() / users);
+        return new Allocation(allocation.site(), allocation.load() / sharingSites, allocation.max() / sharingSites);
     }
 
     private Distribution singleLoss(String site) {
--- a/src/main/java/pewtercourse/failover/FailoverPlanSchedule.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlanSchedule.java
@@ -6,12 +6,12 @@
 import java.util.TreeSet;
 
 /**
- * Decides when a new failover plan is due, and keeps the computed one until it is proposed. Plans take milliseconds to
- * compute, so the caller does that elsewhere and reports back; one request is under way at a time.
+ * Decides when a new failover plan is due, and keeps the computed plan until it is proposed. Computing a plan takes
+ * milliseconds, so the caller does it on another thread and returns the result; only one request is pending at a time.
  */
 final class FailoverPlanSchedule {
     private static final long PLAN_INTERVAL_MICROS = 5_000_000;
-    // A plan that takes longer than this to compute is dropped.
+    // A plan that takes longer to compute is dropped.
     private static final long PLAN_TIMEOUT_MICROS = 2_000_000;
     private static final long NOT_REQUESTED = Long.MIN_VALUE;
 
@@ -26,13 +26,14 @@
         this.knownSites = knownSites;
     }
 
-    /** What a plan is to be computed from now; empty if none is due, or if one is being computed. */
+    /** Returns the request for the plan that is due now; empty if none is due, or if one is being computed. */
     Optional<FailoverPlanRequest> request(long now, FailoverState state, SortedMap<String, Double> loads) {
         Set<String> lost = state.divertedSites();
         lost.retainAll(knownSites);
-        // The first report of a site's load counts at once: without it a plan has nothing to distribute.
+        // The first load report of a site makes a plan due at once: without a load there is nothing to
+        // distribute.
         boolean unchanged = lost.equals(plannedLosses) && loads.keySet().equals(sitesWithLoad);
-        if (underWay(now) || now < nextPlanAt && unchanged) {
+        if (requestPending(now) || now < nextPlanAt && unchanged) {
             return Optional.empty();
         }
         plannedLosses = lost;
@@ -52,19 +53,19 @@
         return ineligible;
     }
 
-    /** Takes the plan for the last request; one that comes too late leaves the last one in force. */
+    /** Accepts the plan for the last request; a plan that arrives too late is dropped. */
     void computed(long now, FailoverPlan plan) {
-        if (underWay(now)) {
+        if (requestPending(now)) {
             computed = Optional.of(plan);
         }
         requestedAt = NOT_REQUESTED;
     }
 
-    private boolean underWay(long now) {
+    private boolean requestPending(long now) {
         return requestedAt != NOT_REQUESTED && now - requestedAt < PLAN_TIMEOUT_MICROS;
     }
 
-    /** Hands out the computed plan once; empty if there is none, or if it is the one in force. */
+    /** Returns the computed plan once; empty if there is none, or if it is already in force. */
     Optional<FailoverPlan> takeComputed(FailoverState state) {
         Optional<FailoverPlan> plan = computed.filter(candidate -> !candidate.equals(state.plan()));
         computed = Optional.empty();
--- a/src/main/java/pewtercourse/failover/FailoverPlanner.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlanner.java
@@ -9,31 +9,31 @@
 import java.util.TreeSet;
 
 /**
- * Distributes the load of every site that could be lost, one or two at a time, over its failover targets: as much as
- * their spare capacity allows, the shortest routes first. Equal input, equal plan. Knows no clock, and takes
- * milliseconds for many sites: to be called off the event loop.
+ * Computes how the load of sites would be distributed over their failover targets if one or two sites were lost. Fills
+ * the targets up to their spare capacity and prefers the shortest routes. The plan depends only on the input, not on
+ * the clock. Planning for many sites takes milliseconds, so call it off the event loop.
  */
 public final class FailoverPlanner {
     private static final int MAX_ITERATIONS = 20_000;
-    // With more sites than these only single losses are planned for.
+    // With more sites, only single losses are planned for.
     private static final int MAX_SITES_FOR_PAIRS = 16;
-    // A plan stays unless a new one saves at least this share of its cost: else each change of load would move copies
-    // about.
-    private static final double MIN_SAVING = 0.1;
+    // A current distribution that overloads no target is replaced only if it costs more than the new one by this
+    // share. Otherwise each small change of load would move cached copies between sites.
+    private static final double MIN_EXTRA_COST_SHARE = 0.1;
 
     private final SimplexTransportSolver solver;
 
-    /** A planner with the default limit of solver iterations. */
+    /** Creates a planner with the default limit of solver iterations. */
     public FailoverPlanner() {
         this(MAX_ITERATIONS);
     }
 
-    /** A planner whose solver gives up after so many iterations, so that the fallback acts. */
+    /** Creates a planner that falls back to {@link NearestFirstSolver} after this many iterations of its solver. */
     FailoverPlanner(int maxIterations) {
         solver = new SimplexTransportSolver(maxIterations);
     }
 
-    /** Computes a plan; cases of the current one stay where a new one would gain little. */
+    /** Computes a plan; keeps each case of the current plan for which a new distribution would save little. */
     public FailoverPlan plan(Sites sites, FailoverPlanRequest request) {
         SortedMap<String, SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         List<String> names = List.copyOf(sites.byName().keySet());
@@ -44,7 +44,7 @@
             cases.put(
                     key,
                     Optional.ofNullable(request.current().cases().get(key))
-                            .filter(current -> stays(problem, current, computed))
+                            .filter(current -> isWorthKeeping(problem, current, computed))
                             .orElse(computed));
         }
         return new FailoverPlan(cases);
@@ -55,18 +55,18 @@
         return problem.distributions(loadByRoute);
     }
 
-    private static boolean stays(
+    private static boolean isWorthKeeping(
             TransportProblem problem,
             SortedMap<String, FailoverPlan.Distribution> current,
             SortedMap<String, FailoverPlan.Distribution> computed) {
         if (!problem.withinSupply(current)) {
             return false;
         }
-        double limit = problem.cost(computed) * (1 + MIN_SAVING) + TransportProblem.NEGLIGIBLE_LOAD;
-        return problem.cost(current) <= limit;
+        double maxCurrentCost = problem.cost(computed) * (1 + MIN_EXTRA_COST_SHARE) + TransportProblem.NEGLIGIBLE_LOAD;
+        return problem.cost(current) <= maxCurrentCost;
     }
 
-    // The sites that are lost now, these with each further one, and, while none is lost, each pair.
+    // Returns the sites that are lost now, this set with each further site, and each pair while no site is lost.
     private static List<Set<String>> possibleLosses(List<String> names, Set<String> lost) {
         boolean planPairs = lost.isEmpty() && names.size() <= MAX_SITES_FOR_PAIRS;
         List<Set<String>> losses = new ArrayList<>();
@@ -75,19 +75,19 @@
         }
         for (int first = 0; first < names.size(); first++) {
             if (!lost.contains(names.get(first))) {
-                Set<String> withFirst = with(lost, names.get(first));
+                Set<String> withFirst = withSite(lost, names.get(first));
                 losses.add(withFirst);
                 for (int second = first + 1; planPairs && second < names.size(); second++) {
-                    losses.add(with(withFirst, names.get(second)));
+                    losses.add(withSite(withFirst, names.get(second)));
                 }
             }
         }
         return losses;
     }
 
-    private static Set<String> with(Set<String> some, String further) {
-        Set<String> all = new TreeSet<>(some);
-        all.add(further);
-        return all;
+    private static Set<String> withSite(Set<String> lost, String additionalSite) {
+        Set<String> extended = new TreeSet<>(lost);
+        extended.add(additionalSite);
+        return extended;
     }
 }
--- a/src/main/java/pewtercourse/failover/FailoverState.java
+++ b/src/main/java/pewtercourse/failover/FailoverState.java
@@ -7,21 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * What is agreed on the sites: the status of each, and where loads go. The same at every member after the same changes;
- * who may make them is checked by the caller. A change names the log index of the change that it builds on and is
- * rejected once there is a later one, so that one that comes late, or twice, does nothing.
+ * Holds the agreed state of the sites: the status of each site and the failover plan. Members that apply the same
+ * changes have the same state; the caller checks who may make a change. A status change names the log index of the
+ * change that it builds on and is rejected if the site has changed since, so a late or repeated change has no effect.
  */
 public final class FailoverState {
     private final SortedMap<String, SiteStatus> statuses = new TreeMap<>();
     private FailoverPlan plan = FailoverPlan.EMPTY;
     private long version;
 
-    /** The status of a site; {@link SiteStatus#INITIAL} if it was never changed. */
+    /** The status of a site; {@link SiteStatus#INITIAL} if the status has never changed. */
     public SiteStatus status(String site) {
         return statuses.getOrDefault(site, SiteStatus.INITIAL);
     }
 
-    /** The statuses that were ever changed, by site; a read-only view. */
+    /** The statuses of all sites whose status has ever changed, by site; a read-only view. */
     public SortedMap<String, SiteStatus> statuses() {
         return Collections.unmodifiableSortedMap(statuses);
     }
@@ -31,12 +31,12 @@
         return plan;
     }
 
-    /** How many changes were made since this was created or restored. */
+    /** The number of changes applied to this object; restored statuses don't count. */
     public long version() {
         return version;
     }
 
-    /** Sites whose load, or a part of it, is served elsewhere; a sorted copy. */
+    /** The sites whose load, or a part of it, other sites serve; a sorted copy. */
     public Set<String> divertedSites() {
         Set<String> diverted = new TreeSet<>();
         statuses.forEach((name, status) -> {
@@ -48,58 +48,58 @@
     }
 
     /**
-     * Applies a change by the lease holder.
+     * Applies a status change that the lease holder proposed.
      *
      * @param index log index of this change
-     * @return false if the change builds on an older one, or if there are too many sites
+     * @return false if the site has changed since the expected index, or if there are too many sites
      */
     public boolean changeStatus(long index, SiteStatusChange change) {
-        SiteStatus next = status(change.site()).with(change, index);
-        return replace(change.site(), change.expectedIndex(), next);
+        SiteStatus newStatus = status(change.site()).with(change, index);
+        return replace(change.site(), change.expectedIndex(), newStatus);
     }
 
     /**
-     * Applies an operator's order to keep a site from recovering, or to release it, which ends a drill as well.
+     * Applies an operator's command to keep a site from recovering, or to release it; a release also ends a drill.
      *
      * @param index         log index of this change
-     * @param expectedIndex log index of the change that it builds on
-     * @return false if it builds on an older change, or if there are too many sites
+     * @param expectedIndex log index of the site's change that this one builds on
+     * @return false if the site has changed since the expected index, or if there are too many sites
      */
     public boolean setHeld(long index, String site, boolean held, long expectedIndex) {
         SiteStatus status = status(site);
-        return replace(site, expectedIndex, status.withOperatorOrder(held, held && status.drill(), index));
+        return replace(site, expectedIndex, status.withOperatorCommand(held, held && status.drill(), index));
     }
 
     /**
-     * Applies an operator's order to have a site fail over on purpose, step by step, until it is released.
+     * Applies an operator's command to start a drill: the site fails over step by step until it is released.
      *
      * @param index         log index of this change
-     * @param expectedIndex log index of the change that it builds on
-     * @return false if it builds on an older change, or if there are too many sites
+     * @param expectedIndex log index of the site's change that this one builds on
+     * @return false if the site has changed since the expected index, or if there are too many sites
      */
     public boolean startDrill(long index, String site, long expectedIndex) {
         SiteStatus status = status(site);
-        return replace(site, expectedIndex, status.withOperatorOrder(status.held(), true, index));
+        return replace(site, expectedIndex, status.withOperatorCommand(status.held(), true, index));
     }
 
-    private boolean replace(String site, long expectedIndex, SiteStatus next) {
+    private boolean replace(String site, long expectedIndex, SiteStatus newStatus) {
         boolean outdated = status(site).lastChangeIndex() != expectedIndex;
         boolean full = statuses.size() >= Sites.MAX_SITES && !statuses.containsKey(site);
         if (outdated || full) {
             return false;
         }
-        statuses.put(site, next);
+        statuses.put(site, newStatus);
         version++;
         return true;
     }
 
-    /** Puts a plan by the lease holder in force. */
+    /** Puts a plan that the lease holder proposed in force. */
     public void setPlan(FailoverPlan newPlan) {
         plan = newPlan;
         version++;
     }
 
-    /** Sets a status as a snapshot has it. */
+    /** Restores a site's status from a snapshot. */
     public void restore(String site, SiteStatus status) {
         statuses.put(site, status);
     }
--- a/src/main/java/pewtercourse/failover/FailoverTiming.java
+++ b/src/main/java/pewtercourse/failover/FailoverTiming.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * How long signs must last before a site's status changes.
+ * The delays between a sign of loss or recovery and the change of a site's status, and the steps of a recovery.
  *
- * @param lossDelayMicros           how long the signs of a loss must last; half of it for an impairment
- * @param recoveryDelayMicros       how long a lost site must look healthy before its load comes back; doubled at each
+ * @param lossDelayMicros           how long signs of a loss must last before the site is lost; signs of an
+ *                                  impairment must last half as long
+ * @param recoveryDelayMicros       how long a lost site must look healthy before its load returns; doubles with each
  *                                  flap
- * @param maxRecoveryDelayMicros    the longest such delay; a site that stays whole for it has its flaps forgotten
- * @param minRecoveryStepMicros     the shortest time that a step of the recovery ramp lasts
- * @param recoverySteps             shares of its load that come back step by step: increasing, the last one 1
- * @param observationLifetimeMicros how long a member's observation counts
+ * @param maxRecoveryDelayMicros    the maximum recovery delay; the flaps of a site that stays healthy this long are
+ *                                  reset
+ * @param minRecoveryStepMicros     the minimum duration of a step of the recovery ramp
+ * @param recoverySteps             the share of a site's load that it serves at each step; increasing, the last is 1
+ * @param observationLifetimeMicros how long a member's observation is used
  */
 public record FailoverTiming(
         long lossDelayMicros,
@@ -20,18 +22,18 @@
         long minRecoveryStepMicros,
         List<Double> recoverySteps,
         long observationLifetimeMicros) {
-    // Keeps the backoff's shift within a long.
+    // Limits the shift of the exponential backoff so that the delay fits into a long.
     private static final int MAX_DOUBLINGS = 20;
 
-    /** The step at which all of a site's load is back. */
+    /** The index of the last step, at which a site serves all of its load again. */
     int lastStep() {
         return recoverySteps.size() - 1;
     }
 
     /**
-     * How long a lost site must look healthy: exponential backoff by its flaps, up to the longest delay.
+     * Returns how long a lost site must look healthy: exponential backoff by its flaps, up to the maximum delay.
      *
-     * @param flaps relapses since the site was last whole for long
+     * @param flaps relapses since the site last stayed healthy for the maximum recovery delay
      */
     long recoveryDelayMicros(int flaps) {
         return Math.min(maxRecoveryDelayMicros, recoveryDelayMicros << Math.min(MAX_DOUBLINGS, flaps));
--- a/src/main/java/pewtercourse/failover/NearestFirstSolver.java
+++ b/src/main/java/pewtercourse/failover/NearestFirstSolver.java
@@ -7,31 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * Fills the routes of a {@link TransportProblem} in the order of their distance, as far as demand and supply go. Not
- * optimal, but it always ends: the fallback for the simplex method.
+ * Fills the routes of a {@link TransportProblem} in the order of their distance, up to the remaining demand and supply.
+ * The result may not be optimal, but the method always ends; it is the fallback for the simplex method.
  */
 final class NearestFirstSolver {
     private NearestFirstSolver() {}
 
-    /** The load of each route. */
+    /** Returns the load of each route. */
     static double[] solve(TransportProblem problem) {
         List<TransportProblem.Route> routes = problem.routes();
-        double[] load = new double[routes.size()];
-        double[] openDemand = new double[problem.sourceCount()];
-        for (int source = 0; source < openDemand.length; source++) {
-            openDemand[source] = problem.demand(source);
+        double[] loadByRoute = new double[routes.size()];
+        double[] remainingDemand = new double[problem.sourceCount()];
+        for (int source = 0; source < remainingDemand.length; source++) {
+            remainingDemand[source] = problem.demand(source);
         }
-        SortedMap<String, Double> openSupply = new TreeMap<>(problem.supply());
+        SortedMap<String, Double> remainingSupply = new TreeMap<>(problem.supply());
         for (int i : nearestFirst(routes)) {
             TransportProblem.Route route = routes.get(i);
-            load[i] = Math.min(openDemand[route.source()], openSupply.get(route.target()));
-            openDemand[route.source()] -= load[i];
-            openSupply.merge(route.target(), -load[i], Double::sum);
+            loadByRoute[i] = Math.min(remainingDemand[route.source()], remainingSupply.get(route.target()));
+            remainingDemand[route.source()] -= loadByRoute[i];
+            remainingSupply.merge(route.target(), -loadByRoute[i], Double::sum);
         }
-        return load;
+        return loadByRoute;
     }
 
-    // Of equally long routes the first one.
+    // Routes of equal distance keep their order.
     private static List<Integer> nearestFirst(List<TransportProblem.Route> routes) {
         List<Integer> order = new ArrayList<>();
         for (int route = 0; route < routes.size(); route++) {
--- a/src/main/java/pewtercourse/failover/OverflowDecision.java
+++ b/src/main/java/pewtercourse/failover/OverflowDecision.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * Which site serves a request.
+ * The site that serves a request, or the request's rejection.
  *
- * @param site             its name; empty if the request is rejected
- * @param retryAfterMicros if rejected: when the client should retry
+ * @param site             the name of the site; empty if the request is rejected
+ * @param retryAfterMicros if rejected: the delay after which the client should retry
  */
 public record OverflowDecision(Optional<String> site, long retryAfterMicros) {
     static OverflowDecision serveAt(String site) {
--- a/src/main/java/pewtercourse/failover/OverflowRequest.java
+++ b/src/main/java/pewtercourse/failover/OverflowRequest.java
@@ -3,14 +3,15 @@
 /**
  * A client's request for which a site is to be chosen.
  *
- * @param objectHash       of its object's name, by {@link pewtercourse.hash.StableHash}
- * @param priorityWeight   what serving it is worth; over 0
- * @param serviceMicros    how long its response takes to send
- * @param objectiveMicros  latency objective of its class
- * @param deadline         when its response is of no more use
- * @param expectedMicros   how long it takes in all if nothing goes wrong
- * @param unconditional    only the origin can serve it and it may not be sent twice: it is never rejected here
- * @param revalidation     refreshes a cached copy in the background: no client waits for it
+ * @param objectHash       hash of the object's name, by {@link pewtercourse.hash.StableHash}
+ * @param priorityWeight   value of serving the request; over 0
+ * @param serviceMicros    how long the response takes to send
+ * @param objectiveMicros  latency objective of the request's class
+ * @param deadline         time after which the response is useless
+ * @param expectedMicros   how long the request takes in total if nothing goes wrong
+ * @param unconditional    whether only the origin can serve the request and it must not be sent twice; never rejected
+ *                         here
+ * @param revalidation     whether the request refreshes a cached copy in the background; no client waits for it
  */
 public record OverflowRequest(
         long objectHash,
@@ -21,7 +22,7 @@
         long expectedMicros,
         boolean unconditional,
         boolean revalidation) {
-    /** Whether it could not be served in time even if nothing went wrong. */
+    /** Whether the request would miss its deadline even if nothing went wrong. */
     boolean tooLate(long now) {
         return now + expectedMicros > deadline;
     }
--- a/src/main/java/pewtercourse/failover/OverflowRouter.java
+++ b/src/main/java/pewtercourse/failover/OverflowRouter.java
@@ -11,17 +11,20 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * At one director: which site serves a request of its own clients by what is agreed, or whether it is rejected. While
- * the own site is whole that is always the own one. {@code now} is microseconds of a monotonic clock.
+ * Chooses, at one director, the site that serves a request of the director's own clients, or rejects the request.
+ * Follows the agreed state; the director's own site serves every request unless its load is diverted. {@code now} is in
+ * microseconds of a monotonic clock.
  */
 public final class OverflowRouter {
-    // While the own site is lost, one request per interval is tried there: else nobody would see it recover.
+    // While the own site is lost, one request per interval is tried there; otherwise its recovery would go
+    // unnoticed.
     private static final long TRIAL_INTERVAL_MICROS = 300_000;
-    // Rejected clients are told to retry after this share of the latency objective, up to so many times as long:
-    // spread, so that they don't come back all at once.
+    // The retry delay of rejected clients is this share of the latency objective, times a random factor from 1 up
+    // to the maximum. The random factor keeps the clients from retrying all at once.
     private static final double RETRY_AFTER_SHARE = 0.25;
-    private static final double RETRY_AFTER_SPREAD = 3;
-    // Makes the order in which objects come back independent of the choice among targets (2^64 / golden ratio).
+    private static final double MAX_RETRY_AFTER_FACTOR = 3;
+    // Makes the order in which objects return to the own site independent of the choice among targets (2^64
+    // divided by the golden ratio).
     private static final long RECOVERY_SALT = 0x9e3779b97f4a7c15L;
 
     private final Sites sites;
@@ -36,9 +39,9 @@
     private boolean ownCachesListed = true;
 
     /**
-     * @param ownSite             site of this director
-     * @param maxRetryAfterMicros the longest retry delay that clients follow
-     * @param seed                of the spread of retry delays
+     * @param ownSite             the director's site
+     * @param maxRetryAfterMicros maximum retry delay that clients follow
+     * @param seed                seed of the random retry delays
      */
     public OverflowRouter(Sites sites, String ownSite, long maxRetryAfterMicros, long seed) {
         this.sites = sites;
@@ -48,9 +51,9 @@
     }
 
     /**
-     * Follows a change of what is agreed.
+     * Applies a change of the agreed state.
      *
-     * @param directors present directors of the own site, among which its allocations are divided; 0 counts as 1
+     * @param directors number of directors present at the own site, which divide its allocations equally; 0 counts as 1
      */
     public void follow(long now, FailoverState state, int directors) {
         ownStatus = state.status(ownSite);
@@ -70,30 +73,30 @@
         shedders.keySet().retainAll(targetWeights.keySet());
     }
 
-    /** Tells whether any cache of the own site is listed: without one, a trial there is in vain. */
+    /** Sets whether any cache of the own site is listed; without one, no requests are tried there. */
     public void setOwnCachesListed(boolean listed) {
         ownCachesListed = listed;
     }
 
-    /** Whether the load of the own site, or a part of it, is served elsewhere. */
+    /** Whether other sites serve the load of the own site, or a part of it. */
     public boolean diverting() {
         return ownStatus.diverted();
     }
 
-    /** Sites besides the own one that requests may go to now; a read-only view. */
+    /** The other sites that may serve requests now; a read-only view. */
     public Set<String> failoverTargets() {
         return Collections.unmodifiableSet(targetWeights.keySet());
     }
 
-    /** Chooses the site of a request. */
+    /** Chooses the site that serves a request, or rejects the request. */
     public OverflowDecision choose(long now, OverflowRequest request) {
-        if (!ownStatus.diverted() || servedAtHome(now, request)) {
+        if (!ownStatus.diverted() || servedAtOwnSite(now, request)) {
             return OverflowDecision.serveAt(ownSite);
         }
         double rank = priorities.rank(now, request);
         Optional<String> target = WeightedRendezvous.choose(request.objectHash(), targetWeights);
         if (target.isEmpty()) {
-            // What only the origin can serve is tried by what is left of the own site.
+            // Only the origin can serve such a request, so whatever still works at the own site tries it.
             return request.unconditional() ? OverflowDecision.serveAt(ownSite) : reject(request);
         }
         if (!request.unconditional() && request.tooLate(now)) {
@@ -104,11 +107,11 @@
         return admitted ? OverflowDecision.serveAt(target.get()) : reject(request);
     }
 
-    private boolean servedAtHome(long now, OverflowRequest request) {
+    private boolean servedAtOwnSite(long now, OverflowRequest request) {
         if (ownStatus.phase() == SiteStatus.Phase.RETURNING) {
-            // Objects come back in one order, so that a further step moves none away again.
-            double place = StableHash.toUnitInterval(request.objectHash() ^ RECOVERY_SALT);
-            return place < sites.timing().recoverySteps().get(ownStatus.step());
+            // Objects return in a fixed order, so an object that has returned stays at further steps.
+            double returnPosition = StableHash.toUnitInterval(request.objectHash() ^ RECOVERY_SALT);
+            return returnPosition < sites.timing().recoverySteps().get(ownStatus.step());
         }
         boolean trialAllowed = ownCachesListed && !ownStatus.drill();
         if (!trialAllowed || request.unconditional() || request.revalidation() || now < nextTrialAt) {
@@ -119,8 +122,8 @@
     }
 
     private OverflowDecision reject(OverflowRequest request) {
-        double factor = 1 + (RETRY_AFTER_SPREAD - 1) * random.nextDouble();
-        double retryAfter = RETRY_AFTER_SHARE * request.objectiveMicros() * factor;
-        return OverflowDecision.reject(Math.min(maxRetryAfterMicros, (long) retryAfter));
+        double factor = 1 + (MAX_RETRY_AFTER_FACTOR - 1) * random.nextDouble();
+        double retryAfterMicros = RETRY_AFTER_SHARE * request.objectiveMicros() * factor;
+        return OverflowDecision.reject(Math.min(maxRetryAfterMicros, (long) retryAfterMicros));
     }
 }
--- a/src/main/java/pewtercourse/failover/SimplexTransportSolver.java
+++ b/src/main/java/pewtercourse/failover/SimplexTransportSolver.java
@@ -15,11 +15,11 @@
 import org.apache.commons.math3.optim.nonlinear.scalar.GoalType;
 
 /**
- * Solves a {@link TransportProblem} at least cost by the simplex method (Dantzig, "Linear Programming and Extensions",
- * 1963). The variables are the load of each route, then the rejected load of each lost site.
+ * Solves a {@link TransportProblem} at minimum cost by the simplex method (Dantzig, "Linear Programming and
+ * Extensions", 1963). The variables are the load of each route, then the rejected load of each lost site.
  */
 final class SimplexTransportSolver {
-    // Makes the first of equally long routes the cheapest: equal input, equal plan.
+    // Makes the first of several routes of equal distance the cheapest, so that equal input gives an equal plan.
     private static final double TIE_BREAK = 1e-9;
 
     private final int maxIterations;
@@ -28,7 +28,7 @@
         this.maxIterations = maxIterations;
     }
 
-    /** The load of each route; empty if the solver gives up. */
+    /** Returns the load of each route; empty if the solver gives up. */
     Optional<double[]> solve(TransportProblem problem) {
         int routeCount = problem.routes().size();
         if (routeCount == 0) {
@@ -66,13 +66,13 @@
     private static List<LinearConstraint> constraints(TransportProblem problem) {
         List<LinearConstraint> constraints = new ArrayList<>();
         for (int source = 0; source < problem.sourceCount(); source++) {
-            constraints.add(allLoadIsPlaced(problem, source));
+            constraints.add(demandIsMet(problem, source));
         }
         problem.supply().forEach((target, supply) -> constraints.add(withinSupply(problem, target, supply)));
         return constraints;
     }
 
-    private static LinearConstraint allLoadIsPlaced(TransportProblem problem, int source) {
+    private static LinearConstraint demandIsMet(TransportProblem problem, int source) {
         double[] coefficients = new double[variableCount(problem)];
         List<TransportProblem.Route> routes = problem.routes();
         for (int route = 0; route < routes.size(); route++) {
--- a/src/main/java/pewtercourse/failover/Site.java
+++ b/src/main/java/pewtercourse/failover/Site.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * One site as its operators describe it. Capacities are in concurrent transfers.
+ * The operators' description of one site. Capacities are in concurrent transfers.
  *
  * @param name            unique among the sites; also the zone of its caches
- * @param hub             zone of the parents that it fills from; empty if the file names none
- * @param directors       members of the cluster that stand at this site
- * @param capacity        what its caches serve when they are warm; over 0
- * @param spareShare      share, 0 to 1, of its unused capacity that clients of other sites may use
- * @param reservedShare   share, 0 to 1, of {@code capacity} that is always kept for its own clients
- * @param fillCapacity    concurrent fills that its uplink carries; 0 for no limit
- * @param failoverTargets sites that may serve its clients when it is lost; empty if none may
+ * @param hub             zone of the parents that the site fills from; empty if the file names none
+ * @param directors       members of the cluster that run at this site
+ * @param capacity        load that the site's caches serve when they are warm; over 0
+ * @param spareShare      share, 0 to 1, of the unused capacity that clients of other sites may use
+ * @param reservedShare   share, 0 to 1, of {@code capacity} that is always kept for the site's own clients
+ * @param fillCapacity    concurrent fills that the site's uplink carries; 0 for no limit
+ * @param failoverTargets sites that may serve the clients of this site while it is lost; may be empty
  */
 public record Site(
         String name,
@@ -25,10 +25,10 @@
         double fillCapacity,
         List<FailoverTarget> failoverTargets) {
     /**
-     * A site that may serve another one's clients.
+     * A site that may serve the clients of another site while that one is lost.
      *
-     * @param site     its name
-     * @param distance cost of one transfer from there, relative to other targets; over 0
+     * @param site     name of the target
+     * @param distance cost of one transfer from the target, relative to other targets; over 0
      */
     public record FailoverTarget(String site, double distance) {}
 
@@ -38,9 +38,9 @@
     }
 
     /**
-     * What this site can serve for clients of other sites.
+     * Returns the load that this site can serve for clients of other sites.
      *
-     * @param load concurrent transfers that its own clients ask for
+     * @param load concurrent transfers that the site's own clients request
      */
     public double spareCapacity(double load) {
         return Math.max(0, Math.min(spareShare * (capacity - load), (1 - reservedShare) * capacity));
--- a/src/main/java/pewtercourse/failover/SiteEvidence.java
+++ b/src/main/java/pewtercourse/failover/SiteEvidence.java
@@ -1,47 +1,48 @@
 package pewtercourse.failover;
 
-/** All fresh observations of one site, summed up for one judgement of its health. */
+/** Combines all fresh observations of one site into an assessment of its health. */
 final class SiteEvidence {
     private AttemptCounts attempts = AttemptCounts.NONE;
-    private boolean healthyFromInside;
-    private boolean directorHeard;
-    // Members whose list knows caches of the site; among them those that miss all, most, or all parents of its hub.
-    private int listeners;
-    private int listenersWithoutCaches;
-    private int listenersWithFewCaches;
-    private int listenersWithoutParents;
+    private boolean healthyToOwnDirectors;
+    private boolean directorReported;
+    // Members whose endpoint list has ever had caches of the site. Of these members: how many find all caches,
+    // most caches, or all parents of the site's hub missing.
+    private int listingMembers;
+    private int membersMissingAllCaches;
+    private int membersMissingMostCaches;
+    private int membersMissingAllParents;
 
-    /** A director of the site was heard from lately. */
-    void directorHeard() {
-        directorHeard = true;
+    /** Records that a director of the site has reported recently. */
+    void recordDirectorReport() {
+        directorReported = true;
     }
 
     /**
-     * Adds what one member saw.
+     * Adds the observation of one member.
      *
-     * @param fromInside whether the member is a director of the site
+     * @param fromOwnDirector whether the member is a director of the site
      */
-    void add(SiteObservation observation, boolean fromInside) {
-        AttemptCounts seen = observation.attempts();
-        attempts = attempts.plus(seen);
-        healthyFromInside |= fromInside && seen.enoughCompleted() && seen.fewFailed();
-        if (observation.caches().known()) {
-            listeners++;
-            listenersWithoutCaches += observation.caches().allGone() ? 1 : 0;
-            listenersWithFewCaches += observation.caches().mostGone() ? 1 : 0;
-            listenersWithoutParents += observation.parents().allGone() ? 1 : 0;
+    void add(SiteObservation observation, boolean fromOwnDirector) {
+        AttemptCounts memberAttempts = observation.attempts();
+        attempts = attempts.plus(memberAttempts);
+        healthyToOwnDirectors |= fromOwnDirector && memberAttempts.hasEnoughCompleted() && memberAttempts.fewFailed();
+        if (observation.caches().everListed()) {
+            listingMembers++;
+            membersMissingAllCaches += observation.caches().allMissing() ? 1 : 0;
+            membersMissingMostCaches += observation.caches().mostMissing() ? 1 : 0;
+            membersMissingAllParents += observation.parents().allMissing() ? 1 : 0;
         }
     }
 
-    /** Whether no director of the site was heard from. */
-    boolean noDirectorHeard() {
-        return !directorHeard;
+    /** Whether no director of the site has reported recently. */
+    boolean noDirectorReported() {
+        return !directorReported;
     }
 
     /**
-     * The health that the observations tell of.
+     * Returns the health of the site according to the observations.
      *
-     * @param directorsSilent whether the site has directors, and none of them is heard from
+     * @param directorsSilent whether the site has directors and none of them has reported recently
      */
     SiteHealth health(boolean directorsSilent) {
         if (cachesFail()) {
@@ -50,26 +51,26 @@
         if (directorsSilent) {
             return SiteHealth.DIRECTORS;
         }
-        if (mostListeners(listenersWithoutParents)) {
+        if (mostListingMembers(membersMissingAllParents)) {
             return SiteHealth.PARENTS;
         }
-        boolean someFail = attempts.conclusive() && !attempts.fewFailed();
-        if (someFail || mostListeners(listenersWithFewCaches)) {
+        boolean someAttemptsFail = attempts.conclusive() && !attempts.fewFailed();
+        if (someAttemptsFail || mostListingMembers(membersMissingMostCaches)) {
             return SiteHealth.PARTLY;
         }
         return attempts.conclusive() && attempts.mostLate() ? SiteHealth.SLOW : SiteHealth.WELL;
     }
 
     private boolean cachesFail() {
-        boolean attemptsFail = attempts.conclusive() && attempts.mostFailed() && !healthyFromInside;
-        // Endpoint lists come late and shrink by mistake: an empty one counts only where most members have it and no
-        // attempt contradicts it.
+        boolean mostAttemptsFail = attempts.conclusive() && attempts.mostFailed() && !healthyToOwnDirectors;
+        // Endpoint lists may be late or lose entries by mistake. Missing caches therefore count only if most
+        // members miss them and the attempts don't contradict the list.
         boolean contradicted = attempts.conclusive() && attempts.fewFailed();
-        boolean unlisted = mostListeners(listenersWithoutCaches) && !contradicted;
-        return attemptsFail || unlisted;
+        boolean cachesMissing = mostListingMembers(membersMissingAllCaches) && !contradicted;
+        return mostAttemptsFail || cachesMissing;
     }
 
-    private boolean mostListeners(int count) {
-        return listeners > 0 && 2 * count > listeners;
+    private boolean mostListingMembers(int count) {
+        return listingMembers > 0 && 2 * count > listingMembers;
     }
 }
--- a/src/main/java/pewtercourse/failover/SiteFailureDetector.java
+++ b/src/main/java/pewtercourse/failover/SiteFailureDetector.java
@@ -8,40 +8,41 @@
 import java.util.TreeMap;
 
 /**
- * Judges the health of the sites by the observations of all members, each of which may be stale or one-sided. Every
- * member feeds one, so that whichever gets the lease has the observations at hand. {@code now} is microseconds of this
- * member's monotonic clock.
+ * Assesses the health of the sites from the observations of all members; each observation may be stale or show only one
+ * member's view. Every member passes all observations to its own detector, so the next lease holder has them already.
+ * {@code now} is in microseconds of this member's monotonic clock.
  */
 public final class SiteFailureDetector {
-    // Older than any signal that still counts.
+    // A time before all signals that are still in use.
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    private record MemberReport(long at, Map<String, SiteObservation> bySite) {}
+    private record MemberReport(long receivedAt, Map<String, SiteObservation> bySite) {}
 
-    private record JudgedHealth(SiteHealth health, long since) {}
+    private record HealthAssessment(SiteHealth health, long since) {}
 
-    /** When the last two observations that look like a loss came. */
-    private record LossSignals(long previous, long latest) {
+    /** The times of the last two observations that look like a loss. */
+    private record LossSignals(long previousAt, long latestAt) {
         static final LossSignals NONE = new LossSignals(NEVER, NEVER);
 
-        LossSignals next(long now) {
-            return new LossSignals(latest, now);
+        LossSignals withSignal(long now) {
+            return new LossSignals(latestAt, now);
         }
     }
 
     private final Sites sites;
     private final Map<String, MemberReport> reports = new HashMap<>(); // By member.
-    private final Map<String, JudgedHealth> judged = new HashMap<>(); // By site.
+    private final Map<String, HealthAssessment> assessments = new HashMap<>(); // By site.
     private final Map<String, Double> loads = new TreeMap<>(); // By site.
     private final Map<String, LossSignals> lossSignals = new HashMap<>(); // By site.
 
-    /** A detector that has seen nothing yet. */
+    /** Creates a detector without observations. */
     public SiteFailureDetector(Sites sites) {
         this.sites = sites;
     }
 
     /**
-     * A detector for changed sites that keeps the observations of this one; how long a site's health lasts starts anew.
+     * Returns a detector for the changed sites that keeps the observations of this one. The age of each site's health
+     * starts again.
      */
     SiteFailureDetector withSites(Sites changed) {
         SiteFailureDetector detector = new SiteFailureDetector(changed);
@@ -51,13 +52,13 @@
         return detector;
     }
 
-    /** Takes in what a member has seen in the last seconds, by site. */
+    /** Records a member's recent observations, by site. */
     public void observe(long now, String member, Map<String, SiteObservation> bySite) {
         reports.put(member, new MemberReport(now, Map.copyOf(bySite)));
         bySite.forEach((site, observation) -> {
             if (observation.signalsLoss()) {
                 lossSignals.put(
-                        site, lossSignals.getOrDefault(site, LossSignals.NONE).next(now));
+                        site, lossSignals.getOrDefault(site, LossSignals.NONE).withSignal(now));
             }
         });
         for (Site site : sites.byName().values()) {
@@ -79,93 +80,93 @@
     }
 
     /**
-     * Concurrent transfers that each site's clients ask for, as last reported; a site whose directors fell silent keeps
-     * its last load. A copy.
+     * Returns a copy of the last reported loads by site: the concurrent transfers that the site's clients request. A
+     * site whose directors stop reporting keeps its last load.
      */
     public SortedMap<String, Double> loads() {
         return new TreeMap<>(loads);
     }
 
     /**
-     * Judges every site by the observations that are fresh now. To be called before {@link #health} and
-     * {@link #healthAgeMicros}.
+     * Assesses every site by the observations that are fresh now. Call this before {@link #health} and {@link
+     * #healthAgeMicros}.
      *
      * @param absent members that the cluster counts as absent
      */
-    public void judge(long now, Set<String> absent) {
+    public void assessSites(long now, Set<String> absent) {
         for (Site site : sites.byName().values()) {
             SiteHealth health = currentHealth(now, site, absent);
-            JudgedHealth before = judged.get(site.name());
-            boolean lasts = before != null && sameLoss(before.health(), health);
-            judged.put(site.name(), new JudgedHealth(health, lasts ? before.since() : now));
+            HealthAssessment before = assessments.get(site.name());
+            boolean unchanged = before != null && sameLoss(before.health(), health);
+            assessments.put(site.name(), new HealthAssessment(health, unchanged ? before.since() : now));
         }
     }
 
-    // A loss whose extent shows bit by bit is one loss.
+    // A loss counts as the same loss if only its extent changes, because the extent may show step by step.
     private static boolean sameLoss(SiteHealth before, SiteHealth now) {
         return before == now || before.lost() && now.lost();
     }
 
-    /** The health of a site at the last judgement; well before the first. */
+    /** The health of a site at the last assessment; {@link SiteHealth#WELL} before the first one. */
     public SiteHealth health(String site) {
-        JudgedHealth last = judged.get(site);
+        HealthAssessment last = assessments.get(site);
         return last == null ? SiteHealth.WELL : last.health();
     }
 
-    /** How long the site has been in this health, in microseconds. */
+    /** How long the site has had this health, in microseconds. */
     public long healthAgeMicros(long now, String site) {
-        JudgedHealth last = judged.get(site);
+        HealthAssessment last = assessments.get(site);
         return last == null ? 0 : now - last.since();
     }
 
     /**
-     * Whether at least two fresh observations looked like a loss. A single one may be bad by chance, and if its
-     * director falls silent after it, nothing contradicts it while it counts.
+     * Whether at least two fresh observations looked like a loss. A single observation may look so by chance, and if
+     * its director then stops reporting, no later observation contradicts it while it is fresh.
      */
     public boolean lossConfirmed(long now, String site) {
         LossSignals signals = lossSignals.getOrDefault(site, LossSignals.NONE);
-        return now - signals.previous() <= sites.timing().observationLifetimeMicros();
+        return now - signals.previousAt() <= sites.timing().observationLifetimeMicros();
     }
 
-    /** Recent attempts at a site's caches by its own directors: they set the pace of its recovery. */
+    /** The recent attempts at a site's caches by the site's own directors, which set the pace of its recovery. */
     public AttemptCounts ownAttempts(long now, String site) {
         AttemptCounts sum = AttemptCounts.NONE;
         for (String director : sites.byName().get(site).directors()) {
             MemberReport report = reports.get(director);
             SiteObservation observation =
-                    report != null && fresh(now, report) ? report.bySite().get(site) : null;
+                    report != null && isFresh(now, report) ? report.bySite().get(site) : null;
             sum = observation == null ? sum : sum.plus(observation.attempts());
         }
         return sum;
     }
 
-    private boolean fresh(long now, MemberReport report) {
-        return now - report.at() <= sites.timing().observationLifetimeMicros();
+    private boolean isFresh(long now, MemberReport report) {
+        return now - report.receivedAt() <= sites.timing().observationLifetimeMicros();
     }
 
     private SiteHealth currentHealth(long now, Site site, Set<String> absent) {
         SiteEvidence evidence = new SiteEvidence();
         reports.forEach((member, report) -> {
-            if (!absent.contains(member) && fresh(now, report)) {
+            if (!absent.contains(member) && isFresh(now, report)) {
                 addReport(evidence, site, member, report);
             }
         });
-        return evidence.health(evidence.noDirectorHeard() && expectsDirectors(site, absent));
+        return evidence.health(evidence.noDirectorReported() && expectsDirectorReports(site, absent));
     }
 
     private static void addReport(SiteEvidence evidence, Site site, String member, MemberReport report) {
-        boolean fromInside = site.directors().contains(member);
-        if (fromInside) {
-            evidence.directorHeard();
+        boolean fromOwnDirector = site.directors().contains(member);
+        if (fromOwnDirector) {
+            evidence.recordDirectorReport();
         }
         SiteObservation observation = report.bySite().get(site.name());
         if (observation != null) {
-            evidence.add(observation, fromInside);
+            evidence.add(observation, fromOwnDirector);
         }
     }
 
-    // After a start the silence of directors that were never heard from means nothing.
-    private boolean expectsDirectors(Site site, Set<String> absent) {
+    // A director that has never reported since this member started may just not have had the time to report.
+    private boolean expectsDirectorReports(Site site, Set<String> absent) {
         return !site.directors().isEmpty()
                 && !reports.isEmpty()
                 && site.directors().stream()
--- a/src/main/java/pewtercourse/failover/SiteHealth.java
+++ b/src/main/java/pewtercourse/failover/SiteHealth.java
@@ -1,26 +1,26 @@
 package pewtercourse.failover;
 
 /**
- * What is wrong with a site. The constants' names are stored in the replicated log and shown to operators: they can't
- * be renamed.
+ * The health of a site, or its kind of fault. The constants' names are stored in the replicated log and shown to
+ * operators, so they can't be renamed.
  */
 public enum SiteHealth {
-    /** Nothing is known to be wrong. */
+    /** No fault is known. */
     WELL,
-    /** Its caches answer, most of them slowly. */
+    /** The caches of the site answer, but most answers are late. */
     SLOW,
-    /** Some of its caches fail, or are reachable from some directors only. */
+    /** Some caches of the site fail, or only some directors reach them. */
     PARTLY,
-    /** The parents of its hub are gone. */
+    /** All parents of the site's hub are missing. */
     PARENTS,
-    /** None of its directors is heard from; its caches answer other directors, or nobody knows. */
+    /** No director of the site reports; its caches answer other directors, or their health is unknown. */
     DIRECTORS,
-    /** Its caches fail; directors of it are heard from. */
+    /** The caches of the site fail; at least one of its directors reports. */
     CACHES,
-    /** Its caches fail and none of its directors is heard from. */
+    /** The caches of the site fail and none of its directors reports. */
     ALL;
 
-    /** Whether its load has to go elsewhere. */
+    /** Whether other sites have to serve the load of a site in this health. */
     public boolean lost() {
         return this == CACHES || this == ALL;
     }
--- a/src/main/java/pewtercourse/failover/SiteObservation.java
+++ b/src/main/java/pewtercourse/failover/SiteObservation.java
@@ -1,16 +1,16 @@
 package pewtercourse.failover;
 
 /**
- * What one member saw of one site in the last seconds.
+ * One member's observation of one site in the last seconds.
  *
  * @param caches   the site's caches in the member's endpoint list
- * @param parents  parents of the site's hub in that list
+ * @param parents  parents of the site's hub in the member's endpoint list
  * @param attempts how the member's attempts at the site's caches ended
- * @param load     concurrent transfers that the site's own clients ask this member for; 0 where it stands elsewhere
+ * @param load     concurrent transfers that the site's clients request from this member; 0 if it runs at another site
  */
 public record SiteObservation(EndpointCount caches, EndpointCount parents, AttemptCounts attempts, double load) {
     /** Whether this observation alone looks like a lost site. */
     boolean signalsLoss() {
-        return attempts.conclusive() && attempts.mostFailed() || caches.allGone();
+        return attempts.conclusive() && attempts.mostFailed() || caches.allMissing();
     }
 }
--- a/src/main/java/pewtercourse/failover/SiteSituation.java
+++ b/src/main/java/pewtercourse/failover/SiteSituation.java
@@ -1,15 +1,15 @@
 package pewtercourse.failover;
 
 /**
- * All that the next change of a site's status depends on.
+ * The input for the decision on the next change of a site's status.
  *
- * @param site            its name
+ * @param site            name of the site
  * @param status          the agreed status
- * @param statusAgeMicros how long this member has known of it
- * @param health          the health that the observations tell of
- * @param healthAgeMicros how long they have told of it
+ * @param statusAgeMicros how long this member has known the agreed status
+ * @param health          the health according to the observations
+ * @param healthAgeMicros how long the observations have shown this health
  * @param lossConfirmed   whether more than one observation looked like a loss
- * @param attempts        recent attempts at its caches by its own directors
+ * @param attempts        recent attempts at the site's caches by its own directors
  */
 record SiteSituation(
         String site,
@@ -31,7 +31,7 @@
         return change(SiteStatus.Phase.LOST, health, 0, flaps);
     }
 
-    /** Lost by an operator's order, with nothing wrong. */
+    /** Returns the change to a loss in a drill, in which the site has no fault. */
     SiteStatusChange lostInDrill() {
         return change(SiteStatus.Phase.LOST, SiteHealth.WELL, 0, status.flaps());
     }
--- a/src/main/java/pewtercourse/failover/SiteStatus.java
+++ b/src/main/java/pewtercourse/failover/SiteStatus.java
@@ -3,34 +3,35 @@
 /**
  * The agreed status of one site.
  *
- * @param phase           where it stands between whole and whole again
- * @param health          what was wrong with it when the status was agreed
- * @param step            of a recovery: index in {@link FailoverTiming#recoverySteps}
- * @param flaps           relapses since it was last whole for long
- * @param held            an operator keeps it from recovering
- * @param drill           an operator has it fail over on purpose
+ * @param phase           whether the site is whole, impaired, lost or returning
+ * @param health          health of the site when the status was agreed
+ * @param step            current step of a recovery or a drill: index in {@link FailoverTiming#recoverySteps}
+ * @param flaps           relapses since the site last stayed healthy for the maximum recovery delay
+ * @param held            whether an operator keeps the site from recovering
+ * @param drill           whether an operator has the site fail over on purpose
  * @param lastChangeIndex log index of the last change, which the next change has to name
  */
 public record SiteStatus(
         Phase phase, SiteHealth health, int step, int flaps, boolean held, boolean drill, long lastChangeIndex) {
-    /** The constants' names are stored in the replicated log and shown to operators: they can't be renamed. */
+    /** The constants' names are stored in the replicated log and shown to operators, so they can't be renamed. */
     public enum Phase {
-        /** Serves all of its clients. */
+        /** The site serves all of its clients, and may serve clients of other sites. */
         WHOLE,
-        /** Serves its own clients, but none of other sites. */
+        /** The site serves its own clients, but no clients of other sites. */
         IMPAIRED,
-        /** Its clients are served elsewhere. */
+        /** Other sites serve the clients of this site. */
         LOST,
         /**
-         * On the recovery ramp, or step by step on its way out in a drill: some of its clients are served elsewhere.
+         * The site is on the recovery ramp, or a drill takes its load away step by step: other sites serve some of its
+         * clients.
          */
         RETURNING
     }
 
-    /** Of a site whose status was never changed. */
+    /** The status of a site that has never changed. */
     public static final SiteStatus INITIAL = new SiteStatus(Phase.WHOLE, SiteHealth.WELL, 0, 0, false, false, 0);
 
-    /** Whether its load, or a part of it, is served elsewhere. */
+    /** Whether other sites serve the load of the site, or a part of it. */
     public boolean diverted() {
         return phase == Phase.LOST || phase == Phase.RETURNING;
     }
@@ -39,7 +40,7 @@
         return new SiteStatus(change.phase(), change.health(), change.step(), change.flaps(), held, drill, index);
     }
 
-    SiteStatus withOperatorOrder(boolean nextHeld, boolean nextDrill, long index) {
+    SiteStatus withOperatorCommand(boolean nextHeld, boolean nextDrill, long index) {
         return new SiteStatus(phase, health, step, flaps, nextHeld, nextDrill, index);
     }
 }
--- a/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
+++ b/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
@@ -3,16 +3,17 @@
 import java.util.Optional;
 
 /**
- * Decides the next change of one site's status: when a loss is declared, and how fast its load comes back. Without
- * state: equal situations, equal decisions.
+ * Decides the next change of one site's status: when a loss is declared, and how fast the site's load returns. The
+ * policy has no state, so equal situations lead to equal decisions.
  */
 final class SiteStatusPolicy {
-    // Shares of a site's attempts on the recovery ramp: failed ones from which it steps back, failed ones up to which
-    // it goes on, delayed ones up to which it goes on.
-    private static final double STEP_BACK_FAILED_SHARE = 0.2;
-    private static final double STEP_ON_FAILED_SHARE = 0.05;
-    private static final double STEP_ON_DELAYED_SHARE = 0.5;
-    // Without any attempts to judge by, as where no client asks, a step lasts this many times as long.
+    // Limits on the recovery ramp. A site steps back from the first share of failed attempts on, and advances up
+    // to the second share of failed attempts and the third share of delayed requests.
+    private static final double MIN_STEP_BACK_FAILED_SHARE = 0.2;
+    private static final double MAX_ADVANCE_FAILED_SHARE = 0.05;
+    private static final double MAX_ADVANCE_DELAYED_SHARE = 0.5;
+    // A step lasts this many times as long if there are too few attempts to assess it, as at a site without
+    // clients.
     private static final int STEP_FACTOR_WITHOUT_ATTEMPTS = 3;
 
     private final FailoverTiming timing;
@@ -21,16 +22,16 @@
         this.timing = timing;
     }
 
-    /** The change that is due now, if any. */
+    /** Returns the change that is due now, if any. */
     Optional<SiteStatusChange> nextChange(SiteSituation situation) {
         return switch (situation.status().phase()) {
-            case WHOLE, IMPAIRED -> whileServing(situation);
-            case LOST -> whileLost(situation);
-            case RETURNING -> whileReturning(situation);
+            case WHOLE, IMPAIRED -> changeWhileServing(situation);
+            case LOST -> changeWhileLost(situation);
+            case RETURNING -> changeWhileReturning(situation);
         };
     }
 
-    private Optional<SiteStatusChange> whileServing(SiteSituation situation) {
+    private Optional<SiteStatusChange> changeWhileServing(SiteSituation situation) {
         if (situation.status().drill()) {
             int lastStep = timing.lastStep();
             return Optional.of(
@@ -38,57 +39,59 @@
         }
         if (situation.health().lost()) {
             boolean lost = situation.healthAgeMicros() >= timing.lossDelayMicros() && situation.lossConfirmed();
-            return when(lost, situation.lost(situation.status().flaps()));
+            return changeIf(lost, situation.lost(situation.status().flaps()));
         }
         if (situation.health() == SiteHealth.WELL) {
-            return whileWell(situation);
+            return changeWhileWell(situation);
         }
         boolean newImpairment = situation.health() != situation.status().health();
-        return when(newImpairment && situation.healthAgeMicros() >= timing.lossDelayMicros() / 2, situation.impaired());
+        return changeIf(
+                newImpairment && situation.healthAgeMicros() >= timing.lossDelayMicros() / 2, situation.impaired());
     }
 
-    private Optional<SiteStatusChange> whileWell(SiteSituation situation) {
+    private Optional<SiteStatusChange> changeWhileWell(SiteSituation situation) {
         SiteStatus status = situation.status();
-        long calmAfter = timing.maxRecoveryDelayMicros();
-        boolean calm = status.flaps() > 0
-                && situation.healthAgeMicros() >= calmAfter
-                && situation.statusAgeMicros() >= calmAfter;
+        long stableAfterMicros = timing.maxRecoveryDelayMicros();
+        boolean stable = status.flaps() > 0
+                && situation.healthAgeMicros() >= stableAfterMicros
+                && situation.statusAgeMicros() >= stableAfterMicros;
         boolean recovered =
                 status.phase() == SiteStatus.Phase.IMPAIRED && situation.healthAgeMicros() >= timing.lossDelayMicros();
-        return when(calm || recovered, situation.whole(calm ? 0 : status.flaps()));
+        return changeIf(stable || recovered, situation.whole(stable ? 0 : status.flaps()));
     }
 
-    private Optional<SiteStatusChange> whileLost(SiteSituation situation) {
+    private Optional<SiteStatusChange> changeWhileLost(SiteSituation situation) {
         SiteStatus status = situation.status();
         long delay = timing.recoveryDelayMicros(status.flaps());
         boolean allowed = !status.held() && !status.drill();
         boolean recovered = situation.health().recoverable()
                 && situation.healthAgeMicros() >= delay
                 && situation.statusAgeMicros() >= delay;
-        return when(allowed && recovered, situation.returning(0));
+        return changeIf(allowed && recovered, situation.returning(0));
     }
 
-    private Optional<SiteStatusChange> whileReturning(SiteSituation situation) {
+    private Optional<SiteStatusChange> changeWhileReturning(SiteSituation situation) {
         SiteStatus status = situation.status();
         if (situation.health().lost() && situation.healthAgeMicros() >= timing.lossDelayMicros() / 2) {
             return Optional.of(situation.lost(status.flaps() + 1));
         }
-        // An observation covers some time before it was made: what it says of a step is known once that is over.
-        long settling = Math.min(timing.minRecoveryStepMicros(), timing.observationLifetimeMicros()) / 2;
-        if (situation.statusAgeMicros() < settling) {
+        // An observation covers some time before it was made, so observations just after a change are mostly
+        // about the step before it.
+        long settlingMicros = Math.min(timing.minRecoveryStepMicros(), timing.observationLifetimeMicros()) / 2;
+        if (situation.statusAgeMicros() < settlingMicros) {
             return Optional.empty();
         }
-        boolean stepOver = situation.statusAgeMicros() >= timing.minRecoveryStepMicros();
+        boolean minStepElapsed = situation.statusAgeMicros() >= timing.minRecoveryStepMicros();
         if (status.drill()) {
-            return when(stepOver, status.step() == 0 ? situation.lostInDrill() : stepBack(situation));
+            return changeIf(minStepElapsed, status.step() == 0 ? situation.lostInDrill() : stepBack(situation));
         }
-        if (failsAtThisStep(situation.attempts())) {
+        if (manyAttemptsFail(situation.attempts())) {
             return Optional.of(status.step() == 0 ? situation.lost(status.flaps() + 1) : stepBack(situation));
         }
-        return when(!status.held() && stepOver && bearsThisStep(situation), stepOn(situation));
+        return changeIf(!status.held() && minStepElapsed && mayAdvance(situation), advance(situation));
     }
 
-    private SiteStatusChange stepOn(SiteSituation situation) {
+    private SiteStatusChange advance(SiteSituation situation) {
         int step = situation.status().step();
         return step >= timing.lastStep() ? situation.whole(situation.status().flaps()) : situation.returning(step + 1);
     }
@@ -97,21 +100,22 @@
         return situation.returning(situation.status().step() - 1);
     }
 
-    private static boolean failsAtThisStep(AttemptCounts attempts) {
-        return attempts.enoughCompleted() && attempts.failed() >= STEP_BACK_FAILED_SHARE * attempts.completed();
+    private static boolean manyAttemptsFail(AttemptCounts attempts) {
+        return attempts.hasEnoughCompleted() && attempts.failed() >= MIN_STEP_BACK_FAILED_SHARE * attempts.completed();
     }
 
-    // Requests rejected for lack of capacity count as late ones: cold caches can't bear the next step yet.
-    private boolean bearsThisStep(SiteSituation situation) {
+    // Requests rejected for lack of capacity count as late, because cold caches have no capacity for the next
+    // step yet.
+    private boolean mayAdvance(SiteSituation situation) {
         AttemptCounts attempts = situation.attempts();
-        if (!attempts.enoughCompleted()) {
+        if (!attempts.hasEnoughCompleted()) {
             return situation.statusAgeMicros() >= STEP_FACTOR_WITHOUT_ATTEMPTS * timing.minRecoveryStepMicros();
         }
-        return attempts.failed() <= STEP_ON_FAILED_SHARE * attempts.completed()
-                && attempts.delayed() <= STEP_ON_DELAYED_SHARE * attempts.total();
+        return attempts.failed() <= MAX_ADVANCE_FAILED_SHARE * attempts.completed()
+                && attempts.delayed() <= MAX_ADVANCE_DELAYED_SHARE * attempts.total();
     }
 
-    private static Optional<SiteStatusChange> when(boolean due, SiteStatusChange change) {
+    private static Optional<SiteStatusChange> changeIf(boolean due, SiteStatusChange change) {
         return due ? Optional.of(change) : Optional.empty();
     }
 }
--- a/src/main/java/pewtercourse/failover/Sites.java
+++ b/src/main/java/pewtercourse/failover/Sites.java
@@ -3,13 +3,14 @@
 import java.util.SortedMap;
 
 /**
- * The sites as their operators describe them, and the timing of their failover.
+ * The operators' description of the sites, and the timing of their failover.
  *
- * @param byName         the sites by their names
- * @param guestMissRatio share, over 0 and up to 1, of a lost site's requests that its failover target has to fill
- * @param timing         how long signs must last before a site's status changes
+ * @param byName         the sites by name
+ * @param guestMissRatio share, over 0 and up to 1, of a lost site's requests that miss at its failover target and have
+ *                       to be filled
+ * @param timing         delays of the changes of a site's status
  */
 public record Sites(SortedMap<String, Site> byName, double guestMissRatio, FailoverTiming timing) {
-    /** How many sites there may be. */
+    /** The maximum number of sites. */
     public static final int MAX_SITES = 256;
 }
--- a/src/main/java/pewtercourse/failover/TransportProblem.java
+++ b/src/main/java/pewtercourse/failover/TransportProblem.java
@@ -8,19 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * The transport problem of one set of lost sites: the load of each is a demand, the spare capacity of each failover
- * target a supply, and each allowed pair of them a route that costs its distance. Load is in concurrent transfers.
+ * The transport problem of one set of lost sites. The load of each lost site is a demand, and the spare capacity of
+ * each failover target is a supply. Each allowed pair of a lost site and a target is a route whose cost is its
+ * distance. Load is in concurrent transfers.
  */
 final class TransportProblem {
-    /** Less load than this is none. */
+    /** A load up to this value counts as no load. */
     static final double NEGLIGIBLE_LOAD = 1e-6;
 
-    // Rejecting costs this many times the farthest route: only what no target has capacity for is rejected.
+    // Rejecting a transfer costs this many times the longest route, so only load without any capacity is
+    // rejected.
     private static final double REJECTION_FACTOR = 1_000;
-    // A plan may ask a target for this share more than its spare capacity before it has to be replaced.
+    // A plan has to be replaced once it exceeds the supply of a target by more than this share.
     private static final double OVERLOAD_TOLERANCE = 0.05;
 
     /**
+     * A route from a lost site to a failover target.
+     *
      * @param source   index of the lost site
      * @param target   name of the failover target
      * @param distance cost of one transfer
@@ -51,11 +55,12 @@
 
     private static double supply(Site target, double ownLoad, double guestMissRatio) {
         double spare = target.spareCapacity(ownLoad);
-        // What the uplink carries beside the fills for the target's own clients, who miss half as often as guests do.
+        // The uplink also carries the fills for the target's own clients, whose requests miss half as often as
+        // those of guests.
         double fillLimit = target.fillCapacity() == 0
                 ? spare
                 : Math.max(0, target.fillCapacity() - ownLoad * guestMissRatio / 2) / guestMissRatio;
-        // A response that has to be filled occupies its transfer about twice as long.
+        // A response that has to be filled occupies its transfer about twice as long as a hit.
         return Math.min(spare / (1 + guestMissRatio), fillLimit);
     }
 
@@ -79,16 +84,16 @@
         return routes.stream().mapToDouble(Route::distance).max().orElse(1);
     }
 
-    /** Cost of rejecting one transfer. */
+    /** The cost of rejecting one transfer. */
     double rejectionCost() {
         return REJECTION_FACTOR * farthestDistance();
     }
 
     /**
-     * The distribution of each lost site's load by its name. A target's whole supply is divided among the lost sites
-     * that use it, in proportion to their load there.
+     * Returns the distribution of each lost site's load, by the name of the site. The lost sites that use a target
+     * divide its complete supply in proportion to their load at the target.
      *
-     * @param loadByRoute one for each of {@link #routes}
+     * @param loadByRoute the load of each of the {@link #routes}
      */
     SortedMap<String, FailoverPlan.Distribution> distributions(double[] loadByRoute) {
         SortedMap<String, Double> loadByTarget = new TreeMap<>();
@@ -106,9 +111,9 @@
             int source, double[] loadByRoute, SortedMap<String, Double> loadByTarget) {
         List<FailoverPlan.Allocation> allocations = new ArrayList<>();
         double allocated = 0;
-        for (int i = 0; i < loadByRoute.length; i++) {
-            Route route = routes.get(i);
-            double load = loadByRoute[i];
+        for (int routeIndex = 0; routeIndex < loadByRoute.length; routeIndex++) {
+            Route route = routes.get(routeIndex);
+            double load = loadByRoute[routeIndex];
             if (route.source() == source && load > NEGLIGIBLE_LOAD) {
                 double max = supply.get(route.target()) * load / loadByTarget.get(route.target());
                 allocations.add(new FailoverPlan.Allocation(route.target(), load, max));
@@ -118,7 +123,7 @@
         return new FailoverPlan.Distribution(allocations, Math.max(0, demand[source] - allocated));
     }
 
-    /** What these distributions would cost with the present loads; their allocations keep their proportions. */
+    /** Returns the cost of these distributions if their allocations are scaled to the present loads. */
     double cost(SortedMap<String, FailoverPlan.Distribution> distributions) {
         double cost = 0;
         double farthestDistance = farthestDistance();
@@ -135,20 +140,20 @@
         return cost;
     }
 
-    /** Whether these distributions ask no target for much more than it can serve now. */
+    /** Whether these distributions exceed the present supply of no target by more than the tolerance. */
     boolean withinSupply(SortedMap<String, FailoverPlan.Distribution> distributions) {
-        SortedMap<String, Double> asked = new TreeMap<>();
+        SortedMap<String, Double> maxLoadByTarget = new TreeMap<>();
         for (int source = 0; source < demand.length; source++) {
             FailoverPlan.Distribution distribution = distribution(distributions, source);
             for (FailoverPlan.Allocation allocation : distribution.allocations()) {
                 double load = presentLoad(source, distribution, allocation);
-                asked.merge(allocation.site(), Math.max(load, allocation.max()), Double::sum);
+                maxLoadByTarget.merge(allocation.site(), Math.max(load, allocation.max()), Double::sum);
             }
         }
-        return asked.entrySet().stream().allMatch(entry -> entry.getValue() <= tolerated(entry.getKey()));
+        return maxLoadByTarget.entrySet().stream().allMatch(entry -> entry.getValue() <= toleratedLoad(entry.getKey()));
     }
 
-    private double tolerated(String target) {
+    private double toleratedLoad(String target) {
         return supply.getOrDefault(target, 0.0) * (1 + OVERLOAD_TOLERANCE) + NEGLIGIBLE_LOAD;
     }
 
@@ -158,8 +163,8 @@
     }
 
     private double presentLoad(int source, FailoverPlan.Distribution distribution, FailoverPlan.Allocation allocation) {
-        double planned = distribution.total();
-        return planned <= NEGLIGIBLE_LOAD ? 0 : demand[source] * allocation.load() / planned;
+        double plannedLoad = distribution.total();
+        return plannedLoad <= NEGLIGIBLE_LOAD ? 0 : demand[source] * allocation.load() / plannedLoad;
     }
 
     private double distance(int source, String target) {
--- a/src/main/java/pewtercourse/failover/UsualCount.java
+++ b/src/main/java/pewtercourse/failover/UsualCount.java
@@ -1,19 +1,19 @@
 package pewtercourse.failover;
 
-/** How many endpoints a list usually has: its greatest count lately. */
+/** Tracks how many endpoints a list usually has: the largest recent count. */
 final class UsualCount {
-    // A list that stays shorter for this long is the usual one.
+    // If the list stays shorter for this long, the present count becomes the usual one.
     private static final long MAX_AGE_MICROS = 600_000_000;
 
-    private int greatest;
-    private long seenAt;
+    private int usual;
+    private long usualSeenAt;
 
-    /** Takes in the present count and gives the usual one. */
+    /** Records the present count and returns the usual one. */
     int update(long now, int count) {
-        if (count >= greatest || now - seenAt > MAX_AGE_MICROS) {
-            greatest = count;
-            seenAt = now;
+        if (count >= usual || now - usualSeenAt > MAX_AGE_MICROS) {
+            usual = count;
+            usualSeenAt = now;
         }
-        return greatest;
+        return usual;
     }
 }
--- a/src/main/java/pewtercourse/failover/WeightedRendezvous.java
+++ b/src/main/java/pewtercourse/failover/WeightedRendezvous.java
@@ -6,9 +6,9 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * Weighted rendezvous hashing (Thaler and Ravishankar, 1998; weights by the logarithmic method): all members choose the
- * same site for a key, each site gets keys in proportion to its weight, and a changed weight moves only the keys that
- * it must.
+ * Chooses sites by weighted rendezvous hashing (Thaler and Ravishankar, 1998; weights by the logarithmic method). All
+ * members choose the same site for a key, each site gets keys in proportion to its weight, and a changed weight moves
+ * as few keys as possible.
  */
 final class WeightedRendezvous {
     private WeightedRendezvous() {}
@@ -16,7 +16,7 @@
     /**
      * Chooses a site for a key.
      *
-     * @param weights by site; over 0
+     * @param weights weight of each site by name; over 0
      * @return empty if there are no sites
      */
     static Optional<String> choose(long key, SortedMap<String, Double> weights) {
