--- a/src/test/java/pewtercourse/failover/FailoverControllerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverControllerTest.java
@@ -17,28 +17,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Detection of losses and pacing of recoveries, at a controller that gets one report a second from each of four
- * members.
+ * Tests the detection of losses and the pacing of recoveries by a controller that gets one report per second from each
+ * of four members.
  */
 class FailoverControllerTest {
     private static final long SECOND = 1_000_000;
     private static final int MEMBERS = 4;
-    private static final int CONTROLS_PER_SECOND = 10;
+    private static final int PROPOSALS_PER_SECOND = 10;
     private static final SiteObservation SILENT = null;
 
-    // What s0's own director sees of it.
-    private static final SiteObservation WELL = observation(4, 2, new AttemptCounts(20, 1, 0, 0), 10);
-    private static final SiteObservation DEAD = observation(4, 2, new AttemptCounts(0, 0, 20, 0), 10);
+    // Observations of s0 by its own director.
+    private static final SiteObservation HEALTHY = observation(4, 2, new AttemptCounts(20, 1, 0, 0), 10);
+    private static final SiteObservation FAILING = observation(4, 2, new AttemptCounts(0, 0, 20, 0), 10);
     private static final SiteObservation UNLISTED = observation(0, 2, AttemptCounts.NONE, 10);
-    private static final SiteObservation UNLISTED_YET_WELL = observation(0, 2, new AttemptCounts(20, 0, 0, 0), 10);
+    private static final SiteObservation UNLISTED_BUT_HEALTHY = observation(0, 2, new AttemptCounts(20, 0, 0, 0), 10);
     private static final SiteObservation SLOW = observation(4, 2, new AttemptCounts(3, 17, 0, 0), 10);
-    private static final SiteObservation RATHER_SLOW = observation(4, 2, new AttemptCounts(6, 14, 0, 0), 10);
-    private static final SiteObservation SOME_FAIL = observation(4, 2, new AttemptCounts(15, 0, 6, 0), 10);
+    private static final SiteObservation MODERATELY_SLOW = observation(4, 2, new AttemptCounts(6, 14, 0, 0), 10);
+    private static final SiteObservation SOME_FAILURES = observation(4, 2, new AttemptCounts(15, 0, 6, 0), 10);
     private static final SiteObservation NO_PARENTS = observation(4, 0, new AttemptCounts(20, 1, 0, 0), 10);
-    // What the other members see of it.
-    private static final SiteObservation FAR = observation(4, 2, AttemptCounts.NONE, 0);
-    private static final SiteObservation FAR_DEAD = observation(4, 2, new AttemptCounts(0, 0, 6, 0), 0);
-    private static final SiteObservation FAR_WELL = observation(4, 2, new AttemptCounts(6, 0, 0, 0), 0);
+    // Observations of s0 by the other members.
+    private static final SiteObservation REMOTE_WITHOUT_ATTEMPTS = observation(4, 2, AttemptCounts.NONE, 0);
+    private static final SiteObservation REMOTE_FAILING = observation(4, 2, new AttemptCounts(0, 0, 6, 0), 0);
+    private static final SiteObservation REMOTE_HEALTHY = observation(4, 2, new AttemptCounts(6, 0, 0, 0), 0);
 
     private FailoverController controller;
     private FailoverState state;
@@ -64,26 +64,26 @@
         return new FailoverController(TestSites.ring(20, 20, 20, 20));
     }
 
-    /** Some seconds in which s0's director d0 sees {@code own} of it, and the others {@code far}. */
-    private void pass(int seconds, SiteObservation own, SiteObservation far, String... absent) {
+    /** Runs for some seconds, in which d0, the director of s0, reports {@code own} for s0 and the others {@code remote}. */
+    private void runSeconds(int seconds, SiteObservation own, SiteObservation remote, String... absent) {
         for (int second = 0; second < seconds; second++) {
             for (int member = 0; member < MEMBERS; member++) {
-                report(member, member == 0 ? own : far);
+                report(member, member == 0 ? own : remote);
             }
-            for (int i = 0; i < CONTROLS_PER_SECOND; i++) {
-                now += SECOND / CONTROLS_PER_SECOND;
+            for (int i = 0; i < PROPOSALS_PER_SECOND; i++) {
+                now += SECOND / PROPOSALS_PER_SECOND;
                 agreeOnProposedChanges(Set.of(absent));
             }
         }
     }
 
-    private void report(int member, SiteObservation ofFirstSite) {
-        if (ofFirstSite == SILENT) {
+    private void report(int member, SiteObservation observationOfS0) {
+        if (observationOfS0 == SILENT) {
             return;
         }
-        Map<String, SiteObservation> bySite = new TreeMap<>(Map.of("s0", ofFirstSite));
+        Map<String, SiteObservation> bySite = new TreeMap<>(Map.of("s0", observationOfS0));
         if (member > 0) {
-            bySite.put("s" + member, WELL);
+            bySite.put("s" + member, HEALTHY);
         }
         controller.detector().observe(now, "d" + member, bySite);
     }
@@ -106,89 +106,89 @@
     }
 
     @Test
-    void failingCachesAreALossOnceTheSignsLast() {
-        pass(5, WELL, FAR);
+    void declaresALossOnceFailuresOfCachesPersist() {
+        runSeconds(5, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(List.of(), changes);
 
-        pass(1, DEAD, FAR);
-        assertEquals(List.of(), changes, "not in the first second");
+        runSeconds(1, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        assertEquals(List.of(), changes, "no loss in the first second");
 
-        pass(2, DEAD, FAR);
+        runSeconds(2, FAILING, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(List.of("s0 LOST CACHES 0"), changesAsText());
     }
 
     @Test
-    void aSiteThatIsLostWithItsDirectorsHasAllLost() {
-        pass(3, WELL, FAR);
-        pass(6, SILENT, FAR_DEAD, "d0");
+    void reportsHealthAllWhenCachesAndDirectorsAreLost() {
+        runSeconds(3, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(6, SILENT, REMOTE_FAILING, "d0");
 
         assertEquals(SiteHealth.ALL, state.status("s0").health());
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void silentDirectorsImpairASiteAndAreNoLossOfItsCaches() {
-        pass(3, WELL, FAR);
-        pass(6, SILENT, FAR_WELL, "d0");
+    void impairsASiteWithSilentDirectorsAndHealthyCaches() {
+        runSeconds(3, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(6, SILENT, REMOTE_HEALTHY, "d0");
         assertEquals(
                 new SiteStatus(SiteStatus.Phase.IMPAIRED, SiteHealth.DIRECTORS, 0, 0, false, false, 1),
                 state.status("s0"));
 
-        pass(3, WELL, FAR_WELL);
+        runSeconds(3, HEALTHY, REMOTE_HEALTHY);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
-    void aSiteThatOnlyOtherSitesCannotReachIsNotLost() {
-        pass(10, WELL, FAR_DEAD);
+    void doesNotDeclareALossWhenOnlyOtherSitesCannotReachTheSite() {
+        runSeconds(10, HEALTHY, REMOTE_FAILING);
 
         assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
     }
 
     @Test
-    void anEmptyListAtOneMemberIsNoLoss() {
-        pass(3, WELL, FAR);
-        pass(6, UNLISTED_YET_WELL, FAR);
+    void doesNotDeclareALossWhenOneMemberHasAnEmptyEndpointList() {
+        runSeconds(3, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(6, UNLISTED_BUT_HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
 
         assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
     }
 
     @Test
-    void anEmptyListIsNoLossWhileAttemptsSucceed() {
-        pass(3, WELL, FAR);
-        pass(6, UNLISTED_YET_WELL, FAR);
-        pass(6, UNLISTED_YET_WELL, UNLISTED);
+    void doesNotDeclareALossForEmptyEndpointListsWhileAttemptsSucceed() {
+        runSeconds(3, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(6, UNLISTED_BUT_HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(6, UNLISTED_BUT_HEALTHY, UNLISTED);
         assertNotEquals(SiteStatus.Phase.LOST, phase(), changes::toString);
 
-        pass(4, UNLISTED, UNLISTED);
+        runSeconds(4, UNLISTED, UNLISTED);
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void aSlowSiteIsImpairedUntilItIsWell() {
-        pass(3, SLOW, FAR);
+    void impairsASlowSiteUntilItIsHealthy() {
+        runSeconds(3, SLOW, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(SiteHealth.SLOW, state.status("s0").health());
 
-        pass(4, WELL, FAR);
+        runSeconds(4, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
-    void aSiteWithoutParentsIsImpairedAndKeepsItsClients() {
-        pass(7, WELL, FAR);
-        pass(3, NO_PARENTS, NO_PARENTS);
+    void impairsASiteWithoutParentsAndKeepsItsClientsThere() {
+        runSeconds(7, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(3, NO_PARENTS, NO_PARENTS);
 
         assertEquals(SiteHealth.PARENTS, state.status("s0").health());
         assertFalse(state.divertedSites().contains("s0"));
     }
 
     @Test
-    void aSiteRecoversStepByStep() {
-        pass(4, DEAD, FAR);
-        pass(2, UNLISTED, UNLISTED);
+    void returnsLoadToARecoveringSiteStepByStep() {
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(2, UNLISTED, UNLISTED);
         changes.clear();
 
-        pass(8, WELL, FAR);
+        runSeconds(8, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
 
         assertEquals(
                 List.of("s0 RETURNING CACHES 0", "s0 RETURNING CACHES 1", "s0 RETURNING CACHES 2", "s0 WHOLE WELL 0"),
@@ -196,46 +196,46 @@
     }
 
     @Test
-    void aRecoveringSiteStepsBackWhenAttemptsFail() {
-        pass(4, DEAD, FAR);
-        pass(2, UNLISTED, UNLISTED);
-        pass(8, WELL, FAR);
-        pass(4, DEAD, FAR);
-        pass(4, WELL, FAR);
+    void stepsBackWhenAttemptsFailDuringRecovery() {
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(2, UNLISTED, UNLISTED);
+        runSeconds(8, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(4, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         int step = state.status("s0").step();
 
-        pass(2, SOME_FAIL, FAR);
+        runSeconds(2, SOME_FAILURES, REMOTE_WITHOUT_ATTEMPTS);
 
         assertTrue(state.status("s0").step() < step || phase() == SiteStatus.Phase.LOST, changes::toString);
     }
 
     @Test
-    void slowAnswersHoldARecoveryStepAndDoNotUndoIt() {
-        pass(4, DEAD, FAR);
-        pass(4, WELL, FAR);
+    void slowAnswersDelayTheNextRecoveryStepAndDoNotUndoTheRecovery() {
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(4, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(SiteStatus.Phase.RETURNING, phase());
         int step = state.status("s0").step();
 
-        pass(6, RATHER_SLOW, FAR);
+        runSeconds(6, MODERATELY_SLOW, REMOTE_WITHOUT_ATTEMPTS);
 
         assertEquals(SiteStatus.Phase.RETURNING, phase());
         assertTrue(state.status("s0").step() <= step + 1, changes::toString);
     }
 
     @Test
-    void aFlappingSiteWaitsLongerEachTime() {
+    void lengthensTheRecoveryDelayAtEachFlap() {
         List<Integer> delays = new ArrayList<>();
 
         for (int flap = 0; flap < 4; flap++) {
-            pass(4, DEAD, FAR);
+            runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
             assertEquals(SiteStatus.Phase.LOST, phase());
             int seconds = 0;
             while (phase() == SiteStatus.Phase.LOST) {
-                pass(1, WELL, FAR);
+                runSeconds(1, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
                 seconds++;
             }
             delays.add(seconds);
-            pass(1, WELL, FAR);
+            runSeconds(1, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         }
 
         for (int i = 1; i < delays.size(); i++) {
@@ -244,93 +244,96 @@
     }
 
     @Test
-    void aDrillTakesASiteOutStepByStepUntilItIsReleased() {
-        pass(3, WELL, FAR);
+    void aDrillDivertsLoadStepByStepUntilTheSiteIsReleased() {
+        runSeconds(3, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertTrue(state.startDrill(++logIndex, "s0", 0));
 
-        pass(6, WELL, FAR);
+        runSeconds(6, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(List.of("s0 RETURNING WELL 1", "s0 RETURNING WELL 0", "s0 LOST WELL 0"), changesAsText());
-        pass(10, WELL, FAR);
-        assertEquals(SiteStatus.Phase.LOST, phase(), "until it is released");
+        runSeconds(10, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
+        assertEquals(SiteStatus.Phase.LOST, phase(), "the drill lasts until the site is released");
 
         assertTrue(state.setHeld(++logIndex, "s0", false, state.status("s0").lastChangeIndex()));
-        pass(12, WELL, FAR);
+        runSeconds(12, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(SiteStatus.Phase.WHOLE, phase());
     }
 
     @Test
-    void aHeldSiteDoesNotRecover() {
-        pass(4, DEAD, FAR);
+    void doesNotRecoverAHeldSite() {
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
         assertTrue(state.setHeld(++logIndex, "s0", true, state.status("s0").lastChangeIndex()));
 
-        pass(20, WELL, FAR);
+        runSeconds(20, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
 
         assertEquals(SiteStatus.Phase.LOST, phase());
     }
 
     @Test
-    void aNewLeaseHolderGoesOnFromTheAgreedStep() {
-        pass(4, DEAD, FAR);
-        pass(5, WELL, FAR);
+    void aNewLeaseHolderContinuesFromTheAgreedStep() {
+        runSeconds(4, FAILING, REMOTE_WITHOUT_ATTEMPTS);
+        runSeconds(5, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
         assertEquals(SiteStatus.Phase.RETURNING, phase());
         controller = newController();
         changes.clear();
 
-        pass(8, WELL, FAR);
+        runSeconds(8, HEALTHY, REMOTE_WITHOUT_ATTEMPTS);
 
         assertEquals(SiteStatus.Phase.WHOLE, phase());
         assertTrue(changes.stream().noneMatch(change -> change.phase() == SiteStatus.Phase.LOST), changes::toString);
     }
 
-    /** Whatever is seen: no other transitions than these, and one step at a time. */
+    /** Whatever the observations, only these transitions occur, and recovery changes by one step at a time. */
     @Property(tries = 200)
-    void onlyKnownTransitionsAreMade(@ForAll long seed) {
+    void makesOnlyAllowedTransitionsForRandomObservations(@ForAll long seed) {
         start();
         Random random = new Random(seed);
-        SiteObservation[] ownViews = {WELL, DEAD, UNLISTED, SLOW, NO_PARENTS, SILENT};
-        SiteObservation[] farViews = {FAR, FAR_DEAD, FAR_WELL, UNLISTED, SILENT};
+        SiteObservation[] ownObservations = {HEALTHY, FAILING, UNLISTED, SLOW, NO_PARENTS, SILENT};
+        SiteObservation[] remoteObservations = {
+            REMOTE_WITHOUT_ATTEMPTS, REMOTE_FAILING, REMOTE_HEALTHY, UNLISTED, SILENT
+        };
         for (int i = 0; i < 40; i++) {
             if (random.nextInt(8) == 0) {
-                assertTrue(giveRandomOrder(random));
+                assertTrue(applyRandomOperatorCommand(random));
             }
-            SiteObservation own = ownViews[random.nextInt(ownViews.length)];
+            SiteObservation own = ownObservations[random.nextInt(ownObservations.length)];
             String[] absent = own == SILENT ? new String[] {"d0"} : new String[0];
             for (int seconds = 1 + random.nextInt(4); seconds > 0; seconds--) {
                 SiteStatus before = state.status("s0");
                 changes.clear();
-                pass(1, own, farViews[random.nextInt(farViews.length)], absent);
-                assertKnownTransitions(before);
+                runSeconds(1, own, remoteObservations[random.nextInt(remoteObservations.length)], absent);
+                assertAllowedTransitions(before);
             }
         }
     }
 
-    private boolean giveRandomOrder(Random random) {
+    private boolean applyRandomOperatorCommand(Random random) {
         long expectedIndex = state.status("s0").lastChangeIndex();
         return random.nextBoolean()
                 ? state.setHeld(++logIndex, "s0", random.nextBoolean(), expectedIndex)
                 : state.startDrill(++logIndex, "s0", expectedIndex);
     }
 
-    private void assertKnownTransitions(SiteStatus first) {
+    private void assertAllowedTransitions(SiteStatus first) {
         SiteStatus before = first;
         for (SiteStatusChange change : changes) {
             if (change.site().equals("s0")) {
-                assertTrue(known(before, change), before + " to " + change);
+                assertTrue(isAllowed(before, change), before + " to " + change);
                 before = before.with(change, 0);
             }
         }
     }
 
-    private static boolean known(SiteStatus from, SiteStatusChange change) {
+    private static boolean isAllowed(SiteStatus from, SiteStatusChange change) {
         int lastStep = TestSites.TIMING.lastStep();
-        SiteStatus.Phase to = change.phase();
+        SiteStatus.Phase newPhase = change.phase();
         return switch (from.phase()) {
-            case WHOLE, IMPAIRED -> to != SiteStatus.Phase.RETURNING || from.drill() && change.step() == lastStep - 1;
-            case LOST -> to == SiteStatus.Phase.RETURNING && change.step() == 0 && !from.held();
+            case WHOLE, IMPAIRED ->
+                newPhase != SiteStatus.Phase.RETURNING || from.drill() && change.step() == lastStep - 1;
+            case LOST -> newPhase == SiteStatus.Phase.RETURNING && change.step() == 0 && !from.held();
             case RETURNING ->
-                to == SiteStatus.Phase.LOST
-                        || to == SiteStatus.Phase.WHOLE && from.step() == lastStep
-                        || to == SiteStatus.Phase.RETURNING && Math.abs(change.step() - from.step()) == 1;
+                newPhase == SiteStatus.Phase.LOST
+                        || newPhase == SiteStatus.Phase.WHOLE && from.step() == lastStep
+                        || newPhase == SiteStatus.Phase.RETURNING && Math.abs(change.step() - from.step()) == 1;
         };
     }
 }
--- a/src/test/java/pewtercourse/failover/FailoverPlannerTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverPlannerTest.java
@@ -44,8 +44,8 @@
     }
 
     @Test
-    void theNearestTargetIsUsedFirstAndNoneBeyondItsSpareCapacity() {
-        // s1 has 4 to spare, s2 and s4 8 each, s3 4.8.
+    void fillsTheNearestTargetsFirstUpToTheirSpareCapacity() {
+        // The spare capacity is 4 at s1, 8 at s2 and s4, and 4.8 at s3.
         FailoverPlan plan = firstPlan(ring(20, 20, 20, 20, 20), loads(14, 15, 10, 14, 10));
 
         FailoverPlan.Distribution distribution = distribution(plan, "s0");
@@ -55,21 +55,21 @@
     }
 
     @Test
-    void loadForWhichNoTargetHasCapacityIsRejected() {
+    void rejectsLoadForWhichNoTargetHasCapacity() {
         FailoverPlan plan = firstPlan(ring(20, 20, 20), loads(18, 18, 18));
 
         assertEquals(18 - 2 * 1.6, distribution(plan, "s1").rejected(), TOLERANCE);
     }
 
     @Test
-    void anIneligibleSiteTakesNoLoad() {
+    void assignsNoLoadToAnIneligibleSite() {
         FailoverPlan plan = nextPlan(ring(20, 20, 20), loads(18, 18, 18), Set.of("s2"), FailoverPlan.EMPTY);
 
         assertEquals(Map.of("s0", 1.6), loadByTarget(distribution(plan, "s1")));
     }
 
     @Test
-    void aPlanStaysWhileANewOneWouldSaveLittle() {
+    void keepsTheCurrentPlanWhenANewOneWouldSaveLittle() {
         Sites sites = ring(20, 20, 20, 20);
         FailoverPlan current = firstPlan(sites, loads(10, 10, 10, 10));
 
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aPlanThatOverloadsItsTargetsIsReplaced() {
+    void replacesAPlanThatOverloadsItsTargets() {
         Sites sites = ring(20, 20, 20, 20);
         FailoverPlan current = firstPlan(sites, loads(10, 10, 10, 10));
 
@@ -85,27 +85,27 @@
     }
 
     @Test
-    void aSetOfLossesWithoutAPlanOverloadsNoTarget() {
+    void overloadsNoTargetWhenASetOfLossesWasNotPlanned() {
         FailoverPlan plan = firstPlan(ring(20, 20, 20, 20), loads(10, 10, 10, 10));
 
         SortedMap<String, FailoverPlan.Distribution> distributions = plan.distributions(Set.of("s0", "s1", "s2"));
 
-        double asked = distributions.values().stream()
+        double maxLoadAtS3 = distributions.values().stream()
                 .flatMap(distribution -> distribution.allocations().stream())
                 .filter(allocation -> allocation.site().equals("s3"))
                 .mapToDouble(FailoverPlan.Allocation::max)
                 .sum();
-        assertTrue(asked <= 8 + TOLERANCE, "s3 can spare 8, asked for " + asked);
+        assertTrue(maxLoadAtS3 <= 8 + TOLERANCE, "s3 has a spare capacity of 8, allocated " + maxLoadAtS3);
         assertTrue(
                 distributions.values().stream()
                         .flatMap(distribution -> distribution.allocations().stream())
                         .allMatch(allocation -> allocation.site().equals("s3")),
-                "no lost site is a target");
+                "a lost site is a target");
     }
 
     @Property(tries = 300)
-    void everyPlanStaysWithinSpareCapacityAndAccountsForAllLoad(
-            @ForAll long seed, @ForAll @IntRange(min = 2, max = 7) int count, @ForAll boolean solverGivesUp) {
+    void staysWithinSpareCapacityAndAccountsForAllLoad(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 7) int count, @ForAll boolean useFallback) {
         Random random = new Random(seed);
         double[] capacities = random.doubles(count, 1, 50).toArray();
         double[] loads = new double[count];
@@ -114,11 +114,11 @@
         }
         Sites sites = ring(capacities);
         FailoverPlanRequest request = FailoverPlanRequest.first(loads(loads));
-        FailoverPlanner planner = solverGivesUp ? new FailoverPlanner(FALLBACK_ONLY) : new FailoverPlanner();
+        FailoverPlanner planner = useFallback ? new FailoverPlanner(FALLBACK_ONLY) : new FailoverPlanner();
 
         FailoverPlan plan = planner.plan(sites, request);
 
-        assertEquals(plan, planner.plan(sites, request), "equal input, equal plan");
+        assertEquals(plan, planner.plan(sites, request), "equal input must give an equal plan");
         plan.cases().forEach((lost, distributions) -> {
             distributions.forEach((site, distribution) ->
                     assertAccountsForLoad(lost, distribution, request.loads().get(site)));
@@ -146,13 +146,15 @@
                         .forEach(allocation -> maxByTarget.merge(allocation.site(), allocation.max(), Double::sum)));
         maxByTarget.forEach((target, max) -> {
             double spare = sites.byName().get(target).spareCapacity(loads.get(target));
-            assertTrue(max <= spare + TOLERANCE, lost + ": " + target + " can spare " + spare + ", asked for " + max);
+            assertTrue(
+                    max <= spare + TOLERANCE,
+                    lost + ": " + target + " has a spare capacity of " + spare + ", allocated " + max);
             assertFalse(distributions.containsKey(target), lost + ": a lost site is a target");
         });
     }
 
     @Property(tries = 100)
-    void theSolverRejectsNoMoreThanTheFallback(@ForAll long seed) {
+    void solverRejectsNoMoreLoadThanTheFallback(@ForAll long seed) {
         Random random = new Random(seed);
         double[] capacities = random.doubles(5, 1, 50).toArray();
         double[] loads = new double[5];
@@ -165,9 +167,11 @@
         FailoverPlan fallback = new FailoverPlanner(FALLBACK_ONLY).plan(ring(capacities), request);
 
         solved.cases().forEach((lost, distributions) -> {
-            double bySolver = rejected(distributions);
-            double byFallback = rejected(fallback.cases().get(lost));
-            assertTrue(bySolver <= byFallback + TOLERANCE, lost + ": " + bySolver + " over " + byFallback);
+            double rejectedBySolver = rejected(distributions);
+            double rejectedByFallback = rejected(fallback.cases().get(lost));
+            assertTrue(
+                    rejectedBySolver <= rejectedByFallback + TOLERANCE,
+                    lost + ": solver rejects " + rejectedBySolver + ", fallback " + rejectedByFallback);
         });
     }
 
--- a/src/test/java/pewtercourse/failover/FailoverStateTest.java
+++ b/src/test/java/pewtercourse/failover/FailoverStateTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void aChangeThatBuildsOnAnOlderOneIsRejected() {
+    void rejectsAChangeThatBuildsOnAnOutdatedIndex() {
         assertTrue(state.changeStatus(1, change(SiteStatus.Phase.LOST, SiteHealth.CACHES)));
 
         assertFalse(state.changeStatus(2, change(SiteStatus.Phase.WHOLE, SiteHealth.WELL)));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void releasingASiteEndsItsDrill() {
+    void endsTheDrillWhenTheSiteIsReleased() {
         assertTrue(state.startDrill(1, "s0", 0));
 
         assertTrue(state.setHeld(2, "s0", false, 1));
--- a/src/test/java/pewtercourse/failover/FailoverTrace.java
+++ b/src/test/java/pewtercourse/failover/FailoverTrace.java
@@ -11,48 +11,48 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * One random stream through the detector, two members' controllers, the planner, the agreed state and two directors'
- * overflow routers, by a fixed seed. Every output goes into a digest, and each kind of output is counted.
+ * Runs one random trace, given by a seed, through two members' controllers with their detectors, the planner, the
+ * agreed state and two directors' overflow routers. Adds every output to a digest and counts each kind of output.
  */
 final class FailoverTrace {
-    private static final long TICK = 250_000;
+    private static final long TICK_MICROS = 250_000;
     private static final int TICKS = 1_600;
     private static final int TICKS_PER_REPORT = 4;
     private static final int REQUESTS_PER_TICK = 6;
     private static final String OBSERVER = "observer";
 
-    /** What truly happens at a site; members see it with noise. */
+    /** The true condition of a site; the members' observations of it are noisy. */
     private enum Condition {
-        WELL,
-        CACHES_DEAD,
+        HEALTHY,
+        CACHES_FAILING,
         UNLISTED,
         SLOW,
         NO_PARENTS,
-        PARTLY_DEAD,
+        PARTLY_FAILING,
         DIRECTORS_SILENT,
-        ALL_DEAD,
+        CACHES_FAILING_DIRECTORS_SILENT,
         REJECTING,
-        SOME_FAIL
+        SOME_FAILURES
     }
 
-    private record PendingAnswer(long at, FailoverController controller, FailoverPlan plan) {}
+    private record PendingPlan(long deliveredAt, FailoverController controller, FailoverPlan plan) {}
 
     private final Random random;
     private final TraceDigest digest = new TraceDigest();
     private final Map<String, Integer> outcomes;
     private final Map<String, Condition> conditions = new TreeMap<>();
-    private final Set<String> absent = new TreeSet<>();
+    private final Set<String> absentMembers = new TreeSet<>();
     private final FailoverState agreed = new FailoverState();
     private final List<FailoverController> controllers = new ArrayList<>();
     private final List<OverflowRouter> routers = new ArrayList<>();
-    private final List<PendingAnswer> pendingAnswers = new ArrayList<>();
+    private final List<PendingPlan> pendingPlans = new ArrayList<>();
     private Sites sites;
-    private int holder;
+    private int leaseHolder;
     private long now = 10_000_000;
     private long logIndex;
     private long followedVersion = -1;
 
-    /** @param outcomes how often each kind of output was seen; this stream adds its own */
+    /** @param outcomes the count of each kind of output, to which this trace adds its own */
     FailoverTrace(long seed, Map<String, Integer> outcomes) {
         this.random = new Random(seed);
         this.outcomes = outcomes;
@@ -61,22 +61,22 @@
             controllers.add(new FailoverController(sites));
             routers.add(new OverflowRouter(sites, "s" + i, 500_000, seed + i));
         }
-        sites.byName().keySet().forEach(name -> conditions.put(name, Condition.WELL));
+        sites.byName().keySet().forEach(name -> conditions.put(name, Condition.HEALTHY));
     }
 
-    /** Plays the stream to its end. */
+    /** Runs the trace and returns the digest of its outputs. */
     String digest() {
         for (int tick = 0; tick < TICKS; tick++) {
-            now += TICK;
+            now += TICK_MICROS;
             changeConditions();
-            changeSettings();
-            giveOperatorOrder();
+            changeSites();
+            applyOperatorCommand();
             if (tick % TICKS_PER_REPORT == 0) {
-                report();
-                addJudgements();
+                reportObservations();
+                addAssessments();
             }
-            control();
-            followAgreed();
+            runController();
+            followAgreedState();
             routeRequests();
         }
         return digest.hex();
@@ -93,60 +93,62 @@
     private void changeConditions() {
         for (String name : conditions.keySet()) {
             if (chance(60)) {
-                Condition[] all = Condition.values();
-                conditions.put(name, chance(2) ? Condition.WELL : all[random.nextInt(all.length)]);
+                Condition[] values = Condition.values();
+                conditions.put(name, chance(2) ? Condition.HEALTHY : values[random.nextInt(values.length)]);
             }
         }
         for (Site site : sites.byName().values()) {
             for (String director : site.directors()) {
-                boolean silent = silent(site);
-                if (chance(silent ? 6 : 12)) {
-                    boolean changed = silent || chance(30) ? absent.add(director) : absent.remove(director);
+                boolean directorsSilent = hasSilentDirectors(site);
+                if (chance(directorsSilent ? 6 : 12)) {
+                    boolean changed = directorsSilent || chance(30)
+                            ? absentMembers.add(director)
+                            : absentMembers.remove(director);
                     digest.add(changed);
                 }
             }
         }
         if (chance(200)) {
-            holder = 1 - holder;
+            leaseHolder = 1 - leaseHolder;
         }
     }
 
-    private boolean silent(Site site) {
+    private boolean hasSilentDirectors(Site site) {
         Condition condition = conditions.get(site.name());
-        return condition == Condition.DIRECTORS_SILENT || condition == Condition.ALL_DEAD;
+        return condition == Condition.DIRECTORS_SILENT || condition == Condition.CACHES_FAILING_DIRECTORS_SILENT;
     }
 
-    private void changeSettings() {
+    private void changeSites() {
         if (!chance(250)) {
             return;
         }
         sites = TraceSites.redraw(random, sites);
-        sites.byName().keySet().forEach(name -> conditions.putIfAbsent(name, Condition.WELL));
+        sites.byName().keySet().forEach(name -> conditions.putIfAbsent(name, Condition.HEALTHY));
         controllers.replaceAll(controller -> controller.withSites(sites));
         for (int i = 0; i < routers.size(); i++) {
             routers.set(i, new OverflowRouter(sites, "s" + i, 400_000, random.nextLong()));
         }
-        pendingAnswers.clear();
+        pendingPlans.clear();
         followedVersion = -1;
-        count("settings changed");
+        count("sites changed");
     }
 
-    private void giveOperatorOrder() {
+    private void applyOperatorCommand() {
         if (!chance(50)) {
             return;
         }
-        String site = anySite();
-        long after = agreed.status(site).lastChangeIndex() - (chance(5) ? 1 : 0);
+        String site = randomSite();
+        long expectedIndex = agreed.status(site).lastChangeIndex() - (chance(5) ? 1 : 0);
         boolean accepted = switch (random.nextInt(4)) {
-            case 0 -> agreed.startDrill(++logIndex, site, after);
-            case 1 -> agreed.setHeld(++logIndex, site, true, after);
-            default -> agreed.setHeld(++logIndex, site, false, after);
+            case 0 -> agreed.startDrill(++logIndex, site, expectedIndex);
+            case 1 -> agreed.setHeld(++logIndex, site, true, expectedIndex);
+            default -> agreed.setHeld(++logIndex, site, false, expectedIndex);
         };
         digest.add("operator").add(site).add(accepted);
         count(accepted ? "operator accepted" : "operator stale");
     }
 
-    private String anySite() {
+    private String randomSite() {
         List<String> names = List.copyOf(sites.byName().keySet());
         return names.get(random.nextInt(names.size()));
     }
@@ -157,76 +159,77 @@
         return members;
     }
 
-    private void report() {
+    private void reportObservations() {
         for (String member : members()) {
             Site home = sites.byName().values().stream()
                     .filter(site -> site.directors().contains(member))
                     .findFirst()
                     .orElse(null);
-            if (absent.contains(member) || home != null && silent(home) || chance(25)) {
+            if (absentMembers.contains(member) || home != null && hasSilentDirectors(home) || chance(25)) {
                 continue;
             }
-            SortedMap<String, SiteObservation> seen = new TreeMap<>();
+            SortedMap<String, SiteObservation> observations = new TreeMap<>();
             for (Site site : sites.byName().values()) {
                 if (site == home || !chance(6)) {
-                    seen.put(site.name(), observation(site, site == home));
+                    observations.put(site.name(), observation(site, site == home));
                 }
             }
-            controllers.forEach(controller -> controller.detector().observe(now, member, seen));
+            controllers.forEach(controller -> controller.detector().observe(now, member, observations));
         }
         if (chance(60)) {
-            controllers.get(holder).detector().retainMembers(members());
+            controllers.get(leaseHolder).detector().retainMembers(members());
         }
     }
 
-    private SiteObservation observation(Site site, boolean own) {
+    private SiteObservation observation(Site site, boolean fromOwnDirector) {
         Condition condition = conditions.get(site.name());
-        int attempts = own ? 8 + random.nextInt(12) : random.nextInt(8);
-        int ready = 4;
-        int parentsReady = 2;
+        int attempts = fromOwnDirector ? 8 + random.nextInt(12) : random.nextInt(8);
+        int readyCaches = 4;
+        int readyParents = 2;
         int late = random.nextInt(1 + attempts / 8);
-        int bad = 0;
-        int refused = 0;
+        int failed = 0;
+        int rejected = 0;
         switch (condition) {
-            case CACHES_DEAD, ALL_DEAD -> {
-                bad = chance(4) ? 1 : attempts;
-                attempts = bad;
-                refused = random.nextInt(14);
+            case CACHES_FAILING, CACHES_FAILING_DIRECTORS_SILENT -> {
+                failed = chance(4) ? 1 : attempts;
+                attempts = failed;
+                rejected = random.nextInt(14);
                 late = 0;
             }
             case UNLISTED -> {
-                ready = 0;
+                readyCaches = 0;
                 attempts = 0;
                 late = 0;
             }
             case SLOW -> late = attempts * (55 + random.nextInt(45)) / 100;
-            case NO_PARENTS -> parentsReady = 0;
-            case PARTLY_DEAD -> {
-                ready = 1 + random.nextInt(2);
-                bad = attempts * (20 + random.nextInt(65)) / 100;
+            case NO_PARENTS -> readyParents = 0;
+            case PARTLY_FAILING -> {
+                readyCaches = 1 + random.nextInt(2);
+                failed = attempts * (20 + random.nextInt(65)) / 100;
                 late = 0;
             }
-            case REJECTING -> refused = attempts * random.nextInt(30) / 10;
-            case SOME_FAIL -> {
-                bad = attempts * (3 + random.nextInt(32)) / 100;
+            case REJECTING -> rejected = attempts * random.nextInt(30) / 10;
+            case SOME_FAILURES -> {
+                failed = attempts * (3 + random.nextInt(32)) / 100;
                 late = attempts * random.nextInt(60) / 100;
             }
             default -> {
-                ready -= random.nextInt(2);
-                bad = chance(4) ? Math.min(attempts - late, 1 + random.nextInt(3)) : 0;
+                readyCaches -= random.nextInt(2);
+                failed = chance(4) ? Math.min(attempts - late, 1 + random.nextInt(3)) : 0;
             }
         }
-        int good = Math.max(0, attempts - late - bad);
-        double load =
-                own ? site.capacity() * random.nextDouble() / site.directors().size() : 0;
+        int onTime = Math.max(0, attempts - late - failed);
+        double load = fromOwnDirector
+                ? site.capacity() * random.nextDouble() / site.directors().size()
+                : 0;
         return new SiteObservation(
-                new EndpointCount(4, ready),
-                new EndpointCount(2, parentsReady),
-                new AttemptCounts(good, late, bad, refused),
+                new EndpointCount(4, readyCaches),
+                new EndpointCount(2, readyParents),
+                new AttemptCounts(onTime, late, failed, rejected),
                 load);
     }
 
-    private void addJudgements() {
+    private void addAssessments() {
         for (FailoverController controller : controllers) {
             SiteFailureDetector detector = controller.detector();
             detector.loads().forEach((site, load) -> digest.add(site).add(load));
@@ -245,20 +248,20 @@
         }
     }
 
-    private void control() {
-        FailoverController controller = controllers.get(holder);
-        controllers.get(1 - holder).trackChanges(now, agreed);
-        for (SiteStatusChange order : controller.proposeChanges(now, agreed, absent)) {
-            addOrder(order);
-            if (!chance(12)) { // Else it is lost on its way.
-                apply(order);
+    private void runController() {
+        FailoverController controller = controllers.get(leaseHolder);
+        controllers.get(1 - leaseHolder).trackChanges(now, agreed);
+        for (SiteStatusChange change : controller.proposeChanges(now, agreed, absentMembers)) {
+            addChange(change);
+            if (!chance(12)) { // Otherwise the change is lost.
+                apply(change);
             }
-            if (chance(12)) { // Comes twice.
-                apply(order);
+            if (chance(12)) { // The change arrives twice.
+                apply(change);
             }
         }
-        answerDue();
-        controller.requestPlan(now, agreed).ifPresent(request -> answer(controller, request));
+        deliverDuePlans();
+        controller.requestPlan(now, agreed).ifPresent(request -> computePlan(controller, request));
         controller.takeComputedPlan(agreed).ifPresent(plan -> {
             digest.add("planned");
             addPlan(plan);
@@ -266,34 +269,34 @@
         });
     }
 
-    private void addOrder(SiteStatusChange order) {
-        SiteStatus before = agreed.status(order.site());
+    private void addChange(SiteStatusChange change) {
+        SiteStatus before = agreed.status(change.site());
         digest.add("order")
-                .add(order.site())
-                .add(order.phase().ordinal())
-                .add(order.health().ordinal())
-                .add(order.step())
-                .add(order.flaps())
-                .add(order.expectedIndex());
+                .add(change.site())
+                .add(change.phase().ordinal())
+                .add(change.health().ordinal())
+                .add(change.step())
+                .add(change.flaps())
+                .add(change.expectedIndex());
         String drill = before.drill() ? " in a drill" : "";
-        count("order " + before.phase().ordinal() + " to " + order.phase().ordinal() + drill);
-        if (before.phase() == SiteStatus.Phase.RETURNING && order.phase() == SiteStatus.Phase.RETURNING) {
-            count(order.step() > before.step() ? "step on" : "step back" + drill);
+        count("change " + before.phase().ordinal() + " to " + change.phase().ordinal() + drill);
+        if (before.phase() == SiteStatus.Phase.RETURNING && change.phase() == SiteStatus.Phase.RETURNING) {
+            count(change.step() > before.step() ? "step forward" : "step back" + drill);
         }
-        if (order.flaps() > before.flaps()) {
+        if (change.flaps() > before.flaps()) {
             count("flap counted");
-        } else if (order.flaps() < before.flaps()) {
-            count("flaps forgotten");
+        } else if (change.flaps() < before.flaps()) {
+            count("flaps reset");
         }
     }
 
-    private void apply(SiteStatusChange order) {
-        boolean accepted = agreed.changeStatus(++logIndex, order);
+    private void apply(SiteStatusChange change) {
+        boolean accepted = agreed.changeStatus(++logIndex, change);
         digest.add(accepted);
-        count(accepted ? "order accepted" : "order stale");
+        count(accepted ? "change accepted" : "change stale");
     }
 
-    private void answer(FailoverController controller, FailoverPlanRequest request) {
+    private void computePlan(FailoverController controller, FailoverPlanRequest request) {
         digest.add("question").add(String.join(" ", request.lost())).add(String.join(" ", request.ineligible()));
         request.loads().forEach((site, load) -> digest.add(site).add(load));
         FailoverPlanner planner = chance(5) ? new FailoverPlanner(1) : new FailoverPlanner();
@@ -301,19 +304,19 @@
         addPlan(plan);
         countPlan(plan, outcomes);
         switch (random.nextInt(6)) {
-            case 0 -> pendingAnswers.add(new PendingAnswer(now + 3_000_000, controller, plan)); // Too late.
-            case 1 -> pendingAnswers.add(new PendingAnswer(now + 1_000_000, controller, plan));
-            case 2 -> count("question unanswered");
+            case 0 -> pendingPlans.add(new PendingPlan(now + 3_000_000, controller, plan)); // Arrives too late.
+            case 1 -> pendingPlans.add(new PendingPlan(now + 1_000_000, controller, plan));
+            case 2 -> count("plan never delivered");
             default -> controller.planComputed(now, plan);
         }
     }
 
-    private void answerDue() {
-        for (PendingAnswer pending : List.copyOf(pendingAnswers)) {
-            if (now >= pending.at()) {
+    private void deliverDuePlans() {
+        for (PendingPlan pending : List.copyOf(pendingPlans)) {
+            if (now >= pending.deliveredAt()) {
                 pending.controller().planComputed(now, pending.plan());
-                pendingAnswers.remove(pending);
-                count("answer delayed");
+                pendingPlans.remove(pending);
+                count("plan delivered late");
             }
         }
     }
@@ -322,7 +325,7 @@
         addPlan(plan, digest);
     }
 
-    /** Adds every case of a plan in its order. */
+    /** Adds the cases of a plan to a digest, in their order. */
     static void addPlan(FailoverPlan plan, TraceDigest digest) {
         plan.cases().forEach((key, distributions) -> {
             digest.add("case").add(key);
@@ -337,7 +340,7 @@
         }
     }
 
-    /** Counts the sites that each lost one is spread over. */
+    /** Counts, for each lost site of a plan, the targets that take its load and whether load is rejected. */
     static void countPlan(FailoverPlan plan, Map<String, Integer> outcomes) {
         plan.cases()
                 .values()
@@ -348,12 +351,12 @@
                             1,
                             Integer::sum);
                     if (distribution.rejected() > 0) {
-                        outcomes.merge("plan refuses", 1, Integer::sum);
+                        outcomes.merge("plan rejects load", 1, Integer::sum);
                     }
                 }));
     }
 
-    private void followAgreed() {
+    private void followAgreedState() {
         if (agreed.version() == followedVersion) {
             return;
         }
@@ -397,32 +400,41 @@
             if (chance(20)) {
                 router.setOwnCachesListed(!chance(3));
             }
-            for (int r = 0; r < REQUESTS_PER_TICK; r++) {
-                route(router, "s" + i, now + r * TICK / REQUESTS_PER_TICK);
+            for (int request = 0; request < REQUESTS_PER_TICK; request++) {
+                route(router, "s" + i, now + request * TICK_MICROS / REQUESTS_PER_TICK);
             }
         }
     }
 
-    private void route(OverflowRouter router, String own, long at) {
-        boolean must = chance(15);
-        boolean renewal = chance(10);
-        double work = chance(20) ? 3_000_000 * random.nextDouble() : 20_000 + 300_000 * random.nextDouble();
-        long needs = (long) work / 2;
-        long expires = at + (chance(12) ? needs / 2 : 2_000_000);
-        long object = StableHash.of("object " + random.nextInt(400));
+    private void route(OverflowRouter router, String ownSite, long requestTime) {
+        boolean unconditional = chance(15);
+        boolean revalidation = chance(10);
+        double serviceMicros = chance(20) ? 3_000_000 * random.nextDouble() : 20_000 + 300_000 * random.nextDouble();
+        long expectedMicros = (long) serviceMicros / 2;
+        long deadline = requestTime + (chance(12) ? expectedMicros / 2 : 2_000_000);
+        long objectHash = StableHash.of("object " + random.nextInt(400));
         OverflowDecision decision = router.choose(
-                at, new OverflowRequest(object, 1 + random.nextInt(5), work, 600_000, expires, needs, must, renewal));
-        digest.add("choice").add(object).add(decision.retryAfterMicros());
+                requestTime,
+                new OverflowRequest(
+                        objectHash,
+                        1 + random.nextInt(5),
+                        serviceMicros,
+                        600_000,
+                        deadline,
+                        expectedMicros,
+                        unconditional,
+                        revalidation));
+        digest.add("choice").add(objectHash).add(decision.retryAfterMicros());
         String kind;
         if (decision.rejected()) {
-            kind = "refused";
+            kind = "rejected";
             digest.add(false);
         } else {
             String site = decision.site().orElseThrow();
-            kind = site.equals(own) ? "own site" : "other site";
+            kind = site.equals(ownSite) ? "own site" : "other site";
             digest.add(true).add(site);
         }
-        String phase = " in phase " + agreed.status(own).phase().ordinal();
-        count(kind + (must ? ", must" : "") + phase);
+        String phase = " in phase " + agreed.status(ownSite).phase().ordinal();
+        count(kind + (unconditional ? ", unconditional" : "") + phase);
     }
 }
--- a/src/test/java/pewtercourse/failover/RequestPrioritiesTest.java
+++ b/src/test/java/pewtercourse/failover/RequestPrioritiesTest.java
@@ -17,14 +17,14 @@
     }
 
     @BeforeEach
-    void askForFiftyObjectsForASecond() {
+    void requestFiftyObjectsForOneSecond() {
         for (int i = 0; i < 1_000; i++) {
             rank(i * 1_000, 100_000, i % 50, false);
         }
     }
 
     @Test
-    void largeOrUnseenObjectsAndRevalidationsRankBelowSmallKnownObjects() {
+    void ranksLargeOrNewObjectsAndRevalidationsBelowSmallKnownObjects() {
         double small = rank(SECOND, 100_000, 7, false);
         double large = rank(SECOND, 2_000_000, UNSEEN_OBJECT, false);
         double unseen = rank(SECOND, 100_000, OTHER_UNSEEN_OBJECT, false);
--- a/src/test/java/pewtercourse/failover/SiteObserverTest.java
+++ b/src/test/java/pewtercourse/failover/SiteObserverTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void attemptsCountBySiteAndByHowTheyEnded() {
+    void countsAttemptsBySiteAndResult() {
         observer.recordAttempt(START, "s1", AttemptResult.SERVED, false);
         observer.recordAttempt(START, "s1", AttemptResult.SERVED, true);
         observer.recordAttempt(START, "s1", AttemptResult.FULL, false);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whatIsOlderThanTheWindowIsForgotten() {
+    void dropsAttemptsOlderThanTheWindow() {
         observer.recordAttempt(START, "s1", AttemptResult.SERVED, false);
 
         assertEquals(1, observe(START + SECOND, "s1").attempts().completed());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void rejectionsAndLoadCountForTheOwnSite() {
+    void countsRejectionsAndLoadForTheOwnSite() {
         observer.recordRejection(START);
         observer.recordRequest(START, 500_000);
 
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theUsualCountIsTheGreatestOneLately() {
+    void usesTheLargestRecentCountAsTheUsualOne() {
         observe(START, "s0");
 
         SiteObservation later = observer.observe(START + SECOND, SITES, Map.of("s0", 1), Map.of())
--- a/src/test/java/pewtercourse/failover/TraceDigest.java
+++ b/src/test/java/pewtercourse/failover/TraceDigest.java
@@ -7,8 +7,8 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 over a sequence of values. Holds no name of a Java type or field, so that a renamed type leaves it as it is;
- * numbers count to the last bit.
+ * Computes a SHA-256 digest over a sequence of values. The digest contains no names of Java types or fields, so
+ * renaming them does not change it. Numbers contribute all of their bits.
  */
 final class TraceDigest {
     private final MessageDigest digest;
--- a/src/test/java/pewtercourse/failover/TraceSites.java
+++ b/src/test/java/pewtercourse/failover/TraceSites.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Random descriptions of sites for recorded streams. Sets are sorted, so that equal seeds give equal sums. */
+/** Generates random sites for recorded traces. Sets are sorted, so equal seeds give equal floating-point sums. */
 final class TraceSites {
     private static final double[] SPARE_SHARES = {0, 0.3, 0.8, 1};
     private static final double[] RESERVED_SHARES = {0, 0.25, 0.6};
@@ -28,18 +28,18 @@
         return new Sites(sites(random, count), 0.01 + 0.6 * random.nextDouble(), timing);
     }
 
-    /** The same names, directors' names and steps; at times a site more or less. */
-    static Sites redraw(Random random, Sites before) {
-        int count = Math.max(3, before.byName().size() + random.nextInt(3) - 1);
-        FailoverTiming old = before.timing();
+    /** Draws new sites with the same naming and recovery steps; may add or remove a site. */
+    static Sites redraw(Random random, Sites previous) {
+        int count = Math.max(3, previous.byName().size() + random.nextInt(3) - 1);
+        FailoverTiming previousTiming = previous.timing();
         FailoverTiming timing = new FailoverTiming(
-                old.lossDelayMicros(),
-                old.recoveryDelayMicros() / 2 + 500_000,
-                old.maxRecoveryDelayMicros(),
-                old.minRecoveryStepMicros(),
-                old.recoverySteps(),
-                old.observationLifetimeMicros());
-        return new Sites(sites(random, count), before.guestMissRatio() / 2 + 0.01, timing);
+                previousTiming.lossDelayMicros(),
+                previousTiming.recoveryDelayMicros() / 2 + 500_000,
+                previousTiming.maxRecoveryDelayMicros(),
+                previousTiming.minRecoveryStepMicros(),
+                previousTiming.recoverySteps(),
+                previousTiming.observationLifetimeMicros());
+        return new Sites(sites(random, count), previous.guestMissRatio() / 2 + 0.01, timing);
     }
 
     private static SortedMap<String, Site> sites(Random random, int count) {
@@ -47,13 +47,13 @@
         for (int i = 0; i < count; i++) {
             String name = "s" + i;
             Set<String> directors = new TreeSet<>();
-            for (int d = random.nextInt(4); d > 0; d--) {
-                directors.add("d" + i + "." + d);
+            for (int director = random.nextInt(4); director > 0; director--) {
+                directors.add("d" + i + "." + director);
             }
             List<Site.FailoverTarget> targets = new ArrayList<>();
-            for (int other = 1; other < count; other++) {
+            for (int offset = 1; offset < count; offset++) {
                 if (random.nextInt(6) > 0) {
-                    targets.add(new Site.FailoverTarget("s" + (i + other) % count, 1 + random.nextInt(4)));
+                    targets.add(new Site.FailoverTarget("s" + (i + offset) % count, 1 + random.nextInt(4)));
                 }
             }
             sites.put(
