--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -72,7 +72,7 @@
      */
     static long deadlineOf(ClientRequest request) {
         long waitMicros = (long) (request.deadlineMs() * 1000);
-        return request.takenAt()
+        return request.receivedAtMicros()
                 + waitMicros
                 - (long) Math.min(MAX_DEADLINE_MARGIN_MICROS, DEADLINE_MARGIN_FRACTION * waitMicros);
     }
@@ -137,7 +137,7 @@
                 send.coalesce(),
                 send.onlyIfCached(),
                 send.refreshInBackground(),
-                request.known());
+                request.knownTag());
         int number = attempts - 1;
         attempt = new Attempt(
                 director.pool,
@@ -330,7 +330,7 @@
                         "attempts",
                         attempts,
                         "ms",
-                        (director.clock.getAsLong() - request.takenAt()) / 1000);
+                        (director.clock.getAsLong() - request.receivedAtMicros()) / 1000);
             }
             director.recordAnswered(this);
             answer.accept(finalAnswer);
--- a/src/main/java/pewtercourse/front/ClientRequest.java
+++ b/src/main/java/pewtercourse/front/ClientRequest.java
@@ -3,9 +3,11 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * A client's request, whatever protocol it came by. {@code takenAt} is the clock (microseconds) at its last
- * byte, {@code deadlineMs} how long the client waits from then on, {@code known} the tag of a copy that the
- * client holds, or null.
+ * A client's complete request, independent of the protocol.
+ *
+ * @param knownTag the tag of a copy that the client has, or null
+ * @param receivedAtMicros the clock in microseconds when the last byte was read
+ * @param deadlineMs how long the client waits for the answer from then on
  */
 public record ClientRequest(
         String id,
@@ -14,7 +16,7 @@
         int part,
         int group,
         double sizeKb,
-        String known,
+        String knownTag,
         Buffer body,
-        long takenAt,
+        long receivedAtMicros,
         double deadlineMs) {}
--- a/src/main/java/pewtercourse/front/FrontTransport.java
+++ b/src/main/java/pewtercourse/front/FrontTransport.java
@@ -7,21 +7,22 @@
 import io.vertx.core.transport.Transport;
 
 /**
- * The library's sockets, but for the event loop's waits ({@link WholeMillisecondWaits}) and for the clients' server, which
- * listens on a given channel: the first one that is opened after {@link #frontNext}. Others, such as a cluster's, may be
- * opened before and after.
+ * The NIO transport of Vert.x with two changes: the event loop waits in whole milliseconds
+ * ({@link WholeMillisecondWaits}), and the clients' server listens on the given channel. The clients' server is the first
+ * server that is opened after {@link #useListenerForNextServer}; other servers, such as the cluster's, may be opened before
+ * and after.
  */
 public final class FrontTransport implements Transport {
     private final ServerChannel listener;
-    private volatile boolean frontNext;
+    private volatile boolean isFrontNext;
 
     public FrontTransport(LimitedListener listener) {
         this.listener = listener;
     }
 
-    /** The next server that is opened is the clients'. */
-    public void frontNext() {
-        frontNext = true;
+    /** Gives the listener of the clients to the next server that is opened. */
+    public void useListenerForNextServer() {
+        isFrontNext = true;
     }
 
     @Override
@@ -49,11 +50,11 @@
 
             @Override
             public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-                ChannelFactory<? extends ServerChannel> plain = super.serverChannelFactory(domainSocket);
+                ChannelFactory<? extends ServerChannel> defaultFactory = super.serverChannelFactory(domainSocket);
                 return () -> {
-                    boolean front = frontNext;
-                    frontNext = false;
-                    return front ? listener : plain.newChannel();
+                    boolean isFront = isFrontNext;
+                    isFrontNext = false;
+                    return isFront ? listener : defaultFactory.newChannel();
                 };
             }
         };
