--- a/src/main/java/pewtercourse/Agreement.java
+++ b/src/main/java/pewtercourse/ClusterBridge.java
@@ -20,12 +20,12 @@
 import pewtercourse.lease.MaintenanceRequest;
 
 /** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
-final class Agreement implements ClusterCalls, ClusterHost {
+final class ClusterBridge implements ClusterCalls, ClusterHost {
     private final Director director;
     private final ClusterMember cluster;
     private double part = 1;
 
-    Agreement(Vertx vertx, ClusterConfig config, Director director) {
+    ClusterBridge(Vertx vertx, ClusterConfig config, Director director) {
         this.director = director;
         this.cluster = new ClusterMember(vertx, config, this);
         if (config.sites() != null) {
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -45,7 +45,7 @@
     private final StateFile state;
     private boolean serving;
     private long accepted, invalid; // Files at SIGHUP.
-    private Agreement agreement; // Null without a cluster.
+    private ClusterBridge agreement; // Null without a cluster.
     private Reloader reloader;
 
     Service(Vertx vertx, DirectorConfig config, InheritedSocket inherited, FrontTransport transport) {
@@ -233,7 +233,7 @@
 
     /** This director belongs to a cluster: what operators say is agreed there from now on. */
     Future<Void> join(ClusterConfig to) {
-        agreement = new Agreement(vertx, to, director);
+        agreement = new ClusterBridge(vertx, to, director);
         return agreement.start();
     }
 
