--- a/src/main/java/pewtercourse/Rehearsal.java
+++ b/src/main/java/pewtercourse/ClassArchiveTraining.java
@@ -22,10 +22,10 @@
  * Serves one request to itself and ends. The build runs it once, so that the JVM can archive the classes that a
  * director needs: one that starts, above all after a crash, is then ready in about half the time.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final String HOST = "127.0.0.1";
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     static void run(Vertx vertx, String config) throws IOException {
         JsonObject json = new JsonObject(Files.readString(Path.of(config)));
@@ -79,7 +79,7 @@
 
     private static Future<HttpServer> site(Vertx vertx) {
         return vertx.createHttpServer(new HttpServerOptions().setHost(HOST).setPort(0))
-                .requestHandler(Rehearsal::play)
+                .requestHandler(ClassArchiveTraining::play)
                 .listen();
     }
 
--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -76,7 +76,7 @@
 
     private static void rehearse(String config) {
         try {
-            Rehearsal.run(vertx(new FrontTransport(new LimitedListener(REHEARSAL_CONNECTIONS))), config);
+            ClassArchiveTraining.run(vertx(new FrontTransport(new LimitedListener(REHEARSAL_CONNECTIONS))), config);
         } catch (IOException e) {
             System.err.println("pewtercourse: cannot read " + config + ": " + e.getMessage());
             System.exit(1);
