--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -62,7 +62,7 @@
     /** The file as it is now, to take the place of this one: whole, or not at all. */
     public DirectorConfig again(Map<String, String> env) {
         DirectorConfig next = fromEnvironment(env);
-        Reloading.check(source, next.source);
+        ReloadCheck.check(source, next.source);
         return next;
     }
 
--- a/src/main/java/pewtercourse/config/Reloading.java
+++ b/src/main/java/pewtercourse/config/ReloadCheck.java
@@ -9,11 +9,11 @@
  * Whether a file that comes at SIGHUP can take the place of the running one. Guards against files that are cut short or
  * lack a key: a default in its place would change the director without anybody having said so.
  */
-final class Reloading {
+final class ReloadCheck {
     // New with each file, and only of use at a start.
     private static final Set<String> FREE = Set.of("known", "seed");
 
-    private Reloading() {}
+    private ReloadCheck() {}
 
     /** Throws a ConfigException that names the first key that is missing or of another type. */
     static void check(JsonObject running, JsonObject next) {
