--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -20,7 +20,7 @@
 
 /**
  * What one real director is told: the GW_* variables and the JSON file that they name. This is the only place
- * where they are read, checked and given defaults. {@code inherits}: the clients' socket is held by the platform.
+ * where they are read, checked and given defaults. {@code inheritsSocket}: the clients' socket is held by the platform.
  * {@code stateFolder}: where processes of one director leave word for one another, or null.
  */
 public record DirectorConfig(
@@ -36,7 +36,7 @@
         JsonArray known,
         long knownNumber,
         SiteSettings site,
-        boolean inherits,
+        boolean inheritsSocket,
         Path stateFolder,
         JsonObject source) {
 
@@ -172,7 +172,7 @@
 
     /** Connections to caches, idle or at work. Where the socket is inherited, two processes share the limit at times. */
     public int cacheConnections() {
-        return Math.max(16, (sockets - front().connections() - otherDescriptors()) / (inherits ? 2 : 1));
+        return Math.max(16, (sockets - front().connections() - otherDescriptors()) / (inheritsSocket ? 2 : 1));
     }
 
     /** The zone of this director, "" if the settings name none. */
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -131,7 +131,7 @@
                 config.cacheConnections());
         this.registry = new ServiceRegistry(siteSettings, pool);
         this.localRouterQueue = newRouterQueue(siteSettings.router(), false);
-        this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
+        this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inheritsSocket(), (from, bytes) -> {
             peerMessageListener.run();
             localRouterQueue.enqueue(new GossipReceived(from, bytes));
         });
