--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -57,7 +57,7 @@
         try {
             config = DirectorConfig.fromEnvironment(System.getenv());
             cluster = ClusterConfig.fromEnvironment(System.getenv());
-            socket = InheritedSocket.fromEnvironment(System.getenv(), config.acceptedMost())
+            socket = InheritedSocket.fromEnvironment(System.getenv(), config.maxAcceptedConnections())
                     .orElse(null);
         } catch (ConfigException e) {
             Log.warn("config.unusable", "key", e.getMessage());
@@ -68,7 +68,7 @@
         // line must be read by then: else that line fails, and the thread that accepts connections ends with it.
         new SimpleFormatter().format(new LogRecord(Level.WARNING, "ready"));
         FrontTransport transport =
-                socket != null ? socket.transport() : new FrontTransport(new LimitedListener(config.acceptedMost()));
+                socket != null ? socket.transport() : new FrontTransport(new LimitedListener(config.maxAcceptedConnections()));
         Vertx vertx = vertx(transport);
         vertx.exceptionHandler(e -> Log.error("loop.unexpected", e));
         vertx.getOrCreateContext().runOnContext(v -> start(vertx, config, cluster, socket, transport));
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -166,7 +166,7 @@
     }
 
     /** Connections of clients that may be accepted at once: some more than are kept, until the event loop has seen them. */
-    public int acceptedMost() {
+    public int maxAcceptedConnections() {
         return front().connections() + Math.max(4, sockets / 16);
     }
 
