--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -171,7 +171,7 @@
     }
 
     /** Connections to caches, idle or at work. Where the socket is inherited, two processes share the limit at times. */
-    public int cacheConnections() {
+    public int maxCacheConnections() {
         return Math.max(16, (sockets - front().connections() - otherDescriptors()) / (inheritsSocket ? 2 : 1));
     }
 
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -128,7 +128,7 @@
                 timers,
                 clock,
                 (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleClose()),
-                config.cacheConnections());
+                config.maxCacheConnections());
         this.registry = new ServiceRegistry(siteSettings, pool);
         this.localRouterQueue = newRouterQueue(siteSettings.router(), false);
         this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inheritsSocket(), (from, bytes) -> {
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -141,8 +141,8 @@
             JsonObject json = example().put("limits", new JsonObject().put("sockets", sockets));
             DirectorConfig c = DirectorConfig.read(Map.of(), json);
             assertTrue(c.front().connections() > sockets / 3, "less than clients may hold");
-            assertTrue(c.front().connections() + c.cacheConnections() + 32 <= sockets, "none left for the program");
-            assertTrue(c.cacheConnections() > sockets / 3, "too few for caches");
+            assertTrue(c.front().connections() + c.maxCacheConnections() + 32 <= sockets, "none left for the program");
+            assertTrue(c.maxCacheConnections() > sockets / 3, "too few for caches");
         }
     }
 }
