--- a/src/main/java/pewtercourse/Reloader.java
+++ b/src/main/java/pewtercourse/Reloader.java
@@ -27,7 +27,7 @@
     /** Reads files, so never on the event loop. Returns why the file was turned down; empty if it was taken. */
     synchronized Optional<String> reload() {
         try {
-            DirectorConfig next = running.again(environment);
+            DirectorConfig next = running.reread(environment);
             // Both files, or neither.
             ClusterConfig cluster = ClusterConfig.fromEnvironment(environment);
             running = next;
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -60,7 +60,7 @@
     }
 
     /** The file as it is now, to take the place of this one: whole, or not at all. */
-    public DirectorConfig again(Map<String, String> env) {
+    public DirectorConfig reread(Map<String, String> env) {
         DirectorConfig next = fromEnvironment(env);
         ReloadCheck.check(source, next.source);
         return next;
--- a/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
+++ b/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
@@ -241,7 +241,7 @@
             for (Object value : List.of(REMOVED, new JsonObject(), 7, "127.0.0.1:77")) {
                 Files.writeString(file, changed(full, path, value).encode());
                 append(path + " <- " + (value == REMOVED ? "(removed)" : value), () -> {
-                    DirectorConfig next = running.again(environment);
+                    DirectorConfig next = running.reread(environment);
                     return "taken, a restart is needed for " + next.changedSince(running);
                 });
             }
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -87,12 +87,12 @@
             DirectorConfig before = running;
             if (kind < 10) {
                 Files.writeString(file, broken(running.source(), kind, random));
-                assertThrows(ConfigException.class, () -> before.again(env), "kind " + kind);
+                assertThrows(ConfigException.class, () -> before.reread(env), "kind " + kind);
                 assertSame(before, running);
                 continue;
             }
             Files.writeString(file, good(example, random).encode());
-            running = running.again(env);
+            running = running.reread(env);
             SiteSettings was = site;
             site = running.site().placed(site);
             assertEquals(running.site().classes().keySet(), site.classes().keySet());
