--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -181,7 +181,7 @@
     }
 
     /** The keys of the file that differ and only a restart can carry out, in order. */
-    public List<String> changedSince(DirectorConfig old) {
+    public List<String> keysNeedingRestart(DirectorConfig old) {
         Set<String> keys = new TreeSet<>(source.fieldNames());
         keys.addAll(old.source.fieldNames());
         keys.removeIf(k -> NO_RESTART.contains(k) || Objects.equals(source.getValue(k), old.source.getValue(k)));
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -181,7 +181,7 @@
      * take effect at once. All other changes need a restart, and their keys are logged.
      */
     public void reload(DirectorConfig newConfig) {
-        List<String> keysThatNeedRestart = newConfig.changedSince(config);
+        List<String> keysThatNeedRestart = newConfig.keysNeedingRestart(config);
         if (!keysThatNeedRestart.isEmpty()) {
             Log.warn("config.needs_restart", "keys", String.join(",", keysThatNeedRestart));
         }
--- a/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
+++ b/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
@@ -242,7 +242,7 @@
                 Files.writeString(file, changed(full, path, value).encode());
                 append(path + " <- " + (value == REMOVED ? "(removed)" : value), () -> {
                     DirectorConfig next = running.reread(environment);
-                    return "taken, a restart is needed for " + next.changedSince(running);
+                    return "taken, a restart is needed for " + next.keysNeedingRestart(running);
                 });
             }
         }
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -119,7 +119,7 @@
                 example().put("feed", "127.0.0.1:2380").put("seed", "1").put("listen", "127.0.0.1:1");
         json.getJsonObject("settings").put("Me", 1);
         assertEquals(
-                java.util.List.of("listen"), DirectorConfig.read(Map.of(), json).changedSince(old));
+                java.util.List.of("listen"), DirectorConfig.read(Map.of(), json).keysNeedingRestart(old));
     }
 
     @Test
