--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -44,7 +44,7 @@
     public record Worth(double worth, long grace) {}
 
     /** The module's settings for requests of this director's clients that go to the caches of another zone. */
-    public RouterSettings guestsAt(String zone) {
+    public RouterSettings remoteRouterSettings(String zone) {
         List<RequestClass> others = new ArrayList<>(router.classes());
         classes.forEach((name, i) -> {
             RequestClass own = others.get(i);
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -189,7 +189,7 @@
         boolean namesChanged = !newSettings.namesAlike(siteSettings);
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
-        remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.guestsAt(zone))));
+        remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
         pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleClose()));
         registry.updateSettings(newSettings);
         if (namesChanged) {
@@ -441,7 +441,7 @@
             return localRouterQueue;
         }
         return remoteRouterQueues.computeIfAbsent(zone, remoteZone -> {
-            RouterEventQueue queue = newRouterQueue(siteSettings.guestsAt(remoteZone), true);
+            RouterEventQueue queue = newRouterQueue(siteSettings.remoteRouterSettings(remoteZone), true);
             // The capacity of another zone's caches in slow start is left to the clients of that zone.
             queue.enqueue(new QuotaChanged(0));
             queue.enqueue(registry.snapshot());
