--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -74,7 +74,7 @@
      * new place, also if it was there earlier: nothing that was learned of the class that has gone may count for it. What
      * nobody names any more stays as it was, for requests that are under way.
      */
-    public SiteSettings placed(SiteSettings before) {
+    public SiteSettings withClassIndexesOf(SiteSettings before) {
         Map<String, Integer> at = new HashMap<>();
         int next = before.router.classes().size();
         for (String name : new TreeSet<>(classes.keySet())) {
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -185,7 +185,7 @@
         if (!keysThatNeedRestart.isEmpty()) {
             Log.warn("config.needs_restart", "keys", String.join(",", keysThatNeedRestart));
         }
-        SiteSettings newSettings = newConfig.site().placed(siteSettings);
+        SiteSettings newSettings = newConfig.site().withClassIndexesOf(siteSettings);
         boolean namesChanged = !newSettings.namesAlike(siteSettings);
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -68,11 +68,11 @@
         SiteSettings all = DirectorConfig.read(Map.of(), example()).site();
         JsonObject json = example();
         json.getJsonObject("settings").getJsonArray("Classes").remove(1); // menu-page
-        SiteSettings without = DirectorConfig.read(Map.of(), json).site().placed(all);
+        SiteSettings without = DirectorConfig.read(Map.of(), json).site().withClassIndexesOf(all);
         assertEquals(Map.of("menu-media", 0, "place-order", 2), without.classes());
         assertEquals(
                 Map.of("menu-media", 0, "menu-page", 3, "place-order", 2),
-                all.placed(without).classes());
+                all.withClassIndexesOf(without).classes());
     }
 
     @ParameterizedTest
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -94,7 +94,7 @@
             Files.writeString(file, good(example, random).encode());
             running = running.reread(env);
             SiteSettings was = site;
-            site = running.site().placed(site);
+            site = running.site().withClassIndexesOf(site);
             assertEquals(running.site().classes().keySet(), site.classes().keySet());
             for (String name : site.classes().keySet()) {
                 Integer place = site.classes().get(name);
