--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -96,7 +96,7 @@
     }
 
     /** Whether a line of the list means the same under these. */
-    public boolean namesAlike(SiteSettings other) {
+    public boolean resolvesNamesLike(SiteSettings other) {
         return zones.equals(other.zones)
                 && Objects.equals(parentKind, other.parentKind)
                 && Objects.equals(originKind, other.originKind);
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -186,7 +186,7 @@
             Log.warn("config.needs_restart", "keys", String.join(",", keysThatNeedRestart));
         }
         SiteSettings newSettings = newConfig.site().withClassIndexesOf(siteSettings);
-        boolean namesChanged = !newSettings.namesAlike(siteSettings);
+        boolean namesChanged = !newSettings.resolvesNamesLike(siteSettings);
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
         remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
