--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -112,7 +112,7 @@
     }
 
     /** A line of the list, with the names of zone and kind resolved. */
-    public Endpoint member(
+    public Endpoint endpoint(
             long id, String zone, String kind, int cell, EndpointLifecycle state, double weight, long since) {
         EndpointRole role = kind.equals(parentKind)
                 ? EndpointRole.PARENT
--- a/src/main/java/pewtercourse/director/ServiceRegistry.java
+++ b/src/main/java/pewtercourse/director/ServiceRegistry.java
@@ -71,7 +71,7 @@
         EndpointLifecycle lifecycle = drains.isDrained(endpoint.name()) && endpoint.state() == EndpointLifecycle.READY
                 ? EndpointLifecycle.DRAINING
                 : endpoint.state();
-        return settings.member(
+        return settings.endpoint(
                 endpoint.id(),
                 endpoint.zone(),
                 endpoint.kind(),
--- a/src/main/java/pewtercourse/simulator/BenchLink.java
+++ b/src/main/java/pewtercourse/simulator/BenchLink.java
@@ -247,7 +247,7 @@
     }
 
     private static Endpoint member(Seat seat, Row r) {
-        return seat.site.member(r.id, r.zone, r.kind, r.cell, r.state, r.weight, r.since);
+        return seat.site.endpoint(r.id, r.zone, r.kind, r.cell, r.state, r.weight, r.since);
     }
 
     private void start() {
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -56,7 +56,7 @@
         assertEquals(1, site.router().topology().zone());
         assertEquals(
                 1,
-                site.member(7, "nord, süd", "std", 0, EndpointLifecycle.READY, 0, 0)
+                site.endpoint(7, "nord, süd", "std", 0, EndpointLifecycle.READY, 0, 0)
                         .zone());
         settings.getJsonArray("Classes").getJsonObject(0).put("Name", "menu\u001fpage");
         Exception e = assertThrows(ConfigException.class, () -> DirectorConfig.read(Map.of(), json));
