--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -37,7 +37,7 @@
         String parentKind,
         String originKind,
         long connectTimeout,
-        long idleClose,
+        long idleTimeoutMicros,
         long answerSlack,
         Map<String, Worth> worths) {
     /** What a request of a class is worth, and how long past its fresh time a copy may still be served. */
@@ -90,7 +90,7 @@
                 parentKind,
                 originKind,
                 connectTimeout,
-                idleClose,
+                idleTimeoutMicros,
                 answerSlack,
                 worths);
     }
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -127,7 +127,7 @@
                 transport,
                 timers,
                 clock,
-                (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleClose()),
+                (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleTimeoutMicros()),
                 config.maxCacheConnections());
         this.registry = new ServiceRegistry(siteSettings, pool);
         this.localRouterQueue = newRouterQueue(siteSettings.router(), false);
@@ -190,7 +190,7 @@
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
         remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
-        pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleClose()));
+        pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleTimeoutMicros()));
         registry.updateSettings(newSettings);
         if (namesChanged) {
             enqueueForAllRouters(registry.snapshot());
