--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -36,7 +36,7 @@
         Map<String, Integer> zones,
         String parentKind,
         String originKind,
-        long connectTimeout,
+        long connectTimeoutMicros,
         long idleTimeoutMicros,
         long answerSlack,
         Map<String, Worth> worths) {
@@ -89,7 +89,7 @@
                 zones,
                 parentKind,
                 originKind,
-                connectTimeout,
+                connectTimeoutMicros,
                 idleTimeoutMicros,
                 answerSlack,
                 worths);
--- a/src/main/java/pewtercourse/director/ProxiedRequest.java
+++ b/src/main/java/pewtercourse/director/ProxiedRequest.java
@@ -146,7 +146,7 @@
                 send.endpointId(),
                 cache.address(),
                 cacheRequest,
-                director.siteSettings.connectTimeout(),
+                director.siteSettings.connectTimeoutMicros(),
                 attemptDeadline,
                 () -> maySend(send),
                 response -> onAttemptFinished(number, send, response));
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -24,7 +24,7 @@
         assertEquals("n7", c.name());
         assertEquals(8443, c.listen().getPort());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(400_000, c.site().connectTimeout());
+        assertEquals(400_000, c.site().connectTimeoutMicros());
         assertEquals(
                 Map.of("menu-media", 0, "menu-page", 1, "place-order", 2),
                 c.site().classes());
