--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -38,7 +38,7 @@
         String originKind,
         long connectTimeoutMicros,
         long idleTimeoutMicros,
-        long answerSlack,
+        long answerSlackMicros,
         Map<String, Worth> worths) {
     /** What a request of a class is worth, and how long past its fresh time a copy may still be served. */
     public record Worth(double worth, long grace) {}
@@ -91,7 +91,7 @@
                 originKind,
                 connectTimeoutMicros,
                 idleTimeoutMicros,
-                answerSlack,
+                answerSlackMicros,
                 worths);
     }
 
