--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -41,7 +41,7 @@
         long answerSlackMicros,
         Map<String, Worth> worths) {
     /** What a request of a class is worth, and how long past its fresh time a copy may still be served. */
-    public record Worth(double worth, long grace) {}
+    public record Worth(double worth, long staleGraceMicros) {}
 
     /** The module's settings for requests of this director's clients that go to the caches of another zone. */
     public RouterSettings remoteRouterSettings(String zone) {
@@ -53,7 +53,7 @@
                 others.set(
                         i,
                         own.withFreshnessLifetime(
-                                own.freshnessLifetime() + worths.get(name).grace()));
+                                own.freshnessLifetime() + worths.get(name).staleGraceMicros()));
             }
         });
         return router.forRemoteZone(zones.getOrDefault(zone, -1), others);
