--- a/src/main/java/pewtercourse/AdminAddress.java
+++ b/src/main/java/pewtercourse/AdminAddress.java
@@ -1,9 +1,9 @@
 package pewtercourse;
 
-import static pewtercourse.CommandLine.DONE;
-import static pewtercourse.CommandLine.NO;
-import static pewtercourse.CommandLine.UNREACHED;
-import static pewtercourse.CommandLine.UNUSABLE;
+import static pewtercourse.CommandLine.EXIT_OK;
+import static pewtercourse.CommandLine.EXIT_REFUSED;
+import static pewtercourse.CommandLine.EXIT_UNREACHABLE;
+import static pewtercourse.CommandLine.EXIT_USAGE;
 
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -14,9 +14,9 @@
 import java.time.Duration;
 import picocli.CommandLine.Option;
 
-/** Where a director takes its operators' calls. */
+/** Command-line option with the operators' address of a director, and the calls to it. */
 final class AdminAddress {
-    private static final Duration WAIT = Duration.ofSeconds(3);
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
     @Option(
             names = "--admin",
@@ -30,7 +30,7 @@
             throw new IllegalArgumentException("--admin or GW_ADMIN_ADDR is needed");
         }
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
-                .timeout(WAIT)
+                .timeout(TIMEOUT)
                 .method(
                         method,
                         body == null
@@ -40,7 +40,7 @@
         try {
             return HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(WAIT)
+                    .connectTimeout(TIMEOUT)
                     .build()
                     .send(request, HttpResponse.BodyHandlers.ofString());
         } catch (java.net.ConnectException e) {
@@ -52,9 +52,11 @@
     }
 
     int post(String path, JsonObject body) throws IOException {
-        HttpResponse<String> r = call("POST", path, body);
-        boolean done = r.statusCode() / 100 == 2;
-        (done ? System.out : System.err).println(r.body().strip());
-        return done ? DONE : r.statusCode() == 503 ? UNREACHED : r.statusCode() == 400 ? UNUSABLE : NO;
+        HttpResponse<String> response = call("POST", path, body);
+        boolean succeeded = response.statusCode() / 100 == 2;
+        (succeeded ? System.out : System.err).println(response.body().strip());
+        return succeeded
+                ? EXIT_OK
+                : response.statusCode() == 503 ? EXIT_UNREACHABLE : response.statusCode() == 400 ? EXIT_USAGE : EXIT_REFUSED;
     }
 }
--- a/src/main/java/pewtercourse/ClassArchiveTraining.java
+++ b/src/main/java/pewtercourse/ClassArchiveTraining.java
@@ -19,8 +19,8 @@
 import pewtercourse.front.fastcgi.FastCgiServer;
 
 /**
- * Serves one request to itself and ends. The build runs it once, so that the JVM can archive the classes that a
- * director needs: one that starts, above all after a crash, is then ready in about half the time.
+ * Training run for the JVM's class data archive: a director serves one request to itself and exits. The build runs it
+ * once. A director that starts with the archive, above all after a crash, is ready in about half the time.
  */
 final class ClassArchiveTraining {
     private static final String HOST = "127.0.0.1";
@@ -30,29 +30,29 @@
     static void run(Vertx vertx, String config) throws IOException {
         JsonObject json = new JsonObject(Files.readString(Path.of(config)));
         vertx.getOrCreateContext()
-                .runOnContext(v -> site(vertx)
-                        .compose(s -> {
-                            String address = HOST + ':' + s.actualPort();
+                .runOnContext(v -> startFeedAndCache(vertx)
+                        .compose(feedAndCache -> {
+                            String address = HOST + ':' + feedAndCache.actualPort();
                             JsonArray hosts = json.getJsonObject("known")
                                     .getJsonArray("events")
                                     .getJsonObject(0)
                                     .getJsonObject("members")
                                     .getJsonArray("hosts");
-                            hosts.forEach(h -> ((JsonObject) h).put("dial", address));
+                            hosts.forEach(host -> ((JsonObject) host).put("dial", address));
                             json.put("feed", address);
-                            DirectorConfig read = DirectorConfig.read(Map.of(), json);
-                            Director director = new Director(vertx, read);
+                            DirectorConfig directorConfig = DirectorConfig.read(Map.of(), json);
+                            Director director = new Director(vertx, directorConfig);
                             director.start();
-                            Warmup warmup = new Warmup(vertx, read, director);
-                            return new FastCgiServer(vertx, warmup, director.clock(), read.front())
+                            Warmup warmup = new Warmup(vertx, directorConfig, director);
+                            return new FastCgiServer(vertx, warmup, director.clock(), directorConfig.front())
                                     .listen(SocketAddress.inetSocketAddress(0, HOST))
                                     .compose(front -> warmup.run(
                                                     SocketAddress.inetSocketAddress(front.actualPort(), HOST), true)
-                                            .map(done -> front));
+                                            .map(warm -> front));
                         })
                         .compose(front -> FastCgiClient.connect(
                                         vertx, SocketAddress.inetSocketAddress(front.actualPort(), HOST))
-                                .compose(c -> c.ask(Map.of(
+                                .compose(client -> client.ask(Map.of(
                                         "SCRIPT_NAME",
                                         "/ops/menu-page",
                                         "HTTP_X_CORRELATION_ID",
@@ -61,35 +61,35 @@
                                         "7f3a9c21e0b4d655",
                                         "HTTP_X_DEADLINE_MS",
                                         "3000"))))
-                        .onComplete(done -> {
+                        .onComplete(result -> {
                             Log.info(
                                     "rehearsal.ended",
                                     "answer",
-                                    done.succeeded()
-                                            ? done.result()
+                                    result.succeeded()
+                                            ? result.result()
                                                     .toString()
                                                     .lines()
                                                     .findFirst()
                                                     .orElse("")
-                                            : done.cause());
-                            // From another thread, as exit waits for this one.
+                                            : result.cause());
+                            // On another thread, as exit waits for this one.
                             new Thread(() -> System.exit(0)).start();
                         }));
     }
 
-    private static Future<HttpServer> site(Vertx vertx) {
+    private static Future<HttpServer> startFeedAndCache(Vertx vertx) {
         return vertx.createHttpServer(new HttpServerOptions().setHost(HOST).setPort(0))
-                .requestHandler(ClassArchiveTraining::play)
+                .requestHandler(ClassArchiveTraining::answer)
                 .listen();
     }
 
-    private static void play(HttpServerRequest r) {
-        if (r.path().startsWith("/v1/events")) {
-            r.response()
+    private static void answer(HttpServerRequest request) {
+        if (request.path().startsWith("/v1/events")) {
+            request.response()
                     .setChunked(true)
                     .write(": here\n\nid: 2\ndata: {\"n\":2,\"purge\":{\"group\":1,\"at\":0}}\n\n");
         } else {
-            r.response().putHeader("ETag", "t").putHeader("Outcome", "mem").end(Buffer.buffer("menu"));
+            request.response().putHeader("ETag", "t").putHeader("Outcome", "mem").end(Buffer.buffer("menu"));
         }
     }
 }
--- a/src/main/java/pewtercourse/ClusterBridge.java
+++ b/src/main/java/pewtercourse/ClusterBridge.java
@@ -19,11 +19,14 @@
 import pewtercourse.lease.Command;
 import pewtercourse.lease.MaintenanceRequest;
 
-/** A director and its cluster: what operators tell the one is agreed by the other, and comes back to count. */
+/**
+ * Connects a director with its cluster: operators' calls are proposed to the cluster, and the state that the cluster
+ * commits is applied to the director.
+ */
 final class ClusterBridge implements ClusterCalls, ClusterHost {
     private final Director director;
     private final ClusterMember cluster;
-    private double part = 1;
+    private double quotaFactor = 1;
 
     ClusterBridge(Vertx vertx, ClusterConfig config, Director director) {
         this.director = director;
@@ -41,82 +44,84 @@
         cluster.close();
     }
 
-    void willing(boolean on) {
-        cluster.setEligible(on);
+    /** Sets whether this director may become the leader or hold leases. */
+    void setEligible(boolean eligible) {
+        cluster.setEligible(eligible);
     }
 
-    boolean handedOn() {
+    boolean handoverComplete() {
         return cluster.handoverComplete();
     }
 
-    // ---- What operators say ----
+    // ---- Operators' calls ----
 
-    /** Agreed, and granted as well where there is a maintenance budget; done once this director goes by it. */
-    Future<Verdict> takeOut(String target) {
+    /** Drains a cache: completes once the cluster has agreed and, if there is a maintenance budget, has granted it. */
+    Future<Verdict> drainCache(String target) {
         long now = System.currentTimeMillis();
         if (!cluster.hasMaintenanceBudget()) {
-            return agreed("operator.out", target, () -> new Command.DrainCache(target, now, lastWord(target)));
+            return propose("operator.out", target, () -> new Command.DrainCache(target, now, lastOperatorCommand(target)));
         }
-        return agreed(
+        return propose(
                         "operator.asked",
                         target,
-                        () -> new Command.RequestMaintenance(target, zoneOf(target), now, lastWord(target)))
-                .compose(v -> {
-                    if (v != Verdict.DONE) {
-                        return Future.succeededFuture(v);
+                        () -> new Command.RequestMaintenance(target, zoneOf(target), now, lastOperatorCommand(target)))
+                .compose(verdict -> {
+                    if (verdict != Verdict.DONE) {
+                        return Future.succeededFuture(verdict);
                     }
                     return cluster.awaitMaintenanceGrant(target)
-                            .compose(let -> let ? Future.succeededFuture(Verdict.DONE) : turnedDown(target));
+                            .compose(granted ->
+                                    granted ? Future.succeededFuture(Verdict.DONE) : refuseMaintenance(target));
                 });
     }
 
-    // It is not out, and whoever asked is told so: its place in the line is kept, or given up.
-    private Future<Verdict> turnedDown(String target) {
-        MaintenanceRequest t = cluster.state().maintenanceRequestFor(target).orElse(null);
-        if (t == null || cluster.queuesMaintenanceRequests()) {
-            long before = t == null
+    // Refuses a request that was not granted in time: it stays queued, or it is cancelled where requests don't queue.
+    private Future<Verdict> refuseMaintenance(String target) {
+        MaintenanceRequest request = cluster.state().maintenanceRequestFor(target).orElse(null);
+        if (request == null || cluster.queuesMaintenanceRequests()) {
+            long requestsAhead = request == null
                     ? 0
-                    : cluster.state().maintenanceRequests().headMap(t.number()).values().stream()
-                            .filter(o -> !o.granted() && o.zone().equals(t.zone()))
+                    : cluster.state().maintenanceRequests().headMap(request.number()).values().stream()
+                            .filter(other -> !other.granted() && other.zone().equals(request.zone()))
                             .count();
-            return Future.succeededFuture(Verdict.refused("not out: as many of its zone are out as may be; it waits, "
-                    + before + " before it: call again, or call it back"));
+            return Future.succeededFuture(Verdict.refused("not drained: its zone has reached the maintenance limit; the request"
+                    + " is queued behind " + requestsAhead + " others: repeat the call, or cancel it with maintenance/exit"));
         }
-        Command withdraw = new Command.CancelMaintenance(target, t.number(), 0, System.currentTimeMillis());
-        return cluster.propose(() -> withdraw)
-                .map(r -> Verdict.refused("not out: as many of its zone are out as may be"))
-                .otherwise(e -> Verdict.refused("not out yet, and may be later: " + e.getMessage()));
+        Command cancel = new Command.CancelMaintenance(target, request.number(), 0, System.currentTimeMillis());
+        return cluster.propose(() -> cancel)
+                .map(outcome -> Verdict.refused("not drained: its zone has reached the maintenance limit"))
+                .otherwise(e -> Verdict.refused("not drained yet, but the request may still be granted: " + e.getMessage()));
     }
 
-    Future<Verdict> putBack(String target) {
+    Future<Verdict> reinstateCache(String target) {
         long now = System.currentTimeMillis();
-        return agreed("operator.in", target, () -> new Command.ReinstateCache(target, now, lastWord(target)));
+        return propose("operator.in", target, () -> new Command.ReinstateCache(target, now, lastOperatorCommand(target)));
     }
 
-    private long lastWord(String target) {
+    private long lastOperatorCommand(String target) {
         return cluster.state().lastOperatorCommand(target);
     }
 
-    private Future<Verdict> agreed(String event, String target, Supplier<Command> word) {
-        return cluster.propose(word)
-                .map(r -> r.rejectionText().map(Verdict::refused).orElse(Verdict.DONE))
-                .otherwise(e -> Verdict.refused("not agreed: " + e.getMessage()))
-                .onSuccess(v -> {
-                    if (v.refused() == null) {
+    private Future<Verdict> propose(String event, String target, Supplier<Command> command) {
+        return cluster.propose(command)
+                .map(outcome -> outcome.rejectionText().map(Verdict::refused).orElse(Verdict.DONE))
+                .otherwise(e -> Verdict.refused("the cluster did not agree: " + e.getMessage()))
+                .onSuccess(verdict -> {
+                    if (verdict.refused() == null) {
                         Log.info(event, "target", target);
                     } else {
-                        Log.warn("operator.refused", "call", event, "target", target, "why", v.refused());
+                        Log.warn("operator.refused", "call", event, "target", target, "why", verdict.refused());
                     }
                 });
     }
 
-    /** Figures of the cluster, a line for each, NAME=VALUE. */
-    String figures() {
-        StringBuilder out = new StringBuilder();
+    /** Formats the cluster's metrics, one line NAME=VALUE for each. */
+    String formatMetrics() {
+        StringBuilder text = new StringBuilder();
         cluster.metrics()
                 .forEach((name, value) ->
-                        out.append(name).append('=').append(value).append('\n'));
-        return out.toString();
+                        text.append(name).append('=').append(value).append('\n'));
+        return text.toString();
     }
 
     @Override
@@ -147,10 +152,10 @@
 
     // ---- Sites ----
 
-    /** A new file of sites, already checked. */
-    void sites(Sites to) {
-        director.setSites(to);
-        cluster.updateSites(to);
+    /** Applies a new sites file, which is already checked. */
+    void updateSites(Sites sites) {
+        director.setSites(sites);
+        cluster.updateSites(sites);
     }
 
     @Override
@@ -164,18 +169,18 @@
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
         return cluster.propose(() -> {
-                    long after = cluster.state().failover().status(name).lastChangeIndex();
+                    long lastChangeIndex = cluster.state().failover().status(name).lastChangeIndex();
                     return switch (call) {
-                        case "drill" -> new Command.StartFailoverDrill(name, after);
-                        case "hold" -> new Command.PauseSiteRecovery(name, true, after);
-                        default -> new Command.PauseSiteRecovery(name, false, after);
+                        case "drill" -> new Command.StartFailoverDrill(name, lastChangeIndex);
+                        case "hold" -> new Command.PauseSiteRecovery(name, true, lastChangeIndex);
+                        default -> new Command.PauseSiteRecovery(name, false, lastChangeIndex);
                     };
                 })
                 .map(outcome -> outcome.rejectionText().orElse(null))
                 .onSuccess(why -> Log.info("operator.site", "call", call, "site", name, "why", why));
     }
 
-    // ---- What the cluster asks ----
+    // ---- Callbacks of the cluster ----
 
     @Override
     public Map<String, SiteObservation> siteObservations() {
@@ -188,8 +193,8 @@
     }
 
     @Override
-    public void drainsChanged(Map<String, Long> out, Map<String, Long> back) {
-        director.applyOperatorState(new OperatorState(ProcessHandle.current().pid(), false, out, back));
+    public void drainsChanged(Map<String, Long> drained, Map<String, Long> reinstated) {
+        director.applyOperatorState(new OperatorState(ProcessHandle.current().pid(), false, drained, reinstated));
     }
 
     @Override
@@ -204,8 +209,8 @@
 
     @Override
     public void setQuotaFactor(double factor) {
-        if (factor != part) {
-            part = factor;
+        if (factor != quotaFactor) {
+            quotaFactor = factor;
             director.setQuotaFactor(factor);
         }
     }
--- a/src/main/java/pewtercourse/ClusterCommands.java
+++ b/src/main/java/pewtercourse/ClusterCommands.java
@@ -1,8 +1,8 @@
 package pewtercourse;
 
-import static pewtercourse.CommandLine.DONE;
-import static pewtercourse.CommandLine.NO;
-import static pewtercourse.CommandLine.UNREACHED;
+import static pewtercourse.CommandLine.EXIT_OK;
+import static pewtercourse.CommandLine.EXIT_REFUSED;
+import static pewtercourse.CommandLine.EXIT_UNREACHABLE;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line's part on directors that agree. */
+/** Sub-commands for clusters of directors. */
 @Command(
         name = "cluster",
         description = "Directors that agree: their members and duties.",
@@ -49,67 +49,67 @@
 
         @Override
         public Integer call() throws IOException {
-            HttpResponse<String> r = admin.call("GET", "/cluster/status", null);
-            if (r.statusCode() != 200) {
+            HttpResponse<String> response = admin.call("GET", "/cluster/status", null);
+            if (response.statusCode() != 200) {
                 System.err.println("pewtercourse: "
-                        + (r.statusCode() == 404
+                        + (response.statusCode() == 404
                                 ? "this director belongs to no cluster"
-                                : r.body().strip()));
-                return NO;
+                                : response.body().strip()));
+                return EXIT_REFUSED;
             }
-            JsonObject s = new JsonObject(r.body());
-            System.out.print(output.equals("json") ? s.encodePrettily() + "\n" : text(s));
-            return s.getValue("leader") == null ? UNREACHED : DONE;
+            JsonObject status = new JsonObject(response.body());
+            System.out.print(output.equals("json") ? status.encodePrettily() + "\n" : text(status));
+            return status.getValue("leader") == null ? EXIT_UNREACHABLE : EXIT_OK;
         }
 
-        private static String text(JsonObject s) {
-            if (!s.getBoolean("open")) {
-                return "cluster " + s.getString("cluster") + ", member " + s.getString("name")
+        private static String text(JsonObject status) {
+            if (!status.getBoolean("open")) {
+                return "cluster " + status.getString("cluster") + ", member " + status.getString("name")
                         + ": its folder can't be used, see the log\n";
             }
-            StringBuilder t = new StringBuilder(String.format(
+            StringBuilder text = new StringBuilder(String.format(
                     "cluster %s, member %s: %s%nleader %s, term %d, commit %d," + " applied %d, snapshot %d%s%n",
-                    s.getString("cluster"),
-                    s.getString("name"),
-                    s.getString("role"),
-                    s.getString("leader") == null ? "none" : s.getString("leader"),
-                    s.getLong("term"),
-                    s.getLong("commit"),
-                    s.getLong("applied"),
-                    s.getLong("snapshot"),
-                    s.getBoolean("confirmed") ? ", confirmed by a majority" : ""));
-            for (Object o : s.getJsonArray("members")) {
-                JsonObject m = (JsonObject) o;
-                t.append(String.format(
+                    status.getString("cluster"),
+                    status.getString("name"),
+                    status.getString("role"),
+                    status.getString("leader") == null ? "none" : status.getString("leader"),
+                    status.getLong("term"),
+                    status.getLong("commit"),
+                    status.getLong("applied"),
+                    status.getLong("snapshot"),
+                    status.getBoolean("confirmed") ? ", confirmed by a majority" : ""));
+            for (Object item : status.getJsonArray("members")) {
+                JsonObject member = (JsonObject) item;
+                text.append(String.format(
                         "member %-16s %s%s%n",
-                        m.getString("name"),
-                        m.getBoolean("voter") ? "votes" : "learns",
-                        m.getValue("lag") == null
+                        member.getString("name"),
+                        member.getBoolean("voter") ? "votes" : "learns",
+                        member.getValue("lag") == null
                                 ? ""
-                                : ", lacks " + m.getLong("lag")
-                                        + (Boolean.FALSE.equals(m.getValue("heard")) ? ", not heard" : "")));
+                                : ", lacks " + member.getLong("lag")
+                                        + (Boolean.FALSE.equals(member.getValue("heard")) ? ", not heard" : "")));
             }
-            for (Object o : s.getJsonArray("duties")) {
-                JsonObject d = (JsonObject) o;
-                t.append(String.format(
+            for (Object item : status.getJsonArray("duties")) {
+                JsonObject duty = (JsonObject) item;
+                text.append(String.format(
                         "duty %-18s %s, token %d%s%n",
-                        d.getString("duty"),
-                        d.getString("holder").isEmpty() ? "nobody" : d.getString("holder"),
-                        d.getLong("token"),
-                        d.getValue("left_ms") == null ? "" : ", " + d.getLong("left_ms") + " ms left"));
+                        duty.getString("duty"),
+                        duty.getString("holder").isEmpty() ? "nobody" : duty.getString("holder"),
+                        duty.getLong("token"),
+                        duty.getValue("left_ms") == null ? "" : ", " + duty.getLong("left_ms") + " ms left"));
             }
-            s.getJsonObject("out")
-                    .forEach(e -> t.append("out ").append(e.getKey()).append('\n'));
-            JsonArray tickets = s.getJsonArray("tickets");
+            status.getJsonObject("out")
+                    .forEach(entry -> text.append("out ").append(entry.getKey()).append('\n'));
+            JsonArray tickets = status.getJsonArray("tickets");
             tickets.stream()
-                    .map(o -> (JsonObject) o)
-                    .filter(o -> !o.getBoolean("out"))
-                    .forEach(o -> t.append("waits ")
-                            .append(o.getString("target"))
+                    .map(item -> (JsonObject) item)
+                    .filter(ticket -> !ticket.getBoolean("out"))
+                    .forEach(ticket -> text.append("waits ")
+                            .append(ticket.getString("target"))
                             .append(", asked by ")
-                            .append(o.getString("by"))
+                            .append(ticket.getString("by"))
                             .append('\n'));
-            return t.toString();
+            return text.toString();
         }
     }
 
@@ -196,11 +196,11 @@
 
         @Override
         public Integer call() throws IOException {
-            ClusterConfig c = ClusterConfig.fromFile(file);
-            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.bootstrap(c.members()));
-            System.out.println("laid " + c.data() + " for " + c.name() + " of "
-                    + c.members().keySet());
-            return DONE;
+            ClusterConfig config = ClusterConfig.fromFile(file);
+            LogStore.bootstrap(config.data(), config.cluster(), config.name(), Membership.bootstrap(config.members()));
+            System.out.println("laid " + config.data() + " for " + config.name() + " of "
+                    + config.members().keySet());
+            return EXIT_OK;
         }
     }
 
@@ -214,25 +214,25 @@
 
         @Override
         public Integer call() throws IOException {
-            Saved s = LogStore.inspect(folder);
-            long last = s.entries().isEmpty()
-                    ? s.snapshot().index()
-                    : s.entries().get(s.entries().size() - 1).index();
+            Saved saved = LogStore.inspect(folder);
+            long last = saved.entries().isEmpty()
+                    ? saved.snapshot().index()
+                    : saved.entries().get(saved.entries().size() - 1).index();
             System.out.printf(
                     "term %d, voted for %s%nsnapshot %d of term %d, entries up to %d, agreed up to %d at least%n",
-                    s.term(),
-                    s.votedFor() == null ? "nobody" : s.votedFor(),
-                    s.snapshot().index(),
-                    s.snapshot().term(),
+                    saved.term(),
+                    saved.votedFor() == null ? "nobody" : saved.votedFor(),
+                    saved.snapshot().index(),
+                    saved.snapshot().term(),
                     last,
-                    Math.max(s.commit(), s.snapshot().index()));
-            s.snapshot()
+                    Math.max(saved.commit(), saved.snapshot().index()));
+            saved.snapshot()
                     .members()
                     .all()
-                    .forEach((name, m) -> System.out.printf(
+                    .forEach((name, member) -> System.out.printf(
                             "member %s %s at %s, incarnation %x%n",
-                            name, m.voter() ? "votes" : "learns", m.address(), m.incarnation()));
-            return DONE;
+                            name, member.voter() ? "votes" : "learns", member.address(), member.incarnation()));
+            return EXIT_OK;
         }
     }
 }
--- a/src/main/java/pewtercourse/CommandLine.java
+++ b/src/main/java/pewtercourse/CommandLine.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The operators' command line. Exit codes: 0 done, 1 a no for a reason that is told, 2 the call can't be used, 3 nobody
- * answers or a majority is missing.
+ * The operators' command line. Exit codes: 0 success, 1 refused or failed for the reason that is printed, 2 invalid
+ * usage or configuration, 3 no director answers or there is no majority.
  */
 @Command(
         name = "pewtercourse",
@@ -26,25 +26,28 @@
         mixinStandardHelpOptions = true,
         footer = {"", "Besides: serve, benchlink and rehearse CONFIG."})
 final class CommandLine {
-    static final int DONE = 0, NO = 1, UNUSABLE = 2, UNREACHED = 3;
+    static final int EXIT_OK = 0;
+    static final int EXIT_REFUSED = 1;
+    static final int EXIT_USAGE = 2;
+    static final int EXIT_UNREACHABLE = 3;
 
     private CommandLine() {}
 
     static int run(String... args) {
-        picocli.CommandLine line = new picocli.CommandLine(new CommandLine());
-        line.setExecutionExceptionHandler((e, c, r) -> {
-            c.getErr().println("pewtercourse: " + e.getMessage());
+        picocli.CommandLine commandLine = new picocli.CommandLine(new CommandLine());
+        commandLine.setExecutionExceptionHandler((e, command, result) -> {
+            command.getErr().println("pewtercourse: " + e.getMessage());
             return e instanceof ConfigException || e instanceof IllegalArgumentException
-                    ? UNUSABLE
+                    ? EXIT_USAGE
                     : e instanceof java.net.ConnectException || e instanceof java.net.http.HttpTimeoutException
-                            ? UNREACHED
-                            : NO;
+                            ? EXIT_UNREACHABLE
+                            : EXIT_REFUSED;
         });
         if (args.length == 0) {
-            line.usage(line.getErr());
-            return UNUSABLE;
+            commandLine.usage(commandLine.getErr());
+            return EXIT_USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 
     @Command(
@@ -65,7 +68,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return Scenario.fromFile(scenario).play(into, System.out) ? DONE : NO;
+            return Scenario.fromFile(scenario).play(into, System.out) ? EXIT_OK : EXIT_REFUSED;
         }
     }
 
@@ -82,7 +85,7 @@
                 @Option(names = "--into", paramLabel = "FOLDER", defaultValue = "target/experiment") Path into,
                 @Option(names = "--seeds", defaultValue = "200") int seeds)
                 throws Exception {
-            return measured(() -> Experiments.duties(into, seeds));
+            return runMeasurement(() -> Experiments.duties(into, seeds));
         }
 
         @Command(
@@ -100,7 +103,7 @@
                                 description = "the last one is started with a cluster too")
                         Map<String, Path> jars)
                 throws Exception {
-            return measured(() -> Experiments.start(into, jars, rounds, config));
+            return runMeasurement(() -> Experiments.start(into, jars, rounds, config));
         }
 
         @Command(
@@ -111,20 +114,20 @@
                 @Option(names = "--into", paramLabel = "FOLDER", defaultValue = "target/experiment") Path into,
                 @Option(names = "--seeds", defaultValue = "30") int seeds)
                 throws Exception {
-            return measured(() -> Experiments.sites(into, seeds));
+            return runMeasurement(() -> Experiments.sites(into, seeds));
         }
 
         private interface Measurement {
             void run() throws Exception;
         }
 
-        private static int measured(Measurement what) throws Exception {
+        private static int runMeasurement(Measurement measurement) throws Exception {
             try {
-                what.run();
-                return DONE;
+                measurement.run();
+                return EXIT_OK;
             } catch (NoClassDefFoundError e) {
                 System.err.println("pewtercourse: experiments are in target/pewtercourse-tools.jar");
-                return UNUSABLE;
+                return EXIT_USAGE;
             }
         }
     }
--- a/src/main/java/pewtercourse/Log.java
+++ b/src/main/java/pewtercourse/Log.java
@@ -3,14 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Log lines on standard error: level, name of the event, then key=value pairs. */
+/** Writes log lines to standard error: time in milliseconds, level, name of the event, then key=value pairs. */
 public final class Log {
-    private static final class Second {
-        long at;
-        int more;
+    /** The second in which an event was last written, and the calls in it that were only counted. */
+    private static final class Suppression {
+        long second;
+        int suppressed;
     }
 
-    private static final Map<String, Second> COUNTED = new HashMap<>(); // One for each event that is counted.
+    private static final Map<String, Suppression> SUPPRESSIONS = new HashMap<>(); // By event.
 
     private Log() {}
 
@@ -23,25 +24,26 @@
     }
 
     /**
-     * For what others can cause at any rate: the first of a second is written, the others are counted and told
-     * with the next line. Guards against clients that send bad input at full speed, each line of which costs time.
+     * Writes a warning at most once a second per event. Further calls in that second are only counted, and the next
+     * line gives their number as {@code more_before}. Used for events that others can cause at any rate: clients that
+     * send invalid input at full speed would otherwise cost the time of a log line each.
      */
     public static synchronized void counted(String event, Object... pairs) {
-        Second s = COUNTED.computeIfAbsent(event, e -> new Second());
-        long now = System.currentTimeMillis() / 1000;
-        if (now == s.at) {
-            s.more++;
+        Suppression suppression = SUPPRESSIONS.computeIfAbsent(event, e -> new Suppression());
+        long second = System.currentTimeMillis() / 1000;
+        if (second == suppression.second) {
+            suppression.suppressed++;
             return;
         }
-        Object[] all = java.util.Arrays.copyOf(pairs, pairs.length + 2);
-        all[pairs.length] = "more_before";
-        all[pairs.length + 1] = s.more;
-        s.at = now;
-        s.more = 0;
-        write("WARN", event, all);
+        Object[] pairsWithCount = java.util.Arrays.copyOf(pairs, pairs.length + 2);
+        pairsWithCount[pairs.length] = "more_before";
+        pairsWithCount[pairs.length + 1] = suppression.suppressed;
+        suppression.second = second;
+        suppression.suppressed = 0;
+        write("WARN", event, pairsWithCount);
     }
 
-    /** Something that should not happen: with its stack trace. */
+    /** Writes an unexpected error with its stack trace. */
     public static void error(String event, Throwable e) {
         write("ERROR", event, "error", e);
         e.printStackTrace();
--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -20,12 +20,13 @@
 import sun.misc.SignalHandler;
 
 /**
- * Command line: {@code serve} is a real director, {@code benchlink} speaks the simulator's wire on standard
- * input and output, {@code rehearse} serves one request to itself for the build. The others are in {@link CommandLine}.
+ * Entry point. {@code serve} runs a director, {@code benchlink} speaks the simulator's protocol on standard input and
+ * output, and {@code rehearse} is the build's training run ({@link ClassArchiveTraining}). {@link CommandLine} has the
+ * other commands.
  */
 public final class Main {
     private static final int UNUSABLE = 2;
-    private static final int REHEARSAL_CONNECTIONS = 64;
+    private static final int MAX_TRAINING_CONNECTIONS = 64;
 
     private Main() {}
 
@@ -64,8 +65,8 @@
             System.exit(2);
             return;
         }
-        // The library warns when connections use up the descriptors. What the JVM reads from files for its first log
-        // line must be read by then: else that line fails, and the thread that accepts connections ends with it.
+        // Vert.x logs a warning when connections have used up the file descriptors. The JVM reads files for its first log
+        // line; without descriptors that fails and ends the thread that accepts connections. So one is formatted now.
         new SimpleFormatter().format(new LogRecord(Level.WARNING, "ready"));
         FrontTransport transport =
                 socket != null ? socket.transport() : new FrontTransport(new LimitedListener(config.maxAcceptedConnections()));
@@ -76,7 +77,7 @@
 
     private static void rehearse(String config) {
         try {
-            ClassArchiveTraining.run(vertx(new FrontTransport(new LimitedListener(REHEARSAL_CONNECTIONS))), config);
+            ClassArchiveTraining.run(vertx(new FrontTransport(new LimitedListener(MAX_TRAINING_CONNECTIONS))), config);
         } catch (IOException e) {
             System.err.println("pewtercourse: cannot read " + config + ": " + e.getMessage());
             System.exit(1);
@@ -101,13 +102,13 @@
             InheritedSocket socket,
             FrontTransport transport) {
         Service service = new Service(vertx, config, socket, transport);
-        // Before anybody can know that it listens: a signal that comes first would end the program at once.
+        // Installed before the director listens: an earlier SIGHUP would end the program.
         Context loop = vertx.getOrCreateContext();
         Reloader reloader = new Reloader(config, System.getenv(), loop, service);
-        service.reloadsBy(reloader);
-        SignalHandler before = Signal.handle(new Signal("HUP"), s -> reloader.reload());
-        if (before == SignalHandler.SIG_IGN) {
-            // Whoever started this program ignores it (as nohup does), and so the JVM does: it can't be taken back.
+        service.setReloader(reloader);
+        SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> reloader.reload());
+        if (previousHandler == SignalHandler.SIG_IGN) {
+            // The parent process ignores SIGHUP (as nohup does), so the JVM ignores it too and that can't be undone.
             Log.warn("signal.ignored", "signal", "HUP", "instead", "POST /reload");
         }
         Thread hook = new Thread(new Shutdown(vertx, service), "shutdown");
@@ -119,10 +120,10 @@
                             Runtime.getRuntime().halt(UNUSABLE);
                         }))
                 .compose(v -> service.start())
-                .onComplete(done -> {
-                    if (done.failed()) {
-                        Log.warn("director.not_started", "listen", config.listen(), "error", done.cause());
-                        Runtime.getRuntime().halt(1); // Not by the hook, which would wait for this thread.
+                .onComplete(started -> {
+                    if (started.failed()) {
+                        Log.warn("director.not_started", "listen", config.listen(), "error", started.cause());
+                        Runtime.getRuntime().halt(1); // Not exit: the shutdown hook would wait for this thread.
                     }
                     Log.info("director.listening", "name", config.name(), "listen", config.listen());
                 });
--- a/src/main/java/pewtercourse/Reloader.java
+++ b/src/main/java/pewtercourse/Reloader.java
@@ -8,14 +8,14 @@
 import pewtercourse.config.DirectorConfig;
 
 /**
- * Reads the configuration again, at SIGHUP or at an operator's call. A file that can't be used changes nothing. One call
- * at a time, from the reading to the handing over: of two the later one's file must stay.
+ * Reads the configuration again, on SIGHUP or an operator's call. An invalid file changes nothing. Calls run one after
+ * the other, from reading the file to passing it to the event loop, so that the later call's file stays in force.
  */
 final class Reloader {
     private final Map<String, String> environment;
     private final Context loop;
     private final Service service;
-    private DirectorConfig running; // The last file that was taken.
+    private DirectorConfig running; // From the last accepted file.
 
     Reloader(DirectorConfig running, Map<String, String> environment, Context loop, Service service) {
         this.running = running;
@@ -24,31 +24,31 @@
         this.service = service;
     }
 
-    /** Reads files, so never on the event loop. Returns why the file was turned down; empty if it was taken. */
+    /** Reads the files and applies them; returns why they were rejected, or empty. Blocks, so not for the event loop. */
     synchronized Optional<String> reload() {
         try {
             DirectorConfig next = running.reread(environment);
-            // Both files, or neither.
+            // Both files are valid, or neither is applied.
             ClusterConfig cluster = ClusterConfig.fromEnvironment(environment);
             running = next;
             loop.runOnContext(v -> {
                 service.reload(next);
                 if (cluster != null && cluster.sites() != null) {
-                    service.sites(cluster.sites());
+                    service.updateSites(cluster.sites());
                 }
             });
             return Optional.empty();
         } catch (ConfigException e) {
             Log.warn("config.kept", "key", e.getMessage());
-            return turnedDown(e.getMessage());
+            return reject(e.getMessage());
         } catch (RuntimeException e) {
             Log.error("config.unexpected", e);
-            return turnedDown("failed: see the log");
+            return reject("failed: see the log");
         }
     }
 
-    private Optional<String> turnedDown(String why) {
-        loop.runOnContext(v -> service.turnedDown());
+    private Optional<String> reject(String why) {
+        loop.runOnContext(v -> service.countInvalidReload());
         return Optional.of(why);
     }
 }
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -23,14 +23,14 @@
 import pewtercourse.handover.OperatorState;
 import pewtercourse.handover.StateFile;
 
-/** One running director: its front, its operators' address and what stands between them. All on the event loop. */
+/** A running director with its front, warm-up, operators' address and cluster. Confined to the event loop. */
 final class Service implements Operations {
-    // A client that is sent away while the director drains: another takes it at once.
-    private static final long HOLD_OFF_MS = 50;
-    // A process that serves hears within this what operators told the other one of an upgrade.
-    private static final long FOLLOW_MS = 200;
-    // While another process serves nobody waits for this one, but it is due within 6 s of its start.
-    private static final long UPGRADE_WARM_MS = 2_500;
+    // Retry delay for clients that a draining director refuses: another director accepts them at once.
+    private static final long RETRY_AFTER_MS = 50;
+    // How often a process reads the operators' commands that the other process of an upgrade received.
+    private static final long STATE_POLL_INTERVAL_MS = 200;
+    // In an upgrade the other process still serves, so there is time to warm up; but this one must be ready within 6 s.
+    private static final long UPGRADE_WARMUP_MS = 2_500;
 
     private final Vertx vertx;
     private DirectorConfig config;
@@ -39,13 +39,14 @@
     private final FastCgiServer front;
     private final Drain drain = new Drain();
     private final Metrics metrics = new Metrics();
-    private final RequestHandler turnedAway;
+    private final RequestHandler drainRefusal;
     private final InheritedSocket inherited;
     private final FrontTransport transport;
-    private final StateFile state;
+    private final StateFile stateFile; // Null without a state folder.
     private boolean serving;
-    private long accepted, invalid; // Files at SIGHUP.
-    private ClusterBridge agreement; // Null without a cluster.
+    private long acceptedReloads;
+    private long invalidReloads;
+    private ClusterBridge clusterBridge; // Null without a cluster.
     private Reloader reloader;
 
     Service(Vertx vertx, DirectorConfig config, InheritedSocket inherited, FrontTransport transport) {
@@ -59,105 +60,106 @@
                 config,
                 metrics.countRequests(director, director::knowsClass),
                 metrics.countRequests(Warmup.REFUSING, director::knowsClass));
-        this.turnedAway = metrics.countRequests(
+        this.drainRefusal = metrics.countRequests(
                 (request, answer) -> {
-                    answer.accept(Answer.refused(HOLD_OFF_MS));
+                    answer.accept(Answer.refused(RETRY_AFTER_MS));
                     return () -> {};
                 },
                 director::knowsClass);
         metrics.registerClasses(config.site().classes().keySet());
-        this.front = new FastCgiServer(vertx, new Gate(), director.clock(), config.front());
-        this.state = config.stateFolder() == null ? null : new StateFile(config.stateFolder());
+        this.front = new FastCgiServer(vertx, new DrainFilter(), director.clock(), config.front());
+        this.stateFile = config.stateFolder() == null ? null : new StateFile(config.stateFolder());
     }
 
     Future<Void> start() {
-        boolean upgrade = takeOver();
+        boolean upgrade = takeOverOperatorState();
         director.start();
-        director.onPeerMessage(upgrade ? () -> {} : warmup::missed);
-        SocketAddress at = SocketAddress.inetSocketAddress(config.listen());
+        director.onPeerMessage(upgrade ? () -> {} : warmup::onFleetServing);
+        SocketAddress address = SocketAddress.inetSocketAddress(config.listen());
         transport.frontNext();
-        return front.listen(at)
+        return front.listen(address)
                 .compose(v -> config.adminListen() == null
                         ? Future.succeededFuture()
                         : new AdminServer(vertx, this)
                                 .listen(SocketAddress.inetSocketAddress(config.adminListen()))
                                 .onFailure(e ->
                                         Log.warn("admin.not_listening", "listen", config.adminListen(), "error", e)))
-                .compose(v -> inherited == null ? warmup.run(at, config.startsWithFleet()) : warmInside(upgrade))
+                .compose(v -> inherited == null ? warmup.run(address, config.startsWithFleet()) : warmUpInternally(upgrade))
                 .onSuccess(v -> {
-                    follow();
+                    readOperatorState();
                     if (inherited != null) {
-                        write(); // So that a later process knows of this one.
+                        writeState(); // A later process reads this process's id from the file.
                     }
                     serving = true;
-                    if (state != null) {
-                        vertx.setPeriodic(FOLLOW_MS, t -> follow());
+                    if (stateFile != null) {
+                        vertx.setPeriodic(STATE_POLL_INTERVAL_MS, timer -> readOperatorState());
                     }
                 });
     }
 
-    /** Takes over what operators told a process before this one; true if that one still runs. */
-    private boolean takeOver() {
-        OperatorState before = readChangedState().orElse(null);
-        if (before == null) {
+    /** Applies the operators' commands to an earlier process of this director; returns whether that one still runs. */
+    private boolean takeOverOperatorState() {
+        OperatorState previous = readChangedState().orElse(null);
+        if (previous == null) {
             return false;
         }
         boolean runs = inherited != null
-                && before.processId() != ProcessHandle.current().pid()
-                && ProcessHandle.of(before.processId())
+                && previous.processId() != ProcessHandle.current().pid()
+                && ProcessHandle.of(previous.processId())
                         .map(ProcessHandle::isAlive)
                         .orElse(false);
         Log.info(
                 "state.taken_over",
                 "from",
-                before.processId(),
+                previous.processId(),
                 "runs",
                 runs,
                 "out",
-                before.drained().keySet(),
+                previous.drained().keySet(),
                 "standby",
-                before.standby());
-        heed(before);
+                previous.standby());
+        apply(previous);
         return runs;
     }
 
-    // A shared socket may lead to another process: the warm-up comes by one of its own, and nothing is accepted before.
-    private Future<Void> warmInside(boolean upgrade) {
-        FastCgiServer inside = new FastCgiServer(vertx, warmup, director.clock(), config.front());
-        return inside.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
-                .compose(s -> warmup.run(
-                        SocketAddress.inetSocketAddress(s.actualPort(), "127.0.0.1"),
+    // Connections to a shared socket may reach another process, so the warm-up uses a socket of its own. Clients are
+    // accepted only afterwards.
+    private Future<Void> warmUpInternally(boolean upgrade) {
+        FastCgiServer internalFront = new FastCgiServer(vertx, warmup, director.clock(), config.front());
+        return internalFront.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                .compose(server -> warmup.run(
+                        SocketAddress.inetSocketAddress(server.actualPort(), "127.0.0.1"),
                         upgrade || config.startsWithFleet(),
-                        upgrade ? UPGRADE_WARM_MS : Warmup.MOST_MS))
-                .compose(v -> inside.close())
+                        upgrade ? UPGRADE_WARMUP_MS : Warmup.MAX_DURATION_MS))
+                .compose(v -> internalFront.close())
                 .compose(v -> inherited.accept(true));
     }
 
-    // Another process of this director may have been told something: bans and drains count for both.
-    private void follow() {
-        readChangedState().ifPresent(this::heed);
+    // Applies commands that operators gave to another process of this director: drains and standby apply to both.
+    private void readOperatorState() {
+        readChangedState().ifPresent(this::apply);
     }
 
     private Optional<OperatorState> readChangedState() {
-        return state == null ? Optional.empty() : state.readIfChanged();
+        return stateFile == null ? Optional.empty() : stateFile.readIfChanged();
     }
 
-    private void heed(OperatorState told) {
-        if (agreement == null) {
-            director.applyOperatorState(told); // In a cluster what was agreed there counts.
+    private void apply(OperatorState state) {
+        if (clusterBridge == null) {
+            director.applyOperatorState(state); // A cluster's committed state takes precedence.
         }
-        if (told.standby() != drain.has(Drain.Cause.STANDBY)) {
-            standby(told.standby());
+        if (state.standby() != drain.has(Drain.Cause.STANDBY)) {
+            setStandby(state.standby());
         }
     }
 
-    private void write() {
-        if (state != null) {
-            state.write(director.operatorState(drain.has(Drain.Cause.STANDBY)));
+    private void writeState() {
+        if (stateFile != null) {
+            stateFile.write(director.operatorState(drain.has(Drain.Cause.STANDBY)));
         }
     }
 
-    private void standby(boolean on) {
+    private void setStandby(boolean on) {
         Log.info(
                 on ? "operator.standby" : "operator.active",
                 "open",
@@ -170,17 +172,17 @@
             drain.end(Drain.Cause.STANDBY);
         }
         front.drain(drain);
-        if (agreement != null) {
-            agreement.willing(!on);
+        if (clusterBridge != null) {
+            clusterBridge.setEligible(!on);
         }
     }
 
-    /** Between the front and the service: what a drain turns away. */
-    private final class Gate implements RequestHandler {
+    /** Refuses the requests that a drain rejects and passes the others on. */
+    private final class DrainFilter implements RequestHandler {
         @Override
         public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-            if (refuses()) {
-                return turnedAway.handle(request, answer);
+            if (refusesRequests()) {
+                return drainRefusal.handle(request, answer);
             }
             return warmup.handle(request, answer);
         }
@@ -193,8 +195,8 @@
 
     @Override
     public String metrics() {
-        String own = metrics.format(director.gaugeValues(accepted, invalid));
-        return agreement == null ? own : own + agreement.figures();
+        String own = metrics.format(director.gaugeValues(acceptedReloads, invalidReloads));
+        return clusterBridge == null ? own : own + clusterBridge.formatMetrics();
     }
 
     @Override
@@ -204,74 +206,74 @@
 
     @Override
     public Future<Verdict> enterMaintenance(String target) {
-        follow();
-        if (agreement != null && director.knowsEndpoint(target)) {
-            return agreement.takeOut(target);
+        readOperatorState();
+        if (clusterBridge != null && director.knowsEndpoint(target)) {
+            return clusterBridge.drainCache(target);
         }
         boolean known = director.drainEndpoint(target);
-        write();
+        writeState();
         Log.info("operator.out", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
     }
 
     @Override
     public Future<Verdict> exitMaintenance(String target) {
-        follow();
-        if (agreement != null && director.knowsEndpoint(target)) {
-            return agreement.putBack(target);
+        readOperatorState();
+        if (clusterBridge != null && director.knowsEndpoint(target)) {
+            return clusterBridge.reinstateCache(target);
         }
         boolean known = director.reinstateEndpoint(target);
-        write();
+        writeState();
         Log.info("operator.in", "target", known ? target : "unknown");
         return Future.succeededFuture(known ? Verdict.DONE : Verdict.UNKNOWN);
     }
 
     @Override
     public ClusterCalls cluster() {
-        return agreement;
+        return clusterBridge;
     }
 
-    /** This director belongs to a cluster: what operators say is agreed there from now on. */
-    Future<Void> join(ClusterConfig to) {
-        agreement = new ClusterBridge(vertx, to, director);
-        return agreement.start();
+    /** Joins a cluster; from now on operators' calls for caches are proposed to it. */
+    Future<Void> join(ClusterConfig clusterConfig) {
+        clusterBridge = new ClusterBridge(vertx, clusterConfig, director);
+        return clusterBridge.start();
     }
 
-    /** A new file of sites, already checked. */
-    void sites(Sites to) {
-        if (agreement != null) {
-            agreement.sites(to);
+    /** Applies a new sites file, which is already checked. */
+    void updateSites(Sites sites) {
+        if (clusterBridge != null) {
+            clusterBridge.updateSites(sites);
         }
     }
 
-    /** Nothing more is agreed or written. */
-    void leave() {
-        if (agreement != null) {
-            agreement.close();
+    /** Stops this director's cluster member: it takes part in no decision and writes nothing afterwards. */
+    void closeCluster() {
+        if (clusterBridge != null) {
+            clusterBridge.close();
         }
     }
 
     @Override
     public void standby() {
-        follow();
-        standby(true);
-        write();
+        readOperatorState();
+        setStandby(true);
+        writeState();
     }
 
     @Override
     public void active() {
-        follow();
-        standby(false);
-        write();
+        readOperatorState();
+        setStandby(false);
+        writeState();
     }
 
     /**
-     * SIGTERM: where the socket is inherited, another process takes the clients, and this one sends its own there; else
-     * clients come for a while yet.
+     * Starts the shutdown on SIGTERM. With an inherited socket, another process accepts the clients, and this one sends
+     * its own clients there. Otherwise this process still serves clients for a while.
      */
     void terminate() {
-        if (agreement != null) {
-            agreement.willing(false);
+        if (clusterBridge != null) {
+            clusterBridge.setEligible(false);
         }
         if (inherited != null) {
             inherited.accept(false);
@@ -282,49 +284,49 @@
         front.drain(drain);
     }
 
-    /** Whether what is read from now on is refused and never sent on. */
-    boolean refuses() {
+    /** Returns whether requests that are read from now on are refused. */
+    boolean refusesRequests() {
         return drain.step(director.clock().getAsLong()) == Drain.Step.REFUSE;
     }
 
-    /** Whether nothing more is taken, all that was taken is answered, and no lease is held. */
-    boolean finished() {
-        return refuses() && director.openRequests() == 0 && (agreement == null || agreement.handedOn());
+    /** Returns whether new requests are refused, all accepted ones are answered, and the leases are handed over. */
+    boolean isFinished() {
+        return refusesRequests() && director.openRequests() == 0 && (clusterBridge == null || clusterBridge.handoverComplete());
     }
 
-    /** Client connections whose last bytes may not have been read yet. */
+    /** Number of client connections; their clients may not have read the last bytes yet. */
     int connections() {
         return front.connections();
     }
 
-    /** Answers as failed what is open: its time to be served is over. */
-    void giveUp() {
+    /** Answers the open requests as failed, as the time for them has run out. */
+    void failOpenRequests() {
         director.failOpenRequests();
     }
 
-    void reloadsBy(Reloader to) {
-        reloader = to;
+    void setReloader(Reloader newReloader) {
+        reloader = newReloader;
     }
 
     @Override
     public Future<Verdict> reload() {
         return vertx.executeBlocking(reloader::reload)
-                .map(refused -> refused.map(Verdict::refused).orElse(Verdict.DONE));
+                .map(rejection -> rejection.map(Verdict::refused).orElse(Verdict.DONE));
     }
 
-    void reload(DirectorConfig to) {
-        accepted++;
-        config = to;
-        metrics.registerClasses(to.site().classes().keySet());
-        director.reload(to);
+    void reload(DirectorConfig newConfig) {
+        acceptedReloads++;
+        config = newConfig;
+        metrics.registerClasses(newConfig.site().classes().keySet());
+        director.reload(newConfig);
     }
 
-    /** A file at SIGHUP that can't be used. */
-    void turnedDown() {
-        invalid++;
+    /** Counts a reload that was rejected because of an invalid file. */
+    void countInvalidReload() {
+        invalidReloads++;
     }
 
-    int open() {
+    int openRequests() {
         return director.openRequests();
     }
 }
--- a/src/main/java/pewtercourse/Shutdown.java
+++ b/src/main/java/pewtercourse/Shutdown.java
@@ -5,25 +5,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What happens between SIGTERM and the end of the process, as a shutdown hook. Requests are taken until the cut-off of
- * {@link pewtercourse.front.Drain.Cause#SHUTDOWN}, refused afterwards; the process ends once all are answered and their
- * clients have closed. Each wait has a bound, so that the process ends even if a cache hangs and clients never close.
+ * Shutdown hook that runs from SIGTERM to the end of the process. Requests are accepted until the cut-off of
+ * {@link pewtercourse.front.Drain.Cause#SHUTDOWN} and refused afterwards. The process ends once all requests are
+ * answered and their clients have closed their connections. Each wait is bounded, so that the process ends even if a
+ * cache hangs or clients never close.
  */
 final class Shutdown implements Runnable {
     private static final long POLL_MS = 10;
-    // Clients that have not read their answers have this long, then their connections end with the process.
-    private static final long CLIENTS_MOST_MS = 2_500;
-    // From SIGTERM on; what is still open then is answered as failed.
-    private static final long ANSWERS_MOST_MS = 5_800;
-    // Past all other bounds: the event loop itself hangs.
-    private static final long END_MOST_MS = 9_000;
+    // Time that clients have to read their answers and close, once all requests are answered.
+    private static final long MAX_CLIENT_CLOSE_MS = 2_500;
+    // After this time from SIGTERM the requests that are still open are answered as failed.
+    private static final long MAX_ANSWER_MS = 5_800;
+    // Longer than the other bounds together: only reached if the event loop hangs.
+    private static final long MAX_SHUTDOWN_MS = 9_000;
 
     private final Vertx vertx;
     private final Service service;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private boolean refusing;
     private long polls;
-    private long finishedAt = -1; // The poll at which all was answered.
+    private long finishedAtPoll = -1; // Number of the poll at which everything was answered; -1 before.
 
     Shutdown(Vertx vertx, Service service) {
         this.vertx = vertx;
@@ -32,38 +33,38 @@
 
     @Override
     public void run() {
-        Log.info("director.stopping", "open", service.open());
+        Log.info("director.stopping", "open", service.openRequests());
         vertx.runOnContext(v -> {
             service.terminate();
             vertx.setPeriodic(POLL_MS, timer -> poll());
-            vertx.setTimer(ANSWERS_MOST_MS, timer -> service.giveUp());
+            vertx.setTimer(MAX_ANSWER_MS, timer -> service.failOpenRequests());
         });
         try {
-            ended.await(END_MOST_MS, TimeUnit.MILLISECONDS);
+            finished.await(MAX_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        vertx.runOnContext(v -> service.leave());
-        Log.info("director.stopped", "open", service.open());
+        vertx.runOnContext(v -> service.closeCluster());
+        Log.info("director.stopped", "open", service.openRequests());
         Runtime.getRuntime().halt(0);
     }
 
     private void poll() {
         polls++;
-        if (!refusing && service.refuses()) {
+        if (!refusing && service.refusesRequests()) {
             refusing = true;
-            Log.info("director.refusing", "open", service.open());
+            Log.info("director.refusing", "open", service.openRequests());
         }
-        if (!service.finished()) {
-            finishedAt = -1;
+        if (!service.isFinished()) {
+            finishedAtPoll = -1;
             return;
         }
-        if (finishedAt < 0) {
-            finishedAt = polls;
+        if (finishedAtPoll < 0) {
+            finishedAtPoll = polls;
         }
-        boolean waitedLongEnough = (polls - finishedAt) * POLL_MS >= CLIENTS_MOST_MS;
+        boolean waitedLongEnough = (polls - finishedAtPoll) * POLL_MS >= MAX_CLIENT_CLOSE_MS;
         if (service.connections() == 0 || waitedLongEnough) {
-            ended.countDown();
+            finished.countDown();
         }
     }
 }
--- a/src/main/java/pewtercourse/SitesCommands.java
+++ b/src/main/java/pewtercourse/SitesCommands.java
@@ -1,9 +1,9 @@
 package pewtercourse;
 
-import static pewtercourse.CommandLine.DONE;
-import static pewtercourse.CommandLine.NO;
-import static pewtercourse.CommandLine.UNREACHED;
-import static pewtercourse.CommandLine.UNUSABLE;
+import static pewtercourse.CommandLine.EXIT_OK;
+import static pewtercourse.CommandLine.EXIT_REFUSED;
+import static pewtercourse.CommandLine.EXIT_UNREACHABLE;
+import static pewtercourse.CommandLine.EXIT_USAGE;
 
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line's part on sites whose clients others may take. */
+/** Sub-commands for the failover of sites. */
 @Command(
         name = "sites",
         description = "Sites whose clients others may take: how they stand, and losses.",
@@ -29,15 +29,15 @@
 final class SitesCommands {
     private SitesCommands() {}
 
-    private static JsonObject sites(AdminAddress admin) throws IOException {
-        HttpResponse<String> r = admin.call("GET", "/sites/status", null);
-        if (r.statusCode() != 200) {
+    private static JsonObject fetchStatus(AdminAddress admin) throws IOException {
+        HttpResponse<String> response = admin.call("GET", "/sites/status", null);
+        if (response.statusCode() != 200) {
             throw new IOException(
-                    r.statusCode() == 404
+                    response.statusCode() == 404
                             ? "this director keeps no sites"
-                            : r.body().strip());
+                            : response.body().strip());
         }
-        return new JsonObject(r.body());
+        return new JsonObject(response.body());
     }
 
     @Command(
@@ -53,26 +53,26 @@
 
         @Override
         public Integer call() throws IOException {
-            JsonObject s = sites(admin);
-            boolean whole = true;
-            StringBuilder t = new StringBuilder("controlled by "
-                    + (s.getString("controller").isEmpty() ? "nobody" : s.getString("controller")) + "\n");
-            for (Object o : s.getJsonArray("sites")) {
-                JsonObject x = (JsonObject) o;
-                whole &= x.getString("phase").equals("whole");
-                t.append(String.format(
+            JsonObject status = fetchStatus(admin);
+            boolean allWhole = true;
+            StringBuilder text = new StringBuilder("controlled by "
+                    + (status.getString("controller").isEmpty() ? "nobody" : status.getString("controller")) + "\n");
+            for (Object item : status.getJsonArray("sites")) {
+                JsonObject siteStatus = (JsonObject) item;
+                allWhole &= siteStatus.getString("phase").equals("whole");
+                text.append(String.format(
                         "site %-16s %s%s%s%s, load %.1f of %.1f, can lend %.1f%n",
-                        x.getString("site"),
-                        x.getString("phase"),
-                        x.getString("health").equals("well") ? "" : " (" + x.getString("health") + ")",
-                        x.getString("phase").equals("returning") ? " at step " + x.getInteger("step") : "",
-                        (x.getBoolean("held") ? ", held" : "") + (x.getBoolean("drill") ? ", a drill" : ""),
-                        x.getDouble("load"),
-                        x.getDouble("capacity"),
-                        x.getDouble("spare")));
+                        siteStatus.getString("site"),
+                        siteStatus.getString("phase"),
+                        siteStatus.getString("health").equals("well") ? "" : " (" + siteStatus.getString("health") + ")",
+                        siteStatus.getString("phase").equals("returning") ? " at step " + siteStatus.getInteger("step") : "",
+                        (siteStatus.getBoolean("held") ? ", held" : "") + (siteStatus.getBoolean("drill") ? ", a drill" : ""),
+                        siteStatus.getDouble("load"),
+                        siteStatus.getDouble("capacity"),
+                        siteStatus.getDouble("spare")));
             }
-            System.out.print(output.equals("json") ? s.encodePrettily() + "\n" : t.toString());
-            return s.getValue("leader") == null ? UNREACHED : whole ? DONE : NO;
+            System.out.print(output.equals("json") ? status.encodePrettily() + "\n" : text.toString());
+            return status.getValue("leader") == null ? EXIT_UNREACHABLE : allWhole ? EXIT_OK : EXIT_REFUSED;
         }
     }
 
@@ -81,7 +81,7 @@
             description = "What happens if a site is lost; exit code 1 if one of them can't be borne.",
             mixinStandardHelpOptions = true)
     static final class Plan implements Callable<Integer> {
-        private static final double NOTHING = 0.005;
+        private static final double MIN_REFUSED_LOAD = 0.005;
 
         @Mixin
         AdminAddress admin;
@@ -91,53 +91,54 @@
 
         @Override
         public Integer call() throws IOException {
-            JsonObject s = sites(admin);
-            boolean borne = true, known = site == null;
-            for (Object o : s.getJsonArray("sites")) {
-                JsonObject x = (JsonObject) o;
-                if (site != null && !site.equals(x.getString("site"))) {
+            JsonObject status = fetchStatus(admin);
+            boolean allServed = true;
+            boolean known = site == null;
+            for (Object item : status.getJsonArray("sites")) {
+                JsonObject siteStatus = (JsonObject) item;
+                if (site != null && !site.equals(siteStatus.getString("site"))) {
                     continue;
                 }
                 known = true;
-                double room = 0;
-                StringBuilder t = new StringBuilder(
-                        String.format("if %s is lost (load %.1f):%n", x.getString("site"), x.getDouble("load")));
-                for (Object p : x.getJsonArray("takers")) {
-                    JsonObject taker = (JsonObject) p;
-                    room += taker.getDouble("most") - taker.getDouble("work");
-                    t.append(String.format(
+                double headRoom = 0;
+                StringBuilder text = new StringBuilder(
+                        String.format("if %s is lost (load %.1f):%n", siteStatus.getString("site"), siteStatus.getDouble("load")));
+                for (Object takerItem : siteStatus.getJsonArray("takers")) {
+                    JsonObject taker = (JsonObject) takerItem;
+                    headRoom += taker.getDouble("most") - taker.getDouble("work");
+                    text.append(String.format(
                             "  %-16s takes %.1f, up to %.1f%n",
                             taker.getString("site"), taker.getDouble("work"), taker.getDouble("most")));
                 }
-                if (x.getDouble("refused") > NOTHING) {
-                    borne = false;
-                    t.append(String.format("  WARNING: %.1f is refused: nobody can take it%n", x.getDouble("refused")));
+                if (siteStatus.getDouble("refused") > MIN_REFUSED_LOAD) {
+                    allServed = false;
+                    text.append(String.format("  WARNING: %.1f is refused: nobody can take it%n", siteStatus.getDouble("refused")));
                 } else {
-                    t.append(String.format("  head-room left %.1f%n", room));
+                    text.append(String.format("  head-room left %.1f%n", headRoom));
                 }
-                System.out.print(t);
+                System.out.print(text);
             }
             if (!known) {
                 System.err.println("pewtercourse: '" + site + "' is no site of the file");
-                return UNUSABLE;
+                return EXIT_USAGE;
             }
-            return s.getInteger("planned") == 0 ? UNREACHED : borne ? DONE : NO;
+            return status.getInteger("planned") == 0 ? EXIT_UNREACHABLE : allServed ? EXIT_OK : EXIT_REFUSED;
         }
     }
 
-    /** An order on one site. */
-    abstract static class SiteOrder implements Callable<Integer> {
+    /** Base of the sub-commands that send an operator's call for one site. */
+    abstract static class SiteCall implements Callable<Integer> {
         @Mixin
         AdminAddress admin;
 
         @Parameters(paramLabel = "SITE")
         String site;
 
-        abstract String order();
+        abstract String callName();
 
         @Override
         public Integer call() throws IOException {
-            return admin.post("/sites/" + order(), new JsonObject().put("name", site));
+            return admin.post("/sites/" + callName(), new JsonObject().put("name", site));
         }
     }
 
@@ -145,9 +146,9 @@
             name = "drill",
             description = "Has a site lost on purpose, step by step; release brings it back.",
             mixinStandardHelpOptions = true)
-    static final class Drill extends SiteOrder {
+    static final class Drill extends SiteCall {
         @Override
-        String order() {
+        String callName() {
             return "drill";
         }
     }
@@ -156,17 +157,17 @@
             name = "hold",
             description = "Keeps a site from returning, or at the step where it is.",
             mixinStandardHelpOptions = true)
-    static final class Hold extends SiteOrder {
+    static final class Hold extends SiteCall {
         @Override
-        String order() {
+        String callName() {
             return "hold";
         }
     }
 
     @Command(name = "release", description = "Ends a drill and a hold.", mixinStandardHelpOptions = true)
-    static final class Release extends SiteOrder {
+    static final class Release extends SiteCall {
         @Override
-        String order() {
+        String callName() {
             return "release";
         }
     }
--- a/src/main/java/pewtercourse/Timers.java
+++ b/src/main/java/pewtercourse/Timers.java
@@ -2,18 +2,19 @@
 
 import io.vertx.core.Vertx;
 
-/** The library's timers, and one way to cancel them. */
+/** Timers of an event loop; tests replace them. */
 public interface Timers {
-    long set(long delayMs, Runnable then);
+    /** Runs an action after a delay; returns the id of the timer. */
+    long set(long delayMs, Runnable action);
 
-    void cancel(long timer);
+    void cancel(long timerId);
 
-    /** Runs it after all that the sockets have at hand has been read. */
-    default void afterReads(Runnable then) {
-        then.run();
+    /** Runs an action after the event loop has read the data that the sockets have ready. */
+    default void afterReads(Runnable action) {
+        action.run();
     }
 
-    /** A delay in microseconds as the library takes it: never early, at least a millisecond. */
+    /** Converts a delay to the milliseconds of {@link #set}: rounded up so that no timer fires early, at least 1. */
     static long millis(long micros) {
         return Math.max(1, (micros + 999) / 1000);
     }
@@ -21,18 +22,18 @@
     static Timers of(Vertx vertx) {
         return new Timers() {
             @Override
-            public long set(long delayMs, Runnable then) {
-                return vertx.setTimer(delayMs, id -> then.run());
+            public long set(long delayMs, Runnable action) {
+                return vertx.setTimer(delayMs, id -> action.run());
             }
 
             @Override
-            public void cancel(long timer) {
-                vertx.cancelTimer(timer);
+            public void cancel(long timerId) {
+                vertx.cancelTimer(timerId);
             }
 
             @Override
-            public void afterReads(Runnable then) {
-                vertx.runOnContext(v -> then.run());
+            public void afterReads(Runnable action) {
+                vertx.runOnContext(v -> action.run());
             }
         };
     }
--- a/src/main/java/pewtercourse/Warmup.java
+++ b/src/main/java/pewtercourse/Warmup.java
@@ -22,47 +22,55 @@
 import pewtercourse.front.fastcgi.FastCgiClient;
 
 /**
- * Some requests to itself before a director is ready, so that the JVM has compiled what every request
- * runs through. Guards against the first seconds of service: a part of a core that interprets and compiles has
- * no time left to serve. They come by the director's own address, which says at /alive that it is not ready
- * yet, and end at caches that are not there: nothing leaves the program.
+ * Sends requests to the director itself before it is ready, so that the JVM has compiled the code that every request
+ * runs. Without them the first seconds of service are slow: on a fraction of a core, interpreting and compiling leave
+ * no time to serve. The requests arrive at the director's own address, whose /alive reports that it is not ready yet,
+ * and are answered in the process ({@link CannedTransport}): nothing is sent to caches.
  */
 final class Warmup implements RequestHandler {
-    // By then a request takes no longer than later; fewer than 400 left most of it to the first clients. The time is
-    // for a CPU that is very short: a fleet that starts has no clients yet.
-    private static final int REQUESTS = 1_500, AT_ONCE = 4;
-    // Where others are at work already, a cold director loses more than its absence does up to the shorter time.
-    static final long MOST_MS = 6_000;
-    private static final long AT_WORK_MS = 1_200, HOLD_OFF_MS = 250;
+    // After this number a request takes no longer than later ones. With fewer than 400, most of the compilation was left
+    // to the first clients.
+    private static final int REQUESTS = 1_500;
+    private static final int CONCURRENT_REQUESTS = 4;
+    // Long enough for a very slow CPU: a fleet that starts has no clients yet.
+    static final long MAX_DURATION_MS = 6_000;
+    // If the fleet already serves clients: up to this time, a cold director would lose more requests than its absence does.
+    private static final long MAX_DURATION_IN_SERVING_FLEET_MS = 1_200;
+    private static final long RETRY_AFTER_MS = 250;
 
     static final RequestHandler REFUSING = (request, answer) -> {
-        answer.accept(Answer.refused(HOLD_OFF_MS));
+        answer.accept(Answer.refused(RETRY_AFTER_MS));
         return () -> {};
     };
 
     private final Vertx vertx;
-    private final RequestHandler service, refusing;
+    private final RequestHandler service;
+    private final RequestHandler refusing;
     private final List<String> classes;
     private final Director director;
     private final Random random = new Random(1);
     private final Promise<Void> done = Promise.promise();
-    private final Set<String> mine = new HashSet<>(); // The ids that are out.
-    private int left = REQUESTS, out;
-    private final long defaultMs, atWorkMs;
-    private boolean ready, missed, atWorkOver;
+    private final Set<String> ownRequestIds = new HashSet<>(); // Of the warm-up's requests in flight.
+    private int requestsLeft = REQUESTS;
+    private int inFlight;
+    private final long maxDurationMs;
+    private final long maxDurationInServingFleetMs;
+    private boolean ready;
+    private boolean fleetServing;
+    private boolean servingFleetTimeElapsed;
 
-    /** {@code service} takes what comes once it is ready. Must be made on the event loop. */
+    /** {@code service} handles requests once the warm-up has ended. Must be created on the event loop. */
     Warmup(Vertx vertx, DirectorConfig config, RequestHandler service) {
-        this(vertx, config, service, REFUSING, MOST_MS, AT_WORK_MS);
+        this(vertx, config, service, REFUSING, MAX_DURATION_MS, MAX_DURATION_IN_SERVING_FLEET_MS);
     }
 
-    /** {@code refusing}: takes what comes before that. */
+    /** {@code refusing} handles clients' requests before that. */
     Warmup(Vertx vertx, DirectorConfig config, RequestHandler service, RequestHandler refusing) {
-        this(vertx, config, service, refusing, MOST_MS, AT_WORK_MS);
+        this(vertx, config, service, refusing, MAX_DURATION_MS, MAX_DURATION_IN_SERVING_FLEET_MS);
     }
 
-    Warmup(Vertx vertx, DirectorConfig config, RequestHandler service, long mostMs, long atWorkMs) {
-        this(vertx, config, service, REFUSING, mostMs, atWorkMs);
+    Warmup(Vertx vertx, DirectorConfig config, RequestHandler service, long maxDurationMs, long maxDurationInServingFleetMs) {
+        this(vertx, config, service, REFUSING, maxDurationMs, maxDurationInServingFleetMs);
     }
 
     private Warmup(
@@ -70,78 +78,83 @@
             DirectorConfig config,
             RequestHandler service,
             RequestHandler refusing,
-            long mostMs,
-            long atWorkMs) {
+            long maxDurationMs,
+            long maxDurationInServingFleetMs) {
         this.refusing = refusing;
-        this.defaultMs = mostMs;
-        this.atWorkMs = atWorkMs;
+        this.maxDurationMs = maxDurationMs;
+        this.maxDurationInServingFleetMs = maxDurationInServingFleetMs;
         this.vertx = vertx;
         this.service = service;
         this.classes = new ArrayList<>(config.site().classes().keySet());
-        JsonObject alone = config.source()
+        JsonObject isolatedConfig = config.source()
                 .copy()
                 .put("peers", new JsonArray())
                 .putNull("peer_listen")
                 .putNull("feed");
-        if (alone.getJsonObject("settings").getValue("Permissions") instanceof JsonObject p) {
-            p.put("MayTell", false);
+        if (isolatedConfig.getJsonObject("settings").getValue("Permissions") instanceof JsonObject permissions) {
+            permissions.put("MayTell", false);
         }
         this.director = new Director(
-                vertx, DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), alone), new CannedTransport(vertx));
+                vertx, DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), isolatedConfig), new CannedTransport(vertx));
     }
 
     /**
-     * Somebody is at work already: this is no start of the fleet, whatever the list says, and what is sent here is
-     * lost. Guards against a restart into a fleet whose list has not changed since its start taking all of the time.
+     * Reports that the fleet already serves clients, whatever the list of caches says, and that requests sent here are
+     * refused. Shortens the warm-up of a director that restarts in a fleet whose list has not changed since its start.
      */
-    void missed() {
-        missed = true;
-        if (atWorkOver) {
+    void onFleetServing() {
+        fleetServing = true;
+        if (servingFleetTimeElapsed) {
             done.tryComplete();
         }
     }
 
-    /** Completes when it is done, in no more than 6 s, 1.2 where others are at work, or at once if there is no time to; never fails. */
-    Future<Void> run(SocketAddress front, boolean time) {
-        return run(front, time, defaultMs);
+    /**
+     * Runs the warm-up through the director's front. The result never fails and completes after at most 6 s, or 1.2 s if
+     * the fleet already serves clients.
+     *
+     * @param hasTime false if the director must be ready at once; nothing runs then
+     */
+    Future<Void> run(SocketAddress front, boolean hasTime) {
+        return run(front, hasTime, maxDurationMs);
     }
 
-    /** The same, in no more than {@code mostMs}. */
-    Future<Void> run(SocketAddress front, boolean time, long mostMs) {
-        if (!time) {
+    /** Like {@link #run(SocketAddress, boolean)}, for at most {@code durationLimitMs}. */
+    Future<Void> run(SocketAddress front, boolean hasTime, long durationLimitMs) {
+        if (!hasTime) {
             ready = true;
             return Future.succeededFuture();
         }
         director.start();
-        long timer = vertx.setTimer(mostMs, t -> done.tryComplete());
-        long atWork = vertx.setTimer(atWorkMs, t -> {
-            atWorkOver = true;
-            if (missed) {
+        long timer = vertx.setTimer(durationLimitMs, id -> done.tryComplete());
+        long servingFleetTimer = vertx.setTimer(maxDurationInServingFleetMs, id -> {
+            servingFleetTimeElapsed = true;
+            if (fleetServing) {
                 done.tryComplete();
             }
         });
-        for (int i = 0; i < AT_ONCE; i++) {
-            FastCgiClient.connect(vertx, front).onSuccess(this::ask).onFailure(done::tryFail);
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+            FastCgiClient.connect(vertx, front).onSuccess(this::sendNext).onFailure(done::tryFail);
         }
         return done.future().otherwiseEmpty().onComplete(v -> {
             ready = true;
             vertx.cancelTimer(timer);
-            vertx.cancelTimer(atWork);
+            vertx.cancelTimer(servingFleetTimer);
             director.stop();
-            Log.info("director.warm", "requests", REQUESTS - left - out);
+            Log.info("director.warm", "requests", REQUESTS - requestsLeft - inFlight);
         });
     }
 
     @Override
     public Runnable handle(ClientRequest request, Consumer<Answer> answer) {
-        // Its own are never let through, also when one comes late: no client sent them. And none of a client's
-        // may get an answer that no cache made.
-        if (mine.contains(request.id())) {
-            // After its end its director has stopped and would leave it open until its time is over.
+        // The warm-up's own requests never reach the service, not even late ones, as no client sent them. A client's
+        // request never gets an answer that no cache made.
+        if (ownRequestIds.contains(request.id())) {
+            // After the warm-up its director has stopped, and would leave the request open until the deadline.
             return ready ? REFUSING.handle(request, answer) : director.handle(request, answer);
         }
         if (!ready) {
-            missed();
+            onFleetServing();
             return refusing.handle(request, answer);
         }
         return service.handle(request, answer);
@@ -152,21 +165,21 @@
         return ready;
     }
 
-    private void ask(FastCgiClient client) {
-        if (ready || left == 0) {
+    private void sendNext(FastCgiClient client) {
+        if (ready || requestsLeft == 0) {
             client.close();
-            if (out == 0) {
+            if (inFlight == 0) {
                 done.tryComplete();
             }
             return;
         }
-        left--;
-        out++;
+        requestsLeft--;
+        inFlight++;
         String id = String.format("%016x", random.nextLong());
-        mine.add(id);
+        ownRequestIds.add(id);
         client.ask(Map.of(
                         "SCRIPT_NAME",
-                        "/ops/" + classes.get(left % classes.size()),
+                        "/ops/" + classes.get(requestsLeft % classes.size()),
                         "REQUEST_METHOD",
                         "GET",
                         "HTTP_X_CORRELATION_ID",
@@ -182,9 +195,9 @@
                         "HTTP_X_DEADLINE_MS",
                         "3000"))
                 .onComplete(answer -> {
-                    out--;
-                    mine.remove(id);
-                    ask(client);
+                    inFlight--;
+                    ownRequestIds.remove(id);
+                    sendNext(client);
                 });
     }
 }
--- a/src/main/java/pewtercourse/config/ClusterConfig.java
+++ b/src/main/java/pewtercourse/config/ClusterConfig.java
@@ -15,16 +15,16 @@
 import pewtercourse.raft.RaftSettings;
 
 /**
- * The settings of one member of a cluster of directors, as the file that GW_CLUSTER names has them.
+ * The settings of one member of a cluster of directors, read from the file that GW_CLUSTER names.
  *
  * @param cluster the cluster's name, the same at all members
  * @param name    this member's name
- * @param listen  where it listens for other members
- * @param data    folder of its own that outlives restarts
- * @param members addresses by name, as this member reaches them: three, five or seven
+ * @param listen  the address on which this member accepts connections of other members
+ * @param data    this member's own data folder, which must persist across restarts
+ * @param members addresses of the three, five or seven members by name, as this member reaches them
  * @param raft    timing of elections and replication
  * @param duties  settings of the leases
- * @param sites   what the file that GW_SITES names has; null if there is none
+ * @param sites   the sites from the file that GW_SITES names; null without such a file
  */
 public record ClusterConfig(
         String cluster,
@@ -38,8 +38,8 @@
     /**
      * Reads the files that the environment names.
      *
-     * @return null if it names none
-     * @throws ConfigException that names the first variable or key that can't be used
+     * @return the settings, or null if GW_CLUSTER is not set
+     * @throws ConfigException if a variable or key is invalid; the message names the first one
      */
     public static ClusterConfig fromEnvironment(Map<String, String> environment) {
         String clusterFile = environment.getOrDefault("GW_CLUSTER", "");
@@ -57,7 +57,8 @@
     /**
      * Reads a member's file.
      *
-     * @throws ConfigException that names the first key that can't be used, or GW_CLUSTER if the file can't be read
+     * @throws ConfigException if a key is invalid (the message names the first one), or if the file can't be read (the
+     *     message names GW_CLUSTER)
      */
     public static ClusterConfig fromFile(Path path) {
         try {
@@ -73,7 +74,7 @@
         return new ClusterConfigReader(new JsonSection("", json)).read();
     }
 
-    // Who keeps the sites is decided by one more lease.
+    // Adds the lease whose holder controls the failover of sites.
     private ClusterConfig withSites(Sites newSites) {
         Set<String> names = new TreeSet<>(duties.leaseNames());
         names.add(LeaseNames.SITES);
@@ -87,7 +88,7 @@
         return new ClusterConfig(cluster, name, listen, data, members, raft, withSitesLease, newSites);
     }
 
-    /** The address of a member as the file has it; null if the file doesn't name it. */
+    /** Returns a member's address from the file; null if the file doesn't name the member. */
     public String address(String member) {
         return members.get(member);
     }
--- a/src/main/java/pewtercourse/config/ClusterConfigReader.java
+++ b/src/main/java/pewtercourse/config/ClusterConfigReader.java
@@ -31,13 +31,13 @@
     private static final long DEFAULT_ELECTION_MIN_MILLIS = 300;
     private static final long DEFAULT_ELECTION_MAX_MILLIS = 600;
     private static final long MAX_ELECTION_MILLIS = 60_000;
-    // A follower that misses fewer heartbeats than these starts no election.
+    // A follower must miss at least this many heartbeats before it starts an election.
     private static final int MIN_HEARTBEATS_PER_ELECTION = 3;
     private static final int MIN_ELECTIONS_PER_LEASE = 2;
     private static final double DEFAULT_DRIFT = 0.01;
     private static final double MAX_DRIFT = 0.2;
 
-    /** Bounds of the random election timeout. */
+    /** Bounds between which the election timeout is drawn at random. */
     private record ElectionTimeout(long minMillis, long maxMillis) {
         long minMicros() {
             return minMillis * MICROS_PER_MILLI;
--- a/src/main/java/pewtercourse/config/ConfigException.java
+++ b/src/main/java/pewtercourse/config/ConfigException.java
@@ -1,10 +1,10 @@
 package pewtercourse.config;
 
-/** A setting that can't be used; the message begins with the faulty key. */
+/** Thrown for an invalid setting; the message begins with its key. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public ConfigException(String key, String what) {
-        super(key + ": " + what);
+    public ConfigException(String key, String problem) {
+        super(key + ": " + problem);
     }
 }
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -19,9 +19,12 @@
 import pewtercourse.front.FrontLimits;
 
 /**
- * What one real director is told: the GW_* variables and the JSON file that they name. This is the only place
- * where they are read, checked and given defaults. {@code inheritsSocket}: the clients' socket is held by the platform.
- * {@code stateFolder}: where processes of one director leave word for one another, or null.
+ * Configuration of a director process: the GW_* variables and the JSON file that they name. This is the only place
+ * where they are read, checked and given defaults.
+ *
+ * @param inheritsSocket whether the platform opens the listening socket for clients and passes it to this process
+ * @param stateFolder    folder in which processes of the same director share operators' commands, or null
+ * @param source         the JSON file as it was read
  */
 public record DirectorConfig(
         String name,
@@ -40,10 +43,12 @@
         Path stateFolder,
         JsonObject source) {
 
-    private static final int DEFAULT_SOCKETS = 1024, DEFAULT_MEMORY = 192;
-    // Of flattened lists: names may hold any character but control characters.
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    // Joins the elements of flattened lists. Names may contain any character except control characters.
     private static final String LIST_SEPARATOR = "\u001f";
-    // What SIGHUP carries out at once, and what is new in each file and only counts at a start.
+    // Keys whose changes need no restart: a reload applies "feed" and "settings"; "known" and "seed" differ in each
+    // file and only matter at a start.
     private static final Set<String> NO_RESTART = Set.of("feed", "known", "seed", "settings");
 
     public static DirectorConfig fromEnvironment(Map<String, String> env) {
@@ -59,14 +64,18 @@
         return read(env, json);
     }
 
-    /** The file as it is now, to take the place of this one: whole, or not at all. */
+    /**
+     * Reads the file again for a reload.
+     *
+     * @throws ConfigException if the file can't replace this configuration as a whole
+     */
     public DirectorConfig reread(Map<String, String> env) {
         DirectorConfig next = fromEnvironment(env);
         ReloadCheck.check(source, next.source);
         return next;
     }
 
-    /** The variables win over the file where both tell the name and the address. */
+    /** Reads the configuration; GW_NAME, GW_LISTEN and GW_ADMIN_ADDR override the keys of the file. */
     public static DirectorConfig read(Map<String, String> env, JsonObject json) {
         String name = env.getOrDefault("GW_NAME", string(json, "name", "director"));
         String listen = env.getOrDefault("GW_LISTEN", string(json, "listen", null));
@@ -86,18 +95,18 @@
         }
         String peerListen = string(json, "peer_listen", null);
         String feed = string(json, "feed", null);
-        SiteSettings site = SiteSettings.read(flat(settings), LIST_SEPARATOR);
+        SiteSettings site = SiteSettings.read(flatten(settings), LIST_SEPARATOR);
         if (site.classes().isEmpty()) {
             throw new ConfigException("settings.Classes", "no class of requests");
         }
-        usable(site, settings);
+        checkSettings(site, settings);
         JsonObject limits = object(json, "limits", new JsonObject());
         return new DirectorConfig(
                 name,
                 address("GW_LISTEN", listen),
                 seed(string(json, "seed", "0")),
                 (int) number(limits, "limits.", "sockets", DEFAULT_SOCKETS),
-                (int) number(limits, "limits.", "memory_mb", DEFAULT_MEMORY),
+                (int) number(limits, "limits.", "memory_mb", DEFAULT_MEMORY_MB),
                 admin.isEmpty() ? null : address("GW_ADMIN_ADDR", admin),
                 peerListen == null ? null : address("peer_listen", peerListen),
                 peers,
@@ -110,111 +119,113 @@
                 json);
     }
 
-    // What would make every request fail, or be made twice, if it were read as a default.
-    private static void usable(SiteSettings site, JsonObject settings) {
+    // Rejects values that would be replaced by defaults and then make every request fail or run twice.
+    private static void checkSettings(SiteSettings site, JsonObject settings) {
         JsonArray classes = array(settings, "Classes");
         for (int i = 0; i < classes.size(); i++) {
             String path = "settings.Classes." + i + ".";
-            JsonObject c = classes.getValue(i) instanceof JsonObject o ? o : new JsonObject();
-            if (!(c.getValue("Name") instanceof String name) || name.isEmpty()) {
+            JsonObject requestClass = classes.getValue(i) instanceof JsonObject object ? object : new JsonObject();
+            if (!(requestClass.getValue("Name") instanceof String name) || name.isEmpty()) {
                 throw new ConfigException(path + "Name", "missing");
             }
             if (site.classes().getOrDefault(name, -1) != i) {
                 throw new ConfigException(path + "Name", "'" + name + "' is there twice");
             }
-            oneOf(c, path, "Effect", "pure", "token", "side_effect");
-            oneOf(c, path, "Group", "all", "zone", "cell");
-            over0(path + "Deadline", site.router().classes().get(i).deadline());
-            over0(path + "Aim", site.router().classes().get(i).latencyObjective());
+            requireOneOf(requestClass, path, "Effect", "pure", "token", "side_effect");
+            requireOneOf(requestClass, path, "Group", "all", "zone", "cell");
+            requirePositive(path + "Deadline", site.router().classes().get(i).deadline());
+            requirePositive(path + "Aim", site.router().classes().get(i).latencyObjective());
         }
-        over0("settings.Permissions.TryLimit", site.router().retry().maxAttempts());
+        requirePositive("settings.Permissions.TryLimit", site.router().retry().maxAttempts());
     }
 
-    private static void over0(String key, long value) {
+    private static void requirePositive(String key, long value) {
         if (value <= 0) {
             throw new ConfigException(key, "not over 0");
         }
     }
 
-    private static void oneOf(JsonObject c, String path, String key, String... words) {
-        if (c.containsKey(key) && !List.of(words).contains(c.getValue(key))) {
-            throw new ConfigException(path + key, "'" + c.getValue(key) + "' is none of " + String.join(", ", words));
+    private static void requireOneOf(JsonObject requestClass, String path, String key, String... allowed) {
+        if (requestClass.containsKey(key) && !List.of(allowed).contains(requestClass.getValue(key))) {
+            throw new ConfigException(path + key, "'" + requestClass.getValue(key) + "' is none of " + String.join(", ", allowed));
         }
     }
 
     /**
-     * Whether the list of caches is still the first one, so that the whole fleet is starting and no client is
-     * waiting for this director. One that comes into a fleet at work is missed until it is ready.
+     * Returns whether the list of caches is still the first version. If so, the whole fleet is starting and no client
+     * waits for this director. A fleet that already serves clients lacks this director's capacity until it is ready.
      */
     public boolean startsWithFleet() {
         return known.stream()
-                .noneMatch(e -> e instanceof JsonObject event
-                        && event.getValue("members") instanceof JsonObject m
-                        && m.getValue("seq") instanceof Number seq
+                .noneMatch(item -> item instanceof JsonObject event
+                        && event.getValue("members") instanceof JsonObject members
+                        && members.getValue("seq") instanceof Number seq
                         && seq.longValue() > 0);
     }
 
-    // The program itself holds about 15 descriptors; a burst of connections is accepted 16 at a time, before one
-    // that is too many is ended, and what is closed lingers for a turn of the loop.
+    // Descriptors for other uses than kept connections. The program itself needs about 15. Connections are accepted
+    // 16 at a time before those over the limit are closed, and a closed one keeps its descriptor until the next
+    // iteration of the event loop.
     private int otherDescriptors() {
         return 24 + sockets / 16 + (adminListen == null ? 0 : 16);
     }
 
-    /** Clients hold at most a third of the descriptors; a few more are for those that only get in the way. */
+    /** Limits of the front: clients get a third of the descriptors, and 8 more serve as a margin for useless connections. */
     public FrontLimits front() {
         return new FrontLimits(Math.max(8, sockets / 3 + 8), (long) memoryMb << 16, (long) memoryMb << 17);
     }
 
-    /** Connections of clients that may be accepted at once: some more than are kept, until the event loop has seen them. */
+    /** Maximum of accepted client connections: more than the front keeps, as the event loop closes excess ones later. */
     public int maxAcceptedConnections() {
         return front().connections() + Math.max(4, sockets / 16);
     }
 
-    /** Connections to caches, idle or at work. Where the socket is inherited, two processes share the limit at times. */
+    /** Maximum of connections to caches, idle or busy. With an inherited socket, two processes may share the limit. */
     public int maxCacheConnections() {
         return Math.max(16, (sockets - front().connections() - otherDescriptors()) / (inheritsSocket ? 2 : 1));
     }
 
-    /** The zone of this director, "" if the settings name none. */
+    /** The zone of this director, or "" if the settings name none. */
     public String zone() {
-        return source.getJsonObject("settings").getValue("Zone") instanceof String z ? z : "";
+        return source.getJsonObject("settings").getValue("Zone") instanceof String zone ? zone : "";
     }
 
-    /** The keys of the file that differ and only a restart can carry out, in order. */
+    /** Returns the keys, sorted, that differ from {@code old} and whose change needs a restart. */
     public List<String> keysNeedingRestart(DirectorConfig old) {
         Set<String> keys = new TreeSet<>(source.fieldNames());
         keys.addAll(old.source.fieldNames());
-        keys.removeIf(k -> NO_RESTART.contains(k) || Objects.equals(source.getValue(k), old.source.getValue(k)));
+        keys.removeIf(
+                key -> NO_RESTART.contains(key) || Objects.equals(source.getValue(key), old.source.getValue(key)));
         return List.copyOf(keys);
     }
 
-    /** Nested settings as pairs of path and value, with the simulator's paths. */
-    static Map<String, String> flat(JsonObject settings) {
+    /** Flattens nested settings to pairs of path and value, with the simulator's paths. */
+    static Map<String, String> flatten(JsonObject settings) {
         Map<String, String> pairs = new HashMap<>();
         flatten(pairs, "", settings);
         return pairs;
     }
 
-    private static void flatten(Map<String, String> to, String path, Object value) {
-        if (value instanceof JsonObject o) {
-            for (String key : o.fieldNames()) {
-                flatten(to, path.isEmpty() ? key : path + "." + key, o.getValue(key));
+    private static void flatten(Map<String, String> pairs, String path, Object value) {
+        if (value instanceof JsonObject object) {
+            for (String key : object.fieldNames()) {
+                flatten(pairs, path.isEmpty() ? key : path + "." + key, object.getValue(key));
             }
-        } else if (value instanceof JsonArray a && !a.isEmpty() && a.getValue(0) instanceof JsonObject) {
-            to.put(path + ".count", String.valueOf(a.size()));
-            for (int i = 0; i < a.size(); i++) {
-                flatten(to, path + "." + i, a.getValue(i));
+        } else if (value instanceof JsonArray list && !list.isEmpty() && list.getValue(0) instanceof JsonObject) {
+            pairs.put(path + ".count", String.valueOf(list.size()));
+            for (int i = 0; i < list.size(); i++) {
+                flatten(pairs, path + "." + i, list.getValue(i));
             }
-        } else if (value instanceof JsonArray a) {
+        } else if (value instanceof JsonArray list) {
             List<String> items = new ArrayList<>();
-            a.forEach(v -> items.add(plain(path, v)));
-            to.put(path, String.join(LIST_SEPARATOR, items));
+            list.forEach(item -> items.add(scalarText(path, item)));
+            pairs.put(path, String.join(LIST_SEPARATOR, items));
         } else if (value != null) {
-            to.put(path, plain(path, value));
+            pairs.put(path, scalarText(path, value));
         }
     }
 
-    private static String plain(String path, Object value) {
+    private static String scalarText(String path, Object value) {
         String text = String.valueOf(value);
         if (text.chars().anyMatch(Character::isISOControl)) {
             throw new ConfigException("settings." + path, "holds a control character");
@@ -223,43 +234,43 @@
     }
 
     private static String required(Map<String, String> env, String key) {
-        String v = env.get(key);
-        if (v == null || v.isEmpty()) {
+        String value = env.get(key);
+        if (value == null || value.isEmpty()) {
             throw new ConfigException(key, "missing");
         }
-        return v;
+        return value;
     }
 
-    private static String string(JsonObject json, String key, String otherwise) {
-        Object v = json.getValue(key);
-        if (v != null && !(v instanceof String)) {
-            throw new ConfigException(key, "'" + v + "' is not a string");
+    private static String string(JsonObject json, String key, String defaultValue) {
+        Object value = json.getValue(key);
+        if (value != null && !(value instanceof String)) {
+            throw new ConfigException(key, "'" + value + "' is not a string");
         }
-        return v == null ? otherwise : (String) v;
+        return value == null ? defaultValue : (String) value;
     }
 
-    private static JsonObject object(JsonObject json, String key, JsonObject otherwise) {
-        Object v = json.getValue(key);
-        if (v != null && !(v instanceof JsonObject)) {
+    private static JsonObject object(JsonObject json, String key, JsonObject defaultValue) {
+        Object value = json.getValue(key);
+        if (value != null && !(value instanceof JsonObject)) {
             throw new ConfigException(key, "not an object");
         }
-        return v == null ? otherwise : (JsonObject) v;
+        return value == null ? defaultValue : (JsonObject) value;
     }
 
     private static JsonArray array(JsonObject json, String key) {
-        Object v = json.getValue(key);
-        if (v != null && !(v instanceof JsonArray)) {
+        Object value = json.getValue(key);
+        if (value != null && !(value instanceof JsonArray)) {
             throw new ConfigException(key, "not a list");
         }
-        return v == null ? new JsonArray() : (JsonArray) v;
+        return value == null ? new JsonArray() : (JsonArray) value;
     }
 
-    private static long number(JsonObject json, String path, String key, long otherwise) {
-        Object v = json.getValue(key);
-        if (v != null && !(v instanceof Number)) {
-            throw new ConfigException(path + key, "'" + v + "' is not a number");
+    private static long number(JsonObject json, String path, String key, long defaultValue) {
+        Object value = json.getValue(key);
+        if (value != null && !(value instanceof Number)) {
+            throw new ConfigException(path + key, "'" + value + "' is not a number");
         }
-        return v == null ? otherwise : ((Number) v).longValue();
+        return value == null ? defaultValue : ((Number) value).longValue();
     }
 
     private static long seed(String hex) {
@@ -270,7 +281,7 @@
         }
     }
 
-    /** A numeric address and a port; names are refused, since there is no DNS. */
+    /** Parses a numeric address and a port; host names are rejected, as there is no DNS. */
     public static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -280,7 +291,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // told below
+            // Reported below.
         }
         throw new ConfigException(key, "'" + text + "' is not ADDRESS:PORT");
     }
--- a/src/main/java/pewtercourse/config/JsonSection.java
+++ b/src/main/java/pewtercourse/config/JsonSection.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /**
- * One object of a JSON configuration file and its place there. What can't be used is a {@link ConfigException} that
- * names the key with its path from the root of the file.
+ * One object of a JSON configuration file and its path there. An invalid value is reported as a {@link ConfigException}
+ * that names the key with its path from the root of the file.
  *
- * @param path what precedes a key's name in messages: empty, or ends in a dot
+ * @param path prefix of a key's name in messages: empty, or ends with a dot
  * @param json the object
  */
 record JsonSection(String path, JsonObject json) {
@@ -21,7 +21,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** The key with its path from the root of the file. */
+    /** Returns the key with its path from the root of the file. */
     String pathOf(String key) {
         return path + key;
     }
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Checks that there are no other keys than these.
+     * Rejects any key that is not among {@code known}.
      *
-     * @param renamed former keys with their present names, which the message for a former one tells
+     * @param renamed former keys with their present names; the message for a former key gives the present one
      */
     void requireKnownKeys(Set<String> known, Map<String, String> renamed) {
         json.fieldNames().stream()
@@ -49,43 +49,43 @@
         return number(key, Double.NaN, min, max);
     }
 
-    double number(String key, double otherwise, double min, double max) {
-        return JsonFields.number(pathOf(key), json.getValue(key), otherwise, min, max);
+    double number(String key, double defaultValue, double min, double max) {
+        return JsonFields.number(pathOf(key), json.getValue(key), defaultValue, min, max);
     }
 
-    /** A number without bounds. */
-    double number(String key, double otherwise) {
+    /** Reads a number without bounds. */
+    double number(String key, double defaultValue) {
         Object value = json.getValue(key);
         if (value != null && !(value instanceof Number)) {
             throw invalid(key, "'" + value + "' is not a number");
         }
-        return value == null ? otherwise : ((Number) value).doubleValue();
+        return value == null ? defaultValue : ((Number) value).doubleValue();
     }
 
-    /** As {@link #micros}; a message tells the bounds as whole numbers. */
-    long microsBetween(String key, long otherwiseMillis, long minMillis, long maxMillis) {
-        double millis = number(key, otherwiseMillis);
+    /** Like {@link #micros}, but the message gives the bounds as whole numbers. */
+    long microsBetween(String key, long defaultMillis, long minMillis, long maxMillis) {
+        double millis = number(key, defaultMillis);
         if (millis < minMillis || millis > maxMillis) {
             throw invalid(key, "is not from " + minMillis + " to " + maxMillis);
         }
         return (long) (millis * MICROS_PER_SECOND / MILLIS_PER_SECOND);
     }
 
-    /** A time that the file has in milliseconds, in microseconds. */
-    long micros(String key, double otherwiseMillis, double minMillis, double maxMillis) {
-        return (long) (number(key, otherwiseMillis, minMillis, maxMillis) * MICROS_PER_MILLI);
+    /** Reads a time in milliseconds and returns microseconds. */
+    long micros(String key, double defaultMillis, double minMillis, double maxMillis) {
+        return (long) (number(key, defaultMillis, minMillis, maxMillis) * MICROS_PER_MILLI);
     }
 
-    /** A name that has to be there. */
+    /** Reads a required name. */
     String requiredName(String key) {
         return asName(pathOf(key), json.getValue(key));
     }
 
-    String name(String key, String otherwise) {
-        return json.getValue(key) == null ? otherwise : requiredName(key);
+    String name(String key, String defaultValue) {
+        return json.getValue(key) == null ? defaultValue : requiredName(key);
     }
 
-    /** A list of names without repetition, in its order; empty if the key is not there. */
+    /** Reads a list of distinct names, in the order of the file; empty if the key is absent. */
     List<String> distinctNames(String key) {
         List<String> names = new ArrayList<>();
         JsonArray list = optionalList(key);
@@ -110,7 +110,7 @@
         return name;
     }
 
-    /** A list that has to be there. */
+    /** Reads a required list. */
     JsonArray requiredList(String key) {
         if (!(json.getValue(key) instanceof JsonArray list)) {
             throw invalid(key, "is not a list");
@@ -118,12 +118,12 @@
         return list;
     }
 
-    /** A list; empty if the key is not there. */
+    /** Reads a list; empty if the key is absent. */
     JsonArray optionalList(String key) {
         return json.getValue(key) == null ? new JsonArray() : requiredList(key);
     }
 
-    /** One object of a list. */
+    /** Returns the object at an index of a list. */
     JsonSection element(String key, JsonArray list, int index) {
         String elementPath = pathOf(key + "[" + index + "].");
         if (!(list.getValue(index) instanceof JsonObject object)) {
--- a/src/main/java/pewtercourse/config/LeaseSettingsReader.java
+++ b/src/main/java/pewtercourse/config/LeaseSettingsReader.java
@@ -7,7 +7,7 @@
 import pewtercourse.lease.LeaseNames;
 import pewtercourse.lease.LeaseSettings;
 
-/** Reads and checks the key {@code duties} of a member's file: which leases there are, and the settings of each. */
+/** Reads and checks the key {@code duties} of a member's file: the leases and their settings. */
 final class LeaseSettingsReader {
     private static final Map<String, String> RENAMED_LEASES =
             Map.of("warden", LeaseNames.MAINTENANCE, "divider", LeaseNames.QUOTA);
@@ -23,11 +23,11 @@
     private LeaseSettingsReader() {}
 
     /**
-     * Reads the settings of the leases; without the key there are none.
+     * Reads the settings of the leases; there are no leases if the key is absent.
      *
      * @param leaseMicros how long a lease lasts
-     * @param drift       the greatest difference of two members' clock rates, as a share
-     * @param retryMicros after how long an order without effect is given again
+     * @param drift       the maximum difference of two members' clock rates, as a fraction
+     * @param retryMicros delay before an order that had no effect is repeated
      */
     static LeaseSettings read(JsonSection file, long leaseMicros, double drift, long retryMicros) {
         JsonObject leases = leases(file);
@@ -67,9 +67,9 @@
 
     private static LeaseSettings.MaintenanceBudget maintenanceBudget(JsonSection lease) {
         requireKnownKeys(lease, MAINTENANCE_KEYS);
-        int most = (int) lease.number("most", 0);
+        int maxOut = (int) lease.number("most", 0);
         double share = lease.number("share", 0);
-        if (most > 0 == share > 0 || most < 0 || share < 0 || share > 1) {
+        if (maxOut > 0 == share > 0 || maxOut < 0 || share < 0 || share > 1) {
             throw lease.invalid("most", "or share (up to 1), one of them, has to be over 0");
         }
         Object beyond = lease.json().getValue("beyond", "wait");
@@ -77,7 +77,7 @@
             throw lease.invalid("beyond", "'" + beyond + "' is neither wait nor refuse");
         }
         long maxOutMicros = lease.microsBetween("out_most_ms", HOUR_MILLIS, 100, WEEK_MILLIS);
-        return new LeaseSettings.MaintenanceBudget(most, share, maxOutMicros, beyond.equals("wait"));
+        return new LeaseSettings.MaintenanceBudget(maxOut, share, maxOutMicros, beyond.equals("wait"));
     }
 
     private static LeaseSettings.QuotaPolicy quotaPolicy(JsonSection lease) {
--- a/src/main/java/pewtercourse/config/ReloadCheck.java
+++ b/src/main/java/pewtercourse/config/ReloadCheck.java
@@ -6,65 +6,69 @@
 import java.util.Set;
 
 /**
- * Whether a file that comes at SIGHUP can take the place of the running one. Guards against files that are cut short or
- * lack a key: a default in its place would change the director without anybody having said so.
+ * Checks at a reload whether a file can replace the running one. Rejects files that are truncated or lack a key: the
+ * default of the missing key would change the director without anybody's intent.
  */
 final class ReloadCheck {
-    // New with each file, and only of use at a start.
-    private static final Set<String> FREE = Set.of("known", "seed");
+    // These keys differ in each file and only matter at a start.
+    private static final Set<String> UNCHECKED_KEYS = Set.of("known", "seed");
 
     private ReloadCheck() {}
 
-    /** Throws a ConfigException that names the first key that is missing or of another type. */
+    /**
+     * Compares the keys and types of both files.
+     *
+     * @throws ConfigException if a key is missing or has another type; the message names the first one
+     */
     static void check(JsonObject running, JsonObject next) {
         for (String key : running.fieldNames()) {
-            if (!FREE.contains(key)) {
-                same(key, running.getValue(key), next.getValue(key), next.containsKey(key));
+            if (!UNCHECKED_KEYS.contains(key)) {
+                checkKey(key, running.getValue(key), next.getValue(key), next.containsKey(key));
             }
         }
     }
 
-    private static void same(String path, Object was, Object is, boolean there) {
-        if (was == null) {
+    private static void checkKey(String path, Object oldValue, Object newValue, boolean present) {
+        if (oldValue == null) {
             return;
         }
-        if (!there || is == null) {
+        if (!present || newValue == null) {
             throw new ConfigException(path, "missing, and the running configuration has it");
         }
-        if (!kind(was).equals(kind(is))) {
-            throw new ConfigException(path, "is " + kind(is) + " where " + kind(was) + " was");
+        if (!typeName(oldValue).equals(typeName(newValue))) {
+            throw new ConfigException(path, "is " + typeName(newValue) + " where " + typeName(oldValue) + " was");
         }
-        if (path.equals("settings.Classes") && was instanceof JsonArray before) {
-            classes(path, before, (JsonArray) is);
-        } else if (was instanceof JsonObject o) {
-            for (String key : o.fieldNames()) {
-                same(
+        if (path.equals("settings.Classes") && oldValue instanceof JsonArray running) {
+            checkClasses(path, running, (JsonArray) newValue);
+        } else if (oldValue instanceof JsonObject object) {
+            for (String key : object.fieldNames()) {
+                checkKey(
                         path + "." + key,
-                        o.getValue(key),
-                        ((JsonObject) is).getValue(key),
-                        ((JsonObject) is).containsKey(key));
+                        object.getValue(key),
+                        ((JsonObject) newValue).getValue(key),
+                        ((JsonObject) newValue).containsKey(key));
             }
         }
     }
 
-    // Classes come and go: what all of the running ones have, each needs.
-    private static void classes(String path, JsonArray before, JsonArray next) {
-        JsonObject first = before.isEmpty() ? new JsonObject() : before.getJsonObject(0);
-        Set<String> all = new HashSet<>(first.fieldNames());
-        before.forEach(c -> all.retainAll(((JsonObject) c).fieldNames()));
+    // Classes may be added and removed. Each class of the new file needs the keys that all running classes have.
+    private static void checkClasses(String path, JsonArray running, JsonArray next) {
+        JsonObject first = running.isEmpty() ? new JsonObject() : running.getJsonObject(0);
+        Set<String> commonKeys = new HashSet<>(first.fieldNames());
+        running.forEach(item -> commonKeys.retainAll(((JsonObject) item).fieldNames()));
         for (int i = 0; i < next.size(); i++) {
-            if (!(next.getValue(i) instanceof JsonObject c)) {
-                throw new ConfigException(path + "." + i, "is " + kind(next.getValue(i)) + " where an object is due");
+            if (!(next.getValue(i) instanceof JsonObject requestClass)) {
+                throw new ConfigException(path + "." + i, "is " + typeName(next.getValue(i)) + " where an object is due");
             }
             for (String key : first.fieldNames()) {
-                if (all.contains(key)) {
-                    same(path + "." + i + "." + key, first.getValue(key), c.getValue(key), c.containsKey(key));
+                if (commonKeys.contains(key)) {
+                    checkKey(path + "." + i + "." + key, first.getValue(key), requestClass.getValue(key), requestClass.containsKey(key));
                 }
             }
         }
     }
 
-    private static String kind(Object value) {
+    private static String typeName(Object value) {
         return value instanceof JsonObject
                 ? "an object"
                 : value instanceof JsonArray
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -18,7 +18,7 @@
 import pewtercourse.failover.Sites;
 
 /**
- * Reads the file that the environment variable GW_SITES names (JSON): the sites, which of them may serve whose clients,
+ * Reads the file that the environment variable GW_SITES names (JSON): the sites, which of them may serve which others' clients,
  * and the timing of failover. Times in the file are milliseconds.
  */
 public final class SitesConfig {
@@ -33,7 +33,7 @@
     private static final int MIN_SITES = 2;
     private static final int MAX_STEPS = 100;
     private static final double MAX_LOAD = 1_000_000;
-    private static final double SMALLEST = 0.001;
+    private static final double MIN_POSITIVE = 0.001;
     private static final double MINUTE_MILLIS = 60_000;
     private static final double HOUR_MILLIS = 60 * MINUTE_MILLIS;
     private static final double MIN_MILLIS = 100;
@@ -45,7 +45,8 @@
     /**
      * Reads the sites from a file.
      *
-     * @throws ConfigException that names the first key that can't be used, or GW_SITES if the file can't be read
+     * @throws ConfigException if a key is invalid (the message names the first one), or if the file can't be read (the
+     *     message names GW_SITES)
      */
     public static Sites fromFile(Path path) {
         try {
@@ -103,7 +104,7 @@
                 name,
                 section.name("hub", ""),
                 directors,
-                section.requiredNumber("capacity", SMALLEST, MAX_LOAD),
+                section.requiredNumber("capacity", MIN_POSITIVE, MAX_LOAD),
                 section.number("spare_share", 0.5, 0, 1),
                 section.number("reserved_share", 0.5, 0, 1),
                 section.number("link", 0, 0, MAX_LOAD),
@@ -118,7 +119,7 @@
             JsonSection section = site.element("takers", list, i);
             section.requireKnownKeys(TARGET_KEYS, RENAMED_KEYS);
             String name = section.requiredName("site");
-            targets.add(new Site.FailoverTarget(name, section.number("distance", 1, SMALLEST, MAX_LOAD)));
+            targets.add(new Site.FailoverTarget(name, section.number("distance", 1, MIN_POSITIVE, MAX_LOAD)));
             if (!names.add(name)) {
                 throw section.invalid("site", "is there twice");
             }
@@ -126,15 +127,15 @@
         return List.copyOf(targets);
     }
 
-    // What one site says of others.
+    // Checks what sites reference: other sites and directors.
     private static void checkReferences(List<Site> inFileOrder, Set<String> names) {
-        Set<String> placedDirectors = new HashSet<>();
+        Set<String> assignedDirectors = new HashSet<>();
         for (int i = 0; i < inFileOrder.size(); i++) {
             Site site = inFileOrder.get(i);
             String path = "sites[" + i + "].";
             checkTargets(path, site, names);
             for (String director : site.directors()) {
-                if (!placedDirectors.add(director)) {
+                if (!assignedDirectors.add(director)) {
                     throw new ConfigException(path + "directors", "'" + director + "' stands at two sites");
                 }
             }
@@ -162,7 +163,7 @@
         List<Double> steps = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             String key = "steps[" + i + "]";
-            steps.add(JsonFields.number(key, list.getValue(i), Double.NaN, SMALLEST, 1));
+            steps.add(JsonFields.number(key, list.getValue(i), Double.NaN, MIN_POSITIVE, 1));
             if (i > 0 && steps.get(i) <= steps.get(i - 1)) {
                 throw file.invalid(key, "does not grow");
             }
--- a/src/main/java/pewtercourse/config/package-info.java
+++ b/src/main/java/pewtercourse/config/package-info.java
@@ -1,2 +1,2 @@
-/** Reads, checks and completes the settings; what can't be used is refused with the key at fault. */
+/** Reads and checks the settings and fills in defaults; an error names the invalid key. */
 package pewtercourse.config;
--- a/src/main/java/pewtercourse/package-info.java
+++ b/src/main/java/pewtercourse/package-info.java
@@ -1,2 +1,2 @@
-/** The program: its command line, the start and end of a director, and the wiring of its parts. */
+/** The program's entry point and command line, and the start, wiring and shutdown of a director. */
 package pewtercourse;
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -119,11 +119,11 @@
                 w.run(SocketAddress.inetSocketAddress(deaf.actualPort(), "127.0.0.1"), true)
                         .onComplete(d -> done.complete(null));
                 if (kind == 0) {
-                    w.missed();
+                    w.onFleetServing();
                 } else if (kind == 1) {
                     w.handle(clientsRequest(), a -> {});
                 } else {
-                    vertx.setTimer(100, t -> w.missed()); // Later than the time that is left.
+                    vertx.setTimer(100, t -> w.onFleetServing()); // Later than the time that is left.
                 }
                 readyBefore.complete(w.ready());
             });
@@ -166,7 +166,7 @@
             vertx.setPeriodic(5, poll -> {
                 if (heldBack.size() == 4) {
                     vertx.cancelTimer(poll);
-                    warmup.missed(); // Ends it.
+                    warmup.onFleetServing(); // Ends it.
                 }
             });
         });
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -36,7 +36,7 @@
 
     @Test
     void nestedSettingsBecomeTheWiresPairs() {
-        Map<String, String> flat = DirectorConfig.flat(new JsonObject()
+        Map<String, String> flat = DirectorConfig.flatten(new JsonObject()
                 .put("A", new JsonObject().put("B", 1.5))
                 .put("L", new JsonArray().add("x y").add(2))
                 .put("E", new JsonArray())
