--- a/src/main/java/pewtercourse/AdminAddress.java
+++ b/src/main/java/pewtercourse/AdminAddress.java
@@ -57,6 +57,8 @@
         (succeeded ? System.out : System.err).println(response.body().strip());
         return succeeded
                 ? EXIT_OK
-                : response.statusCode() == 503 ? EXIT_UNREACHABLE : response.statusCode() == 400 ? EXIT_USAGE : EXIT_REFUSED;
+                : response.statusCode() == 503
+                        ? EXIT_UNREACHABLE
+                        : response.statusCode() == 400 ? EXIT_USAGE : EXIT_REFUSED;
     }
 }
--- a/src/main/java/pewtercourse/ClassArchiveTraining.java
+++ b/src/main/java/pewtercourse/ClassArchiveTraining.java
@@ -89,7 +89,10 @@
                     .setChunked(true)
                     .write(": here\n\nid: 2\ndata: {\"n\":2,\"purge\":{\"group\":1,\"at\":0}}\n\n");
         } else {
-            request.response().putHeader("ETag", "t").putHeader("Outcome", "mem").end(Buffer.buffer("menu"));
+            request.response()
+                    .putHeader("ETag", "t")
+                    .putHeader("Outcome", "mem")
+                    .end(Buffer.buffer("menu"));
         }
     }
 }
--- a/src/main/java/pewtercourse/ClusterBridge.java
+++ b/src/main/java/pewtercourse/ClusterBridge.java
@@ -59,7 +59,8 @@
     Future<Verdict> drainCache(String target) {
         long now = System.currentTimeMillis();
         if (!cluster.hasMaintenanceBudget()) {
-            return propose("operator.out", target, () -> new Command.DrainCache(target, now, lastOperatorCommand(target)));
+            return propose(
+                    "operator.out", target, () -> new Command.DrainCache(target, now, lastOperatorCommand(target)));
         }
         return propose(
                         "operator.asked",
@@ -77,25 +78,29 @@
 
     // Refuses a request that was not granted in time: it stays queued, or it is cancelled where requests don't queue.
     private Future<Verdict> refuseMaintenance(String target) {
-        MaintenanceRequest request = cluster.state().maintenanceRequestFor(target).orElse(null);
+        MaintenanceRequest request =
+                cluster.state().maintenanceRequestFor(target).orElse(null);
         if (request == null || cluster.queuesMaintenanceRequests()) {
             long requestsAhead = request == null
                     ? 0
                     : cluster.state().maintenanceRequests().headMap(request.number()).values().stream()
                             .filter(other -> !other.granted() && other.zone().equals(request.zone()))
                             .count();
-            return Future.succeededFuture(Verdict.refused("not drained: its zone has reached the maintenance limit; the request"
-                    + " is queued behind " + requestsAhead + " others: repeat the call, or cancel it with maintenance/exit"));
+            return Future.succeededFuture(Verdict.refused(
+                    "not drained: its zone has reached the maintenance limit; the request is queued behind "
+                            + requestsAhead + " others: repeat the call, or cancel it with maintenance/exit"));
         }
         Command cancel = new Command.CancelMaintenance(target, request.number(), 0, System.currentTimeMillis());
         return cluster.propose(() -> cancel)
                 .map(outcome -> Verdict.refused("not drained: its zone has reached the maintenance limit"))
-                .otherwise(e -> Verdict.refused("not drained yet, but the request may still be granted: " + e.getMessage()));
+                .otherwise(e ->
+                        Verdict.refused("not drained yet, but the request may still be granted: " + e.getMessage()));
     }
 
     Future<Verdict> reinstateCache(String target) {
         long now = System.currentTimeMillis();
-        return propose("operator.in", target, () -> new Command.ReinstateCache(target, now, lastOperatorCommand(target)));
+        return propose(
+                "operator.in", target, () -> new Command.ReinstateCache(target, now, lastOperatorCommand(target)));
     }
 
     private long lastOperatorCommand(String target) {
@@ -169,7 +174,8 @@
             return Future.succeededFuture("'" + name + "' is no site of the file");
         }
         return cluster.propose(() -> {
-                    long lastChangeIndex = cluster.state().failover().status(name).lastChangeIndex();
+                    long lastChangeIndex =
+                            cluster.state().failover().status(name).lastChangeIndex();
                     return switch (call) {
                         case "drill" -> new Command.StartFailoverDrill(name, lastChangeIndex);
                         case "hold" -> new Command.PauseSiteRecovery(name, true, lastChangeIndex);
--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -65,11 +65,13 @@
             System.exit(2);
             return;
         }
-        // Vert.x logs a warning when connections have used up the file descriptors. The JVM reads files for its first log
-        // line; without descriptors that fails and ends the thread that accepts connections. So one is formatted now.
+        // Vert.x logs a warning when connections have used up the file descriptors. The JVM reads files for its first
+        // log line, which fails without descriptors and ends the thread that accepts connections. Formatting a record
+        // now reads these files in time.
         new SimpleFormatter().format(new LogRecord(Level.WARNING, "ready"));
-        FrontTransport transport =
-                socket != null ? socket.transport() : new FrontTransport(new LimitedListener(config.maxAcceptedConnections()));
+        FrontTransport transport = socket != null
+                ? socket.transport()
+                : new FrontTransport(new LimitedListener(config.maxAcceptedConnections()));
         Vertx vertx = vertx(transport);
         vertx.exceptionHandler(e -> Log.error("loop.unexpected", e));
         vertx.getOrCreateContext().runOnContext(v -> start(vertx, config, cluster, socket, transport));
--- a/src/main/java/pewtercourse/Service.java
+++ b/src/main/java/pewtercourse/Service.java
@@ -84,7 +84,8 @@
                                 .listen(SocketAddress.inetSocketAddress(config.adminListen()))
                                 .onFailure(e ->
                                         Log.warn("admin.not_listening", "listen", config.adminListen(), "error", e)))
-                .compose(v -> inherited == null ? warmup.run(address, config.startsWithFleet()) : warmUpInternally(upgrade))
+                .compose(v ->
+                        inherited == null ? warmup.run(address, config.startsWithFleet()) : warmUpInternally(upgrade))
                 .onSuccess(v -> {
                     readOperatorState();
                     if (inherited != null) {
@@ -126,7 +127,8 @@
     // accepted only afterwards.
     private Future<Void> warmUpInternally(boolean upgrade) {
         FastCgiServer internalFront = new FastCgiServer(vertx, warmup, director.clock(), config.front());
-        return internalFront.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+        return internalFront
+                .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
                 .compose(server -> warmup.run(
                         SocketAddress.inetSocketAddress(server.actualPort(), "127.0.0.1"),
                         upgrade || config.startsWithFleet(),
@@ -291,7 +293,9 @@
 
     /** Returns whether new requests are refused, all accepted ones are answered, and the leases are handed over. */
     boolean isFinished() {
-        return refusesRequests() && director.openRequests() == 0 && (clusterBridge == null || clusterBridge.handoverComplete());
+        return refusesRequests()
+                && director.openRequests() == 0
+                && (clusterBridge == null || clusterBridge.handoverComplete());
     }
 
     /** Number of client connections; their clients may not have read the last bytes yet. */
--- a/src/main/java/pewtercourse/SitesCommands.java
+++ b/src/main/java/pewtercourse/SitesCommands.java
@@ -64,9 +64,14 @@
                         "site %-16s %s%s%s%s, load %.1f of %.1f, can lend %.1f%n",
                         siteStatus.getString("site"),
                         siteStatus.getString("phase"),
-                        siteStatus.getString("health").equals("well") ? "" : " (" + siteStatus.getString("health") + ")",
-                        siteStatus.getString("phase").equals("returning") ? " at step " + siteStatus.getInteger("step") : "",
-                        (siteStatus.getBoolean("held") ? ", held" : "") + (siteStatus.getBoolean("drill") ? ", a drill" : ""),
+                        siteStatus.getString("health").equals("well")
+                                ? ""
+                                : " (" + siteStatus.getString("health") + ")",
+                        siteStatus.getString("phase").equals("returning")
+                                ? " at step " + siteStatus.getInteger("step")
+                                : "",
+                        (siteStatus.getBoolean("held") ? ", held" : "")
+                                + (siteStatus.getBoolean("drill") ? ", a drill" : ""),
                         siteStatus.getDouble("load"),
                         siteStatus.getDouble("capacity"),
                         siteStatus.getDouble("spare")));
@@ -101,8 +106,8 @@
                 }
                 known = true;
                 double headRoom = 0;
-                StringBuilder text = new StringBuilder(
-                        String.format("if %s is lost (load %.1f):%n", siteStatus.getString("site"), siteStatus.getDouble("load")));
+                StringBuilder text = new StringBuilder(String.format(
+                        "if %s is lost (load %.1f):%n", siteStatus.getString("site"), siteStatus.getDouble("load")));
                 for (Object takerItem : siteStatus.getJsonArray("takers")) {
                     JsonObject taker = (JsonObject) takerItem;
                     headRoom += taker.getDouble("most") - taker.getDouble("work");
@@ -112,7 +117,8 @@
                 }
                 if (siteStatus.getDouble("refused") > MIN_REFUSED_LOAD) {
                     allServed = false;
-                    text.append(String.format("  WARNING: %.1f is refused: nobody can take it%n", siteStatus.getDouble("refused")));
+                    text.append(String.format(
+                            "  WARNING: %.1f is refused: nobody can take it%n", siteStatus.getDouble("refused")));
                 } else {
                     text.append(String.format("  head-room left %.1f%n", headRoom));
                 }
--- a/src/main/java/pewtercourse/Warmup.java
+++ b/src/main/java/pewtercourse/Warmup.java
@@ -28,13 +28,14 @@
  * and are answered in the process ({@link CannedTransport}): nothing is sent to caches.
  */
 final class Warmup implements RequestHandler {
-    // After this number a request takes no longer than later ones. With fewer than 400, most of the compilation was left
-    // to the first clients.
+    // After this number a request takes no longer than later ones. With fewer than 400, most of the compilation was
+    // left to the first clients.
     private static final int REQUESTS = 1_500;
     private static final int CONCURRENT_REQUESTS = 4;
     // Long enough for a very slow CPU: a fleet that starts has no clients yet.
     static final long MAX_DURATION_MS = 6_000;
-    // If the fleet already serves clients: up to this time, a cold director would lose more requests than its absence does.
+    // Bound if the fleet already serves clients: up to this time a director that serves cold loses more requests than
+    // its absence does.
     private static final long MAX_DURATION_IN_SERVING_FLEET_MS = 1_200;
     private static final long RETRY_AFTER_MS = 250;
 
@@ -69,7 +70,12 @@
         this(vertx, config, service, refusing, MAX_DURATION_MS, MAX_DURATION_IN_SERVING_FLEET_MS);
     }
 
-    Warmup(Vertx vertx, DirectorConfig config, RequestHandler service, long maxDurationMs, long maxDurationInServingFleetMs) {
+    Warmup(
+            Vertx vertx,
+            DirectorConfig config,
+            RequestHandler service,
+            long maxDurationMs,
+            long maxDurationInServingFleetMs) {
         this(vertx, config, service, REFUSING, maxDurationMs, maxDurationInServingFleetMs);
     }
 
@@ -95,7 +101,9 @@
             permissions.put("MayTell", false);
         }
         this.director = new Director(
-                vertx, DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), isolatedConfig), new CannedTransport(vertx));
+                vertx,
+                DirectorConfig.read(Map.of("GW_LISTEN", "127.0.0.1:1"), isolatedConfig),
+                new CannedTransport(vertx));
     }
 
     /**
--- a/src/main/java/pewtercourse/config/DirectorConfig.java
+++ b/src/main/java/pewtercourse/config/DirectorConfig.java
@@ -147,7 +147,8 @@
 
     private static void requireOneOf(JsonObject requestClass, String path, String key, String... allowed) {
         if (requestClass.containsKey(key) && !List.of(allowed).contains(requestClass.getValue(key))) {
-            throw new ConfigException(path + key, "'" + requestClass.getValue(key) + "' is none of " + String.join(", ", allowed));
+            throw new ConfigException(
+                    path + key, "'" + requestClass.getValue(key) + "' is none of " + String.join(", ", allowed));
         }
     }
 
--- a/src/main/java/pewtercourse/config/ReloadCheck.java
+++ b/src/main/java/pewtercourse/config/ReloadCheck.java
@@ -58,11 +58,16 @@
         running.forEach(item -> commonKeys.retainAll(((JsonObject) item).fieldNames()));
         for (int i = 0; i < next.size(); i++) {
             if (!(next.getValue(i) instanceof JsonObject requestClass)) {
-                throw new ConfigException(path + "." + i, "is " + typeName(next.getValue(i)) + " where an object is due");
+                throw new ConfigException(
+                        path + "." + i, "is " + typeName(next.getValue(i)) + " where an object is due");
             }
             for (String key : first.fieldNames()) {
                 if (commonKeys.contains(key)) {
-                    checkKey(path + "." + i + "." + key, first.getValue(key), requestClass.getValue(key), requestClass.containsKey(key));
+                    checkKey(
+                            path + "." + i + "." + key,
+                            first.getValue(key),
+                            requestClass.getValue(key),
+                            requestClass.containsKey(key));
                 }
             }
         }
--- a/src/main/java/pewtercourse/config/SiteSettings.java
+++ b/src/main/java/pewtercourse/config/SiteSettings.java
@@ -87,7 +87,8 @@
             indexes.put(name, index != null ? index : next++);
         }
         RequestClass[] byIndex = before.router.classes().toArray(new RequestClass[next]);
-        classes.forEach((name, i) -> byIndex[indexes.get(name)] = router.classes().get(i));
+        classes.forEach(
+                (name, i) -> byIndex[indexes.get(name)] = router.classes().get(i));
         return new SiteSettings(
                 router.withClasses(List.of(byIndex)),
                 indexes,
@@ -140,7 +141,8 @@
             RouterSettings router = new RouterSettings(
                     new RouterTopology((int) number("Me", 0), (int) number("Instances", 1), zone, routersPerZone()),
                     List.of(classes),
-                    new Bandwidth(number("Domain.ClientKbPerS", 0), zone < 0 ? 0 : numberItem("Domain.PipeKbPerS", zone)),
+                    new Bandwidth(
+                            number("Domain.ClientKbPerS", 0), zone < 0 ? 0 : numberItem("Domain.PipeKbPerS", zone)),
                     new RouterFeatures(
                             flag("Domain.CanJoin"),
                             flag("Domain.MayPassBy"),
@@ -149,10 +151,15 @@
                             flag("Permissions.Cancel")),
                     new RetryLimits(micros("Permissions.MaxRetryAfter"), (int) number("Permissions.TryLimit", 1)),
                     new UpstreamFeatures(
-                            !pairs.getOrDefault("Discovery", "push").equals("ask"), weightsPublished(), siblingFillPolicy(), cacheStatusDetail()),
+                            !pairs.getOrDefault("Discovery", "push").equals("ask"),
+                            weightsPublished(),
+                            siblingFillPolicy(),
+                            cacheStatusDetail()),
                     new SlowStartSettings(
                             new SlowStart(
-                                    number("Rules.ColdFrom", 1), micros("Rules.WarmUp"), number("Rules.FallMultiple", 1)),
+                                    number("Rules.ColdFrom", 1),
+                                    micros("Rules.WarmUp"),
+                                    number("Rules.FallMultiple", 1)),
                             new SlowStart(
                                     number("Domain.ParentColdFrom", 1),
                                     micros("Domain.ParentWarmsIn"),
--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -189,7 +189,8 @@
         boolean namesChanged = !newSettings.resolvesNamesLike(siteSettings);
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
-        remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
+        remoteRouterQueues.forEach(
+                (zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
         pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleTimeoutMicros()));
         registry.updateSettings(newSettings);
         if (namesChanged) {
--- a/src/test/java/pewtercourse/config/ClusterConfigTest.java
+++ b/src/test/java/pewtercourse/config/ClusterConfigTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theShippedFileIsRead() {
+    void readsTheShippedFile() {
         ClusterConfig config = ClusterConfig.fromEnvironment(Map.of("GW_CLUSTER", SHIPPED_FILE));
 
         assertEquals("d1", config.name());
@@ -48,12 +48,12 @@
     }
 
     @Test
-    void withoutAFileThereIsNoCluster() {
+    void returnsNullWithoutAClusterFile() {
         assertNull(ClusterConfig.fromEnvironment(Map.of()));
     }
 
     @Test
-    void withoutTheQuotaLeaseNothingIsDivided() throws IOException {
+    void reservesTheWholeQuotaWithoutTheQuotaLease() throws IOException {
         JsonObject json = shippedFile();
         json.remove("duties");
 
@@ -62,7 +62,7 @@
 
     @ParameterizedTest
     @CsvSource({"warden, maintenance", "divider, quota"})
-    void aFormerLeaseNameIsRejectedWithThePresentOne(String former, String present) throws IOException {
+    void rejectsAFormerLeaseNameAndNamesThePresentOne(String former, String present) throws IOException {
         ConfigException e = rejection(json -> json.getJsonObject("duties").put(former, new JsonObject()));
 
         assertEquals("duties." + former + ": is called '" + present + "' now", e.getMessage());
@@ -82,7 +82,7 @@
         "cluster, ''",
         "colour, red"
     })
-    void aKeyThatCannotBeUsedIsNamed(String key, String value) throws IOException {
+    void namesTheInvalidKey(String key, String value) throws IOException {
         Object typed = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
 
         assertRejected(key, json -> json.put(key, typed));
@@ -105,7 +105,7 @@
                 "duties | x | duties: is not an object",
                 "colour | red | colour: is no key of this file"
             })
-    void aMessageTellsKeyAndReason(String key, String value, String message) throws IOException {
+    void reportsTheKeyAndTheReason(String key, String value, String message) throws IOException {
         Object typed = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
 
         assertEquals(message, rejection(json -> json.put(key, typed)).getMessage());
@@ -113,7 +113,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 4, 6, 9})
-    void anEvenOrTooLargeOrSmallNumberOfMembersIsRejected(int count) throws IOException {
+    void rejectsNumbersOfMembersOtherThanThreeFiveOrSeven(int count) throws IOException {
         JsonArray members = new JsonArray();
         for (int i = 1; i <= count; i++) {
             members.add(new JsonObject().put("name", "d" + i).put("address", "127.0.0.1:" + (7_000 + i)));
@@ -123,21 +123,21 @@
     }
 
     @Test
-    void aMemberThatIsThereTwiceIsRejected() throws IOException {
+    void rejectsADuplicateMember() throws IOException {
         assertRejected(
                 "members[1].name",
                 json -> json.getJsonArray("members").getJsonObject(1).put("name", "d1"));
     }
 
     @Test
-    void aMembersAddressIsAnIpAddressWithAPort() throws IOException {
+    void rejectsAMemberAddressWithAHostName() throws IOException {
         assertRejected(
                 "members[2].address",
                 json -> json.getJsonArray("members").getJsonObject(2).put("address", "d3:7003"));
     }
 
     @Test
-    void anElectionTimeoutIsARangeOfAtLeastThreeHeartbeats() throws IOException {
+    void rejectsAnElectionTimeoutThatIsNoRangeOrBelowThreeHeartbeats() throws IOException {
         assertRejected(
                 "election_ms",
                 json -> json.put("election_ms", new JsonArray().add(600).add(300)));
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aMaintenanceBudgetHasOneLimit() throws IOException {
+    void rejectsAMaintenanceBudgetWithoutExactlyOneLimit() throws IOException {
         assertRejected(
                 "duties.maintenance.most", json -> json.getJsonObject("duties").put("maintenance", new JsonObject()));
         assertRejected("duties.maintenance.most", json -> maintenance(json).put("most", 1));
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void theQuotaLeasesValuesAreChecked() throws IOException {
+    void rejectsInvalidValuesOfTheQuotaLease() throws IOException {
         assertRejected("duties.quota.reserve", json -> quota(json).put("reserve", 0));
         assertRejected("duties.quota.loan_ms", json -> quota(json).put("loan_ms", "x"));
     }
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void anUnknownLeaseIsRejected() throws IOException {
+    void rejectsAnUnknownLease() throws IOException {
         ConfigException e = rejection(json -> json.getJsonObject("duties").put("sweeper", new JsonObject()));
 
         assertEquals("duties.sweeper: is no duty: there are maintenance and quota", e.getMessage());
--- a/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
+++ b/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
@@ -18,17 +18,17 @@
 
 /**
  * Pins the keys of {@code config.json}, {@code cluster.json} and {@code sites.json}. Each file is read with every key set;
- * then each key in turn is left out or given other values. What comes of it is recorded: the message, or whether the value
- * counted, that is, whether the settings that were read differ from those of the full file.
+ * then each key in turn is removed or given other values. The golden file records the error message, or whether the
+ * settings differ from those of the full file.
  */
 class ConfigKeysCompatibilityTest {
     private static final Path FULL_FILES = Path.of("src/test/resources/interfaces");
     private static final Object REMOVED = new Object();
-    // What every key is given in turn, besides being left out.
-    private static final List<Object> VALUES = List.of(
+    // Values that every key is given in turn.
+    private static final List<Object> COMMON_VALUES = List.of(
             "x", "x y", "", 0, 1, -1, 0.25, 1e9, true, new JsonObject(), new JsonArray(), new JsonArray().add("x"));
-    // Values that one key alone takes.
-    private static final Map<String, List<Object>> WORDS = Map.of(
+    // Further values for single keys.
+    private static final Map<String, List<Object>> KEY_SPECIFIC_VALUES = Map.of(
             "Discovery", List.of("push"),
             "Weights", List.of("silent", "nominal"),
             "Siblings", List.of("silent", "location"),
@@ -51,12 +51,12 @@
     }
 
     @Test
-    void keysOfTheDirectorsFile() throws Exception {
+    void keysOfTheDirectorFileAreAsRecorded() throws Exception {
         recordAll("config.json", "config-keys.txt", json -> DirectorConfig.read(Map.of(), json));
     }
 
     @Test
-    void keysOfTheClustersFile() throws Exception {
+    void keysOfTheClusterFileAreAsRecorded() throws Exception {
         recordAll("cluster.json", "cluster-keys.txt", json -> {
             Path file = write(json);
             return ClusterConfig.fromEnvironment(Map.of("GW_CLUSTER", file.toString()));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void keysOfTheSitesFile() throws Exception {
+    void keysOfTheSitesFileAreAsRecorded() throws Exception {
         recordAll("sites.json", "sites-keys.txt", json -> SitesConfig.fromFile(write(json)));
     }
 
@@ -78,27 +78,27 @@
 
     private void recordAll(String file, String golden, Function<JsonObject, Object> read) throws Exception {
         JsonObject full = full(file);
-        SettingValues whole = SettingValues.of(read.apply(full));
-        report.append("values ").append(whole.sorted()).append('\n');
+        SettingValues fullValues = SettingValues.of(read.apply(full));
+        report.append("values ").append(fullValues.sorted()).append('\n');
         List<List<Object>> paths = new ArrayList<>();
         collectPaths(paths, List.of(), full);
         for (List<Object> path : paths) {
             List<Object> values = new ArrayList<>(List.of(REMOVED));
-            values.addAll(VALUES);
-            values.addAll(WORDS.getOrDefault(path.get(path.size() - 1), List.of()));
-            values.forEach(value -> record(full, path, value, whole, read));
+            values.addAll(COMMON_VALUES);
+            values.addAll(KEY_SPECIFIC_VALUES.getOrDefault(path.get(path.size() - 1), List.of()));
+            values.forEach(value -> record(full, path, value, fullValues, read));
             if (valueAt(full, path) instanceof JsonObject) {
-                FORMER_KEYS.forEach(key -> record(full, with(path, key), 1, whole, read));
+                FORMER_KEYS.forEach(key -> record(full, with(path, key), 1, fullValues, read));
             }
         }
-        FORMER_KEYS.forEach(key -> record(full, List.of(key), 1, whole, read));
+        FORMER_KEYS.forEach(key -> record(full, List.of(key), 1, fullValues, read));
         assertRecorded(golden, report.toString());
     }
 
     private static List<Object> with(List<Object> path, Object key) {
-        List<Object> longer = new ArrayList<>(path);
-        longer.add(key);
-        return longer;
+        List<Object> extended = new ArrayList<>(path);
+        extended.add(key);
+        return extended;
     }
 
     private static void collectPaths(List<List<Object>> paths, List<Object> parent, Object value) {
@@ -143,13 +143,13 @@
     }
 
     private void record(
-            JsonObject full, List<Object> path, Object value, SettingValues whole, Function<JsonObject, Object> read) {
+            JsonObject full, List<Object> path, Object value, SettingValues fullValues, Function<JsonObject, Object> read) {
         String text =
                 value == REMOVED ? "(removed)" : new JsonArray().add(value).encode();
         report.append(path).append(" <- ").append(text).append(": ");
         report.append(outcome(() -> {
-            SettingValues now = SettingValues.of(read.apply(changed(full, path, value)));
-            return now.equals(whole) ? "as before" : "counts, values " + whole.difference(now);
+            SettingValues changedValues = SettingValues.of(read.apply(changed(full, path, value)));
+            return changedValues.equals(fullValues) ? "as before" : "counts, values " + fullValues.difference(changedValues);
         }));
         report.append('\n');
     }
@@ -167,7 +167,7 @@
     // ---- Defaults, variables, reloads ----
 
     @Test
-    void variablesOfTheEnvironment() throws Exception {
+    void environmentVariablesAreAsRecorded() throws Exception {
         Path config = Files.writeString(
                 folder.resolve("config.json"), full("config.json").encode());
         Path cluster = Files.writeString(
@@ -175,8 +175,8 @@
         Path sites = Files.writeString(
                 folder.resolve("sites.json"), full("sites.json").encode());
         Path broken = Files.writeString(folder.resolve("broken.json"), "{");
-        Map<String, String> usual = Map.of("GW_CONFIG", config.toString());
-        SettingValues whole = SettingValues.of(DirectorConfig.fromEnvironment(usual));
+        Map<String, String> baseEnvironment = Map.of("GW_CONFIG", config.toString());
+        SettingValues fullValues = SettingValues.of(DirectorConfig.fromEnvironment(baseEnvironment));
         for (String variable : List.of(
                 "GW_NAME=other",
                 "GW_LISTEN=10.0.0.1:81",
@@ -192,11 +192,11 @@
                 "GW_CONFIG=" + broken,
                 "GW_CONFIG=" + folder.resolve("missing"),
                 "GW_UNKNOWN=1")) {
-            Map<String, String> environment = new HashMap<>(usual);
+            Map<String, String> environment = new HashMap<>(baseEnvironment);
             environment.put(variable.replaceFirst("=.*", ""), variable.replaceFirst("[^=]*=", ""));
             append(variable, () -> {
-                SettingValues now = SettingValues.of(DirectorConfig.fromEnvironment(environment));
-                return now.equals(whole) ? "as before" : "counts, values " + whole.difference(now);
+                SettingValues changedValues = SettingValues.of(DirectorConfig.fromEnvironment(environment));
+                return changedValues.equals(fullValues) ? "as before" : "counts, values " + fullValues.difference(changedValues);
             });
         }
         for (List<Object> pair : List.<List<Object>>of(
@@ -223,13 +223,13 @@
         assertRecorded("environment.txt", report.toString());
     }
 
-    private void append(String what, java.util.concurrent.Callable<String> reading) {
-        String line = what + ": " + outcome(reading) + "\n";
+    private void append(String label, java.util.concurrent.Callable<String> reading) {
+        String line = label + ": " + outcome(reading) + "\n";
         report.append(line.replace(folder.toString(), "FOLDER"));
     }
 
     @Test
-    void reloadsOfTheDirectorsFile() throws Exception {
+    void reloadsOfTheDirectorFileAreAsRecorded() throws Exception {
         Path file = folder.resolve("config.json");
         Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
         JsonObject full = full("config.json");
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void valuesDifferWhereSettingsDo() throws Exception {
+    void settingValuesDifferIfSettingsDiffer() throws Exception {
         JsonObject json = full("cluster.json");
         SettingValues first = SettingValues.of(ClusterConfig.read(json));
         assertEquals(first, SettingValues.of(ClusterConfig.read(json.copy())));
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -19,23 +19,23 @@
     }
 
     @Test
-    void theExampleIsReadInTheModulesUnits() throws Exception {
-        DirectorConfig c = DirectorConfig.read(Map.of("GW_NAME", "n7"), example());
-        assertEquals("n7", c.name());
-        assertEquals(8443, c.listen().getPort());
-        assertEquals(0x8c1f30d27a5be964L, c.seed());
-        assertEquals(400_000, c.site().connectTimeoutMicros());
+    void convertsTheExampleToTheUnitsOfTheDecisionPackage() throws Exception {
+        DirectorConfig config = DirectorConfig.read(Map.of("GW_NAME", "n7"), example());
+        assertEquals("n7", config.name());
+        assertEquals(8443, config.listen().getPort());
+        assertEquals(0x8c1f30d27a5be964L, config.seed());
+        assertEquals(400_000, config.site().connectTimeoutMicros());
         assertEquals(
                 Map.of("menu-media", 0, "menu-page", 1, "place-order", 2),
-                c.site().classes());
-        assertEquals(8_000_000, c.site().router().classes().get(1).freshnessLifetime());
-        assertTrue(c.site().router().classes().get(2).uncacheable());
-        assertEquals(1, c.site().router().topology().zone());
-        assertEquals("parent", c.site().parentKind());
+                config.site().classes());
+        assertEquals(8_000_000, config.site().router().classes().get(1).freshnessLifetime());
+        assertTrue(config.site().router().classes().get(2).uncacheable());
+        assertEquals(1, config.site().router().topology().zone());
+        assertEquals("parent", config.site().parentKind());
     }
 
     @Test
-    void nestedSettingsBecomeTheWiresPairs() {
+    void flattensNestedSettingsToTheSimulatorsPairs() {
         Map<String, String> flat = DirectorConfig.flatten(new JsonObject()
                 .put("A", new JsonObject().put("B", 1.5))
                 .put("L", new JsonArray().add("x y").add(2))
@@ -44,9 +44,10 @@
         assertEquals(Map.of("A.B", "1.5", "L", "x y\u001f2", "E", "", "O.count", "1", "O.0.N", "a"), flat);
     }
 
-    // Blanks and commas became underscores: such a class was unknown to its clients, and such a zone had no caches.
+    // Blanks and commas were once replaced by underscores. Such a class was then unknown to its clients, and such a zone
+    // had no caches.
     @Test
-    void namesKeepTheirCharacters() throws Exception {
+    void keepsAllCharactersOfNamesAndRejectsControlCharacters() throws Exception {
         JsonObject json = example();
         JsonObject settings = json.getJsonObject("settings");
         settings.getJsonArray("Classes").getJsonObject(0).put("Name", "menú, del día");
@@ -64,15 +65,15 @@
     }
 
     @Test
-    void aClassThatComesBackHasANewPlaceAndTheOthersKeepTheirs() throws Exception {
-        SiteSettings all = DirectorConfig.read(Map.of(), example()).site();
+    void givesAReaddedClassANewIndexAndKeepsTheOthers() throws Exception {
+        SiteSettings allClasses = DirectorConfig.read(Map.of(), example()).site();
         JsonObject json = example();
         json.getJsonObject("settings").getJsonArray("Classes").remove(1); // menu-page
-        SiteSettings without = DirectorConfig.read(Map.of(), json).site().withClassIndexesOf(all);
-        assertEquals(Map.of("menu-media", 0, "place-order", 2), without.classes());
+        SiteSettings withoutOne = DirectorConfig.read(Map.of(), json).site().withClassIndexesOf(allClasses);
+        assertEquals(Map.of("menu-media", 0, "place-order", 2), withoutOne.classes());
         assertEquals(
                 Map.of("menu-media", 0, "menu-page", 3, "place-order", 2),
-                all.withClassIndexesOf(without).classes());
+                allClasses.withClassIndexesOf(withoutOne).classes());
     }
 
     @ParameterizedTest
@@ -98,14 +99,14 @@
                 "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1},{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}]} | settings.Classes.0.Name",
                 "settings | {\"Classes\":[{\"Name\":\"a\",\"Aim\":1,\"Deadline\":1}],\"Permissions\":{\"TryLimit\":0}} | settings.Permissions.TryLimit"
             })
-    void anErrorBeginsWithTheFaultyKey(String key, String value, String named) throws Exception {
+    void beginsAMessageWithTheInvalidKey(String key, String value, String expectedKey) throws Exception {
         JsonObject json = example().put(key, new JsonArray("[" + value + "]").getValue(0));
         Exception e = assertThrows(ConfigException.class, () -> DirectorConfig.read(Map.of(), json));
-        assertTrue(e.getMessage().startsWith(named + ":"), e.getMessage());
+        assertTrue(e.getMessage().startsWith(expectedKey + ":"), e.getMessage());
     }
 
     @Test
-    void aMissingFileIsToldWithTheVariable() {
+    void namesTheVariableOfAMissingFile() {
         Exception e = assertThrows(
                 ConfigException.class, () -> DirectorConfig.fromEnvironment(Map.of("GW_CONFIG", "no/such/file")));
         assertTrue(e.getMessage().startsWith("GW_CONFIG:"), e.getMessage());
@@ -113,7 +114,7 @@
     }
 
     @Test
-    void whatOnlyARestartCarriesOutIsNamed() throws Exception {
+    void listsTheChangedKeysThatNeedARestart() throws Exception {
         DirectorConfig old = DirectorConfig.read(Map.of(), example());
         JsonObject json =
                 example().put("feed", "127.0.0.1:2380").put("seed", "1").put("listen", "127.0.0.1:1");
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void aListThatHasChangedTellsThatTheFleetIsAtWork() throws Exception {
+    void startsWithFleetOnlyWhileTheListIsTheFirstVersion() throws Exception {
         JsonObject json = example();
         JsonObject members = json.getJsonObject("known")
                 .getJsonArray("events")
@@ -136,13 +137,13 @@
     }
 
     @Test
-    void theDescriptorsAreSharedOut() throws Exception {
+    void dividesTheDescriptorsBetweenClientsAndCaches() throws Exception {
         for (int sockets : new int[] {256, 384, 1024}) {
             JsonObject json = example().put("limits", new JsonObject().put("sockets", sockets));
-            DirectorConfig c = DirectorConfig.read(Map.of(), json);
-            assertTrue(c.front().connections() > sockets / 3, "less than clients may hold");
-            assertTrue(c.front().connections() + c.maxCacheConnections() + 32 <= sockets, "none left for the program");
-            assertTrue(c.maxCacheConnections() > sockets / 3, "too few for caches");
+            DirectorConfig config = DirectorConfig.read(Map.of(), json);
+            assertTrue(config.front().connections() > sockets / 3, "fewer than the share of clients");
+            assertTrue(config.front().connections() + config.maxCacheConnections() + 32 <= sockets, "no descriptors left for the program");
+            assertTrue(config.maxCacheConnections() > sockets / 3, "too few connections to caches");
         }
     }
 }
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -20,11 +20,11 @@
 import pewtercourse.ExampleConfig;
 import pewtercourse.decision.RequestClass;
 
-/** Files at SIGHUP, good and broken in any order, against the last good one. */
+/** Reloads valid and invalid files in random order, and compares the configuration with the last valid file. */
 class ReloadModelTest {
     private static final String[] NAMES = {"menu-media", "menu-page", "place-order", "menu-v2", "orders-v2"};
 
-    private static JsonObject good(JsonObject example, Random random) {
+    private static JsonObject validFile(JsonObject example, Random random) {
         JsonObject json = example.copy();
         List<JsonObject> classes = new ArrayList<>();
         for (String name : NAMES) {
@@ -43,39 +43,39 @@
         return json;
     }
 
-    private static String broken(JsonObject running, int how, Random random) {
+    private static String invalidFile(JsonObject running, int fault, Random random) {
         JsonObject json = running.copy();
         JsonObject settings = json.getJsonObject("settings");
         JsonObject aClass = settings.getJsonArray("Classes").getJsonObject(0);
         String text = json.encode();
-        return switch (how) {
+        return switch (fault) {
             case 0 -> "";
             case 1 -> text.substring(0, random.nextInt(text.length()));
-            case 2 -> lacking(json, json, random);
-            case 3 -> lacking(json, settings, random);
-            case 4 -> lacking(json, aClass, random);
-            case 5 -> lacking(json, settings.getJsonObject("Permissions"), random);
-            case 6 -> text(json, () -> aClass.put("Deadline", -random.nextInt(2)));
-            case 7 -> text(json, () -> settings.getJsonObject("Permissions").put("TryLimit", -random.nextInt(2)));
-            case 8 -> text(json, () -> settings.put("Classes", new JsonArray()));
-            default -> text(json, () -> settings.put("Domain", "none"));
+            case 2 -> withoutOneKey(json, json, random);
+            case 3 -> withoutOneKey(json, settings, random);
+            case 4 -> withoutOneKey(json, aClass, random);
+            case 5 -> withoutOneKey(json, settings.getJsonObject("Permissions"), random);
+            case 6 -> changedText(json, () -> aClass.put("Deadline", -random.nextInt(2)));
+            case 7 -> changedText(json, () -> settings.getJsonObject("Permissions").put("TryLimit", -random.nextInt(2)));
+            case 8 -> changedText(json, () -> settings.put("Classes", new JsonArray()));
+            default -> changedText(json, () -> settings.put("Domain", "none"));
         };
     }
 
-    private static String text(JsonObject json, Runnable change) {
+    private static String changedText(JsonObject json, Runnable change) {
         change.run();
         return json.encode();
     }
 
-    private static String lacking(JsonObject json, JsonObject of, Random random) {
-        List<String> keys = new ArrayList<>(of.fieldNames());
-        keys.removeAll(List.of("known", "seed", "AimStretch")); // These may be missing.
-        of.remove(keys.get(random.nextInt(keys.size())));
+    private static String withoutOneKey(JsonObject json, JsonObject section, Random random) {
+        List<String> keys = new ArrayList<>(section.fieldNames());
+        keys.removeAll(List.of("known", "seed", "AimStretch")); // Optional keys.
+        section.remove(keys.get(random.nextInt(keys.size())));
         return json.encode();
     }
 
     @Property(tries = 300, seed = "7")
-    void theLastGoodFileIsInForceWholeAndClassesKeepTheirPlaces(
+    void keepsTheLastValidFileInForceAndTheIndexesOfClasses(
             @ForAll @Size(max = 12) List<@IntRange(max = 19) Integer> files, @ForAll long seed) throws Exception {
         Random random = new Random(seed);
         JsonObject example = ExampleConfig.json();
@@ -86,23 +86,23 @@
         for (int kind : files) {
             DirectorConfig before = running;
             if (kind < 10) {
-                Files.writeString(file, broken(running.source(), kind, random));
+                Files.writeString(file, invalidFile(running.source(), kind, random));
                 assertThrows(ConfigException.class, () -> before.reread(env), "kind " + kind);
                 assertSame(before, running);
                 continue;
             }
-            Files.writeString(file, good(example, random).encode());
+            Files.writeString(file, validFile(example, random).encode());
             running = running.reread(env);
-            SiteSettings was = site;
+            SiteSettings previous = site;
             site = running.site().withClassIndexesOf(site);
             assertEquals(running.site().classes().keySet(), site.classes().keySet());
             for (String name : site.classes().keySet()) {
-                Integer place = site.classes().get(name);
-                if (was.classes().containsKey(name)) {
-                    assertEquals(was.classes().get(name), place, "moved: " + name);
+                Integer index = site.classes().get(name);
+                if (previous.classes().containsKey(name)) {
+                    assertEquals(previous.classes().get(name), index, "index changed: " + name);
                 } else {
-                    // Also where it was there earlier: nothing that was learned of it then may count now.
-                    assertTrue(place >= was.router().classes().size(), "an old place for a new class: " + name);
+                    // Even if an earlier file had the class: its old statistics must not apply to the new one.
+                    assertTrue(index >= previous.router().classes().size(), "a new class has an old index: " + name);
                 }
                 assertEquals(
                         running.site()
@@ -111,13 +111,13 @@
                                 .get(running.site().classes().get(name)),
                         site.router().classes().get(site.classes().get(name)));
             }
-            List<RequestClass> all = site.router().classes();
-            for (Map.Entry<String, Integer> gone : was.classes().entrySet()) {
-                if (!site.classes().containsKey(gone.getKey())) {
+            List<RequestClass> currentClasses = site.router().classes();
+            for (Map.Entry<String, Integer> removed : previous.classes().entrySet()) {
+                if (!site.classes().containsKey(removed.getKey())) {
                     assertEquals(
-                            was.router().classes().get(gone.getValue()),
-                            all.get(gone.getValue()),
-                            "under way, and changed");
+                            previous.router().classes().get(removed.getValue()),
+                            currentClasses.get(removed.getValue()),
+                            "the class of requests in flight has changed");
                 }
             }
             assertEquals(
--- a/src/test/java/pewtercourse/config/SettingValues.java
+++ b/src/test/java/pewtercourse/config/SettingValues.java
@@ -16,9 +16,9 @@
 import java.util.TreeMap;
 
 /**
- * All values that settings hold, without the names of types and fields and without their grouping: a setting may be renamed
- * or moved into a record of its own, and the values stay. Durations count as microseconds, enums by their place. What is
- * absent and the JSON text that the settings were read from are left out.
+ * All values of a settings object, without the names of types and fields and without their grouping: renaming a setting
+ * or moving it into another record doesn't change them. Durations are compared in microseconds, enums by their ordinal.
+ * Nulls and the JSON that the settings were read from are left out.
  */
 final class SettingValues {
     private final TreeMap<String, Integer> counts = new TreeMap<>();
@@ -33,7 +33,7 @@
 
     private void addAll(Object value) {
         if (value == null || value instanceof JsonObject) {
-            return; // Nothing, or the text itself, which is kept for a comparison at a reload.
+            return; // The JSON that the settings were read from is kept for comparisons at a reload.
         }
         if (value instanceof Optional<?> optional) {
             addAll(optional.orElse(null));
@@ -81,20 +81,20 @@
         counts.merge(text, 1, Integer::sum);
     }
 
-    /** All values in the order of their texts, each as often as it occurs. */
+    /** Returns all values sorted by their texts, with duplicates. */
     List<String> sorted() {
-        List<String> all = new ArrayList<>();
-        counts.forEach((text, count) -> all.addAll(java.util.Collections.nCopies(count, text)));
-        return all;
+        List<String> texts = new ArrayList<>();
+        counts.forEach((text, count) -> texts.addAll(java.util.Collections.nCopies(count, text)));
+        return texts;
     }
 
-    /** What {@code other} has less, and what it has more. */
+    /** Returns the values that {@code other} lacks, and those that only {@code other} has. */
     String difference(SettingValues other) {
-        List<String> less = new ArrayList<>(sorted());
-        other.sorted().forEach(less::remove);
-        List<String> more = new ArrayList<>(other.sorted());
-        sorted().forEach(more::remove);
-        return less + " to " + more;
+        List<String> missing = new ArrayList<>(sorted());
+        other.sorted().forEach(missing::remove);
+        List<String> added = new ArrayList<>(other.sorted());
+        sorted().forEach(added::remove);
+        return missing + " to " + added;
     }
 
     @Override
--- a/src/test/java/pewtercourse/config/SitesConfigTest.java
+++ b/src/test/java/pewtercourse/config/SitesConfigTest.java
@@ -28,14 +28,14 @@
     }
 
     @Test
-    void theShippedFileIsRead() {
+    void readsTheShippedFile() {
         Sites shipped = SitesConfig.fromFile(Path.of("deploy/sites.json"));
 
         assertTrue(shipped.byName().size() >= 3);
     }
 
     @Test
-    void absentKeysHaveTheirDefaults() {
+    void usesDefaultsForAbsentKeys() {
         Sites sites = read(VALID);
 
         assertEquals(2, sites.byName().size());
@@ -72,7 +72,7 @@
                 "'name': 'b' | 'name': 'a b' | sites[1].name",
                 "'directors': ['d1'] | 'directors': 'd1' | sites[0].directors"
             })
-    void aKeyThatCannotBeUsedIsNamed(String part, String replacement, String key) {
+    void namesTheInvalidKey(String part, String replacement, String key) {
         String json = VALID.replace(part.trim(), replacement.trim());
 
         ConfigException e = assertThrows(ConfigException.class, () -> read(json));
@@ -99,7 +99,7 @@
                 "{'sites' | {'steps': [0.5], 'sites' | steps: do not end at 1, or are over 100",
                 "{'sites' | {'lost_after_ms': 1, 'sites' | lost_after_ms: is not from 100.0 to 60000.0"
             })
-    void aMessageTellsKeyAndReason(String part, String replacement, String message) {
+    void reportsTheKeyAndTheReason(String part, String replacement, String message) {
         String json = VALID.replace(part.trim(), replacement.trim());
 
         ConfigException e = assertThrows(ConfigException.class, () -> read(json));
@@ -109,7 +109,7 @@
 
     @ParameterizedTest
     @CsvSource({"capacity, bears", "spare_share, lends", "reserved_share, floor"})
-    void aFormerKeyIsRejectedWithItsPresentName(String present, String former) {
+    void rejectsAFormerKeyAndNamesThePresentOne(String present, String former) {
         String json = VALID.replace("'capacity': 20", "'capacity': 20, 'spare_share': 0.5, 'reserved_share': 0.5")
                 .replace("'" + present + "'", "'" + former + "'");
 
@@ -119,14 +119,14 @@
     }
 
     @Test
-    void sitesNeedACluster(@TempDir Path folder) throws IOException {
+    void rejectsSitesWithoutACluster(@TempDir Path folder) throws IOException {
         Path file = Files.createFile(folder.resolve("sites.json"));
 
         assertThrows(ConfigException.class, () -> ClusterConfig.fromEnvironment(Map.of("GW_SITES", file.toString())));
     }
 
     @Test
-    void anEmptyFileIsRejected(@TempDir Path folder) throws IOException {
+    void rejectsAnEmptyFile(@TempDir Path folder) throws IOException {
         Path file = Files.createFile(folder.resolve("sites.json"));
 
         assertThrows(ConfigException.class, () -> SitesConfig.fromFile(file));
