--- a/src/main/java/pewtercourse/config/LeaseSettingsReader.java
+++ b/src/main/java/pewtercourse/config/LeaseSettingsReader.java
@@ -27,7 +27,7 @@
      *
      * @param leaseMicros how long a lease lasts
      * @param drift       the maximum difference of two members' clock rates, as a fraction
-     * @param retryMicros delay before an order that had no effect is repeated
+     * @param retryMicros delay before a command that had no effect is repeated
      */
     static LeaseSettings read(JsonSection file, long leaseMicros, double drift, long retryMicros) {
         JsonObject leases = leases(file);
--- a/src/main/java/pewtercourse/config/SitesConfig.java
+++ b/src/main/java/pewtercourse/config/SitesConfig.java
@@ -18,8 +18,8 @@
 import pewtercourse.failover.Sites;
 
 /**
- * Reads the file that the environment variable GW_SITES names (JSON): the sites, which of them may serve which others' clients,
- * and the timing of failover. Times in the file are milliseconds.
+ * Reads the JSON file that the environment variable GW_SITES names: the sites, which of them may serve the clients of
+ * which others, and the timing of failover. Times in the file are milliseconds.
  */
 public final class SitesConfig {
     private static final Set<String> FILE_KEYS =
--- a/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
+++ b/src/test/java/pewtercourse/config/ConfigKeysCompatibilityTest.java
@@ -143,13 +143,19 @@
     }
 
     private void record(
-            JsonObject full, List<Object> path, Object value, SettingValues fullValues, Function<JsonObject, Object> read) {
+            JsonObject full,
+            List<Object> path,
+            Object value,
+            SettingValues fullValues,
+            Function<JsonObject, Object> read) {
         String text =
                 value == REMOVED ? "(removed)" : new JsonArray().add(value).encode();
         report.append(path).append(" <- ").append(text).append(": ");
         report.append(outcome(() -> {
             SettingValues changedValues = SettingValues.of(read.apply(changed(full, path, value)));
-            return changedValues.equals(fullValues) ? "as before" : "counts, values " + fullValues.difference(changedValues);
+            return changedValues.equals(fullValues)
+                    ? "as before"
+                    : "counts, values " + fullValues.difference(changedValues);
         }));
         report.append('\n');
     }
@@ -196,7 +202,9 @@
             environment.put(variable.replaceFirst("=.*", ""), variable.replaceFirst("[^=]*=", ""));
             append(variable, () -> {
                 SettingValues changedValues = SettingValues.of(DirectorConfig.fromEnvironment(environment));
-                return changedValues.equals(fullValues) ? "as before" : "counts, values " + fullValues.difference(changedValues);
+                return changedValues.equals(fullValues)
+                        ? "as before"
+                        : "counts, values " + fullValues.difference(changedValues);
             });
         }
         for (List<Object> pair : List.<List<Object>>of(
--- a/src/test/java/pewtercourse/config/DirectorConfigTest.java
+++ b/src/test/java/pewtercourse/config/DirectorConfigTest.java
@@ -44,8 +44,8 @@
         assertEquals(Map.of("A.B", "1.5", "L", "x y\u001f2", "E", "", "O.count", "1", "O.0.N", "a"), flat);
     }
 
-    // Blanks and commas were once replaced by underscores. Such a class was then unknown to its clients, and such a zone
-    // had no caches.
+    // Blanks and commas were once replaced by underscores. Such a class was then unknown to its clients, and
+    // such a zone had no caches.
     @Test
     void keepsAllCharactersOfNamesAndRejectsControlCharacters() throws Exception {
         JsonObject json = example();
@@ -142,7 +142,9 @@
             JsonObject json = example().put("limits", new JsonObject().put("sockets", sockets));
             DirectorConfig config = DirectorConfig.read(Map.of(), json);
             assertTrue(config.front().connections() > sockets / 3, "fewer than the share of clients");
-            assertTrue(config.front().connections() + config.maxCacheConnections() + 32 <= sockets, "no descriptors left for the program");
+            assertTrue(
+                    config.front().connections() + config.maxCacheConnections() + 32 <= sockets,
+                    "no descriptors left for the program");
             assertTrue(config.maxCacheConnections() > sockets / 3, "too few connections to caches");
         }
     }
--- a/src/test/java/pewtercourse/config/ReloadModelTest.java
+++ b/src/test/java/pewtercourse/config/ReloadModelTest.java
@@ -56,7 +56,8 @@
             case 4 -> withoutOneKey(json, aClass, random);
             case 5 -> withoutOneKey(json, settings.getJsonObject("Permissions"), random);
             case 6 -> changedText(json, () -> aClass.put("Deadline", -random.nextInt(2)));
-            case 7 -> changedText(json, () -> settings.getJsonObject("Permissions").put("TryLimit", -random.nextInt(2)));
+            case 7 ->
+                changedText(json, () -> settings.getJsonObject("Permissions").put("TryLimit", -random.nextInt(2)));
             case 8 -> changedText(json, () -> settings.put("Classes", new JsonArray()));
             default -> changedText(json, () -> settings.put("Domain", "none"));
         };
