--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -15,7 +15,7 @@
 import pewtercourse.front.FrontTransport;
 import pewtercourse.front.LimitedListener;
 import pewtercourse.handover.InheritedSocket;
-import pewtercourse.simulator.BenchLink;
+import pewtercourse.simulator.SimulatorConnection;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -40,8 +40,8 @@
 
     private static void benchlink() {
         try {
-            new BenchLink(System.in, System.out).run();
-        } catch (BenchLink.MalformedException e) {
+            new SimulatorConnection(System.in, System.out).run();
+        } catch (SimulatorConnection.MalformedException e) {
             System.err.println("pewtercourse: " + e.getMessage());
             System.exit(1);
         } catch (IOException e) {
--- a/src/main/java/pewtercourse/simulator/BenchLink.java
+++ b/src/main/java/pewtercourse/simulator/SimulatorConnection.java
@@ -39,7 +39,7 @@
 import pewtercourse.decision.WatchEndpoints;
 
 /** The wire of the bench: reads batches of events, hands them to the routers, writes their actions. */
-public final class BenchLink {
+public final class SimulatorConnection {
     /** A line that is not of the wire; the message names the line and the field. */
     public static final class MalformedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -70,7 +70,7 @@
     private long lineNumber;
     private String[] fields;
 
-    public BenchLink(InputStream in, OutputStream out) {
+    public SimulatorConnection(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
--- a/src/test/java/pewtercourse/simulator/BenchLinkTest.java
+++ b/src/test/java/pewtercourse/simulator/SimulatorConnectionTest.java
@@ -18,7 +18,7 @@
 import pewtercourse.decision.StartTimer;
 import pewtercourse.decision.WatchEndpoints;
 
-class BenchLinkTest {
+class SimulatorConnectionTest {
     private static final String START = "ROUND\t100\nNEW_INSTANCE\t3\t99\tClasses.count=1\tClasses.0.Name=doc"
             + "\tClasses.0.Effect=pure\tClasses.0.Aim=500.0\tClasses.0.Deadline=3000.0\tSkus=box,parent,origin"
             + "\tDomain.MidKind=1\tDomain.MasterKind=2\tDomain.ClientKbPerS=5000.0\tDomain.CanJoin=true"
@@ -28,7 +28,7 @@
 
     private static String talk(String in) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new BenchLink(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorConnection(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -56,13 +56,13 @@
     @Test
     void actionsAreWrittenAsTheWireWants() {
         StringBuilder to = new StringBuilder();
-        BenchLink.write(to, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
-        BenchLink.write(to, 3, new CancelAttempt(1, 2));
-        BenchLink.write(to, 3, new RejectRequest(1, 5));
-        BenchLink.write(to, 3, new FailRequest(1));
-        BenchLink.write(to, 3, new StartTimer("sweep", 8_912_250));
-        BenchLink.write(to, 3, new SendGossip(1, new byte[] {104, -1}));
-        BenchLink.write(to, 3, new WatchEndpoints());
+        SimulatorConnection.write(to, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
+        SimulatorConnection.write(to, 3, new CancelAttempt(1, 2));
+        SimulatorConnection.write(to, 3, new RejectRequest(1, 5));
+        SimulatorConnection.write(to, 3, new FailRequest(1));
+        SimulatorConnection.write(to, 3, new StartTimer("sweep", 8_912_250));
+        SimulatorConnection.write(to, 3, new SendGossip(1, new byte[] {104, -1}));
+        SimulatorConnection.write(to, 3, new WatchEndpoints());
         assertEquals("""
                 OBTAIN\t3\tc406fa035d3a91c4\t9\t80.250\t7\t2\t1500.000\t11
                 REVOKE\t3\t0000000000000001\t2
@@ -94,13 +94,13 @@
             })
     void aMalformedLineIsToldWithItsNumberAndField(String line, String field) {
         String in = START + "ROUND\t101\n" + line.replace('~', '\t') + "\nEOB\n";
-        Exception e = assertThrows(BenchLink.MalformedException.class, () -> talk(in));
+        Exception e = assertThrows(SimulatorConnection.MalformedException.class, () -> talk(in));
         assertTrue(e.getMessage().contains(field), e.getMessage());
         assertTrue(e.getMessage().startsWith("line 1"), e.getMessage());
     }
 
     @Test
     void inputThatEndsInsideABatchIsMalformed() {
-        assertThrows(BenchLink.MalformedException.class, () -> talk("ROUND\t1\n"));
+        assertThrows(SimulatorConnection.MalformedException.class, () -> talk("ROUND\t1\n"));
     }
 }
