--- a/src/main/java/pewtercourse/simulator/SimulatorConnection.java
+++ b/src/main/java/pewtercourse/simulator/SimulatorConnection.java
@@ -38,9 +38,12 @@
 import pewtercourse.decision.TimerFired;
 import pewtercourse.decision.WatchEndpoints;
 
-/** The wire of the bench: reads batches of events, hands them to the routers, writes their actions. */
+/**
+ * Speaks the line protocol of the simulator: reads batches of events, passes them to the routers of the simulated
+ * instances and writes the actions that the routers return. Runs on the thread that calls {@link #run}.
+ */
 public final class SimulatorConnection {
-    /** A line that is not of the wire; the message names the line and the field. */
+    /** Thrown for a line that breaks the protocol; the message names the line and the field. */
     public static final class MalformedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -49,56 +52,63 @@
         }
     }
 
-    private static final int MAX_MESSAGE_BYTES = 256;
+    private static final int MAX_GOSSIP_BYTES = 256;
 
-    /** One router and what its wire names stand for. */
-    private static final class Seat {
+    /** A simulated director: its router, its settings and the events of the current batch. */
+    private static final class Instance {
         Router router;
         SiteSettings site;
         List<RouterEvent> events = new ArrayList<>();
     }
 
-    private record Row(
-            long id, String zone, String kind, int cell, EndpointLifecycle state, double weight, long since) {}
+    /** A ROW line of a DIRECTORY message: an endpoint before an instance's settings are applied to it. */
+    private record EndpointRow(
+            long id, String zone, String kind, int cell, EndpointLifecycle lifecycle, double weight, long onlineSinceMicros) {}
 
     private final BufferedReader in;
     private final OutputStream out;
-    private final Map<Integer, Seat> seats = new HashMap<>();
-    private final Map<Integer, List<Row>> lists = new HashMap<>();
-    private final LinkedHashMap<Integer, Seat> touched = new LinkedHashMap<>();
+    private final Map<Integer, Instance> instances = new HashMap<>();
+    private final Map<Integer, List<EndpointRow>> endpointLists = new HashMap<>();
+    private final LinkedHashMap<Integer, Instance> instancesInBatch = new LinkedHashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private String[] fields;
 
+    /** Reads messages from {@code in} and writes the replies to {@code out}; closes neither. */
     public SimulatorConnection(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
 
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedException if a line breaks the protocol or the input ends inside a batch
+     */
     public void run() throws IOException {
-        long now = 0;
-        boolean open = false;
+        long nowMicros = 0;
+        boolean insideBatch = false;
         while (nextLine()) {
             String verb = fields[0];
             if (verb.isEmpty() && fields.length == 1) {
                 continue;
             }
             if (verb.equals("ROUND")) {
-                if (open) {
+                if (insideBatch) {
                     throw malformed("ROUND inside a batch");
                 }
-                open = true;
-                now = time(1, "T");
-            } else if (!open) {
+                insideBatch = true;
+                nowMicros = millisField(1, "T");
+            } else if (!insideBatch) {
                 throw malformed("'" + shown(verb) + "' outside a batch");
             } else if (verb.equals("EOB")) {
-                open = false;
-                answer(now);
+                insideBatch = false;
+                answerBatch(nowMicros);
             } else {
-                event(verb);
+                readEvent(verb);
             }
         }
-        if (open) {
+        if (insideBatch) {
             throw malformed("input ends inside a batch");
         }
     }
@@ -109,261 +119,261 @@
             return false;
         }
         lineNumber++;
-        int tabs = 0;
+        int tabCount = 0;
         for (int i = line.indexOf('\t'); i >= 0; i = line.indexOf('\t', i + 1)) {
-            tabs++;
+            tabCount++;
         }
-        fields = new String[tabs + 1];
-        int from = 0;
-        for (int i = 0; i < tabs; i++) {
-            int to = line.indexOf('\t', from);
-            fields[i] = line.substring(from, to);
-            from = to + 1;
+        fields = new String[tabCount + 1];
+        int fieldStart = 0;
+        for (int i = 0; i < tabCount; i++) {
+            int fieldEnd = line.indexOf('\t', fieldStart);
+            fields[i] = line.substring(fieldStart, fieldEnd);
+            fieldStart = fieldEnd + 1;
         }
-        fields[tabs] = line.substring(from);
+        fields[tabCount] = line.substring(fieldStart);
         return true;
     }
 
-    private void answer(long now) throws IOException {
+    private void answerBatch(long nowMicros) throws IOException {
         reply.setLength(0);
-        for (Map.Entry<Integer, Seat> e : touched.entrySet()) {
-            Seat seat = e.getValue();
-            if (seat.router == null) {
+        for (Map.Entry<Integer, Instance> entry : instancesInBatch.entrySet()) {
+            Instance instance = entry.getValue();
+            if (instance.router == null) {
                 continue;
             }
-            for (RouterAction a : seat.router.handle(now, seat.events)) {
-                write(reply, e.getKey(), a);
+            for (RouterAction action : instance.router.handle(nowMicros, instance.events)) {
+                write(reply, entry.getKey(), action);
             }
-            seat.events = new ArrayList<>();
+            instance.events = new ArrayList<>();
         }
-        touched.clear();
+        instancesInBatch.clear();
         reply.append("EOR\n");
         out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
     }
 
-    private void event(String verb) throws IOException {
+    private void readEvent(String verb) throws IOException {
         switch (verb) {
-            case "NEW_INSTANCE" -> start();
-            case "DIRECTORY" -> list();
+            case "NEW_INSTANCE" -> startInstance();
+            case "DIRECTORY" -> readDirectory();
             case "PEERS_KNOWN" -> {
-                Seat seat = seat();
+                Instance instance = instance();
                 EndpointUpdateKind kind = switch (text(4, "Mode")) {
                     case "diff" -> EndpointUpdateKind.DELTA;
                     case "snapshot" -> EndpointUpdateKind.SNAPSHOT;
                     case "disk" -> EndpointUpdateKind.CACHED;
                     case "error" -> EndpointUpdateKind.FAILED;
-                    default -> throw malformed("field Mode: '" + shown(fields[4]) + "' is no kind of list");
+                    default -> throw malformed("field Mode: '" + shown(fields[4]) + "' is none of diff, snapshot, disk, error");
                 };
-                List<Endpoint> members = new ArrayList<>();
+                List<Endpoint> endpoints = new ArrayList<>();
                 if (kind != EndpointUpdateKind.FAILED) {
-                    List<Row> rows = lists.get((int) whole(2, "SetId"));
+                    List<EndpointRow> rows = endpointLists.get((int) integer(2, "SetId"));
                     if (rows == null) {
-                        throw malformed("field SetId: no such list");
+                        throw malformed("field SetId: no DIRECTORY was sent with the id " + fields[2]);
                     }
-                    for (Row r : rows) {
-                        members.add(member(seat, r));
+                    for (EndpointRow row : rows) {
+                        endpoints.add(toEndpoint(instance, row));
                     }
                 }
-                seat.events.add(new EndpointsChanged(kind, members));
+                instance.events.add(new EndpointsChanged(kind, endpoints));
             }
             case "NEW_REQUEST" -> {
-                Seat seat = seat();
-                Integer cls = seat.site.classes().get(text(3, "Profile"));
-                if (cls == null) {
+                Instance instance = instance();
+                Integer requestClass = instance.site.classes().get(text(3, "Profile"));
+                if (requestClass == null) {
                     throw malformed("field Profile: '" + shown(fields[3]) + "' is not in the settings");
                 }
-                int bits = (int) optional(10, "StateBits");
-                seat.events.add(new RequestArrived(
-                        request(2),
-                        cls,
+                int stateBits = (int) optionalNumber(10, "StateBits");
+                instance.events.add(new RequestArrived(
+                        requestId(2),
+                        requestClass,
                         text(5, "Object"),
-                        (int) optional(9, "Part"),
-                        (int) optional(8, "LabelNo"),
-                        optional(7, "LengthKb"),
-                        time(6, "Expires"),
-                        (bits & 2) != 0,
-                        (bits & 4) != 0));
+                        (int) optionalNumber(9, "Part"),
+                        (int) optionalNumber(8, "LabelNo"),
+                        optionalNumber(7, "LengthKb"),
+                        millisField(6, "Expires"),
+                        (stateBits & 2) != 0,
+                        (stateBits & 4) != 0));
             }
-            case "REMINDER" -> seat().events.add(new TimerFired(text(2, "Handle")));
-            case "HEAD_RECEIVED" -> seat().events.add(new StreamStarted(request(2), (int) whole(3, "Trial")));
+            case "REMINDER" -> instance().events.add(new TimerFired(text(2, "Handle")));
+            case "HEAD_RECEIVED" -> instance().events.add(new StreamStarted(requestId(2), (int) integer(3, "Trial")));
             case "RESULT" -> {
-                AttemptOutcome ending = ending(text(5, "Reason"));
-                int note = (int) optional(8, "Remark");
-                CacheStatus[] notes = CacheStatus.values();
-                seat().events
+                AttemptOutcome outcome = parseOutcome(text(5, "Reason"));
+                int remark = (int) optionalNumber(8, "Remark");
+                CacheStatus[] cacheStatuses = CacheStatus.values();
+                instance().events
                         .add(new AttemptFinished(
-                                request(2),
-                                (int) whole(3, "Trial"),
-                                whole(4, "Node"),
-                                ending,
-                                time(6, "Latency"),
-                                bool(7, "Last"),
-                                note > 0 && note < notes.length ? notes[note] : CacheStatus.UNKNOWN));
+                                requestId(2),
+                                (int) integer(3, "Trial"),
+                                integer(4, "Node"),
+                                outcome,
+                                millisField(6, "Latency"),
+                                flag(7, "Last"),
+                                remark > 0 && remark < cacheStatuses.length ? cacheStatuses[remark] : CacheStatus.UNKNOWN));
             }
             case "INVALIDATED" ->
-                seat().events
+                instance().events
                         .add(new ContentPurged(
                                 absent(2) ? null : fields[2],
-                                (int) optional(3, "BatchId"),
-                                micros(optional(4, "Age"))));
+                                (int) optionalNumber(3, "BatchId"),
+                                toMicros(optionalNumber(4, "Age"))));
             case "RETIRE" -> {
-                seat();
-                int i = (int) whole(1, "I");
-                seats.remove(i);
-                touched.remove(i);
+                instance();
+                int instanceNumber = (int) integer(1, "I");
+                instances.remove(instanceNumber);
+                instancesInBatch.remove(instanceNumber);
             }
-            case "MESSAGE" -> seat().events.add(new GossipReceived((int) whole(2, "OriginPeer"), bytes(3)));
-            case "LEFT" -> seat().events.add(new ClientDisconnected(request(2)));
-            case "HEALTH_RESULT" -> seat();
-            default -> throw malformed("'" + shown(verb) + "' is no message of the wire");
+            case "MESSAGE" -> instance().events.add(new GossipReceived((int) integer(2, "OriginPeer"), hexBytes(3)));
+            case "LEFT" -> instance().events.add(new ClientDisconnected(requestId(2)));
+            case "HEALTH_RESULT" -> instance();
+            default -> throw malformed("'" + shown(verb) + "' is no message of the protocol");
         }
     }
 
-    private void list() throws IOException {
-        int id = (int) whole(1, "SetId");
-        long n = whole(2, "NodesList");
-        List<Row> rows = new ArrayList<>();
-        for (long i = 0; i < n; i++) {
+    private void readDirectory() throws IOException {
+        int id = (int) integer(1, "SetId");
+        long rowCount = integer(2, "NodesList");
+        List<EndpointRow> rows = new ArrayList<>();
+        for (long i = 0; i < rowCount; i++) {
             if (!nextLine() || !fields[0].equals("ROW")) {
-                throw malformed("field NodesList: " + n + " ROW lines announced, " + i + " found");
+                throw malformed("field NodesList: " + rowCount + " ROW lines announced, " + i + " found");
             }
-            EndpointLifecycle state = switch (text(5, "Lifecycle")) {
+            EndpointLifecycle lifecycle = switch (text(5, "Lifecycle")) {
                 case "Ready" -> EndpointLifecycle.READY;
                 case "Terminating" -> EndpointLifecycle.DRAINING;
                 case "Gone" -> EndpointLifecycle.GONE;
-                default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is no state");
+                default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is none of Ready, Terminating, Gone");
             };
-            rows.add(new Row(
-                    whole(1, "Node"),
+            rows.add(new EndpointRow(
+                    integer(1, "Node"),
                     text(2, "Campus"),
                     text(3, "Kind"),
-                    (int) optional(4, "Cluster"),
-                    state,
-                    optional(6, "Weight"),
-                    micros(optional(7, "OnlineSince"))));
+                    (int) optionalNumber(4, "Cluster"),
+                    lifecycle,
+                    optionalNumber(6, "Weight"),
+                    toMicros(optionalNumber(7, "OnlineSince"))));
         }
-        lists.put(id, rows);
+        endpointLists.put(id, rows);
     }
 
-    private static Endpoint member(Seat seat, Row r) {
-        return seat.site.member(r.id, r.zone, r.kind, r.cell, r.state, r.weight, r.since);
+    private static Endpoint toEndpoint(Instance instance, EndpointRow row) {
+        return instance.site.member(row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
     }
 
-    private void start() {
-        int i = (int) whole(1, "I");
-        long seed = whole(2, "Salt");
-        Map<String, String> info = new HashMap<>();
-        for (int f = 3; f < fields.length; f++) {
-            int eq = fields[f].indexOf('=');
-            if (eq <= 0) {
-                throw malformed("field Info: '" + shown(fields[f]) + "' is not path=value");
+    private void startInstance() {
+        int instanceNumber = (int) integer(1, "I");
+        long seed = integer(2, "Salt");
+        Map<String, String> settings = new HashMap<>();
+        for (int index = 3; index < fields.length; index++) {
+            int equalsSign = fields[index].indexOf('=');
+            if (equalsSign <= 0) {
+                throw malformed("field Info: '" + shown(fields[index]) + "' is not path=value");
             }
-            info.put(fields[f].substring(0, eq), fields[f].substring(eq + 1));
+            settings.put(fields[index].substring(0, equalsSign), fields[index].substring(equalsSign + 1));
         }
-        Seat seat = new Seat();
+        Instance instance = new Instance();
         try {
-            seat.site = SiteSettings.read(info);
+            instance.site = SiteSettings.read(settings);
         } catch (ConfigException e) {
             throw malformed("field " + e.getMessage());
         }
-        seat.router = new RoutingEngine(seat.site.router(), seed);
-        seats.put(i, seat);
-        touched.remove(i);
-        touched.put(i, seat);
+        instance.router = new RoutingEngine(instance.site.router(), seed);
+        instances.put(instanceNumber, instance);
+        instancesInBatch.remove(instanceNumber);
+        instancesInBatch.put(instanceNumber, instance);
     }
 
-    private Seat seat() {
-        int i = (int) whole(1, "I");
-        Seat seat = seats.get(i);
-        if (seat == null) {
-            throw malformed("field I: no instance " + i);
+    private Instance instance() {
+        int instanceNumber = (int) integer(1, "I");
+        Instance instance = instances.get(instanceNumber);
+        if (instance == null) {
+            throw malformed("field I: no instance " + instanceNumber);
         }
-        touched.putIfAbsent(i, seat);
-        return seat;
+        instancesInBatch.putIfAbsent(instanceNumber, instance);
+        return instance;
     }
 
-    private boolean absent(int f) {
-        return f >= fields.length || fields[f].isEmpty() || fields[f].equals("-");
+    private boolean absent(int index) {
+        return index >= fields.length || fields[index].isEmpty() || fields[index].equals("-");
     }
 
-    private String text(int f, String name) {
-        if (absent(f)) {
+    private String text(int index, String name) {
+        if (absent(index)) {
             throw malformed("field " + name + " is missing");
         }
-        return fields[f];
+        return fields[index];
     }
 
-    private double parse(String v, String name) {
+    private double parseNumber(String value, String name) {
         try {
-            double d = Double.parseDouble(v);
-            if (Double.isFinite(d)) {
-                return d;
+            double number = Double.parseDouble(value);
+            if (Double.isFinite(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // Reported below.
         }
-        throw malformed("field " + name + ": '" + shown(v) + "' is not a number");
+        throw malformed("field " + name + ": '" + shown(value) + "' is not a number");
     }
 
-    private double optional(int f, String name) {
-        return absent(f) ? 0 : parse(fields[f], name);
+    private double optionalNumber(int index, String name) {
+        return absent(index) ? 0 : parseNumber(fields[index], name);
     }
 
-    private long whole(int f, String name) {
-        String v = text(f, name);
+    private long integer(int index, String name) {
+        String value = text(index, name);
         try {
-            return Long.parseLong(v);
+            return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed("field " + name + ": '" + shown(v) + "' is not a whole number");
+            throw malformed("field " + name + ": '" + shown(value) + "' is not a whole number");
         }
     }
 
-    private long time(int f, String name) {
-        return micros(parse(text(f, name), name));
+    private long millisField(int index, String name) {
+        return toMicros(parseNumber(text(index, name), name));
     }
 
-    private static long micros(double ms) {
+    private static long toMicros(double ms) {
         return Math.round(ms * 1000);
     }
 
-    private boolean bool(int f, String name) {
-        String v = text(f, name);
-        if (!v.equals("0") && !v.equals("1")) {
-            throw malformed("field " + name + ": '" + shown(v) + "' is neither 1 nor 0");
+    private boolean flag(int index, String name) {
+        String value = text(index, name);
+        if (!value.equals("0") && !value.equals("1")) {
+            throw malformed("field " + name + ": '" + shown(value) + "' is neither 1 nor 0");
         }
-        return v.equals("1");
+        return value.equals("1");
     }
 
-    private long request(int f) {
-        String v = text(f, "Xid");
+    private long requestId(int index) {
+        String value = text(index, "Xid");
         try {
-            if (v.length() == 16) {
-                return Long.parseUnsignedLong(v, 16);
+            if (value.length() == 16) {
+                return Long.parseUnsignedLong(value, 16);
             }
         } catch (NumberFormatException e) {
-            // told below
+            // Reported below.
         }
-        throw malformed("field Xid: '" + shown(v) + "' is not 16 hex digits");
+        throw malformed("field Xid: '" + shown(value) + "' is not 16 hex digits");
     }
 
-    private byte[] bytes(int f) {
-        if (absent(f)) {
+    private byte[] hexBytes(int index) {
+        if (absent(index)) {
             return new byte[0];
         }
-        String v = fields[f];
-        byte[] b = new byte[v.length() / 2];
-        for (int i = 0; i < v.length(); i++) {
-            int digit = Character.digit(v.charAt(i), 16);
-            if (digit < 0 || v.length() % 2 != 0) {
+        String value = fields[index];
+        byte[] decoded = new byte[value.length() / 2];
+        for (int i = 0; i < value.length(); i++) {
+            int digit = Character.digit(value.charAt(i), 16);
+            if (digit < 0 || value.length() % 2 != 0) {
                 throw malformed("field Content: not hex digits");
             }
-            b[i / 2] = (byte) (b[i / 2] << 4 | digit);
+            decoded[i / 2] = (byte) (decoded[i / 2] << 4 | digit);
         }
-        return b;
+        return decoded;
     }
 
-    private AttemptOutcome ending(String reason) {
+    private AttemptOutcome parseOutcome(String reason) {
         return switch (reason) {
             case "ok" -> AttemptOutcome.OK;
             case "error" -> AttemptOutcome.ERROR;
@@ -374,74 +384,75 @@
             case "cancelled" -> AttemptOutcome.CANCELLED;
             case "moot" -> AttemptOutcome.SUPERSEDED;
             case "miss" -> AttemptOutcome.MISS;
-            default -> throw malformed("field Reason: '" + shown(reason) + "' is no outcome");
+            default -> throw malformed("field Reason: '" + shown(reason) + "' is no known outcome");
         };
     }
 
-    private MalformedException malformed(String what) {
-        return new MalformedException("line " + lineNumber + ": " + what);
+    private MalformedException malformed(String problem) {
+        return new MalformedException("line " + lineNumber + ": " + problem);
     }
 
-    private static String shown(String v) {
-        return v.length() <= 40 ? v : v.substring(0, 40) + "...";
+    private static String shown(String value) {
+        return value.length() <= 40 ? value : value.substring(0, 40) + "...";
     }
 
-    static void write(StringBuilder to, int instance, RouterAction action) {
-        if (action instanceof SendAttempt s) {
-            head(to, "OBTAIN", instance);
-            hex(to, s.requestId());
-            to.append('\t').append(s.endpointId()).append('\t');
-            millis(to, s.timeout());
-            to.append('\t')
-                    .append(s.fillSourceId())
+    /** Appends the line of one action. */
+    static void write(StringBuilder out, int instance, RouterAction action) {
+        if (action instanceof SendAttempt send) {
+            startLine(out, "OBTAIN", instance);
+            appendHex(out, send.requestId());
+            out.append('\t').append(send.endpointId()).append('\t');
+            appendMillis(out, send.timeout());
+            out.append('\t')
+                    .append(send.fillSourceId())
                     .append('\t')
-                    .append(s.retentionRank())
+                    .append(send.retentionRank())
                     .append('\t');
-            millis(to, s.maxAge());
-            int mode = (s.coalesce() ? 1 : 0) + (s.onlyIfCached() ? 2 : 0) + (s.refreshInBackground() ? 8 : 0);
-            to.append('\t').append(mode);
-        } else if (action instanceof CancelAttempt c) {
-            head(to, "REVOKE", instance);
-            hex(to, c.requestId());
-            to.append('\t').append(c.attempt());
-        } else if (action instanceof RejectRequest r) {
-            head(to, "SAY_NO", instance);
-            hex(to, r.requestId());
-            to.append('\t');
-            millis(to, r.retryAfter());
-        } else if (action instanceof FailRequest f) {
-            head(to, "FAIL", instance);
-            hex(to, f.requestId());
-        } else if (action instanceof StartTimer t) {
-            head(to, "DEFER", instance).append(t.name()).append('\t');
-            millis(to, t.dueAt());
-        } else if (action instanceof SendGossip t) {
-            if (t.payload().length > MAX_MESSAGE_BYTES) {
-                throw new IllegalArgumentException("message of " + t.payload().length + " bytes");
+            appendMillis(out, send.maxAge());
+            int mode = (send.coalesce() ? 1 : 0) + (send.onlyIfCached() ? 2 : 0) + (send.refreshInBackground() ? 8 : 0);
+            out.append('\t').append(mode);
+        } else if (action instanceof CancelAttempt cancel) {
+            startLine(out, "REVOKE", instance);
+            appendHex(out, cancel.requestId());
+            out.append('\t').append(cancel.attempt());
+        } else if (action instanceof RejectRequest reject) {
+            startLine(out, "SAY_NO", instance);
+            appendHex(out, reject.requestId());
+            out.append('\t');
+            appendMillis(out, reject.retryAfter());
+        } else if (action instanceof FailRequest fail) {
+            startLine(out, "FAIL", instance);
+            appendHex(out, fail.requestId());
+        } else if (action instanceof StartTimer timer) {
+            startLine(out, "DEFER", instance).append(timer.name()).append('\t');
+            appendMillis(out, timer.dueAt());
+        } else if (action instanceof SendGossip gossip) {
+            if (gossip.payload().length > MAX_GOSSIP_BYTES) {
+                throw new IllegalArgumentException("gossip payload has " + gossip.payload().length + " bytes, the maximum is " + MAX_GOSSIP_BYTES);
             }
-            head(to, "NOTIFY", instance).append(t.router()).append('\t');
-            for (byte b : t.payload()) {
-                to.append(Character.forDigit(b >> 4 & 15, 16)).append(Character.forDigit(b & 15, 16));
+            startLine(out, "NOTIFY", instance).append(gossip.router()).append('\t');
+            for (byte octet : gossip.payload()) {
+                out.append(Character.forDigit(octet >> 4 & 15, 16)).append(Character.forDigit(octet & 15, 16));
             }
         } else if (action instanceof WatchEndpoints) {
-            head(to, "OBSERVE", instance).append('1');
+            startLine(out, "OBSERVE", instance).append('1');
         }
-        to.append('\n');
+        out.append('\n');
     }
 
-    private static StringBuilder head(StringBuilder to, String verb, int instance) {
-        return to.append(verb).append('\t').append(instance).append('\t');
+    private static StringBuilder startLine(StringBuilder out, String verb, int instance) {
+        return out.append(verb).append('\t').append(instance).append('\t');
     }
 
-    private static void hex(StringBuilder to, long id) {
+    private static void appendHex(StringBuilder out, long id) {
         for (int shift = 60; shift >= 0; shift -= 4) {
-            to.append(Character.forDigit((int) (id >>> shift & 15), 16));
+            out.append(Character.forDigit((int) (id >>> shift & 15), 16));
         }
     }
 
-    private static void millis(StringBuilder to, long us) {
-        to.append(us / 1000).append('.');
-        long rest = us % 1000;
-        to.append(rest / 100).append(rest / 10 % 10).append(rest % 10);
+    private static void appendMillis(StringBuilder out, long micros) {
+        out.append(micros / 1000).append('.');
+        long fractionMicros = micros % 1000;
+        out.append(fractionMicros / 100).append(fractionMicros / 10 % 10).append(fractionMicros % 10);
     }
 }
--- a/src/main/java/pewtercourse/simulator/package-info.java
+++ b/src/main/java/pewtercourse/simulator/package-info.java
@@ -1,2 +1,2 @@
-/** Hosts the decisions on the wire of the simulator. */
+/** Runs the routing engine behind the line protocol of the simulator. */
 package pewtercourse.simulator;
--- a/src/test/java/pewtercourse/simulator/SimulatorConnectionTest.java
+++ b/src/test/java/pewtercourse/simulator/SimulatorConnectionTest.java
@@ -26,20 +26,20 @@
             + "DIRECTORY\t0\t3\nROW\t5\tedge\tbox\t0\tReady\t1\t-\textra\nROW\t6\thub\tparent\t0\tReady\t1\t-\n"
             + "ROW\t7\thub\torigin\t0\tReady\t1\t-\nPEERS_KNOWN\t3\t0\t1\tdisk\nEOB\n";
 
-    private static String talk(String in) throws Exception {
+    private static String exchange(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorConnection(new ByteArrayInputStream(in.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorConnection(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void anEmptyBatchIsAnswered() throws Exception {
-        assertEquals("EOR\n", talk("ROUND\t8412.25\nEOB\n"));
+    void answersAnEmptyBatch() throws Exception {
+        assertEquals("EOR\n", exchange("ROUND\t8412.25\nEOB\n"));
     }
 
     @Test
-    void aRequestIsSentOnAndItsOutcomeTakenIn() throws Exception {
-        String out = talk(
+    void sendsAnAttemptForARequestAndAcceptsItsOutcome() throws Exception {
+        String out = exchange(
                 START + "ROUND\t101.5\nNEW_REQUEST\t3\tc406fa035d3a91c4\tdoc\t-\tc/k\t3000.25\t640\t11\t3\t1\n"
                         + "EOB\nROUND\t130\nRESULT\t3\tc406fa035d3a91c4\t0\t5\tok\t18.5\t1\t2\t9.4\t7,0.4,1.25\t-\nEOB\n");
         assertTrue(out.contains("OBTAIN\t3\tc406fa035d3a91c4\t5\t"), out);
@@ -48,21 +48,21 @@
     }
 
     @Test
-    void aRetiredInstanceIsSilentAndMayStartAgain() throws Exception {
-        assertEquals("EOR\n", talk(START + "ROUND\t101\nRETIRE\t3\nEOB\n").split("(?<=EOR\n)")[1]);
-        assertTrue(talk(START + "ROUND\t101\nRETIRE\t3\n" + START.substring(10)).contains("DEFER\t3\tsweep"));
+    void aRetiredInstanceSendsNothingAndCanBeStartedAgain() throws Exception {
+        assertEquals("EOR\n", exchange(START + "ROUND\t101\nRETIRE\t3\nEOB\n").split("(?<=EOR\n)")[1]);
+        assertTrue(exchange(START + "ROUND\t101\nRETIRE\t3\n" + START.substring(10)).contains("DEFER\t3\tsweep"));
     }
 
     @Test
-    void actionsAreWrittenAsTheWireWants() {
-        StringBuilder to = new StringBuilder();
-        SimulatorConnection.write(to, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
-        SimulatorConnection.write(to, 3, new CancelAttempt(1, 2));
-        SimulatorConnection.write(to, 3, new RejectRequest(1, 5));
-        SimulatorConnection.write(to, 3, new FailRequest(1));
-        SimulatorConnection.write(to, 3, new StartTimer("sweep", 8_912_250));
-        SimulatorConnection.write(to, 3, new SendGossip(1, new byte[] {104, -1}));
-        SimulatorConnection.write(to, 3, new WatchEndpoints());
+    void writesEachActionInTheFormatOfTheProtocol() {
+        StringBuilder lines = new StringBuilder();
+        SimulatorConnection.write(lines, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
+        SimulatorConnection.write(lines, 3, new CancelAttempt(1, 2));
+        SimulatorConnection.write(lines, 3, new RejectRequest(1, 5));
+        SimulatorConnection.write(lines, 3, new FailRequest(1));
+        SimulatorConnection.write(lines, 3, new StartTimer("sweep", 8_912_250));
+        SimulatorConnection.write(lines, 3, new SendGossip(1, new byte[] {104, -1}));
+        SimulatorConnection.write(lines, 3, new WatchEndpoints());
         assertEquals("""
                 OBTAIN\t3\tc406fa035d3a91c4\t9\t80.250\t7\t2\t1500.000\t11
                 REVOKE\t3\t0000000000000001\t2
@@ -71,7 +71,7 @@
                 DEFER\t3\tsweep\t8912.250
                 NOTIFY\t3\t1\t68ff
                 OBSERVE\t3\t1
-                """, to.toString());
+                """, lines.toString());
     }
 
     @ParameterizedTest
@@ -92,15 +92,15 @@
                 "NONSENSE~3 | no message",
                 "ROUND~5 | inside a batch"
             })
-    void aMalformedLineIsToldWithItsNumberAndField(String line, String field) {
-        String in = START + "ROUND\t101\n" + line.replace('~', '\t') + "\nEOB\n";
-        Exception e = assertThrows(SimulatorConnection.MalformedException.class, () -> talk(in));
-        assertTrue(e.getMessage().contains(field), e.getMessage());
-        assertTrue(e.getMessage().startsWith("line 1"), e.getMessage());
+    void reportsAMalformedLineWithItsNumberAndField(String line, String expectedText) {
+        String input = START + "ROUND\t101\n" + line.replace('~', '\t') + "\nEOB\n";
+        Exception error = assertThrows(SimulatorConnection.MalformedException.class, () -> exchange(input));
+        assertTrue(error.getMessage().contains(expectedText), error.getMessage());
+        assertTrue(error.getMessage().startsWith("line 1"), error.getMessage());
     }
 
     @Test
-    void inputThatEndsInsideABatchIsMalformed() {
-        assertThrows(SimulatorConnection.MalformedException.class, () -> talk("ROUND\t1\n"));
+    void rejectsInputThatEndsInsideABatch() {
+        assertThrows(SimulatorConnection.MalformedException.class, () -> exchange("ROUND\t1\n"));
     }
 }
