--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -23,7 +23,7 @@
     private final Vertx vertx;
     private final String site;
     private final Catalogue catalogue;
-    private final Findings findings;
+    private final EmulationResults results;
     private final Random random;
     private final List<String> directors; // In the order in which they are asked.
     private final Map<String, ArrayDeque<FastCgiClient>> idle = new HashMap<>();
@@ -38,14 +38,14 @@
             long seed,
             int objects,
             double perSecond,
-            Findings findings) {
+            EmulationResults results) {
         this.vertx = vertx;
         this.site = site;
         this.directors = directors;
         this.catalogue = new Catalogue(seed, objects);
         this.random = new Random(seed);
         this.perSecond = perSecond;
-        this.findings = findings;
+        this.results = results;
     }
 
     void start() {
@@ -72,7 +72,7 @@
 
     private void send(Catalogue.Pick p, int tried) {
         if (tried >= directors.size()) {
-            Findings.Tally none = findings.tally(site, p.cls().name());
+            EmulationResults.Tally none = results.tally(site, p.cls().name());
             none.asked++;
             none.failed++;
             none.worth += p.cls().worth();
@@ -104,7 +104,7 @@
 
     private void asked(Catalogue.Pick p, FastCgiClient c, String at) {
         long from = EmulatedCache.now();
-        Findings.Tally t = findings.tally(site, p.cls().name());
+        EmulationResults.Tally t = results.tally(site, p.cls().name());
         t.asked++;
         t.worth += p.cls().worth();
         open++;
@@ -130,7 +130,7 @@
             ended[0] = true;
             open--;
             t.lost++;
-            findings.broken("a request of " + site + " by " + at + " got no answer in its time");
+            results.broken("a request of " + site + " by " + at + " got no answer in its time");
             connections--;
             c.close();
         });
@@ -152,7 +152,7 @@
         });
     }
 
-    private static void count(Findings.Tally t, Catalogue.Pick p, Buffer answer, double ms) {
+    private static void count(EmulationResults.Tally t, Catalogue.Pick p, Buffer answer, double ms) {
         String status = new String(answer.getBytes(0, Math.min(16, answer.length())), StandardCharsets.US_ASCII);
         if (status.startsWith("Status: 200")) {
             boolean inTime = ms <= p.cls().aimMs() + p.cls().stretch() * p.sizeKb() / Catalogue.KB_PER_MS;
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -20,20 +20,20 @@
     final CacheModel model;
     private final Vertx vertx;
     private final UpstreamModel upstream;
-    private final Findings findings;
+    private final EmulationResults results;
     private final Set<HttpConnection> connections = new HashSet<>();
     private HttpServer server;
     private int port, life;
     private double slow = 1;
     long drainingSince = Long.MAX_VALUE; // Microseconds: from then it should get nothing new.
 
-    EmulatedCache(Vertx vertx, String name, String site, CacheModel model, UpstreamModel upstream, Findings findings) {
+    EmulatedCache(Vertx vertx, String name, String site, CacheModel model, UpstreamModel upstream, EmulationResults results) {
         this.vertx = vertx;
         this.name = name;
         this.site = site;
         this.model = model;
         this.upstream = upstream;
-        this.findings = findings;
+        this.results = results;
     }
 
     Future<Void> listen() {
@@ -83,11 +83,11 @@
         String[] path = r.path().split("/");
         Catalogue.RequestClass cls = path.length == 5 ? Catalogue.named(path[2]) : null;
         if (cls == null) {
-            findings.broken("a request that no cache knows: " + r.path());
+            results.broken("a request that no cache knows: " + r.path());
             r.response().setStatusCode(400).end();
             return;
         }
-        findings.attempt(this, now);
+        results.attempt(this, now);
         String object = path[3];
         double kb = Catalogue.sizeKb(cls, object);
         long work = (long) (kb / Catalogue.KB_PER_MS * 1_000);
@@ -111,9 +111,9 @@
     private void serve(HttpServerRequest r, Catalogue.RequestClass cls, String object, double kb, CacheModel.Answer a) {
         boolean hit = a.verdict() == CacheModel.Verdict.HIT;
         if (cls.through()) {
-            findings.ran(r.getHeader("Request-Id"));
+            results.ran(r.getHeader("Request-Id"));
         } else if (hit) {
-            findings.copyServed(object, a.bornAt(), now());
+            results.copyServed(object, a.bornAt(), now());
         }
         UpstreamModel.Fill fill = hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), cls.through());
         long takes = Math.max(1, Math.round(slow * (a.takes() + (hit ? 0 : fill.takes())) / 1_000));
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -39,7 +39,7 @@
     private final Map<String, EmulatedFeed> feeds =
             new TreeMap<>(); // One for each site's directors, so that they may differ.
     private final Map<String, Clients> clients = new TreeMap<>();
-    private final Findings findings = new Findings();
+    private final EmulationResults results = new EmulationResults();
     private long seq = 1;
 
     public Emulation(List<SiteSpec> specs, long seed) throws Exception {
@@ -60,7 +60,7 @@
                             s.name(),
                             new CacheModel(new CacheModel.Settings(s.bears(), 2.5, 400, 0.23, WARMS_IN, 2, TIP_AFTER)),
                             upstream,
-                            findings);
+                            results);
                     up.add(c.listen());
                     of.add(c);
                 }
@@ -71,7 +71,7 @@
                 clients.put(
                         s.name(),
                         new Clients(
-                                vertx, s.name(), s.directors(), seed * 31 + number, OBJECTS, s.perSecond(), findings));
+                                vertx, s.name(), s.directors(), seed * 31 + number, OBJECTS, s.perSecond(), results));
             }
             return null;
         });
@@ -289,8 +289,8 @@
     }
 
     /** What was seen so far; {@code look} runs on the event loop. */
-    public <T> T findings(java.util.function.Function<Findings, T> look) {
-        return on(() -> look.apply(findings));
+    public <T> T results(java.util.function.Function<EmulationResults, T> look) {
+        return on(() -> look.apply(results));
     }
 
     @Override
--- a/src/main/java/pewtercourse/emulator/Findings.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /** What an emulated site saw, counted, and the rules that were broken. On the emulator's event loop. */
-public final class Findings {
+public final class EmulationResults {
     private static final int BROKEN_MOST = 100;
     // Drains and purges as the rules have them, each limit longer by what sockets take.
     private static final long DRAIN = 550_000, PURGE = 1_050_000;
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -129,10 +129,10 @@
             for (int i = 0; i < 100 && e.open() > 0; i++) {
                 Thread.sleep(100);
             }
-            out.print(e.findings(Findings::text));
+            out.print(e.results(EmulationResults::text));
             int falls = sites.stream().mapToInt(s -> e.falls(s.name())).sum();
             out.println("cold caches that fell: " + falls);
-            return falls == 0 && e.findings(f -> f.broken().isEmpty());
+            return falls == 0 && e.results(f -> f.broken().isEmpty());
         }
     }
 
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.emulator.Emulation;
-import pewtercourse.emulator.Findings;
+import pewtercourse.emulator.EmulationResults;
 
 /**
  * Three sites with a director each, as processes of the program, a relay on each link between them, emulated caches and
@@ -118,14 +118,14 @@
             // What a director that stands still has taken it can't answer.
             assertEquals(
                     List.of(),
-                    emulation.findings(Findings::broken).stream()
+                    emulation.results(EmulationResults::broken).stream()
                             .filter(broken -> stoppedHolder == null
                                     || !broken.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
                 assertEquals(0, emulation.falls("s" + member.number), "cold caches that fell at s" + member.number);
             }
-            assertTrue(emulation.findings(Findings::runs) > 0, "no order ran");
+            assertTrue(emulation.results(EmulationResults::runs) > 0, "no order ran");
         } finally {
             emulation.close();
             cluster.close();
@@ -153,7 +153,7 @@
     }
 
     private int answeredInTime(String site) {
-        return emulation.findings(f -> f.of(site).inTime);
+        return emulation.results(f -> f.of(site).inTime);
     }
 
     // Some more of a site's requests are answered in time.
@@ -165,7 +165,7 @@
     @Test
     void aSiteThatLostItsCachesIsServedByOthersAndRecoversByItself() throws Exception {
         awaitServed(LOST);
-        int own = emulation.findings(f -> f.attempts(LOST));
+        int own = emulation.results(f -> f.attempts(LOST));
         assertTrue(own > 0);
         emulation.lose(LOST);
         awaitPhase("lost", cluster.members);
@@ -177,9 +177,9 @@
         awaitServed(LOST);
         emulation.revive(LOST);
         awaitPhase("whole", cluster.members);
-        int before = emulation.findings(f -> f.attempts(LOST));
+        int before = emulation.results(f -> f.attempts(LOST));
         awaitServed(LOST);
-        assertTrue(emulation.findings(f -> f.attempts(LOST)) > before, "by its own caches again");
+        assertTrue(emulation.results(f -> f.attempts(LOST)) > before, "by its own caches again");
         assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "step by step");
     }
 
