--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -72,7 +72,7 @@
 
     private void send(Catalogue.Pick p, int tried) {
         if (tried >= directors.size()) {
-            EmulationResults.Tally none = results.tally(site, p.cls().name());
+            EmulationResults.RequestCounts none = results.tally(site, p.cls().name());
             none.asked++;
             none.failed++;
             none.worth += p.cls().worth();
@@ -104,7 +104,7 @@
 
     private void asked(Catalogue.Pick p, FastCgiClient c, String at) {
         long from = EmulatedCache.now();
-        EmulationResults.Tally t = results.tally(site, p.cls().name());
+        EmulationResults.RequestCounts t = results.tally(site, p.cls().name());
         t.asked++;
         t.worth += p.cls().worth();
         open++;
@@ -152,7 +152,7 @@
         });
     }
 
-    private static void count(EmulationResults.Tally t, Catalogue.Pick p, Buffer answer, double ms) {
+    private static void count(EmulationResults.RequestCounts t, Catalogue.Pick p, Buffer answer, double ms) {
         String status = new String(answer.getBytes(0, Math.min(16, answer.length())), StandardCharsets.US_ASCII);
         if (status.startsWith("Status: 200")) {
             boolean inTime = ms <= p.cls().aimMs() + p.cls().stretch() * p.sizeKb() / Catalogue.KB_PER_MS;
--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -14,7 +14,7 @@
     private static final long DRAIN = 550_000, PURGE = 1_050_000;
 
     /** Clients' requests of one class at one site. */
-    public static final class Tally {
+    public static final class RequestCounts {
         public int asked, inTime, late, refused, failed, lost;
         public double worth, worthInTime;
 
@@ -23,7 +23,7 @@
             return worth == 0 ? 1 : worthInTime / worth;
         }
 
-        void add(Tally o) {
+        void add(RequestCounts o) {
             asked += o.asked;
             inTime += o.inTime;
             late += o.late;
@@ -38,7 +38,7 @@
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Integer> runs = new HashMap<>();
     private final Map<String, Long> purgedAt = new HashMap<>();
-    private final Map<String, Map<String, Tally>> tallies = new TreeMap<>(); // By site, by class.
+    private final Map<String, Map<String, RequestCounts>> tallies = new TreeMap<>(); // By site, by class.
     private final Map<String, Integer> attempts = new LinkedHashMap<>(); // By site.
 
     void broken(String what) {
@@ -72,13 +72,13 @@
         }
     }
 
-    Tally tally(String site, String cls) {
-        return tallies.computeIfAbsent(site, s -> new TreeMap<>()).computeIfAbsent(cls, c -> new Tally());
+    RequestCounts tally(String site, String cls) {
+        return tallies.computeIfAbsent(site, s -> new TreeMap<>()).computeIfAbsent(cls, c -> new RequestCounts());
     }
 
     /** All classes of a site together. */
-    public Tally of(String site) {
-        Tally all = new Tally();
+    public RequestCounts of(String site) {
+        RequestCounts all = new RequestCounts();
         tallies.getOrDefault(site, Map.of()).values().forEach(all::add);
         return all;
     }
