--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -130,7 +130,7 @@
             ended[0] = true;
             open--;
             t.lost++;
-            results.broken("a request of " + site + " by " + at + " got no answer in its time");
+            results.recordViolation("a request of " + site + " by " + at + " got no answer in its time");
             connections--;
             c.close();
         });
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -83,7 +83,7 @@
         String[] path = r.path().split("/");
         Catalogue.RequestClass cls = path.length == 5 ? Catalogue.named(path[2]) : null;
         if (cls == null) {
-            results.broken("a request that no cache knows: " + r.path());
+            results.recordViolation("a request that no cache knows: " + r.path());
             r.response().setStatusCode(400).end();
             return;
         }
