--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What an emulated site saw, counted, and the rules that were broken. On the emulator's event loop. */
+/** What an emulated site saw, counted, and the rules that were violations. On the emulator's event loop. */
 public final class EmulationResults {
     private static final int BROKEN_MOST = 100;
     // Drains and purges as the rules have them, each limit longer by what sockets take.
@@ -35,29 +35,29 @@
         }
     }
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> runs = new HashMap<>();
     private final Map<String, Long> purgedAt = new HashMap<>();
     private final Map<String, Map<String, RequestCounts>> tallies = new TreeMap<>(); // By site, by class.
     private final Map<String, Integer> attempts = new LinkedHashMap<>(); // By site.
 
-    void broken(String what) {
-        if (broken.size() < BROKEN_MOST) {
-            broken.add(what);
+    void recordViolation(String violation) {
+        if (violations.size() < BROKEN_MOST) {
+            violations.add(violation);
         }
     }
 
     void attempt(EmulatedCache c, long now) {
         attempts.merge(c.site, 1, Integer::sum);
         if (now - c.drainingSince > DRAIN) {
-            broken("an attempt at " + c.name + " " + (now - c.drainingSince) / 1_000 + " ms after it began to drain");
+            recordViolation("an attempt at " + c.name + " " + (now - c.drainingSince) / 1_000 + " ms after it began to drain");
         }
     }
 
     /** An order ran at the origin. */
     void ran(String id) {
         if (runs.merge(id, 1, Integer::sum) > 1) {
-            broken("order " + id + " ran twice");
+            recordViolation("order " + id + " ran twice");
         }
     }
 
@@ -68,7 +68,7 @@
     void copyServed(String object, long bornAt, long askedAt) {
         Long purge = purgedAt.get(object);
         if (purge != null && bornAt < purge && askedAt > purge + PURGE) {
-            broken("a copy of " + object + " from before its purge, " + (askedAt - purge) / 1_000 + " ms after it");
+            recordViolation("a copy of " + object + " from before its purge, " + (askedAt - purge) / 1_000 + " ms after it");
         }
     }
 
@@ -94,8 +94,8 @@
     }
 
     /** Rules that were broken, in words; empty if none was. */
-    public List<String> broken() {
-        return List.copyOf(broken);
+    public List<String> violations() {
+        return List.copyOf(violations);
     }
 
     /** A table of what clients got. */
@@ -105,7 +105,7 @@
         tallies.forEach((site, classes) -> classes.forEach((cls, x) -> t.append(String.format(
                 "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
                 site, cls, x.asked, x.inTime, x.late, x.refused, x.failed, x.lost, 100 * x.share()))));
-        broken.forEach(b -> t.append("RULE BROKEN: ").append(b).append('\n'));
-        return t.append(broken.isEmpty() ? "rules kept\n" : "").toString();
+        violations.forEach(b -> t.append("RULE BROKEN: ").append(b).append('\n'));
+        return t.append(violations.isEmpty() ? "rules kept\n" : "").toString();
     }
 }
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -132,7 +132,7 @@
             out.print(e.results(EmulationResults::text));
             int falls = sites.stream().mapToInt(s -> e.falls(s.name())).sum();
             out.println("cold caches that fell: " + falls);
-            return falls == 0 && e.results(f -> f.broken().isEmpty());
+            return falls == 0 && e.results(f -> f.violations().isEmpty());
         }
     }
 
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -118,9 +118,9 @@
             // What a director that stands still has taken it can't answer.
             assertEquals(
                     List.of(),
-                    emulation.results(EmulationResults::broken).stream()
-                            .filter(broken -> stoppedHolder == null
-                                    || !broken.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
+                    emulation.results(EmulationResults::violations).stream()
+                            .filter(violations -> stoppedHolder == null
+                                    || !violations.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
                 assertEquals(0, emulation.falls("s" + member.number), "cold caches that fell at s" + member.number);
