--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -77,7 +77,7 @@
     }
 
     /** All classes of a site together. */
-    public RequestCounts of(String site) {
+    public RequestCounts siteCounts(String site) {
         RequestCounts all = new RequestCounts();
         tallies.getOrDefault(site, Map.of()).values().forEach(all::add);
         return all;
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -153,7 +153,7 @@
     }
 
     private int answeredInTime(String site) {
-        return emulation.results(f -> f.of(site).inTime);
+        return emulation.results(f -> f.siteCounts(site).inTime);
     }
 
     // Some more of a site's requests are answered in time.
