--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -84,7 +84,7 @@
     }
 
     /** Attempts that came to a site's caches. */
-    public int attempts(String site) {
+    public int attemptCount(String site) {
         return attempts.getOrDefault(site, 0);
     }
 
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -165,7 +165,7 @@
     @Test
     void aSiteThatLostItsCachesIsServedByOthersAndRecoversByItself() throws Exception {
         awaitServed(LOST);
-        int own = emulation.results(f -> f.attempts(LOST));
+        int own = emulation.results(f -> f.attemptCount(LOST));
         assertTrue(own > 0);
         emulation.lose(LOST);
         awaitPhase("lost", cluster.members);
@@ -177,9 +177,9 @@
         awaitServed(LOST);
         emulation.revive(LOST);
         awaitPhase("whole", cluster.members);
-        int before = emulation.results(f -> f.attempts(LOST));
+        int before = emulation.results(f -> f.attemptCount(LOST));
         awaitServed(LOST);
-        assertTrue(emulation.results(f -> f.attempts(LOST)) > before, "by its own caches again");
+        assertTrue(emulation.results(f -> f.attemptCount(LOST)) > before, "by its own caches again");
         assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "step by step");
     }
 
