--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -237,7 +237,7 @@
     }
 
     /** All caches of a site end at once; the list tells of it later, by {@link #list}. */
-    public void lose(String site) {
+    public void killCaches(String site) {
         on(() -> {
             caches.get(site).forEach(EmulatedCache::kill);
             return null;
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -118,7 +118,7 @@
                 sleepUntil(began, f.atS());
                 out.printf("%6.1f s  %s %s%n", f.atS(), f.what(), f.site());
                 switch (f.what()) {
-                    case "lose" -> e.lose(f.site());
+                    case "lose" -> e.killCaches(f.site());
                     case "revive" -> e.revive(f.site());
                     case "list" -> e.list(f.site(), f.health());
                     default -> e.slow(f.site(), f.times());
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -167,7 +167,7 @@
         awaitServed(LOST);
         int own = emulation.results(f -> f.attemptCount(LOST));
         assertTrue(own > 0);
-        emulation.lose(LOST);
+        emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         awaitEverywhere(
                 "its directors live",
@@ -199,7 +199,7 @@
             return cluster.leaseHolder("sites", List.of(firstMember)) != null;
         });
         firstMember.kill();
-        emulation.lose(LOST);
+        emulation.killCaches(LOST);
         List<MemberProcess> rest = cluster.except(firstMember);
         emulation.list(LOST, "Gone");
         awaitPhase("lost", rest);
@@ -214,7 +214,7 @@
 
     @Test
     void aHolderStoppedDuringRecoveryIsFollowedByOneThatGoesOnFromTheCommittedStep() throws Exception {
-        emulation.lose(LOST);
+        emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         emulation.list(LOST, "Gone");
         emulation.revive(LOST);
@@ -247,7 +247,7 @@
         awaitServed(LOST);
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         // What is lost while it is cut off it hears of later.
-        emulation.lose("s1");
+        emulation.killCaches("s1");
         await("declared", () -> rest.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         cluster.healLinks();
@@ -261,12 +261,12 @@
 
     @Test
     void aRecoveryThatRelapsesWaitsLongerEachTime() throws Exception {
-        emulation.lose(LOST);
+        emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         for (int flaps = 1; flaps <= 2; flaps++) {
             emulation.revive(LOST);
             awaitPhase("returning", cluster.members);
-            emulation.lose(LOST);
+            emulation.killCaches(LOST);
             int least = flaps;
             awaitEverywhere(
                     "lost again",
@@ -288,10 +288,10 @@
         emulation.slow("s2", 1);
         assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
         emulation.list(LOST, "Ready", "s1");
-        emulation.lose(LOST);
+        emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         awaitServed(LOST);
-        emulation.lose("s1");
+        emulation.killCaches("s1");
         await("both are lost", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         awaitEverywhere(
                 "planned anew",
