--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -245,7 +245,7 @@
     }
 
     /** They start again, cold and empty, and the list tells. */
-    public void revive(String site) throws Exception {
+    public void restartCaches(String site) throws Exception {
         List<Future<Void>> up =
                 on(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
         for (Future<Void> f : up) {
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -119,7 +119,7 @@
                 out.printf("%6.1f s  %s %s%n", f.atS(), f.what(), f.site());
                 switch (f.what()) {
                     case "lose" -> e.killCaches(f.site());
-                    case "revive" -> e.revive(f.site());
+                    case "revive" -> e.restartCaches(f.site());
                     case "list" -> e.list(f.site(), f.health());
                     default -> e.slow(f.site(), f.times());
                 }
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -175,7 +175,7 @@
                 status -> status.getString("health").equals("caches"));
         emulation.list(LOST, "Gone");
         awaitServed(LOST);
-        emulation.revive(LOST);
+        emulation.restartCaches(LOST);
         awaitPhase("whole", cluster.members);
         int before = emulation.results(f -> f.attemptCount(LOST));
         awaitServed(LOST);
@@ -207,7 +207,7 @@
                 "with its directors", rest, status -> status.getString("health").equals("all"));
         awaitServed(LOST); // Its clients go to other directors.
         firstMember.start();
-        emulation.revive(LOST);
+        emulation.restartCaches(LOST);
         awaitPhase("whole", cluster.members);
         awaitServed(LOST);
     }
@@ -217,7 +217,7 @@
         emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         emulation.list(LOST, "Gone");
-        emulation.revive(LOST);
+        emulation.restartCaches(LOST);
         awaitPhase("returning", cluster.members);
         MemberProcess holder = cluster.awaitLeaseHolder("sites", cluster.members);
         stoppedHolder = holder;
@@ -252,7 +252,7 @@
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         cluster.healLinks();
         await("heard", () -> isInPhase(firstMember, "s1", "lost"));
-        emulation.revive("s1");
+        emulation.restartCaches("s1");
         await(
                 "whole",
                 () -> cluster.members.stream()
@@ -264,7 +264,7 @@
         emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         for (int flaps = 1; flaps <= 2; flaps++) {
-            emulation.revive(LOST);
+            emulation.restartCaches(LOST);
             awaitPhase("returning", cluster.members);
             emulation.killCaches(LOST);
             int least = flaps;
@@ -274,7 +274,7 @@
                     status -> status.getString("phase").equals("lost") && status.getInteger("flaps") >= least);
             awaitServed(LOST);
         }
-        emulation.revive(LOST);
+        emulation.restartCaches(LOST);
         awaitPhase("whole", cluster.members);
     }
 
@@ -303,8 +303,8 @@
                                 .equals("s2"));
         awaitServed(LOST);
         awaitServed("s2");
-        emulation.revive(LOST);
-        emulation.revive("s1");
+        emulation.restartCaches(LOST);
+        emulation.restartCaches("s1");
         awaitPhase("whole", cluster.members);
         await("whole", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "whole")));
     }
