--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -236,7 +236,7 @@
         return on(() -> clients.values().stream().mapToInt(Clients::open).sum());
     }
 
-    /** All caches of a site end at once; the list tells of it later, by {@link #list}. */
+    /** All caches of a site end at once; the list tells of it later, by {@link #publishHealth}. */
     public void killCaches(String site) {
         on(() -> {
             caches.get(site).forEach(EmulatedCache::kill);
@@ -251,11 +251,11 @@
         for (Future<Void> f : up) {
             f.toCompletionStage().toCompletableFuture().get(WAIT_S, TimeUnit.SECONDS);
         }
-        list(site, "Ready");
+        publishHealth(site, "Ready");
     }
 
     /** The list tells of all caches of a site: Ready, Terminating or Gone, to the directors of all sites or only of some. */
-    public void list(String site, String health, String... to) {
+    public void publishHealth(String site, String health, String... to) {
         on(() -> {
             List<JsonObject> hosts = new ArrayList<>();
             caches.get(site).forEach(c -> {
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -120,7 +120,7 @@
                 switch (f.what()) {
                     case "lose" -> e.killCaches(f.site());
                     case "revive" -> e.restartCaches(f.site());
-                    case "list" -> e.list(f.site(), f.health());
+                    case "list" -> e.publishHealth(f.site(), f.health());
                     default -> e.slow(f.site(), f.times());
                 }
             }
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -173,7 +173,7 @@
                 "its directors live",
                 cluster.members,
                 status -> status.getString("health").equals("caches"));
-        emulation.list(LOST, "Gone");
+        emulation.publishHealth(LOST, "Gone");
         awaitServed(LOST);
         emulation.restartCaches(LOST);
         awaitPhase("whole", cluster.members);
@@ -201,7 +201,7 @@
         firstMember.kill();
         emulation.killCaches(LOST);
         List<MemberProcess> rest = cluster.except(firstMember);
-        emulation.list(LOST, "Gone");
+        emulation.publishHealth(LOST, "Gone");
         awaitPhase("lost", rest);
         awaitEverywhere(
                 "with its directors", rest, status -> status.getString("health").equals("all"));
@@ -216,7 +216,7 @@
     void aHolderStoppedDuringRecoveryIsFollowedByOneThatGoesOnFromTheCommittedStep() throws Exception {
         emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
-        emulation.list(LOST, "Gone");
+        emulation.publishHealth(LOST, "Gone");
         emulation.restartCaches(LOST);
         awaitPhase("returning", cluster.members);
         MemberProcess holder = cluster.awaitLeaseHolder("sites", cluster.members);
@@ -280,14 +280,14 @@
 
     @Test
     void oneEmptyListOrSlowAnswersAreNoLossAndALostTakerIsReplaced() throws Exception {
-        emulation.list(LOST, "Gone", "s1"); // Only its director hears so.
+        emulation.publishHealth(LOST, "Gone", "s1"); // Only its director hears so.
         emulation.slow("s2", 12);
         await(
                 "seen as slow or well, not as lost",
                 () -> cluster.members.get(1).site("s2").getString("health").equals("slow"));
         emulation.slow("s2", 1);
         assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
-        emulation.list(LOST, "Ready", "s1");
+        emulation.publishHealth(LOST, "Ready", "s1");
         emulation.killCaches(LOST);
         awaitPhase("lost", cluster.members);
         awaitServed(LOST);
