--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -276,7 +276,7 @@
     }
 
     /** Answers of a site's caches take so many times as long. */
-    public void slow(String site, double times) {
+    public void slowDownCaches(String site, double times) {
         on(() -> {
             caches.get(site).forEach(c -> c.slow(times));
             return null;
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -121,7 +121,7 @@
                     case "lose" -> e.killCaches(f.site());
                     case "revive" -> e.restartCaches(f.site());
                     case "list" -> e.publishHealth(f.site(), f.health());
-                    default -> e.slow(f.site(), f.times());
+                    default -> e.slowDownCaches(f.site(), f.times());
                 }
             }
             sleepUntil(began, seconds);
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -281,11 +281,11 @@
     @Test
     void oneEmptyListOrSlowAnswersAreNoLossAndALostTakerIsReplaced() throws Exception {
         emulation.publishHealth(LOST, "Gone", "s1"); // Only its director hears so.
-        emulation.slow("s2", 12);
+        emulation.slowDownCaches("s2", 12);
         await(
                 "seen as slow or well, not as lost",
                 () -> cluster.members.get(1).site("s2").getString("health").equals("slow"));
-        emulation.slow("s2", 1);
+        emulation.slowDownCaches("s2", 1);
         assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
         emulation.publishHealth(LOST, "Ready", "s1");
         emulation.killCaches(LOST);
