--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -284,7 +284,7 @@
     }
 
     /** Cold caches of a site that fell. */
-    public int falls(String site) {
+    public int coldOverloadCount(String site) {
         return on(() -> caches.get(site).stream().mapToInt(c -> c.model.falls()).sum());
     }
 
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -130,7 +130,7 @@
                 Thread.sleep(100);
             }
             out.print(e.results(EmulationResults::text));
-            int falls = sites.stream().mapToInt(s -> e.falls(s.name())).sum();
+            int falls = sites.stream().mapToInt(s -> e.coldOverloadCount(s.name())).sum();
             out.println("cold caches that fell: " + falls);
             return falls == 0 && e.results(f -> f.violations().isEmpty());
         }
