--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -57,7 +57,7 @@
     }
 
     /** Requests that have no answer yet. */
-    int open() {
+    int openRequestCount() {
         return open;
     }
 
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -232,8 +232,8 @@
     }
 
     /** Clients' requests without an answer yet. */
-    public int open() {
-        return on(() -> clients.values().stream().mapToInt(Clients::open).sum());
+    public int openRequestCount() {
+        return on(() -> clients.values().stream().mapToInt(Clients::openRequestCount).sum());
     }
 
     /** All caches of a site end at once; the list tells of it later, by {@link #publishHealth}. */
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -126,7 +126,7 @@
             }
             sleepUntil(began, seconds);
             e.endClients();
-            for (int i = 0; i < 100 && e.open() > 0; i++) {
+            for (int i = 0; i < 100 && e.openRequestCount() > 0; i++) {
                 Thread.sleep(100);
             }
             out.print(e.results(EmulationResults::text));
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -114,7 +114,7 @@
     void closeSitesAndCheckLog() throws Exception {
         try {
             emulation.endClients();
-            await("all have their answers", () -> emulation.open() == 0);
+            await("all have their answers", () -> emulation.openRequestCount() == 0);
             // What a director that stands still has taken it can't answer.
             assertEquals(
                     List.of(),
