--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -52,7 +52,7 @@
         ask();
     }
 
-    void end() {
+    void stop() {
         over = true;
     }
 
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -224,9 +224,9 @@
         });
     }
 
-    public void endClients() {
+    public void stopClients() {
         on(() -> {
-            clients.values().forEach(Clients::end);
+            clients.values().forEach(Clients::stop);
             return null;
         });
     }
@@ -295,7 +295,7 @@
 
     @Override
     public void close() {
-        endClients();
+        stopClients();
         vertx.close();
     }
 }
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -125,7 +125,7 @@
                 }
             }
             sleepUntil(began, seconds);
-            e.endClients();
+            e.stopClients();
             for (int i = 0; i < 100 && e.openRequestCount() > 0; i++) {
                 Thread.sleep(100);
             }
--- a/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
+++ b/src/test/java/pewtercourse/cluster/OperatorInterfaceCompatibilityTest.java
@@ -71,7 +71,7 @@
     @AfterEach
     void stop() throws Exception {
         if (emulation != null) {
-            emulation.endClients();
+            emulation.stopClients();
             emulation.close();
         }
         cluster.close();
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -113,7 +113,7 @@
     @AfterEach
     void closeSitesAndCheckLog() throws Exception {
         try {
-            emulation.endClients();
+            emulation.stopClients();
             await("all have their answers", () -> emulation.openRequestCount() == 0);
             // What a director that stands still has taken it can't answer.
             assertEquals(
