--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -23,7 +23,7 @@
             double bears, double queue, int copies, double coldFrom, long warmsIn, double multiple, long tipAfter) {}
 
     /** What becomes of a request at a modelled cache. */
-    public enum Verdict {
+    public enum Outcome {
         HIT,
         FILL,
         MISS,
@@ -32,7 +32,7 @@
     }
 
     /** {@code takes}: until its answer has been sent, the fill not counted. */
-    public record Answer(Verdict verdict, long takes, long bornAt) {}
+    public record Answer(Outcome outcome, long takes, long bornAt) {}
 
     private static final class Copy {
         int rank;
@@ -102,20 +102,20 @@
      */
     public Answer ask(long now, long object, long work, boolean fills, int keep, long oldest) {
         if (!up()) {
-            return new Answer(Verdict.DOWN, 0, 0);
+            return new Answer(Outcome.DOWN, 0, 0);
         }
         double bears = set.bears() * warmth(now);
         press(now, work, bears);
         if (fallen) {
-            return new Answer(Verdict.DOWN, 0, 0);
+            return new Answer(Outcome.DOWN, 0, 0);
         }
         if (out >= set.queue() * bears) {
-            return new Answer(Verdict.FULL, 0, 0);
+            return new Answer(Outcome.FULL, 0, 0);
         }
         Copy c = copies.get(object);
         boolean hit = c != null && (oldest == 0 || now - c.bornAt <= oldest);
         if (!hit && !fills) {
-            return new Answer(Verdict.MISS, 0, 0);
+            return new Answer(Outcome.MISS, 0, 0);
         }
         out++;
         long takes = (long) (work * Math.max(1, out / bears));
@@ -126,7 +126,7 @@
         } else if (keep > 0) {
             keep(object, keep, now);
         }
-        return new Answer(hit ? Verdict.HIT : Verdict.FILL, takes, born);
+        return new Answer(hit ? Outcome.HIT : Outcome.FILL, takes, born);
     }
 
     private void press(long now, long work, double bears) {
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -99,7 +99,7 @@
                 r.getHeader("X-Fill-From") != null,
                 cls.through() ? 0 : keep,
                 number(r.getHeader("X-Max-Age-Ms")) * 1_000L);
-        switch (a.verdict()) {
+        switch (a.outcome()) {
             case DOWN -> r.connection().close();
             case FULL ->
                 r.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
@@ -109,7 +109,7 @@
     }
 
     private void serve(HttpServerRequest r, Catalogue.RequestClass cls, String object, double kb, CacheModel.Answer a) {
-        boolean hit = a.verdict() == CacheModel.Verdict.HIT;
+        boolean hit = a.outcome() == CacheModel.Outcome.HIT;
         if (cls.through()) {
             results.ran(r.getHeader("Request-Id"));
         } else if (hit) {
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -345,7 +345,7 @@
             boolean unreached = cutFrom.contains(site * 100 + c.site);
             boolean fills = s.fillSourceId() != s.endpointId();
             CacheModel.Answer a = unreached
-                    ? new CacheModel.Answer(CacheModel.Verdict.DOWN, 0, 0)
+                    ? new CacheModel.Answer(CacheModel.Outcome.DOWN, 0, 0)
                     : c.model.ask(
                             now,
                             q.object,
@@ -357,7 +357,7 @@
             int cacheLife = c.life;
             long slow = slowSite == c.site ? 3 : 1;
             long until = s.timeout() > 0 ? Math.min(q.expires - 40 * MS, now + s.timeout()) : q.expires - 40 * MS;
-            switch (a.verdict()) {
+            switch (a.outcome()) {
                 case DOWN ->
                     ended(
                             desk,
@@ -374,7 +374,7 @@
                     if (CLASSES[q.cls].uncacheable()) {
                         q.effects++;
                     }
-                    boolean fill = a.verdict() == CacheModel.Verdict.FILL;
+                    boolean fill = a.outcome() == CacheModel.Outcome.FILL;
                     UpstreamModel.Fill up =
                             fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].uncacheable()) : null;
                     long filling = fill ? up.takes() + q.work / 3 : 0;
