--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -100,7 +100,7 @@
      * {@code oldest}: the oldest copy that will do, 0 for any. Whatever it is given, also what it turns away, adds to the
      * pressure. What it takes on is out until {@link #done}.
      */
-    public Answer ask(long now, long object, long work, boolean fills, int keep, long oldest) {
+    public Answer handleRequest(long now, long object, long work, boolean fills, int keep, long oldest) {
         if (!up()) {
             return new Answer(Outcome.DOWN, 0, 0);
         }
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -92,7 +92,7 @@
         double kb = Catalogue.sizeKb(cls, object);
         long work = (long) (kb / Catalogue.KB_PER_MS * 1_000);
         int keep = number(r.getHeader("X-Keep"));
-        CacheModel.Answer a = model.ask(
+        CacheModel.Answer a = model.handleRequest(
                 now,
                 Long.parseUnsignedLong(object, 16),
                 work,
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -346,7 +346,7 @@
             boolean fills = s.fillSourceId() != s.endpointId();
             CacheModel.Answer a = unreached
                     ? new CacheModel.Answer(CacheModel.Outcome.DOWN, 0, 0)
-                    : c.model.ask(
+                    : c.model.handleRequest(
                             now,
                             q.object,
                             q.work,
