--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -98,7 +98,7 @@
     /**
      * A request. {@code fills}: what it lacks may be filled; {@code keep}: the rank at which it is kept, 0 for not at all;
      * {@code oldest}: the oldest copy that will do, 0 for any. Whatever it is given, also what it turns away, adds to the
-     * pressure. What it takes on is out until {@link #done}.
+     * pressure. What it takes on is out until {@link #endTransfer}.
      */
     public Answer handleRequest(long now, long object, long work, boolean fills, int keep, long oldest) {
         if (!up()) {
@@ -182,7 +182,7 @@
     }
 
     /** One that it had taken on has ended. */
-    public void done() {
+    public void endTransfer() {
         out = Math.max(0, out - 1);
     }
 }
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -125,7 +125,7 @@
             if (life != mine) {
                 return;
             }
-            model.done();
+            model.endTransfer();
             if (!r.response().closed()) {
                 r.response()
                         .putHeader("ETag", object)
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -381,7 +381,7 @@
                     long at = now + slow * (a.takes() + filling) + (c.site == site ? 0 : 8 * MS);
                     at(Math.min(at, until), () -> {
                         if (c.life == cacheLife) {
-                            c.model.done();
+                            c.model.endTransfer();
                         }
                         if (fill) {
                             upstream[c.site].end(up);
