--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -177,7 +177,7 @@
     }
 
     /** Copies from before this are void. */
-    public void voidAll() {
+    public void discardCopies() {
         copies.clear();
     }
 
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -768,7 +768,7 @@
             }
             case COPIES_VOID -> {
                 lose(0, LOST_AT, BACK_AT, false);
-                at(BACK_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.voidAll()));
+                at(BACK_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.discardCopies()));
             }
             case SCAN, OVERSIZED -> lose(0, LOST_AT, BACK_AT, false);
             case LIST_SHRINKS -> {
