--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -70,7 +70,7 @@
         out = 0;
     }
 
-    public boolean up() {
+    public boolean isUp() {
         return up && !fallen;
     }
 
@@ -101,7 +101,7 @@
      * pressure. What it takes on is out until {@link #endTransfer}.
      */
     public Answer handleRequest(long now, long object, long work, boolean fills, int keep, long oldest) {
-        if (!up()) {
+        if (!isUp()) {
             return new Answer(Outcome.DOWN, 0, 0);
         }
         double bears = set.bears() * warmth(now);
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -353,7 +353,7 @@
                             fills,
                             desk == home ? s.retentionRank() : Math.min(1, s.retentionRank()),
                             s.maxAge());
-            boolean silent = unreached || c.model.up() == false && vanished.contains(c.site);
+            boolean silent = unreached || c.model.isUp() == false && vanished.contains(c.site);
             int cacheLife = c.life;
             long slow = slowSite == c.site ? 3 : 1;
             long until = s.timeout() > 0 ? Math.min(q.expires - 40 * MS, now + s.timeout()) : q.expires - 40 * MS;
@@ -673,7 +673,7 @@
                 boolean lost = o.phase() == SiteStatus.Phase.LOST;
                 boolean dead = caches.stream()
                         .filter(c -> siteName(c.site).equals(o.site()))
-                        .noneMatch(c -> c.model.up());
+                        .noneMatch(c -> c.model.isUp());
                 if (lost && declaredAt < 0) {
                     declaredAt = now;
                 }
@@ -827,7 +827,7 @@
     }
 
     private void list(int site, boolean ready) {
-        boolean alive = caches.stream().anyMatch(c -> c.site == site && c.model.up());
+        boolean alive = caches.stream().anyMatch(c -> c.site == site && c.model.isUp());
         if (alive != ready) {
             return; // It came back, or went, before the list told.
         }
