--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -75,7 +75,7 @@
     }
 
     /** How often it fell. */
-    public int falls() {
+    public int coldOverloadCount() {
         return falls;
     }
 
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -285,7 +285,7 @@
 
     /** Cold caches of a site that fell. */
     public int coldOverloadCount(String site) {
-        return on(() -> caches.get(site).stream().mapToInt(c -> c.model.falls()).sum());
+        return on(() -> caches.get(site).stream().mapToInt(c -> c.model.coldOverloadCount()).sum());
     }
 
     /** What was seen so far; {@code look} runs on the event loop. */
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -860,8 +860,8 @@
         return this;
     }
 
-    int falls() {
-        return caches.stream().mapToInt(c -> c.model.falls()).sum();
+    int coldOverloadCount() {
+        return caches.stream().mapToInt(c -> c.model.coldOverloadCount()).sum();
     }
 
     int effectsTwice() {
