--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -32,7 +32,7 @@
     }
 
     /** {@code takes}: until its answer has been sent, the fill not counted. */
-    public record Answer(Outcome outcome, long takes, long bornAt) {}
+    public record Answer(Outcome outcome, long durationMicros, long bornAtMicros) {}
 
     private static final class Copy {
         int rank;
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -113,10 +113,10 @@
         if (cls.through()) {
             results.ran(r.getHeader("Request-Id"));
         } else if (hit) {
-            results.copyServed(object, a.bornAt(), now());
+            results.copyServed(object, a.bornAtMicros(), now());
         }
         UpstreamModel.Fill fill = hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), cls.through());
-        long takes = Math.max(1, Math.round(slow * (a.takes() + (hit ? 0 : fill.takes())) / 1_000));
+        long takes = Math.max(1, Math.round(slow * (a.durationMicros() + (hit ? 0 : fill.durationMicros())) / 1_000));
         int mine = life;
         vertx.setTimer(takes, t -> {
             if (fill != null) {
@@ -130,7 +130,7 @@
                 r.response()
                         .putHeader("ETag", object)
                         .putHeader(
-                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - a.bornAt()) / 1_000))
+                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - a.bornAtMicros()) / 1_000))
                         .putHeader("Outcome", hit ? "mem" : "parent")
                         .putHeader("Load-Report", "inflight:" + model.out() + ";x0:0.5")
                         .end(Buffer.buffer(new byte[(int) Math.min(200_000, Math.max(1, kb * BYTES_PER_KB))]));
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -17,7 +17,7 @@
     public record Settings(double link, double holds, long parent, long origin, double bears) {}
 
     /** A fill: how long it takes, and whether the origin was asked. */
-    public record Fill(long takes, boolean fromOrigin) {}
+    public record Fill(long durationMicros, boolean fromOrigin) {}
 
     private final Settings set;
     private int fills, asked;
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -377,8 +377,8 @@
                     boolean fill = a.outcome() == CacheModel.Outcome.FILL;
                     UpstreamModel.Fill up =
                             fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].uncacheable()) : null;
-                    long filling = fill ? up.takes() + q.work / 3 : 0;
-                    long at = now + slow * (a.takes() + filling) + (c.site == site ? 0 : 8 * MS);
+                    long filling = fill ? up.durationMicros() + q.work / 3 : 0;
+                    long at = now + slow * (a.durationMicros() + filling) + (c.site == site ? 0 : 8 * MS);
                     at(Math.min(at, until), () -> {
                         if (c.life == cacheLife) {
                             c.model.endTransfer();
