--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -6,23 +6,25 @@
 import java.util.Map;
 
 /**
- * One cache, without sockets: what it can do at once, its warm-up after a start, its fall when it is overloaded cold, what it
- * turns away, and its copies with their ranks and ages. Times in microseconds, work as the time that one transfer takes
- * alone.
+ * Models one cache without sockets: its concurrency, its warm-up after a start, its collapse when it is overloaded while
+ * cold, the requests that it rejects, and its copies with their ranks and ages. Times are in microseconds; the work of a
+ * transfer is the time that it takes when no other transfer runs. Not thread-safe.
  */
 public final class CacheModel {
     /**
-     * @param bears    transfers at once, warm
-     * @param queue    over so many times what it bears now, it turns away
-     * @param copies   how many objects it keeps
-     * @param coldFrom share of {@code bears} with which it starts
-     * @param warmsIn  how long until it is warm, in a line
-     * @param multiple over so many times what it bears now, asked for during {@code tipAfter}, it falls while cold
+     * @param capacity transfers that a warm cache runs at the same time at full speed
+     * @param queueFactor multiple of the present capacity from which the cache rejects requests
+     * @param maxCopies number of objects that the cache stores
+     * @param coldShare share of {@code capacity} that a cold cache starts with
+     * @param warmUpMicros time until the cache is warm; its capacity grows linearly until then
+     * @param collapseFactor multiple of the present capacity; a cold cache collapses if the requests that arrive during
+     *     {@code collapseWindowMicros} exceed it
+     * @param collapseWindowMicros time over which the load of a cold cache is measured; 0 if it never collapses
      */
     public record Settings(
-            double bears, double queue, int copies, double coldFrom, long warmsIn, double multiple, long tipAfter) {}
+            double capacity, double queueFactor, int maxCopies, double coldShare, long warmUpMicros, double collapseFactor, long collapseWindowMicros) {}
 
-    /** What becomes of a request at a modelled cache. */
+    /** The result of a request at a modelled cache. */
     public enum Outcome {
         HIT,
         FILL,
@@ -31,7 +33,7 @@
         DOWN
     }
 
-    /** {@code takes}: until its answer has been sent, the fill not counted. */
+    /** A cache's answer; {@code durationMicros} is the time until the answer has been sent, without the fill. */
     public record Answer(Outcome outcome, long durationMicros, long bornAtMicros) {}
 
     private static final class Copy {
@@ -39,150 +41,162 @@
         long bornAt;
     }
 
-    private final Settings set;
+    private final Settings settings;
     private final Map<Long, Copy> copies = new LinkedHashMap<>(64, 0.75f, true);
-    private final ArrayDeque<double[]> asked = new ArrayDeque<>(); // While cold: when, and how much work.
-    private double askedSum;
+    private final ArrayDeque<double[]> recentRequests =
+            new ArrayDeque<>(); // While cold: the time and the work of each request.
+    private double recentWork;
     private long startedAt = Long.MIN_VALUE;
-    private boolean up = true, fallen;
-    private int falls, out;
+    private boolean processRunning = true;
+    private boolean collapsed;
+    private int coldOverloadCount;
+    private int transfersInFlight;
 
-    /** Warm and empty. */
-    public CacheModel(Settings set) {
-        this.set = set;
+    /** Creates a warm cache without copies. */
+    public CacheModel(Settings settings) {
+        this.settings = settings;
     }
 
-    /** It is gone, and what it kept too. */
+    /** Ends the process of the cache; its copies are lost. */
     public void kill() {
-        up = false;
+        processRunning = false;
         copies.clear();
-        out = 0;
+        transfersInFlight = 0;
     }
 
-    /** It starts cold and empty. */
+    /** Starts the process, cold and without copies. */
     public void start(long now) {
-        up = true;
-        fallen = false;
+        processRunning = true;
+        collapsed = false;
         startedAt = now;
-        asked.clear();
-        askedSum = 0;
+        recentRequests.clear();
+        recentWork = 0;
         copies.clear();
-        out = 0;
+        transfersInFlight = 0;
     }
 
+    /** Tells whether the process runs and has not collapsed. */
     public boolean isUp() {
-        return up && !fallen;
+        return processRunning && !collapsed;
     }
 
-    /** How often it fell. */
+    /** Returns how often the cache collapsed because it was overloaded while cold. */
     public int coldOverloadCount() {
-        return falls;
+        return coldOverloadCount;
     }
 
-    public int out() {
-        return out;
+    /** Returns the number of transfers in flight. */
+    public int transfersInFlight() {
+        return transfersInFlight;
     }
 
-    /** When it started, 0 for long ago. */
+    /** Returns the time of the last start, or 0 if the cache was never started since its creation. */
     public long startedAt() {
         return Math.max(0, startedAt);
     }
 
+    /** Returns the share of its full capacity that the cache has now: 1 when it is warm. */
     public double warmth(long now) {
-        if (startedAt == Long.MIN_VALUE || set.warmsIn() <= 0) {
+        if (startedAt == Long.MIN_VALUE || settings.warmUpMicros() <= 0) {
             return 1;
         }
-        return Math.min(1, set.coldFrom() + (1 - set.coldFrom()) * (now - startedAt) / set.warmsIn());
+        return Math.min(1, settings.coldShare() + (1 - settings.coldShare()) * (now - startedAt) / settings.warmUpMicros());
     }
 
     /**
-     * A request. {@code fills}: what it lacks may be filled; {@code keep}: the rank at which it is kept, 0 for not at all;
-     * {@code oldest}: the oldest copy that will do, 0 for any. Whatever it is given, also what it turns away, adds to the
-     * pressure. What it takes on is out until {@link #endTransfer}.
+     * Handles a request. Every request adds to the load that may make a cold cache collapse, also a rejected one. A HIT
+     * or FILL is in flight until {@link #endTransfer}.
+     *
+     * @param mayFill whether an object without a usable copy may be fetched from upstream
+     * @param retentionRank the rank at which the object is stored, 0 if it is not stored
+     * @param maxAgeMicros the maximum age of a usable copy, 0 for any age
      */
-    public Answer handleRequest(long now, long object, long work, boolean fills, int keep, long oldest) {
+    public Answer handleRequest(long now, long object, long work, boolean mayFill, int retentionRank, long maxAgeMicros) {
         if (!isUp()) {
             return new Answer(Outcome.DOWN, 0, 0);
         }
-        double bears = set.bears() * warmth(now);
-        press(now, work, bears);
-        if (fallen) {
+        double capacity = settings.capacity() * warmth(now);
+        recordLoad(now, work, capacity);
+        if (collapsed) {
             return new Answer(Outcome.DOWN, 0, 0);
         }
-        if (out >= set.queue() * bears) {
+        if (transfersInFlight >= settings.queueFactor() * capacity) {
             return new Answer(Outcome.FULL, 0, 0);
         }
-        Copy c = copies.get(object);
-        boolean hit = c != null && (oldest == 0 || now - c.bornAt <= oldest);
-        if (!hit && !fills) {
+        Copy copy = copies.get(object);
+        boolean hit = copy != null && (maxAgeMicros == 0 || now - copy.bornAt <= maxAgeMicros);
+        if (!hit && !mayFill) {
             return new Answer(Outcome.MISS, 0, 0);
         }
-        out++;
-        long takes = (long) (work * Math.max(1, out / bears));
-        long born = now;
+        transfersInFlight++;
+        long durationMicros = (long) (work * Math.max(1, transfersInFlight / capacity));
+        long bornAtMicros = now;
         if (hit) {
-            c.rank = Math.max(c.rank, keep);
-            born = c.bornAt;
-        } else if (keep > 0) {
-            keep(object, keep, now);
+            copy.rank = Math.max(copy.rank, retentionRank);
+            bornAtMicros = copy.bornAt;
+        } else if (retentionRank > 0) {
+            store(object, retentionRank, now);
         }
-        return new Answer(hit ? Outcome.HIT : Outcome.FILL, takes, born);
+        return new Answer(hit ? Outcome.HIT : Outcome.FILL, durationMicros, bornAtMicros);
     }
 
-    private void press(long now, long work, double bears) {
-        if (warmth(now) >= 1 || set.tipAfter() <= 0) {
+    private void recordLoad(long now, long work, double capacity) {
+        if (warmth(now) >= 1 || settings.collapseWindowMicros() <= 0) {
             return;
         }
-        asked.addLast(new double[] {now, work});
-        askedSum += work;
-        while (!asked.isEmpty() && asked.peekFirst()[0] <= now - set.tipAfter()) {
-            askedSum -= asked.pollFirst()[1];
+        recentRequests.addLast(new double[] {now, work});
+        recentWork += work;
+        while (!recentRequests.isEmpty() && recentRequests.peekFirst()[0] <= now - settings.collapseWindowMicros()) {
+            recentWork -= recentRequests.pollFirst()[1];
         }
-        double n = set.multiple() * bears * set.tipAfter();
-        // Some slack for chance, as for counts: a few requests more than their mean.
-        double mean = askedSum / Math.max(1, asked.size()), count = n / Math.max(1, mean);
-        if (asked.size() > count + 3 * Math.sqrt(count) + 3) {
-            fallen = true;
-            falls++;
+        double collapseWork = settings.collapseFactor() * capacity * settings.collapseWindowMicros();
+        // Allows a few requests more than the threshold, because the number of requests varies by chance.
+        double meanWork = recentWork / Math.max(1, recentRequests.size());
+        double requestThreshold = collapseWork / Math.max(1, meanWork);
+        if (recentRequests.size() > requestThreshold + 3 * Math.sqrt(requestThreshold) + 3) {
+            collapsed = true;
+            coldOverloadCount++;
             copies.clear();
-            out = 0;
+            transfersInFlight = 0;
         }
     }
 
-    private void keep(long object, int rank, long bornAt) {
-        Copy c = copies.get(object);
-        if (c == null) {
-            if (copies.size() >= set.copies() && !drop(rank)) {
+    private void store(long object, int rank, long bornAt) {
+        Copy copy = copies.get(object);
+        if (copy == null) {
+            if (copies.size() >= settings.maxCopies() && !evictFor(rank)) {
                 return;
             }
-            c = new Copy();
-            copies.put(object, c);
+            copy = new Copy();
+            copies.put(object, copy);
         }
-        c.rank = rank;
-        c.bornAt = bornAt;
+        copy.rank = rank;
+        copy.bornAt = bornAt;
     }
 
-    // The lowest rank first, of these the one not used for longest; nothing for a copy of lower rank.
-    private boolean drop(int forRank) {
+    // Evicts the least recently used copy of the lowest rank among the 64 least recently used copies. Evicts nothing if
+    // all of these have a higher rank than the new copy.
+    private boolean evictFor(int newRank) {
         Long victim = null;
-        int lowest = forRank + 1, looked = 0;
-        for (Iterator<Map.Entry<Long, Copy>> i = copies.entrySet().iterator(); i.hasNext() && looked < 64; looked++) {
-            Map.Entry<Long, Copy> e = i.next();
-            if (e.getValue().rank < lowest) {
-                lowest = e.getValue().rank;
-                victim = e.getKey();
+        int lowestRank = newRank + 1;
+        int inspected = 0;
+        for (Iterator<Map.Entry<Long, Copy>> i = copies.entrySet().iterator(); i.hasNext() && inspected < 64; inspected++) {
+            Map.Entry<Long, Copy> entry = i.next();
+            if (entry.getValue().rank < lowestRank) {
+                lowestRank = entry.getValue().rank;
+                victim = entry.getKey();
             }
         }
         return victim != null && copies.remove(victim) != null;
     }
 
-    /** Copies from before this are void. */
+    /** Discards all copies. */
     public void discardCopies() {
         copies.clear();
     }
 
-    /** One that it had taken on has ended. */
+    /** Ends one transfer that {@link #handleRequest} started. */
     public void endTransfer() {
-        out = Math.max(0, out - 1);
+        transfersInFlight = Math.max(0, transfersInFlight - 1);
     }
 }
--- a/src/main/java/pewtercourse/emulator/Catalogue.java
+++ b/src/main/java/pewtercourse/emulator/Catalogue.java
@@ -5,18 +5,18 @@
 import org.apache.commons.math3.random.Well19937c;
 import pewtercourse.hash.StableHash;
 
-/** What clients ask for: objects by popularity, with sizes that belong to them. */
+/** Draws the requests of clients: a class, an object by popularity, and the size of that object. Not thread-safe. */
 final class Catalogue {
-    /** {@code through}: runs at the origin, may not be repeated and is kept nowhere. */
+    /** A class of requests; an {@code uncacheable} one runs at the origin, must not be repeated and is never stored. */
     record RequestClass(
             String name,
             double share,
             double meanWorkMs,
-            double aimMs,
+            double targetMs,
             double stretch,
             double deadlineMs,
             double worth,
-            boolean through) {}
+            boolean uncacheable) {}
 
     static final RequestClass[] CLASSES = {
         new RequestClass("menu-media", 0.54, 300, 600, 2, 5_000, 2, false),
@@ -24,20 +24,23 @@
         new RequestClass("place-order", 0.03, 30, 600, 0, 3_000, 3, true)
     };
     static final double KB_PER_MS = 3.4;
-    private static final double SIGMA = 0.6, EXPONENT = 0.9;
+    private static final double SIZE_SIGMA = 0.6;
+    private static final double POPULARITY_EXPONENT = 0.9;
 
-    record Pick(RequestClass cls, String object, double sizeKb) {}
+    /** A request that a client will send. */
+    record DrawnRequest(RequestClass requestClass, String object, double sizeKb) {}
 
     private final ZipfDistribution popularity;
     private final Well19937c random;
-    private long orders;
+    private long orderCount;
 
-    Catalogue(long seed, int objects) {
+    Catalogue(long seed, int objectCount) {
         random = new Well19937c(seed);
-        popularity = new ZipfDistribution(random, objects, EXPONENT);
+        popularity = new ZipfDistribution(random, objectCount, POPULARITY_EXPONENT);
     }
 
-    Pick next() {
+    /** Draws the next request. */
+    DrawnRequest next() {
         double u = random.nextDouble();
         for (RequestClass c : CLASSES) {
             u -= c.share();
@@ -45,29 +48,30 @@
                 String object = String.format(
                         "%016x",
                         StableHash.of(c.name()
-                                + (c.through() ? "#" + orders++ + random.nextLong() : "/" + popularity.sample())));
-                return new Pick(c, object, sizeKb(c, object));
+                                + (c.uncacheable() ? "#" + orderCount++ + random.nextLong() : "/" + popularity.sample())));
+                return new DrawnRequest(c, object, sizeKb(c, object));
             }
         }
         return next();
     }
 
-    /** Until the next request, in ms, of so many a second. */
-    double gapMs(double perSecond) {
-        return -Math.log(1 - random.nextDouble()) / perSecond * 1_000;
+    /** Draws the time until the next request, in milliseconds, at a mean rate of {@code requestsPerSecond}. */
+    double gapMs(double requestsPerSecond) {
+        return -Math.log(1 - random.nextDouble()) / requestsPerSecond * 1_000;
     }
 
-    /** Of one object, always the same. */
-    static double sizeKb(RequestClass c, String object) {
-        if (c.through()) {
-            return c.meanWorkMs() * KB_PER_MS;
+    /** Returns the size of an object, which is always the same for the same class and object. */
+    static double sizeKb(RequestClass requestClass, String object) {
+        if (requestClass.uncacheable()) {
+            return requestClass.meanWorkMs() * KB_PER_MS;
         }
         double u = ((StableHash.of("size" + object) >>> 11) + 0.5) * 0x1.0p-53;
-        double ms = new LogNormalDistribution(null, Math.log(c.meanWorkMs()) - SIGMA * SIGMA / 2, SIGMA)
+        double workMs = new LogNormalDistribution(null, Math.log(requestClass.meanWorkMs()) - SIZE_SIGMA * SIZE_SIGMA / 2, SIZE_SIGMA)
                 .inverseCumulativeProbability(u);
-        return Math.round(10 * Math.max(1, Math.min(2_000, ms * KB_PER_MS))) / 10.0;
+        return Math.round(10 * Math.max(1, Math.min(2_000, workMs * KB_PER_MS))) / 10.0;
     }
 
+    /** Returns the class of this name, or null if there is none. */
     static RequestClass named(String name) {
         for (RequestClass c : CLASSES) {
             if (c.name().equals(name)) {
--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -13,160 +13,162 @@
 import pewtercourse.front.fastcgi.FastCgiClient;
 
 /**
- * Clients of one site in open loop: they ask on whatever happens, by the directors of their own site, or by others where
- * none of these takes their connection. On the emulator's event loop.
+ * Sends the requests of the clients of one site in an open loop: the rate does not depend on the answers. A client uses a
+ * director of its own site, or of another site if none of its own accepts the connection. Confined to the emulator's event
+ * loop.
  */
 final class Clients {
-    private static final int CONNECTIONS_MOST = 200;
-    private static final double SLACK_MS = 60;
+    private static final int MAX_CONNECTIONS = 200;
+    private static final double DEADLINE_SLACK_MS = 60;
 
     private final Vertx vertx;
     private final String site;
     private final Catalogue catalogue;
     private final EmulationResults results;
     private final Random random;
-    private final List<String> directors; // In the order in which they are asked.
-    private final Map<String, ArrayDeque<FastCgiClient>> idle = new HashMap<>();
-    private double perSecond;
-    private boolean over;
-    private int connections, open;
+    private final List<String> directors; // In the order in which they are tried.
+    private final Map<String, ArrayDeque<FastCgiClient>> idleByDirector = new HashMap<>();
+    private double requestsPerSecond;
+    private boolean stopped;
+    private int connections;
+    private int openRequests;
 
     Clients(
             Vertx vertx,
             String site,
             List<String> directors,
             long seed,
-            int objects,
-            double perSecond,
+            int objectCount,
+            double requestsPerSecond,
             EmulationResults results) {
         this.vertx = vertx;
         this.site = site;
         this.directors = directors;
-        this.catalogue = new Catalogue(seed, objects);
+        this.catalogue = new Catalogue(seed, objectCount);
         this.random = new Random(seed);
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.results = results;
     }
 
     void start() {
-        ask();
+        scheduleNextRequest();
     }
 
     void stop() {
-        over = true;
+        stopped = true;
     }
 
-    /** Requests that have no answer yet. */
+    /** Returns the number of requests without an answer. */
     int openRequestCount() {
-        return open;
+        return openRequests;
     }
 
-    private void ask() {
-        vertx.setTimer(Math.max(1, Math.round(catalogue.gapMs(perSecond))), t -> {
-            if (!over) {
-                ask();
+    private void scheduleNextRequest() {
+        vertx.setTimer(Math.max(1, Math.round(catalogue.gapMs(requestsPerSecond))), t -> {
+            if (!stopped) {
+                scheduleNextRequest();
                 send(catalogue.next(), 0);
             }
         });
     }
 
-    private void send(Catalogue.Pick p, int tried) {
-        if (tried >= directors.size()) {
-            EmulationResults.RequestCounts none = results.tally(site, p.cls().name());
-            none.asked++;
-            none.failed++;
-            none.worth += p.cls().worth();
+    private void send(Catalogue.DrawnRequest request, int triedDirectors) {
+        if (triedDirectors >= directors.size()) {
+            EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
+            counts.asked++;
+            counts.failed++;
+            counts.worth += request.requestClass().worth();
             return;
         }
-        String at = directors.get(tried);
-        ArrayDeque<FastCgiClient> waiting = idle.computeIfAbsent(at, a -> new ArrayDeque<>());
-        FastCgiClient c = waiting.pollFirst();
-        if (c != null) {
-            asked(p, c, at);
+        String director = directors.get(triedDirectors);
+        ArrayDeque<FastCgiClient> idleConnections = idleByDirector.computeIfAbsent(director, address -> new ArrayDeque<>());
+        FastCgiClient connection = idleConnections.pollFirst();
+        if (connection != null) {
+            sendRequest(request, connection, director);
             return;
         }
-        if (connections >= CONNECTIONS_MOST) {
-            send(p, directors.size());
+        if (connections >= MAX_CONNECTIONS) {
+            send(request, directors.size());
             return;
         }
         connections++;
-        int colon = at.indexOf(':');
+        int colon = director.indexOf(':');
         FastCgiClient.connect(
                         vertx,
                         SocketAddress.inetSocketAddress(
-                                Integer.parseInt(at.substring(colon + 1)), at.substring(0, colon)))
-                .onSuccess(n -> asked(p, n, at))
+                                Integer.parseInt(director.substring(colon + 1)), director.substring(0, colon)))
+                .onSuccess(opened -> sendRequest(request, opened, director))
                 .onFailure(e -> {
                     connections--;
-                    send(p, tried + 1);
+                    send(request, triedDirectors + 1);
                 });
     }
 
-    private void asked(Catalogue.Pick p, FastCgiClient c, String at) {
-        long from = EmulatedCache.now();
-        EmulationResults.RequestCounts t = results.tally(site, p.cls().name());
-        t.asked++;
-        t.worth += p.cls().worth();
-        open++;
-        boolean[] ended = new boolean[1];
+    private void sendRequest(Catalogue.DrawnRequest request, FastCgiClient connection, String director) {
+        long sentAtMicros = EmulatedCache.now();
+        EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
+        counts.asked++;
+        counts.worth += request.requestClass().worth();
+        openRequests++;
+        boolean[] finished = new boolean[1];
         Map<String, String> params = new HashMap<>(Map.of(
                 "SCRIPT_NAME",
-                "/ops/" + p.cls().name(),
+                "/ops/" + request.requestClass().name(),
                 "REQUEST_METHOD",
                 "GET",
                 "HTTP_X_CORRELATION_ID",
                 String.format("%016x", random.nextLong()),
                 "HTTP_X_SUBJECT",
-                p.object(),
+                request.object(),
                 "HTTP_X_TAG",
                 "17",
                 "HTTP_X_CHUNK",
                 "0",
                 "HTTP_X_NEED_KB",
-                String.valueOf(p.sizeKb()),
+                String.valueOf(request.sizeKb()),
                 "HTTP_X_DEADLINE_MS",
-                String.valueOf((long) p.cls().deadlineMs())));
-        long timer = vertx.setTimer((long) (p.cls().deadlineMs() + SLACK_MS), x -> {
-            ended[0] = true;
-            open--;
-            t.lost++;
-            results.recordViolation("a request of " + site + " by " + at + " got no answer in its time");
+                String.valueOf((long) request.requestClass().deadlineMs())));
+        long timeoutTimer = vertx.setTimer((long) (request.requestClass().deadlineMs() + DEADLINE_SLACK_MS), x -> {
+            finished[0] = true;
+            openRequests--;
+            counts.lost++;
+            results.recordViolation("a request of " + site + " by " + director + " got no answer in its time");
             connections--;
-            c.close();
+            connection.close();
         });
-        c.ask(params).onComplete(r -> {
-            if (ended[0]) {
+        connection.ask(params).onComplete(result -> {
+            if (finished[0]) {
                 return;
             }
-            ended[0] = true;
-            vertx.cancelTimer(timer);
-            open--;
-            if (r.failed()) {
-                t.failed++; // Its director died, or ended the connection.
+            finished[0] = true;
+            vertx.cancelTimer(timeoutTimer);
+            openRequests--;
+            if (result.failed()) {
+                counts.failed++; // The director died or closed the connection.
                 connections--;
-                c.close();
+                connection.close();
             } else {
-                count(t, p, r.result(), (EmulatedCache.now() - from) / 1e3);
-                idle.get(at).addFirst(c);
+                count(counts, request, result.result(), (EmulatedCache.now() - sentAtMicros) / 1e3);
+                idleByDirector.get(director).addFirst(connection);
             }
         });
     }
 
-    private static void count(EmulationResults.RequestCounts t, Catalogue.Pick p, Buffer answer, double ms) {
+    private static void count(EmulationResults.RequestCounts counts, Catalogue.DrawnRequest request, Buffer answer, double latencyMs) {
         String status = new String(answer.getBytes(0, Math.min(16, answer.length())), StandardCharsets.US_ASCII);
         if (status.startsWith("Status: 200")) {
-            boolean inTime = ms <= p.cls().aimMs() + p.cls().stretch() * p.sizeKb() / Catalogue.KB_PER_MS;
-            t.inTime += inTime ? 1 : 0;
-            t.late += inTime ? 0 : 1;
-            t.worthInTime += inTime ? p.cls().worth() : 0;
+            boolean inTime = latencyMs <= request.requestClass().targetMs() + request.requestClass().stretch() * request.sizeKb() / Catalogue.KB_PER_MS;
+            counts.inTime += inTime ? 1 : 0;
+            counts.late += inTime ? 0 : 1;
+            counts.worthInTime += inTime ? request.requestClass().worth() : 0;
         } else if (status.startsWith("Status: 503") || status.startsWith("Status: 429")) {
-            t.refused++;
+            counts.refused++;
         } else {
-            t.failed++;
+            counts.failed++;
         }
     }
 
-    /** Where they go, in order. */
+    /** Returns the addresses of the directors in the order in which they are tried. */
     List<String> directors() {
         return new ArrayList<>(directors);
     }
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -10,22 +10,24 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A {@link CacheModel} behind HTTP/1.1, as directors speak to caches. All on one event loop. */
+/** Serves a {@link CacheModel} over HTTP/1.1, the protocol between directors and caches. Confined to one event loop. */
 final class EmulatedCache {
     private static final String HOST = "127.0.0.1";
-    // Bytes on the socket for each KB that is counted.
+    // Bytes that are sent over the socket for each KB of the modelled size.
     private static final int BYTES_PER_KB = 10;
 
-    final String name, site;
+    final String name;
+    final String site;
     final CacheModel model;
     private final Vertx vertx;
     private final UpstreamModel upstream;
     private final EmulationResults results;
     private final Set<HttpConnection> connections = new HashSet<>();
     private HttpServer server;
-    private int port, life;
-    private double slow = 1;
-    long drainingSince = Long.MAX_VALUE; // Microseconds: from then it should get nothing new.
+    private int port;
+    private int processGeneration; // Incremented when the process ends.
+    private double slowdownFactor = 1;
+    long drainingSince = Long.MAX_VALUE; // Microseconds; new attempts should stop then.
 
     EmulatedCache(Vertx vertx, String name, String site, CacheModel model, UpstreamModel upstream, EmulationResults results) {
         this.vertx = vertx;
@@ -36,6 +38,7 @@
         this.results = results;
     }
 
+    /** Opens the listening socket: at any free port the first time, then at the same port. */
     Future<Void> listen() {
         server = vertx.createHttpServer(
                 new HttpServerOptions().setHost(HOST).setReuseAddress(true).setTcpNoDelay(true));
@@ -44,101 +47,102 @@
             c.closeHandler(v -> connections.remove(c));
         });
         server.requestHandler(this::handle);
-        return server.listen(port).onSuccess(s -> port = s.actualPort()).mapEmpty();
+        return server.listen(port).onSuccess(listening -> port = listening.actualPort()).mapEmpty();
     }
 
-    String dial() {
+    String address() {
         return HOST + ":" + port;
     }
 
-    /** The process ends: its connections are reset and its copies gone. */
+    /** Ends the process: its connections are closed and its copies are lost. */
     Future<Void> kill() {
-        life++;
+        processGeneration++;
         model.kill();
-        HttpServer s = server;
+        HttpServer stoppedServer = server;
         server = null;
         Set.copyOf(connections).forEach(HttpConnection::close);
-        return s == null ? Future.succeededFuture() : s.close();
+        return stoppedServer == null ? Future.succeededFuture() : stoppedServer.close();
     }
 
-    /** It starts again, cold and empty, at its port. */
+    /** Starts the process again at its old port, cold and without copies. */
     Future<Void> start() {
         model.start(now());
-        slow = 1;
+        slowdownFactor = 1;
         drainingSince = Long.MAX_VALUE;
         return listen();
     }
 
-    /** Answers take so many times as long. */
-    void slow(double times) {
-        slow = times;
+    /** Makes each answer take {@code factor} times as long. */
+    void slowDown(double factor) {
+        slowdownFactor = factor;
     }
 
+    /** Returns the monotonic time in microseconds. */
     static long now() {
         return System.nanoTime() / 1_000;
     }
 
-    private void handle(HttpServerRequest r) {
+    private void handle(HttpServerRequest request) {
         long now = now();
-        String[] path = r.path().split("/");
-        Catalogue.RequestClass cls = path.length == 5 ? Catalogue.named(path[2]) : null;
-        if (cls == null) {
-            results.recordViolation("a request that no cache knows: " + r.path());
-            r.response().setStatusCode(400).end();
+        String[] path = request.path().split("/");
+        Catalogue.RequestClass requestClass = path.length == 5 ? Catalogue.named(path[2]) : null;
+        if (requestClass == null) {
+            results.recordViolation("a request that no cache knows: " + request.path());
+            request.response().setStatusCode(400).end();
             return;
         }
-        results.attempt(this, now);
+        results.recordAttempt(this, now);
         String object = path[3];
-        double kb = Catalogue.sizeKb(cls, object);
-        long work = (long) (kb / Catalogue.KB_PER_MS * 1_000);
-        int keep = number(r.getHeader("X-Keep"));
-        CacheModel.Answer a = model.handleRequest(
+        double sizeKb = Catalogue.sizeKb(requestClass, object);
+        long work = (long) (sizeKb / Catalogue.KB_PER_MS * 1_000);
+        int retentionRank = parseOrZero(request.getHeader("X-Keep"));
+        CacheModel.Answer answer = model.handleRequest(
                 now,
                 Long.parseUnsignedLong(object, 16),
                 work,
-                r.getHeader("X-Fill-From") != null,
-                cls.through() ? 0 : keep,
-                number(r.getHeader("X-Max-Age-Ms")) * 1_000L);
-        switch (a.outcome()) {
-            case DOWN -> r.connection().close();
+                request.getHeader("X-Fill-From") != null,
+                requestClass.uncacheable() ? 0 : retentionRank,
+                parseOrZero(request.getHeader("X-Max-Age-Ms")) * 1_000L);
+        switch (answer.outcome()) {
+            case DOWN -> request.connection().close();
             case FULL ->
-                r.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
-            case MISS -> r.response().setStatusCode(404).end();
-            default -> serve(r, cls, object, kb, a);
+                request.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
+            case MISS -> request.response().setStatusCode(404).end();
+            default -> serve(request, requestClass, object, sizeKb, answer);
         }
     }
 
-    private void serve(HttpServerRequest r, Catalogue.RequestClass cls, String object, double kb, CacheModel.Answer a) {
-        boolean hit = a.outcome() == CacheModel.Outcome.HIT;
-        if (cls.through()) {
-            results.ran(r.getHeader("Request-Id"));
+    private void serve(HttpServerRequest request, Catalogue.RequestClass requestClass, String object, double sizeKb, CacheModel.Answer answer) {
+        boolean hit = answer.outcome() == CacheModel.Outcome.HIT;
+        if (requestClass.uncacheable()) {
+            results.recordOrderRun(request.getHeader("Request-Id"));
         } else if (hit) {
-            results.copyServed(object, a.bornAtMicros(), now());
+            results.recordServedCopy(object, answer.bornAtMicros(), now());
         }
-        UpstreamModel.Fill fill = hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), cls.through());
-        long takes = Math.max(1, Math.round(slow * (a.durationMicros() + (hit ? 0 : fill.durationMicros())) / 1_000));
-        int mine = life;
-        vertx.setTimer(takes, t -> {
+        UpstreamModel.Fill fill = hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), requestClass.uncacheable());
+        long durationMs = Math.max(1, Math.round(slowdownFactor * (answer.durationMicros() + (hit ? 0 : fill.durationMicros())) / 1_000));
+        int generation = processGeneration;
+        vertx.setTimer(durationMs, timer -> {
             if (fill != null) {
                 upstream.end(fill);
             }
-            if (life != mine) {
+            if (processGeneration != generation) {
                 return;
             }
             model.endTransfer();
-            if (!r.response().closed()) {
-                r.response()
+            if (!request.response().closed()) {
+                request.response()
                         .putHeader("ETag", object)
                         .putHeader(
-                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - a.bornAtMicros()) / 1_000))
+                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - answer.bornAtMicros()) / 1_000))
                         .putHeader("Outcome", hit ? "mem" : "parent")
-                        .putHeader("Load-Report", "inflight:" + model.out() + ";x0:0.5")
-                        .end(Buffer.buffer(new byte[(int) Math.min(200_000, Math.max(1, kb * BYTES_PER_KB))]));
+                        .putHeader("Load-Report", "inflight:" + model.transfersInFlight() + ";x0:0.5")
+                        .end(Buffer.buffer(new byte[(int) Math.min(200_000, Math.max(1, sizeKb * BYTES_PER_KB))]));
             }
         });
     }
 
-    private static int number(String v) {
-        return v == null ? 0 : Integer.parseInt(v);
+    private static int parseOrZero(String value) {
+        return value == null ? 0 : Integer.parseInt(value);
     }
 }
--- a/src/main/java/pewtercourse/emulator/EmulatedFeed.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedFeed.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A control feed: numbered events as server-sent ones, a comment every second. All on one event loop. */
+/** Serves a control feed: numbered server-sent events, and a comment every second. Confined to one event loop. */
 final class EmulatedFeed {
     private static final String HOST = "127.0.0.1";
 
@@ -26,50 +26,51 @@
     }
 
     Future<Void> listen() {
-        HttpServer s = vertx.createHttpServer();
-        s.requestHandler(this::follow);
-        vertx.setPeriodic(1_000, t -> followers.keySet().forEach(f -> f.write(": here\n\n")));
-        return s.listen(0, HOST).onSuccess(x -> port = x.actualPort()).mapEmpty();
+        HttpServer server = vertx.createHttpServer();
+        server.requestHandler(this::follow);
+        vertx.setPeriodic(1_000, t -> followers.keySet().forEach(follower -> follower.write(": here\n\n")));
+        return server.listen(0, HOST).onSuccess(listening -> port = listening.actualPort()).mapEmpty();
     }
 
     String address() {
         return HOST + ":" + port;
     }
 
-    private void follow(HttpServerRequest r) {
-        HttpServerResponse out = r.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
-        String last = r.getHeader("Last-Event-ID");
-        long seen = last == null || last.isEmpty() ? 0 : Long.parseLong(last);
-        out.closeHandler(v -> followers.remove(out));
-        followers.put(out, seen);
-        events.stream().filter(e -> e.getLong("n") > seen).forEach(e -> write(out, e));
-        out.write(": here\n\n");
+    private void follow(HttpServerRequest request) {
+        HttpServerResponse response = request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
+        String lastEventId = request.getHeader("Last-Event-ID");
+        long lastSeen = lastEventId == null || lastEventId.isEmpty() ? 0 : Long.parseLong(lastEventId);
+        response.closeHandler(v -> followers.remove(response));
+        followers.put(response, lastSeen);
+        events.stream().filter(e -> e.getLong("n") > lastSeen).forEach(e -> write(response, e));
+        response.write(": here\n\n");
     }
 
-    private static void write(HttpServerResponse to, JsonObject e) {
-        to.write("id: " + e.getLong("n") + "\ndata: " + e.encode() + "\n\n");
+    private static void write(HttpServerResponse follower, JsonObject event) {
+        follower.write("id: " + event.getLong("n") + "\ndata: " + event.encode() + "\n\n");
     }
 
-    /** The next event; without its number. */
+    /** Numbers an event and sends it to all followers; {@code event} has no number yet. */
     void publish(JsonObject event) {
-        JsonObject e = event.copy().put("n", events.size() + 1L);
-        events.add(e);
-        followers.keySet().forEach(f -> write(f, e));
+        JsonObject numbered = event.copy().put("n", events.size() + 1L);
+        events.add(numbered);
+        followers.keySet().forEach(follower -> write(follower, numbered));
     }
 
-    /** What a director is told at its start. */
+    /** Returns the events so far in the form of the key {@code known} of a director's configuration. */
     JsonObject known() {
-        JsonArray all = new JsonArray();
-        events.forEach(all::add);
-        return new JsonObject().put("n", events.size()).put("events", all);
+        JsonArray published = new JsonArray();
+        events.forEach(published::add);
+        return new JsonObject().put("n", events.size()).put("events", published);
     }
 
-    static JsonObject hosts(boolean whole, long seq, List<JsonObject> hosts) {
+    /** Creates an event that lists hosts: all of them if {@code complete}, else only the changed ones. */
+    static JsonObject hosts(boolean complete, long sequence, List<JsonObject> hosts) {
         JsonArray list = new JsonArray();
         hosts.forEach(list::add);
         return new JsonObject()
                 .put(
                         "members",
-                        new JsonObject().put("seq", seq).put("whole", whole).put("hosts", list));
+                        new JsonObject().put("seq", sequence).put("whole", complete).put("hosts", list));
     }
 }
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -14,103 +14,108 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Several sites of caches, their control feed and their clients, on loopback sockets, for real directors to serve against.
- * Each site's parents and the origin are behind its caches: a fill takes its time and goes nowhere else. Calls may come
- * from any thread; all happens on one event loop.
+ * Emulates several sites of caches, their control feeds and their clients on loopback sockets, for tests with real
+ * directors. The parents and the origin are part of the model: a fill takes its time but opens no connection. The methods
+ * may be called from any thread; the work is done on one event loop.
  */
 public final class Emulation implements AutoCloseable {
     /**
-     * @param bears     transfers at once of one of its caches
-     * @param perSecond requests of its clients
-     * @param directors addresses that its clients ask first, and then those of other sites
+     * The caches, the load and the directors of one site.
+     *
+     * @param capacity transfers that one of its caches runs at the same time at full speed
+     * @param requestsPerSecond rate at which its clients send requests
+     * @param directors addresses in the order in which its clients try them: first those of the site, then the others
      */
-    public record SiteSpec(String name, int caches, double bears, double perSecond, List<String> directors) {}
+    public record SiteSpec(String name, int caches, double capacity, double requestsPerSecond, List<String> directors) {}
 
     private static final String HUB = "hub";
-    private static final int OBJECTS = 500;
-    private static final long WAIT_S = 30;
-    // Cold at a quarter, warm within a short while: an incident is rehearsed in a minute.
-    private static final long WARMS_IN = 4_000_000, TIP_AFTER = 1_500_000;
+    private static final int OBJECT_COUNT = 500;
+    private static final long TIMEOUT_S = 30;
+    // A cold cache starts at about a quarter of its capacity and warms up quickly, so that an incident can be emulated
+    // within a minute.
+    private static final long WARM_UP_MICROS = 4_000_000;
+    private static final long COLLAPSE_WINDOW_MICROS = 1_500_000;
 
     private final Vertx vertx;
     private final Context loop;
     private final List<SiteSpec> specs;
     private final Map<String, List<EmulatedCache>> caches = new TreeMap<>();
     private final Map<String, EmulatedFeed> feeds =
-            new TreeMap<>(); // One for each site's directors, so that they may differ.
+            new TreeMap<>(); // One for each site, so that directors can get different lists.
     private final Map<String, Clients> clients = new TreeMap<>();
     private final EmulationResults results = new EmulationResults();
-    private long seq = 1;
+    private long sequence = 1;
 
+    /** Starts the caches and the feeds and publishes all caches; the clients start with {@link #startClients}. */
     public Emulation(List<SiteSpec> specs, long seed) throws Exception {
         this.vertx = Vertx.vertx();
         this.loop = vertx.getOrCreateContext();
         this.specs = List.copyOf(specs);
-        List<Future<?>> up = new ArrayList<>();
+        List<Future<?>> listening = new ArrayList<>();
         UpstreamModel upstream =
                 new UpstreamModel(new UpstreamModel.Settings(6 * specs.size(), 0.8, 30_000, 25_000, 8 * specs.size()));
-        on(() -> {
-            int number = 1;
-            for (SiteSpec s : specs) {
-                List<EmulatedCache> of = new ArrayList<>();
-                for (int i = 0; i < s.caches(); i++) {
-                    EmulatedCache c = new EmulatedCache(
+        runOnLoop(() -> {
+            int cacheNumber = 1;
+            for (SiteSpec spec : specs) {
+                List<EmulatedCache> siteCaches = new ArrayList<>();
+                for (int i = 0; i < spec.caches(); i++) {
+                    EmulatedCache cache = new EmulatedCache(
                             vertx,
-                            String.format("s-%08x", number++),
-                            s.name(),
-                            new CacheModel(new CacheModel.Settings(s.bears(), 2.5, 400, 0.23, WARMS_IN, 2, TIP_AFTER)),
+                            String.format("s-%08x", cacheNumber++),
+                            spec.name(),
+                            new CacheModel(new CacheModel.Settings(spec.capacity(), 2.5, 400, 0.23, WARM_UP_MICROS, 2, COLLAPSE_WINDOW_MICROS)),
                             upstream,
                             results);
-                    up.add(c.listen());
-                    of.add(c);
+                    listening.add(cache.listen());
+                    siteCaches.add(cache);
                 }
-                caches.put(s.name(), of);
+                caches.put(spec.name(), siteCaches);
                 EmulatedFeed feed = new EmulatedFeed(vertx);
-                up.add(feed.listen());
-                feeds.put(s.name(), feed);
+                listening.add(feed.listen());
+                feeds.put(spec.name(), feed);
                 clients.put(
-                        s.name(),
+                        spec.name(),
                         new Clients(
-                                vertx, s.name(), s.directors(), seed * 31 + number, OBJECTS, s.perSecond(), results));
+                                vertx, spec.name(), spec.directors(), seed * 31 + cacheNumber, OBJECT_COUNT, spec.requestsPerSecond(), results));
             }
             return null;
         });
-        for (Future<?> f : up) {
-            f.toCompletionStage().toCompletableFuture().get(WAIT_S, TimeUnit.SECONDS);
+        for (Future<?> started : listening) {
+            started.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         }
-        on(() -> {
-            List<JsonObject> all = new ArrayList<>();
-            caches.values().forEach(of -> of.forEach(c -> all.add(host(c, "Ready", 0))));
+        runOnLoop(() -> {
+            List<JsonObject> hosts = new ArrayList<>();
+            caches.values().forEach(siteCaches -> siteCaches.forEach(cache -> hosts.add(host(cache, "Ready", 0))));
             for (int i = 0; i < 2; i++) {
-                all.add(fixed(String.format("s-%08x", 0x900 + i), "parent"));
+                hosts.add(upstreamHost(String.format("s-%08x", 0x900 + i), "parent"));
             }
-            all.add(fixed(String.format("s-%08x", 0xa00), "origin"));
-            feeds.values().forEach(f -> f.publish(EmulatedFeed.hosts(true, seq, all)));
+            hosts.add(upstreamHost(String.format("s-%08x", 0xa00), "origin"));
+            feeds.values().forEach(f -> f.publish(EmulatedFeed.hosts(true, sequence, hosts)));
             return null;
         });
     }
 
-    private <T> T on(Callable<T> what) {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    private <T> T runOnLoop(Callable<T> action) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.runOnContext(v -> {
             try {
-                done.complete(what.call());
+                result.complete(action.call());
             } catch (Exception e) {
-                done.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return done.get(WAIT_S, TimeUnit.SECONDS);
+            return result.get(TIMEOUT_S, TimeUnit.SECONDS);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static JsonObject host(EmulatedCache c, String health, long bornMs) {
+    private static JsonObject host(EmulatedCache cache, String health, long bornMs) {
         return new JsonObject()
-                .put("host", c.name)
-                .put("dial", c.dial())
-                .put("site", c.site)
+                .put("host", cache.name)
+                .put("dial", cache.address())
+                .put("site", cache.site)
                 .put("class", "box")
                 .put("block", 0)
                 .put("health", health)
@@ -118,8 +123,8 @@
                 .put("born_ms", bornMs);
     }
 
-    // A parent or the origin: caches fill from it by themselves, so nobody calls its address.
-    private static JsonObject fixed(String name, String kind) {
+    // A parent or the origin. Only caches fill from it, and their fills are modelled, so its address is never used.
+    private static JsonObject upstreamHost(String name, String kind) {
         return new JsonObject()
                 .put("host", name)
                 .put("dial", "127.0.0.1:9")
@@ -131,21 +136,23 @@
                 .put("born_ms", 0);
     }
 
-    /** A director's configuration file, at one of the sites. */
+    /** Returns the configuration file of a director at one of the sites. */
     public JsonObject config(String name, String site, String listen) {
-        JsonArray classes = new JsonArray(), zones = new JsonArray().add(HUB), seats = new JsonArray().add(0);
-        for (Catalogue.RequestClass c : Catalogue.CLASSES) {
+        JsonArray classes = new JsonArray();
+        JsonArray zones = new JsonArray().add(HUB);
+        JsonArray directorsByZone = new JsonArray().add(0);
+        for (Catalogue.RequestClass requestClass : Catalogue.CLASSES) {
             classes.add(new JsonObject()
-                    .put("Name", c.name())
-                    .put("Effect", c.through() ? "side_effect" : "pure")
-                    .put("Aim", c.aimMs())
-                    .put("AimStretch", c.stretch())
-                    .put("Deadline", c.deadlineMs())
-                    .put("Worth", c.worth()));
+                    .put("Name", requestClass.name())
+                    .put("Effect", requestClass.uncacheable() ? "side_effect" : "pure")
+                    .put("Aim", requestClass.targetMs())
+                    .put("AimStretch", requestClass.stretch())
+                    .put("Deadline", requestClass.deadlineMs())
+                    .put("Worth", requestClass.worth()));
         }
-        for (SiteSpec s : specs) {
-            zones.add(s.name());
-            seats.add(1);
+        for (SiteSpec spec : specs) {
+            zones.add(spec.name());
+            directorsByZone.add(1);
         }
         JsonObject settings = new JsonObject()
                 .put("Me", 0)
@@ -181,7 +188,7 @@
                                 .put("ParentWarmsIn", 21_000.0)
                                 .put("PurgeTakes", 6_000.0)
                                 .put("Says", "hit")
-                                .put("SeatsByZone", seats)
+                                .put("SeatsByZone", directorsByZone)
                                 .put("Siblings", "location"))
                 .put(
                         "Permissions",
@@ -201,10 +208,10 @@
                                 .put("ColdFrom", 0.23)
                                 .put("DrainGrace", 500.0)
                                 .put("FallMultiple", 2.0)
-                                .put("TipAfter", TIP_AFTER / 1e3)
-                                .put("WarmUp", WARMS_IN / 1e3));
-        // As after a change of the list: a start into a fleet at work, without the long warm-up.
-        JsonObject known = on(() -> feeds.get(site).known());
+                                .put("TipAfter", COLLAPSE_WINDOW_MICROS / 1e3)
+                                .put("WarmUp", WARM_UP_MICROS / 1e3));
+        // With known events the director starts as one that joins a fleet at work, without the long warm-up.
+        JsonObject known = runOnLoop(() -> feeds.get(site).known());
         return new JsonObject()
                 .put("name", name)
                 .put("listen", listen)
@@ -212,85 +219,92 @@
                 .put(
                         "limits",
                         new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", 1_024))
-                .put("feed", on(() -> feeds.get(site).address()))
+                .put("feed", runOnLoop(() -> feeds.get(site).address()))
                 .put("known", known)
                 .put("settings", settings);
     }
 
+    /** Starts the clients of all sites. */
     public void startClients() {
-        on(() -> {
+        runOnLoop(() -> {
             clients.values().forEach(Clients::start);
             return null;
         });
     }
 
+    /** Stops sending requests; those without an answer stay open. */
     public void stopClients() {
-        on(() -> {
+        runOnLoop(() -> {
             clients.values().forEach(Clients::stop);
             return null;
         });
     }
 
-    /** Clients' requests without an answer yet. */
+    /** Returns the number of client requests without an answer. */
     public int openRequestCount() {
-        return on(() -> clients.values().stream().mapToInt(Clients::openRequestCount).sum());
+        return runOnLoop(() -> clients.values().stream().mapToInt(Clients::openRequestCount).sum());
     }
 
-    /** All caches of a site end at once; the list tells of it later, by {@link #publishHealth}. */
+    /** Ends all caches of a site at the same time. The feeds report it only after {@link #publishHealth}. */
     public void killCaches(String site) {
-        on(() -> {
+        runOnLoop(() -> {
             caches.get(site).forEach(EmulatedCache::kill);
             return null;
         });
     }
 
-    /** They start again, cold and empty, and the list tells. */
+    /** Starts the caches of a site again, cold and without copies, and publishes them as Ready. */
     public void restartCaches(String site) throws Exception {
-        List<Future<Void>> up =
-                on(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
-        for (Future<Void> f : up) {
-            f.toCompletionStage().toCompletableFuture().get(WAIT_S, TimeUnit.SECONDS);
+        List<Future<Void>> starting =
+                runOnLoop(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
+        for (Future<Void> started : starting) {
+            started.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         }
         publishHealth(site, "Ready");
     }
 
-    /** The list tells of all caches of a site: Ready, Terminating or Gone, to the directors of all sites or only of some. */
-    public void publishHealth(String site, String health, String... to) {
-        on(() -> {
+    /**
+     * Publishes the health of all caches of a site.
+     *
+     * @param health Ready, Terminating or Gone
+     * @param feedSites sites whose directors get the event; all sites if empty
+     */
+    public void publishHealth(String site, String health, String... feedSites) {
+        runOnLoop(() -> {
             List<JsonObject> hosts = new ArrayList<>();
             caches.get(site).forEach(c -> {
-                long born = c.model.startedAt() == 0
+                long bornMs = c.model.startedAt() == 0
                         ? 0
                         : System.currentTimeMillis() - (EmulatedCache.now() - c.model.startedAt()) / 1_000;
-                hosts.add(host(c, health, born));
-                c.drainingSince = health.equals("Ready") || to.length > 0 ? Long.MAX_VALUE : EmulatedCache.now();
+                hosts.add(host(c, health, bornMs));
+                c.drainingSince = health.equals("Ready") || feedSites.length > 0 ? Long.MAX_VALUE : EmulatedCache.now();
             });
-            seq++;
-            feeds.forEach((at, f) -> {
-                if (to.length == 0 || List.of(to).contains(at)) {
-                    f.publish(EmulatedFeed.hosts(false, seq, hosts));
+            sequence++;
+            feeds.forEach((feedSite, feed) -> {
+                if (feedSites.length == 0 || List.of(feedSites).contains(feedSite)) {
+                    feed.publish(EmulatedFeed.hosts(false, sequence, hosts));
                 }
             });
             return null;
         });
     }
 
-    /** Answers of a site's caches take so many times as long. */
-    public void slowDownCaches(String site, double times) {
-        on(() -> {
-            caches.get(site).forEach(c -> c.slow(times));
+    /** Makes each answer of a site's caches take {@code factor} times as long. */
+    public void slowDownCaches(String site, double factor) {
+        runOnLoop(() -> {
+            caches.get(site).forEach(c -> c.slowDown(factor));
             return null;
         });
     }
 
-    /** Cold caches of a site that fell. */
+    /** Returns how often a cache of a site collapsed because it was overloaded while cold. */
     public int coldOverloadCount(String site) {
-        return on(() -> caches.get(site).stream().mapToInt(c -> c.model.coldOverloadCount()).sum());
+        return runOnLoop(() -> caches.get(site).stream().mapToInt(c -> c.model.coldOverloadCount()).sum());
     }
 
-    /** What was seen so far; {@code look} runs on the event loop. */
-    public <T> T results(java.util.function.Function<EmulationResults, T> look) {
-        return on(() -> look.apply(results));
+    /** Reads from the results so far; {@code reader} runs on the event loop. */
+    public <T> T results(java.util.function.Function<EmulationResults, T> reader) {
+        return runOnLoop(() -> reader.apply(results));
     }
 
     @Override
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -19,75 +19,75 @@
 import pewtercourse.config.JsonFields;
 
 /**
- * A scenario from a file (JSON), played against directors that somebody starts with the configurations that it writes:
- * {@code sites}, {@code seconds}, {@code seed} and {@code faults}, each with {@code at_s}, {@code what} (lose, revive, list,
- * slow), {@code site} and, for list, {@code health}, for slow, {@code times}.
+ * Reads a scenario from a JSON file and plays it against directors, which the user starts with the configurations that
+ * the scenario writes. The keys are {@code sites}, {@code seconds}, {@code seed} and {@code faults}. Each fault has
+ * {@code at_s}, {@code what} (lose, revive, list, slow), {@code site}, for list also {@code health} and for slow also
+ * {@code times}.
  */
 public final class Scenario {
-    private static final Map<String, String> RENAMED = Map.of("bears", "capacity");
+    private static final Map<String, String> RENAMED_KEYS = Map.of("bears", "capacity");
 
-    private record Fault(double atS, String what, String site, String health, double times) {}
+    private record Fault(double atS, String kind, String site, String health, double factor) {}
 
     private final List<Emulation.SiteSpec> sites = new ArrayList<>();
     private final List<Fault> faults = new ArrayList<>();
     private final double seconds;
-
     private final long seed;
 
     private Scenario(JsonObject json) {
-        JsonArray list = array("sites", json.getValue("sites"));
-        List<String> all = new ArrayList<>();
-        for (int i = 0; i < list.size(); i++) {
-            all.add(text("sites[" + i + "].director", object(list, "sites", i).getValue("director")));
-            DirectorConfig.address("sites[" + i + "].director", all.get(i));
+        JsonArray siteList = array("sites", json.getValue("sites"));
+        List<String> directors = new ArrayList<>();
+        for (int i = 0; i < siteList.size(); i++) {
+            directors.add(text("sites[" + i + "].director", object(siteList, "sites", i).getValue("director")));
+            DirectorConfig.address("sites[" + i + "].director", directors.get(i));
         }
-        for (int i = 0; i < list.size(); i++) {
-            JsonObject s = object(list, "sites", i);
+        for (int i = 0; i < siteList.size(); i++) {
+            JsonObject site = object(siteList, "sites", i);
             String key = "sites[" + i + "].";
-            if (s.containsKey("bears")) {
-                throw new ConfigException(key + "bears", JsonFields.unusable("bears", RENAMED, ""));
+            if (site.containsKey("bears")) {
+                throw new ConfigException(key + "bears", JsonFields.unusable("bears", RENAMED_KEYS, ""));
             }
-            List<String> order = new ArrayList<>(List.of(all.get(i)));
-            all.stream().filter(a -> !a.equals(order.get(0))).forEach(order::add);
+            List<String> order = new ArrayList<>(List.of(directors.get(i)));
+            directors.stream().filter(a -> !a.equals(order.get(0))).forEach(order::add);
             sites.add(new Emulation.SiteSpec(
-                    text(key + "name", s.getValue("name")),
-                    (int) number(key + "caches", s.getValue("caches"), 3, 1, 64),
-                    number(key + "capacity", s.getValue("capacity"), 6, 0.5, 1_000),
-                    number(key + "requests_per_s", s.getValue("requests_per_s"), 20, 0.1, 500),
+                    text(key + "name", site.getValue("name")),
+                    (int) number(key + "caches", site.getValue("caches"), 3, 1, 64),
+                    number(key + "capacity", site.getValue("capacity"), 6, 0.5, 1_000),
+                    number(key + "requests_per_s", site.getValue("requests_per_s"), 20, 0.1, 500),
                     order));
         }
         if (sites.isEmpty()) {
             throw new ConfigException("sites", "there is none");
         }
-        JsonArray given = json.getValue("faults") == null ? new JsonArray() : array("faults", json.getValue("faults"));
-        for (int i = 0; i < given.size(); i++) {
-            JsonObject f = object(given, "faults", i);
-            String key = "faults[" + i + "].",
-                    what = text(key + "what", f.getValue("what")),
-                    site = text(key + "site", f.getValue("site"));
-            if (!List.of("lose", "revive", "list", "slow").contains(what)) {
-                throw new ConfigException(key + "what", "'" + what + "' is none of lose, revive, list, slow");
+        JsonArray faultList = json.getValue("faults") == null ? new JsonArray() : array("faults", json.getValue("faults"));
+        for (int i = 0; i < faultList.size(); i++) {
+            JsonObject fault = object(faultList, "faults", i);
+            String key = "faults[" + i + "].";
+            String kind = text(key + "what", fault.getValue("what"));
+            String site = text(key + "site", fault.getValue("site"));
+            if (!List.of("lose", "revive", "list", "slow").contains(kind)) {
+                throw new ConfigException(key + "what", "'" + kind + "' is none of lose, revive, list, slow");
             }
             if (sites.stream().noneMatch(s -> s.name().equals(site))) {
                 throw new ConfigException(key + "site", "'" + site + "' is no site of this file");
             }
-            String health = f.getString("health", "Gone");
+            String health = fault.getString("health", "Gone");
             if (!List.of("Ready", "Terminating", "Gone").contains(health)) {
                 throw new ConfigException(key + "health", "'" + health + "' is none of Ready, Terminating, Gone");
             }
             faults.add(new Fault(
-                    number(key + "at_s", f.getValue("at_s"), Double.NaN, 0, 86_400),
-                    what,
+                    number(key + "at_s", fault.getValue("at_s"), Double.NaN, 0, 86_400),
+                    kind,
                     site,
                     health,
-                    number(key + "times", f.getValue("times"), 4, 0.1, 1_000)));
+                    number(key + "times", fault.getValue("times"), 4, 0.1, 1_000)));
         }
         faults.sort(Comparator.comparingDouble(Fault::atS));
         seconds = number("seconds", json.getValue("seconds"), 60, 1, 86_400);
         seed = (long) number("seed", json.getValue("seed"), 1, 0, 1e15);
     }
 
-    /** Throws a ConfigException that names the first key that can't be used. */
+    /** Reads a scenario; throws a ConfigException that names the first key with an unusable value. */
     public static Scenario fromFile(Path file) {
         try {
             return new Scenario(new JsonObject(Files.readString(file)));
@@ -98,80 +98,83 @@
         }
     }
 
-    /** Writes a configuration for each site's director, waits for them, plays, and tells. True if all rules were kept. */
-    public boolean play(Path into, PrintStream out) throws Exception {
-        Files.createDirectories(into);
-        try (Emulation e = new Emulation(sites, seed)) {
-            for (Emulation.SiteSpec s : sites) {
-                Path file = into.resolve("director-" + s.name() + ".json");
+    /**
+     * Writes a configuration for the director of each site, waits until all of them listen, plays the faults and prints
+     * the results. Returns whether all rules were kept and no cold cache collapsed.
+     */
+    public boolean play(Path outputFolder, PrintStream out) throws Exception {
+        Files.createDirectories(outputFolder);
+        try (Emulation emulation = new Emulation(sites, seed)) {
+            for (Emulation.SiteSpec spec : sites) {
+                Path file = outputFolder.resolve("director-" + spec.name() + ".json");
                 Files.writeString(
-                        file, e.config(s.name(), s.name(), s.directors().get(0)).encodePrettily());
-                out.println("for the director of " + s.name() + ": GW_CONFIG=" + file);
+                        file, emulation.config(spec.name(), spec.name(), spec.directors().get(0)).encodePrettily());
+                out.println("for the director of " + spec.name() + ": GW_CONFIG=" + file);
             }
-            for (Emulation.SiteSpec s : sites) {
-                await(s.directors().get(0));
+            for (Emulation.SiteSpec spec : sites) {
+                awaitListening(spec.directors().get(0));
             }
             out.println("all directors listen: clients begin");
-            e.startClients();
-            long began = System.nanoTime();
-            for (Fault f : faults) {
-                sleepUntil(began, f.atS());
-                out.printf("%6.1f s  %s %s%n", f.atS(), f.what(), f.site());
-                switch (f.what()) {
-                    case "lose" -> e.killCaches(f.site());
-                    case "revive" -> e.restartCaches(f.site());
-                    case "list" -> e.publishHealth(f.site(), f.health());
-                    default -> e.slowDownCaches(f.site(), f.times());
+            emulation.startClients();
+            long startedAtNanos = System.nanoTime();
+            for (Fault fault : faults) {
+                sleepUntil(startedAtNanos, fault.atS());
+                out.printf("%6.1f s  %s %s%n", fault.atS(), fault.kind(), fault.site());
+                switch (fault.kind()) {
+                    case "lose" -> emulation.killCaches(fault.site());
+                    case "revive" -> emulation.restartCaches(fault.site());
+                    case "list" -> emulation.publishHealth(fault.site(), fault.health());
+                    default -> emulation.slowDownCaches(fault.site(), fault.factor());
                 }
             }
-            sleepUntil(began, seconds);
-            e.stopClients();
-            for (int i = 0; i < 100 && e.openRequestCount() > 0; i++) {
+            sleepUntil(startedAtNanos, seconds);
+            emulation.stopClients();
+            for (int i = 0; i < 100 && emulation.openRequestCount() > 0; i++) {
                 Thread.sleep(100);
             }
-            out.print(e.results(EmulationResults::text));
-            int falls = sites.stream().mapToInt(s -> e.coldOverloadCount(s.name())).sum();
-            out.println("cold caches that fell: " + falls);
-            return falls == 0 && e.results(f -> f.violations().isEmpty());
+            out.print(emulation.results(EmulationResults::text));
+            int coldOverloads = sites.stream().mapToInt(s -> emulation.coldOverloadCount(s.name())).sum();
+            out.println("cold caches that fell: " + coldOverloads);
+            return coldOverloads == 0 && emulation.results(results -> results.violations().isEmpty());
         }
     }
 
-    private static void await(String director) throws Exception {
-        InetSocketAddress at = DirectorConfig.address("director", director);
+    private static void awaitListening(String director) throws Exception {
+        InetSocketAddress address = DirectorConfig.address("director", director);
         while (true) {
-            try (Socket s = new Socket(at.getAddress(), at.getPort())) {
+            try (Socket connection = new Socket(address.getAddress(), address.getPort())) {
                 return;
             } catch (IOException e) {
-                Thread.sleep(100); // Somebody is about to start it.
+                Thread.sleep(100); // The user has not started it yet.
             }
         }
     }
 
-    private static void sleepUntil(long began, double seconds) throws InterruptedException {
-        long left = (long) (seconds * 1e3) - (System.nanoTime() - began) / 1_000_000;
-        if (left > 0) {
-            Thread.sleep(left);
+    private static void sleepUntil(long startedAtNanos, double seconds) throws InterruptedException {
+        long remainingMs = (long) (seconds * 1e3) - (System.nanoTime() - startedAtNanos) / 1_000_000;
+        if (remainingMs > 0) {
+            Thread.sleep(remainingMs);
         }
     }
 
-    private static JsonArray array(String key, Object v) {
-        if (!(v instanceof JsonArray a)) {
+    private static JsonArray array(String key, Object value) {
+        if (!(value instanceof JsonArray array)) {
             throw new ConfigException(key, "is not a list");
         }
-        return a;
+        return array;
     }
 
-    private static JsonObject object(JsonArray of, String key, int i) {
-        if (!(of.getValue(i) instanceof JsonObject o)) {
+    private static JsonObject object(JsonArray list, String key, int i) {
+        if (!(list.getValue(i) instanceof JsonObject object)) {
             throw new ConfigException(key + "[" + i + "]", "is not an object");
         }
-        return o;
+        return object;
     }
 
-    private static String text(String key, Object v) {
-        if (!(v instanceof String s) || s.isEmpty()) {
-            throw new ConfigException(key, v == null ? "missing" : "'" + v + "' is no text");
+    private static String text(String key, Object value) {
+        if (!(value instanceof String text) || text.isEmpty()) {
+            throw new ConfigException(key, value == null ? "missing" : "'" + value + "' is no text");
         }
-        return s;
+        return text;
     }
 }
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -3,47 +3,54 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * What is behind the caches of some sites, without sockets: the link that they fill through, parents that hold a part of all
- * objects, and an origin that slows down as it gets crowded. Times in microseconds.
+ * Models the upstream of the caches of some sites without sockets: the link that they fill through, parents that store a
+ * share of all objects, and an origin that slows down under load. Times are in microseconds. Not thread-safe.
  */
 public final class UpstreamModel {
     /**
-     * @param link     fills at once that go at full pace
-     * @param holds    share of the objects that the parents hold
-     * @param parent   a fill from there, alone
-     * @param origin   what it takes longer where the origin is asked, alone
-     * @param bears    requests at once that the origin answers at full pace; over that it slows by the square
+     * @param linkCapacity fills that the link carries at the same time at full speed
+     * @param parentHitShare share of the objects that the parents store
+     * @param parentMicros time of a single fill from a parent
+     * @param originMicros additional time of a single fill that needs the origin
+     * @param originCapacity requests that the origin answers at the same time at full speed; beyond it the time grows with
+     *     the square of the load
      */
-    public record Settings(double link, double holds, long parent, long origin, double bears) {}
+    public record Settings(double linkCapacity, double parentHitShare, long parentMicros, long originMicros, double originCapacity) {}
 
-    /** A fill: how long it takes, and whether the origin was asked. */
+    /** A fill in progress: how long it takes and whether it needs the origin. */
     public record Fill(long durationMicros, boolean fromOrigin) {}
 
-    private final Settings set;
-    private int fills, asked;
+    private final Settings settings;
+    private int fillsInFlight;
+    private int originRequestsInFlight;
 
-    public UpstreamModel(Settings set) {
-        this.set = set;
+    public UpstreamModel(Settings settings) {
+        this.settings = settings;
     }
 
-    /** A fill begins; {@code through}: it runs at the origin whatever the parents hold. Ends with {@link #end}. */
-    public Fill begin(long object, boolean through) {
-        fills++;
-        boolean origin = through || (StableHash.of("held" + object) >>> 11) * 0x1.0p-53 >= set.holds();
-        asked += origin ? 1 : 0;
-        double crowd = Math.max(1, asked / set.bears());
+    /**
+     * Starts a fill, which the caller ends with {@link #end}.
+     *
+     * @param uncacheable whether the request always runs at the origin, also if a parent stores the object
+     */
+    public Fill begin(long object, boolean uncacheable) {
+        fillsInFlight++;
+        boolean needsOrigin = uncacheable || (StableHash.of("held" + object) >>> 11) * 0x1.0p-53 >= settings.parentHitShare();
+        originRequestsInFlight += needsOrigin ? 1 : 0;
+        double originLoad = Math.max(1, originRequestsInFlight / settings.originCapacity());
         return new Fill(
-                (long) (set.parent() * Math.max(1, fills / set.link()) + (origin ? set.origin() * crowd * crowd : 0)),
-                origin);
+                (long) (settings.parentMicros() * Math.max(1, fillsInFlight / settings.linkCapacity()) + (needsOrigin ? settings.originMicros() * originLoad * originLoad : 0)),
+                needsOrigin);
     }
 
-    public void end(Fill f) {
-        fills--;
-        asked -= f.fromOrigin() ? 1 : 0;
+    /** Ends a fill. */
+    public void end(Fill fill) {
+        fillsInFlight--;
+        originRequestsInFlight -= fill.fromOrigin() ? 1 : 0;
     }
 
-    /** Requests that the origin has in hand. */
-    public int asked() {
-        return asked;
+    /** Returns the number of requests in flight at the origin. */
+    public int originRequestsInFlight() {
+        return originRequestsInFlight;
     }
 }
--- a/src/main/java/pewtercourse/emulator/package-info.java
+++ b/src/main/java/pewtercourse/emulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sites of caches, a control feed and clients on loopback, to try real directors against; the models also serve the
- * simulations.
+ * Emulates sites of caches, a control feed and clients on loopback sockets to test real directors with; the simulations
+ * use its models, too.
  */
 package pewtercourse.emulator;
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -860,7 +860,7 @@
         return this;
     }
 
-    int coldOverloadCount() {
+    int falls() {
         return caches.stream().mapToInt(c -> c.model.coldOverloadCount()).sum();
     }
 
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -119,8 +119,8 @@
             assertEquals(
                     List.of(),
                     emulation.results(EmulationResults::violations).stream()
-                            .filter(violations -> stoppedHolder == null
-                                    || !violations.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
+                            .filter(violation -> stoppedHolder == null
+                                    || !violation.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
                 assertEquals(0, emulation.coldOverloadCount("s" + member.number), "cold caches that fell at s" + member.number);
