--- a/src/main/java/pewtercourse/zone/Budget.java
+++ b/src/main/java/pewtercourse/zone/Budget.java
@@ -5,46 +5,56 @@
 import java.util.TreeMap;
 
 /**
- * What operators allow: for all classes together and for single ones, a rate and a burst for each kind of crossing. A
- * kind that is absent has no bound. {@code leave}: the share of the common burst that a class must leave to those of
- * higher priority; 0 for the highest. A class that is not named is bound by the common bounds alone.
+ * The traffic across zones that operators allow: a rate and a burst for each kind of crossing, for all classes together
+ * and for single classes. A kind without a bound is unlimited. A class that is not listed is limited only by the common
+ * bounds.
  */
-public record Budget(Map<Crossing, Bound> all, Map<String, ClassBudget> classes) {
-    /** Past these a count of millionths would not fit: a unit was mistaken. */
-    static final long RATE_MOST = 1_000_000_000_000L, BURST_MOST = 1_000_000_000_000L;
+public record Budget(Map<Crossing, Bound> commonBounds, Map<String, ClassBudget> classes) {
+    /** Above this rate a count of millionths of a byte would overflow; such a value has a wrong unit. */
+    static final long MAX_BYTES_PER_S = 1_000_000_000_000L;
 
-    /** A token bucket: its rate and its depth. */
-    public record Bound(long bytesPerS, long burst) {
+    /** Above this burst a count of millionths of a byte would overflow; such a value has a wrong unit. */
+    static final long MAX_BURST_BYTES = 1_000_000_000_000L;
+
+    /** The rate of a token bucket and its depth in bytes. */
+    public record Bound(long bytesPerS, long burstBytes) {
         public Bound {
-            if (bytesPerS < 0 || bytesPerS > RATE_MOST) {
-                throw new IllegalArgumentException("bytes_per_s: " + bytesPerS + " is not from 0 to " + RATE_MOST);
+            if (bytesPerS < 0 || bytesPerS > MAX_BYTES_PER_S) {
+                throw new IllegalArgumentException("bytes_per_s: " + bytesPerS + " is not from 0 to " + MAX_BYTES_PER_S);
             }
-            if (burst <= 0 || burst > BURST_MOST) {
-                throw new IllegalArgumentException("burst: " + burst + " is not from 1 to " + BURST_MOST);
+            if (burstBytes <= 0 || burstBytes > MAX_BURST_BYTES) {
+                throw new IllegalArgumentException("burst: " + burstBytes + " is not from 1 to " + MAX_BURST_BYTES);
             }
         }
     }
 
-    /** {@code always}: it is charged, also into debt, but never turned away. */
-    public record ClassBudget(Map<Crossing, Bound> own, double leave, boolean always) {
+    /**
+     * The budget of one class.
+     *
+     * @param bounds bounds of this class in addition to the common ones
+     * @param shareLeftToOthers share of the common burst, from 0 to 1, that the class must leave to classes of higher priority; 0 for
+     *     the highest priority
+     * @param neverRejected whether fills of the class are always sent; they are charged even if this makes a debt
+     */
+    public record ClassBudget(Map<Crossing, Bound> bounds, double shareLeftToOthers, boolean neverRejected) {
         public ClassBudget {
-            if (!(leave >= 0 && leave <= 1)) {
-                throw new IllegalArgumentException("leave: " + leave + " is not from 0 to 1");
+            if (!(shareLeftToOthers >= 0 && shareLeftToOthers <= 1)) {
+                throw new IllegalArgumentException("share_left_to_others: " + shareLeftToOthers + " is not from 0 to 1");
             }
-            own = copy(own);
+            bounds = copy(bounds);
         }
     }
 
-    static final ClassBudget UNNAMED = new ClassBudget(Map.of(), 0, false);
+    static final ClassBudget UNLISTED = new ClassBudget(Map.of(), 0, false);
 
     public Budget {
-        all = copy(all);
+        commonBounds = copy(commonBounds);
         classes = Map.copyOf(new TreeMap<>(classes));
     }
 
-    private static Map<Crossing, Bound> copy(Map<Crossing, Bound> of) {
-        Map<Crossing, Bound> c = new EnumMap<>(Crossing.class);
-        c.putAll(of);
-        return java.util.Collections.unmodifiableMap(c);
+    private static Map<Crossing, Bound> copy(Map<Crossing, Bound> bounds) {
+        Map<Crossing, Bound> copy = new EnumMap<>(Crossing.class);
+        copy.putAll(bounds);
+        return java.util.Collections.unmodifiableMap(copy);
     }
 }
--- a/src/main/java/pewtercourse/zone/Cost.java
+++ b/src/main/java/pewtercourse/zone/Cost.java
@@ -1,8 +1,8 @@
 package pewtercourse.zone;
 
-/** Bytes by kind of crossing, as estimated for a fill or as they came. */
+/** Bytes by kind of crossing, either estimated for a fill or transferred. */
 public record Cost(long link, long hubStep, long origin) {
-    public static final Cost NOTHING = new Cost(0, 0, 0);
+    public static final Cost ZERO = new Cost(0, 0, 0);
 
     public Cost {
         if (link < 0 || hubStep < 0 || origin < 0) {
@@ -10,13 +10,18 @@
         }
     }
 
-    /** A fill of so many bytes from beyond the canteen, {@code steps} hubs further than its own. */
-    public static Cost ofFill(long bytes, int steps, boolean origin) {
-        return new Cost(bytes, Math.multiplyExact(bytes, steps), origin ? bytes : 0);
+    /**
+     * Returns the cost of a fill from outside the zone.
+     *
+     * @param hubSteps steps between the hub of the zone and the hub that the bytes come from
+     */
+    public static Cost ofFill(long bytes, int hubSteps, boolean fromOrigin) {
+        return new Cost(bytes, Math.multiplyExact(bytes, hubSteps), fromOrigin ? bytes : 0);
     }
 
-    public long of(Crossing c) {
-        return switch (c) {
+    /** Returns the bytes of one kind of crossing. */
+    public long bytesOf(Crossing crossing) {
+        return switch (crossing) {
             case LINK -> link;
             case HUB_STEP -> hubStep;
             case ORIGIN -> origin;
--- a/src/main/java/pewtercourse/zone/Crossing.java
+++ b/src/main/java/pewtercourse/zone/Crossing.java
@@ -1,11 +1,11 @@
 package pewtercourse.zone;
 
-/** Kinds of crossing that have a price of their own. A fill may be of several. */
+/** The kinds of zone crossing that are accounted for separately. A fill may use several of them. */
 public enum Crossing {
-    /** Through the canteen's one link, from whatever lies beyond it. */
+    /** Over the only link of the zone, from any place outside the zone. */
     LINK,
-    /** Between hubs: once for each step of the ring. */
+    /** Between hubs: counted once for each step along the ring. */
     HUB_STEP,
-    /** Out of the origin. */
+    /** From the origin. */
     ORIGIN
 }
--- a/src/main/java/pewtercourse/zone/Ledger.java
+++ b/src/main/java/pewtercourse/zone/Ledger.java
@@ -6,49 +6,50 @@
 import java.util.Map;
 
 /**
- * Holds the traffic across zones to a {@link Budget}. A fill is charged by an estimate when it is sent and settled by
- * what came; what a wrong estimate leaves is a debt that the fills after it pay back, or is given back. Knows no
- * sockets; {@code now} is microseconds of the caller's clock. Memory is bounded by the classes of the budget: a
- * reservation lives with the attempt that holds it.
+ * Limits the traffic across zones to a {@link Budget}. A fill is charged with an estimate when it is sent and with the
+ * transferred bytes when it ends. If the estimate was too low, the difference is a debt that delays later fills; if it was
+ * too high, the difference is given back. Uses no sockets; {@code now} is the caller's clock in microseconds. The memory is
+ * bounded by the classes of the budget, because a reservation is owned by its attempt.
  */
 public final class Ledger {
-    // A rate in bytes a second times microseconds is whole in these, so that no token is made or lost by rounding.
-    static final long PARTS = 1_000_000;
+    // Levels are counted in millionths of a byte. A rate in bytes per second times microseconds is an integer in this
+    // unit, so rounding neither creates nor loses tokens.
+    static final long UNITS_PER_BYTE = 1_000_000;
 
-    /** Tokens of one bound; below 0 it is in debt. */
+    /** The token bucket of one bound; a level below 0 is a debt. */
     static final class Bucket {
         private Budget.Bound bound;
         private long level;
 
         Bucket(Budget.Bound bound) {
             this.bound = bound;
-            level = bound.burst() * PARTS;
+            level = bound.burstBytes() * UNITS_PER_BYTE;
         }
 
-        /** Tokens that came in so many microseconds; what the burst can't hold is not made. */
-        private void refill(long micros) {
-            long room = bound.burst() * PARTS - level;
-            boolean fills = bound.bytesPerS() > 0 && micros >= room / bound.bytesPerS() + 1;
-            level += fills ? room : Math.min(room, bound.bytesPerS() * micros);
+        /** Adds the tokens for the elapsed time, up to the burst. */
+        private void refill(long elapsedMicros) {
+            long missing = bound.burstBytes() * UNITS_PER_BYTE - level;
+            boolean becomesFull = bound.bytesPerS() > 0 && elapsedMicros >= missing / bound.bytesPerS() + 1;
+            level += becomesFull ? missing : Math.min(missing, bound.bytesPerS() * elapsedMicros);
         }
 
-        // Debts stay, and no bucket holds more than its burst: a smaller budget binds at once, a larger one fills in
-        // time.
-        private void rebind(Budget.Bound to) {
-            bound = to;
-            level = Math.min(level, to.burst() * PARTS);
+        // A debt stays, and the level is cut to the new burst. So a smaller burst takes effect immediately, and a larger
+        // one fills over time.
+        private void changeBound(Budget.Bound newBound) {
+            bound = newBound;
+            level = Math.min(level, newBound.burstBytes() * UNITS_PER_BYTE);
         }
 
-        // One larger than the burst can go once the bucket is full: it leaves a debt instead of never being let
-        // through.
-        private boolean affords(long bytes, double leave) {
-            long need = Math.min(bytes, bound.burst());
-            return level >= (need + (long) (leave * (bound.burst() - need))) * PARTS;
+        // A fill larger than the burst is sent when the bucket is full and leaves a debt; otherwise it could never be
+        // sent.
+        private boolean affords(long bytes, double shareLeftToOthers) {
+            long required = Math.min(bytes, bound.burstBytes());
+            return level >= (required + (long) (shareLeftToOthers * (bound.burstBytes() - required))) * UNITS_PER_BYTE;
         }
 
-        // What is given back never fills it over its burst: it would have had no room for it.
-        private void move(long bytes) {
-            level = Math.min(bound.burst() * PARTS, level + bytes * PARTS);
+        // Returned tokens do not raise the level above the burst.
+        private void addTokens(long bytes) {
+            level = Math.min(bound.burstBytes() * UNITS_PER_BYTE, level + bytes * UNITS_PER_BYTE);
         }
 
         long level() {
@@ -56,9 +57,9 @@
         }
     }
 
-    /** What an attempt has taken, and from which bounds; ended once, however the attempt ends. */
+    /** The tokens that an attempt has taken and the buckets they came from; ended exactly once, by any end of the attempt. */
     public static final class Reservation {
-        private final Map<Bucket, Crossing> from = new IdentityHashMap<>();
+        private final Map<Bucket, Crossing> charged = new IdentityHashMap<>();
         private final Cost cost;
 
         private Reservation(Cost cost) {
@@ -66,106 +67,115 @@
         }
     }
 
-    private final Map<Crossing, Bucket> all = new EnumMap<>(Crossing.class);
-    private final Map<String, Map<Crossing, Bucket>> classes = new HashMap<>();
+    private final Map<Crossing, Bucket> commonBuckets = new EnumMap<>(Crossing.class);
+    private final Map<String, Map<Crossing, Bucket>> bucketsByClass = new HashMap<>();
     private Budget budget;
-    private long last;
+    private long lastRefillAt;
 
+    /** Creates a ledger whose buckets are full. */
     public Ledger(Budget budget, long now) {
-        last = now;
-        bind(budget);
+        lastRefillAt = now;
+        applyBudget(budget);
     }
 
-    /** Whether a fill of this class may be sent now. */
-    public boolean affords(long now, String cls, Cost cost) {
+    /** Tells whether a fill of this class may be sent now. */
+    public boolean affords(long now, String requestClass, Cost cost) {
         refill(now);
-        Budget.ClassBudget rules = budget.classes().getOrDefault(cls, Budget.UNNAMED);
-        if (rules.always()) {
+        Budget.ClassBudget classBudget = budget.classes().getOrDefault(requestClass, Budget.UNLISTED);
+        if (classBudget.neverRejected()) {
             return true;
         }
-        for (Crossing c : Crossing.values()) {
-            long bytes = cost.of(c);
-            Bucket common = all.get(c),
-                    own = classes.getOrDefault(cls, Map.of()).get(c);
+        for (Crossing crossing : Crossing.values()) {
+            long bytes = cost.bytesOf(crossing);
+            Bucket commonBucket = commonBuckets.get(crossing);
+            Bucket classBucket = bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing);
             if (bytes > 0
-                    && (common != null && !common.affords(bytes, rules.leave())
-                            || own != null && !own.affords(bytes, 0))) {
+                    && (commonBucket != null && !commonBucket.affords(bytes, classBudget.shareLeftToOthers())
+                            || classBucket != null && !classBucket.affords(bytes, 0))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Takes the estimate of a fill; null if it can't be afforded, and nothing is taken. */
-    public Reservation reserve(long now, String cls, Cost estimate) {
-        if (!affords(now, cls, estimate)) {
+    /** Takes the tokens for the estimate of a fill; takes none and returns null if the fill may not be sent now. */
+    public Reservation reserve(long now, String requestClass, Cost estimate) {
+        if (!affords(now, requestClass, estimate)) {
             return null;
         }
-        Reservation r = new Reservation(estimate);
-        for (Crossing c : Crossing.values()) {
-            for (Bucket b : new Bucket[] {
-                all.get(c), classes.getOrDefault(cls, Map.of()).get(c)
+        Reservation reservation = new Reservation(estimate);
+        for (Crossing crossing : Crossing.values()) {
+            for (Bucket bucket : new Bucket[] {
+                commonBuckets.get(crossing), bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing)
             }) {
-                if (b != null) {
-                    b.move(-estimate.of(c));
-                    r.from.put(b, c);
+                if (bucket != null) {
+                    bucket.addTokens(-estimate.bytesOf(crossing));
+                    reservation.charged.put(bucket, crossing);
                 }
             }
         }
-        return r;
+        return reservation;
     }
 
-    /** The fill has ended and this much has crossed; only the first end counts. */
-    public void settle(long now, Reservation r, Cost came) {
+    /** Ends a fill and charges the bytes that have crossed; a second end of the same reservation has no effect. */
+    public void settle(long now, Reservation reservation, Cost actual) {
         refill(now);
-        // Only where it was taken, and once: a bound that came by a reload meanwhile gave nothing for it.
-        r.from.forEach((b, c) -> b.move(r.cost.of(c) - came.of(c)));
-        r.from.clear();
+        // Gives back only to the buckets that were charged, and only once: a bound that a reload has added since then
+        // was not charged.
+        reservation.charged.forEach((bucket, crossing) -> bucket.addTokens(reservation.cost.bytesOf(crossing) - actual.bytesOf(crossing)));
+        reservation.charged.clear();
     }
 
-    /** Nothing has crossed: it was never sent, or was joined to another. */
-    public void cancel(long now, Reservation r) {
-        settle(now, r, Cost.NOTHING);
+    /** Ends a fill of which nothing has crossed, because it was never sent or was joined to another. */
+    public void cancel(long now, Reservation reservation) {
+        settle(now, reservation, Cost.ZERO);
     }
 
-    /** A new budget, whole: levels and debts stay with the bounds that stay, also of fills that are under way. */
-    public void reload(long now, Budget to) {
+    /**
+     * Replaces the complete budget. Bounds that remain keep their levels and debts, also those of fills in flight.
+     */
+    public void reload(long now, Budget newBudget) {
         refill(now);
-        bind(to);
+        applyBudget(newBudget);
     }
 
-    private void bind(Budget to) {
-        budget = to;
-        bind(all, to.all());
-        classes.keySet().retainAll(to.classes().keySet());
-        to.classes()
-                .forEach((name, c) -> bind(classes.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)), c.own()));
+    private void applyBudget(Budget newBudget) {
+        budget = newBudget;
+        bindBuckets(commonBuckets, newBudget.commonBounds());
+        bucketsByClass.keySet().retainAll(newBudget.classes().keySet());
+        newBudget.classes()
+                .forEach((name, classBudget) -> bindBuckets(bucketsByClass.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)), classBudget.bounds()));
     }
 
-    private static void bind(Map<Crossing, Bucket> buckets, Map<Crossing, Budget.Bound> to) {
-        buckets.keySet().retainAll(to.keySet());
-        to.forEach(
-                (c, bound) -> buckets.computeIfAbsent(c, k -> new Bucket(bound)).rebind(bound));
+    private static void bindBuckets(Map<Crossing, Bucket> buckets, Map<Crossing, Budget.Bound> bounds) {
+        buckets.keySet().retainAll(bounds.keySet());
+        bounds.forEach(
+                (crossing, bound) -> buckets.computeIfAbsent(crossing, k -> new Bucket(bound)).changeBound(bound));
     }
 
-    // A clock that steps back brings nothing until it has caught up.
+    // If the clock steps back, no tokens are added until it has passed the last refill.
     private void refill(long now) {
-        if (now > last) {
-            long micros = now - last;
-            last = now;
-            all.values().forEach(b -> b.refill(micros));
-            classes.values().forEach(of -> of.values().forEach(b -> b.refill(micros)));
+        if (now > lastRefillAt) {
+            long elapsedMicros = now - lastRefillAt;
+            lastRefillAt = now;
+            commonBuckets.values().forEach(bucket -> bucket.refill(elapsedMicros));
+            bucketsByClass.values().forEach(classBuckets -> classBuckets.values().forEach(bucket -> bucket.refill(elapsedMicros)));
         }
     }
 
-    /** Bytes that are left of a bound, below 0 in debt; null where there is none. {@code cls} null: of all classes. */
-    public Long left(long now, String cls, Crossing c) {
+    /**
+     * Returns the bytes that may still cross under a bound, below 0 for a debt; null if there is no such bound.
+     *
+     * @param requestClass a class, or null for the bound of all classes
+     */
+    public Long remainingBytes(long now, String requestClass, Crossing crossing) {
         refill(now);
-        Bucket b = (cls == null ? all : classes.getOrDefault(cls, Map.of())).get(c);
-        return b == null ? null : Math.floorDiv(b.level, PARTS);
+        Bucket bucket = (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of())).get(crossing);
+        return bucket == null ? null : Math.floorDiv(bucket.level, UNITS_PER_BYTE);
     }
 
-    Bucket bucket(String cls, Crossing c) {
-        return (cls == null ? all : classes.getOrDefault(cls, Map.of())).get(c);
+    /** Returns the bucket of a bound for tests; {@code requestClass} is null for the bound of all classes. */
+    Bucket bucket(String requestClass, Crossing crossing) {
+        return (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of())).get(crossing);
     }
 }
--- a/src/main/java/pewtercourse/zone/Route.java
+++ b/src/main/java/pewtercourse/zone/Route.java
@@ -1,8 +1,11 @@
 package pewtercourse.zone;
 
-/** The way on which the bytes of an answer came into the canteen. {@code steps}: hubs beyond the canteen's own. */
+/**
+ * The route on which the bytes of an answer came into the zone; {@code steps} is the number of steps between the hub of the
+ * zone and the hub that the bytes came from.
+ */
 public record Route(Kind kind, int steps) {
-    /** Where the bytes of an answer came from. */
+    /** The source of the bytes of an answer. */
     public enum Kind {
         OWN,
         SIBLING,
@@ -10,25 +13,27 @@
         ORIGIN
     }
 
-    public static final Route OWN = new Route(Kind.OWN, 0), SIBLING = new Route(Kind.SIBLING, 0);
+    public static final Route OWN = new Route(Kind.OWN, 0);
+    public static final Route SIBLING = new Route(Kind.SIBLING, 0);
 
-    /** What a fill of so many bytes costs on this way; nothing where it stays in the canteen. */
+    /** Returns the cost of a fill on this route; zero if the bytes stay in the zone. */
     public Cost cost(long bytes) {
         return switch (kind) {
-            case OWN, SIBLING -> Cost.NOTHING;
+            case OWN, SIBLING -> Cost.ZERO;
             case PARENT, ORIGIN -> Cost.ofFill(bytes, steps, kind == Kind.ORIGIN);
         };
     }
 
     /**
-     * Steps between two hubs that stand in a ring with {@code hubs} others in the order of their places: the shorter way
-     * round.
+     * Returns the number of steps between two hubs on a ring, in the shorter direction.
+     *
+     * @param hubCount number of hubs on the ring, numbered from 0 in the order of the ring
      */
-    public static int steps(int from, int to, int hubs) {
-        if (from < 0 || to < 0 || from >= hubs || to >= hubs) {
-            throw new IllegalArgumentException("hub " + from + " or " + to + " is none of " + hubs);
+    public static int steps(int fromHub, int toHub, int hubCount) {
+        if (fromHub < 0 || toHub < 0 || fromHub >= hubCount || toHub >= hubCount) {
+            throw new IllegalArgumentException("hub " + fromHub + " or " + toHub + " is not below the number of hubs, " + hubCount);
         }
-        int way = Math.abs(from - to);
-        return Math.min(way, hubs - way);
+        int distance = Math.abs(fromHub - toHub);
+        return Math.min(distance, hubCount - distance);
     }
 }
--- a/src/main/java/pewtercourse/zone/package-info.java
+++ b/src/main/java/pewtercourse/zone/package-info.java
@@ -1,2 +1,5 @@
-/** Accounting and budget of traffic that crosses zones. Pure: no sockets, no clock. Not wired in yet. */
+/**
+ * Accounts for the traffic that crosses zones and limits it to a budget. Uses no sockets and no clock. The director does not
+ * use this package yet.
+ */
 package pewtercourse.zone;
--- a/src/test/java/pewtercourse/zone/AccountTest.java
+++ b/src/test/java/pewtercourse/zone/AccountTest.java
@@ -21,54 +21,54 @@
     };
 
     @Property(tries = 200, seed = "7")
-    void itAddsUpToWhatWasSentByEachLink(@ForAll @IntRange(max = 200) int answers, @ForAll long seed) {
+    void totalCostEqualsTheBytesCountedAtEachLink(@ForAll @IntRange(max = 200) int answers, @ForAll long seed) {
         Random random = new Random(seed);
         Account account = new Account();
-        Map<String, Long> link = new HashMap<>();
+        Map<String, Long> bytesByLink = new HashMap<>();
         for (int i = 0; i < answers; i++) {
-            String cls = random.nextBoolean() ? "media" : "page";
+            String requestClass = random.nextBoolean() ? "media" : "page";
             Route route = ROUTES[random.nextInt(ROUTES.length)];
             Use use = Use.values()[random.nextInt(3)];
             long bytes = random.nextInt(240_000);
             if (random.nextInt(4) > 0) {
-                account.whole(cls, route, use, bytes);
+                account.addCertain(requestClass, route, use, bytes);
             } else {
-                account.perhaps(cls, route, use, bytes);
+                account.addEstimated(requestClass, route, use, bytes);
             }
-            // Hop by hop, as the links would count them.
-            boolean outside = route.kind() == Kind.PARENT || route.kind() == Kind.ORIGIN;
-            link.merge("link", outside ? bytes : 0, Long::sum);
-            for (int hop = 0; outside && hop < route.steps(); hop++) {
-                link.merge("step", bytes, Long::sum);
+            // Counts the bytes hop by hop, as the links would.
+            boolean fromOutside = route.kind() == Kind.PARENT || route.kind() == Kind.ORIGIN;
+            bytesByLink.merge("link", fromOutside ? bytes : 0, Long::sum);
+            for (int hop = 0; fromOutside && hop < route.steps(); hop++) {
+                bytesByLink.merge("step", bytes, Long::sum);
             }
-            link.merge("origin", route.kind() == Kind.ORIGIN ? bytes : 0, Long::sum);
+            bytesByLink.merge("origin", route.kind() == Kind.ORIGIN ? bytes : 0, Long::sum);
         }
         assertEquals(
-                new Cost(link.getOrDefault("link", 0L), link.getOrDefault("step", 0L), link.getOrDefault("origin", 0L)),
-                account.crossed());
-        List<Long> counted = new ArrayList<>();
-        account.each(e -> counted.add(e.getValue().answers()));
-        assertEquals(answers, counted.stream().mapToLong(n -> n).sum());
+                new Cost(bytesByLink.getOrDefault("link", 0L), bytesByLink.getOrDefault("step", 0L), bytesByLink.getOrDefault("origin", 0L)),
+                account.totalCost());
+        List<Long> answerCounts = new ArrayList<>();
+        account.forEachLine(line -> answerCounts.add(line.getValue().answers()));
+        assertEquals(answers, answerCounts.stream().mapToLong(n -> n).sum());
     }
 
     @Example
-    void certainAndEstimatedStayApart() {
-        Account a = new Account();
-        a.whole("page", ROUTES[2], Use.SERVED, 10);
-        a.perhaps("page", ROUTES[2], Use.SERVED, 7);
-        a.whole("page", ROUTES[2], Use.WASTED, 1);
+    void keepsCertainAndEstimatedBytesApart() {
+        Account account = new Account();
+        account.addCertain("page", ROUTES[2], Use.SERVED, 10);
+        account.addEstimated("page", ROUTES[2], Use.SERVED, 7);
+        account.addCertain("page", ROUTES[2], Use.WASTED, 1);
         List<String> lines = new ArrayList<>();
-        a.each(e -> lines.add(e.getKey().use() + " " + e.getValue()));
+        account.forEachLine(line -> lines.add(line.getKey().use() + " " + line.getValue()));
         assertEquals(
                 List.of(
                         "SERVED Sum[answers=2, certain=10, estimated=7]",
                         "WASTED Sum[answers=1, certain=1, estimated=0]"),
                 lines);
-        assertThrows(IllegalArgumentException.class, () -> a.whole("page", Route.OWN, Use.LATE, -1));
+        assertThrows(IllegalArgumentException.class, () -> account.addCertain("page", Route.OWN, Use.LATE, -1));
     }
 
     @Example
-    void hubsStandInARing() {
+    void countsHubStepsInTheShorterDirectionOfTheRing() {
         assertEquals(0, Route.steps(2, 2, 5));
         assertEquals(1, Route.steps(0, 4, 5));
         assertEquals(2, Route.steps(1, 4, 5));
