--- a/src/main/java/pewtercourse/director/Director.java
+++ b/src/main/java/pewtercourse/director/Director.java
@@ -127,11 +127,11 @@
                 transport,
                 timers,
                 clock,
-                (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleClose()),
-                config.cacheConnections());
+                (long) (IDLE_TIMEOUT_FRACTION * siteSettings.idleTimeoutMicros()),
+                config.maxCacheConnections());
         this.registry = new ServiceRegistry(siteSettings, pool);
         this.localRouterQueue = newRouterQueue(siteSettings.router(), false);
-        this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inherits(), (from, bytes) -> {
+        this.gossipSocket = new GossipSocket(vertx, config.peers(), config.inheritsSocket(), (from, bytes) -> {
             peerMessageListener.run();
             localRouterQueue.enqueue(new GossipReceived(from, bytes));
         });
@@ -181,16 +181,17 @@
      * take effect at once. All other changes need a restart, and their keys are logged.
      */
     public void reload(DirectorConfig newConfig) {
-        List<String> keysThatNeedRestart = newConfig.changedSince(config);
+        List<String> keysThatNeedRestart = newConfig.keysNeedingRestart(config);
         if (!keysThatNeedRestart.isEmpty()) {
             Log.warn("config.needs_restart", "keys", String.join(",", keysThatNeedRestart));
         }
-        SiteSettings newSettings = newConfig.site().placed(siteSettings);
-        boolean namesChanged = !newSettings.namesAlike(siteSettings);
+        SiteSettings newSettings = newConfig.site().withClassIndexesOf(siteSettings);
+        boolean namesChanged = !newSettings.resolvesNamesLike(siteSettings);
         siteSettings = newSettings;
         localRouterQueue.enqueue(new SettingsChanged(newSettings.router()));
-        remoteRouterQueues.forEach((zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.guestsAt(zone))));
-        pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleClose()));
+        remoteRouterQueues.forEach(
+                (zone, queue) -> queue.enqueue(new SettingsChanged(newSettings.remoteRouterSettings(zone))));
+        pool.setMaxIdleMicros((long) (IDLE_TIMEOUT_FRACTION * newSettings.idleTimeoutMicros()));
         registry.updateSettings(newSettings);
         if (namesChanged) {
             enqueueForAllRouters(registry.snapshot());
@@ -441,7 +442,7 @@
             return localRouterQueue;
         }
         return remoteRouterQueues.computeIfAbsent(zone, remoteZone -> {
-            RouterEventQueue queue = newRouterQueue(siteSettings.guestsAt(remoteZone), true);
+            RouterEventQueue queue = newRouterQueue(siteSettings.remoteRouterSettings(remoteZone), true);
             // The capacity of another zone's caches in slow start is left to the clients of that zone.
             queue.enqueue(new QuotaChanged(0));
             queue.enqueue(registry.snapshot());
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -345,19 +345,19 @@
             boolean unreached = cutFrom.contains(site * 100 + c.site);
             boolean fills = s.fillSourceId() != s.endpointId();
             CacheModel.Answer a = unreached
-                    ? new CacheModel.Answer(CacheModel.Verdict.DOWN, 0, 0)
-                    : c.model.ask(
+                    ? new CacheModel.Answer(CacheModel.Outcome.DOWN, 0, 0)
+                    : c.model.handleRequest(
                             now,
                             q.object,
                             q.work,
                             fills,
                             desk == home ? s.retentionRank() : Math.min(1, s.retentionRank()),
                             s.maxAge());
-            boolean silent = unreached || c.model.up() == false && vanished.contains(c.site);
+            boolean silent = unreached || c.model.isUp() == false && vanished.contains(c.site);
             int cacheLife = c.life;
             long slow = slowSite == c.site ? 3 : 1;
             long until = s.timeout() > 0 ? Math.min(q.expires - 40 * MS, now + s.timeout()) : q.expires - 40 * MS;
-            switch (a.verdict()) {
+            switch (a.outcome()) {
                 case DOWN ->
                     ended(
                             desk,
@@ -374,14 +374,14 @@
                     if (CLASSES[q.cls].uncacheable()) {
                         q.effects++;
                     }
-                    boolean fill = a.verdict() == CacheModel.Verdict.FILL;
+                    boolean fill = a.outcome() == CacheModel.Outcome.FILL;
                     UpstreamModel.Fill up =
                             fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].uncacheable()) : null;
-                    long filling = fill ? up.takes() + q.work / 3 : 0;
-                    long at = now + slow * (a.takes() + filling) + (c.site == site ? 0 : 8 * MS);
+                    long filling = fill ? up.durationMicros() + q.work / 3 : 0;
+                    long at = now + slow * (a.durationMicros() + filling) + (c.site == site ? 0 : 8 * MS);
                     at(Math.min(at, until), () -> {
                         if (c.life == cacheLife) {
-                            c.model.done();
+                            c.model.endTransfer();
                         }
                         if (fill) {
                             upstream[c.site].end(up);
@@ -673,7 +673,7 @@
                 boolean lost = o.phase() == SiteStatus.Phase.LOST;
                 boolean dead = caches.stream()
                         .filter(c -> siteName(c.site).equals(o.site()))
-                        .noneMatch(c -> c.model.up());
+                        .noneMatch(c -> c.model.isUp());
                 if (lost && declaredAt < 0) {
                     declaredAt = now;
                 }
@@ -768,7 +768,7 @@
             }
             case COPIES_VOID -> {
                 lose(0, LOST_AT, BACK_AT, false);
-                at(BACK_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.voidAll()));
+                at(BACK_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.discardCopies()));
             }
             case SCAN, OVERSIZED -> lose(0, LOST_AT, BACK_AT, false);
             case LIST_SHRINKS -> {
@@ -827,7 +827,7 @@
     }
 
     private void list(int site, boolean ready) {
-        boolean alive = caches.stream().anyMatch(c -> c.site == site && c.model.up());
+        boolean alive = caches.stream().anyMatch(c -> c.site == site && c.model.isUp());
         if (alive != ready) {
             return; // It came back, or went, before the list told.
         }
@@ -861,7 +861,7 @@
     }
 
     int falls() {
-        return caches.stream().mapToInt(c -> c.model.falls()).sum();
+        return caches.stream().mapToInt(c -> c.model.coldOverloadCount()).sum();
     }
 
     int effectsTwice() {
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.emulator.Emulation;
-import pewtercourse.emulator.Findings;
+import pewtercourse.emulator.EmulationResults;
 
 /**
  * Tests the loss of sites with three sites of one director each. The directors run as processes of the program with a
@@ -114,19 +114,19 @@
     @AfterEach
     void closeSitesAndCheckLog() throws Exception {
         try {
-            emulation.endClients();
-            await("all requests answered", () -> emulation.open() == 0);
+            emulation.stopClients();
+            await("all requests answered", () -> emulation.openRequestCount() == 0);
             // A paused director can't answer the requests that it has accepted.
             assertEquals(
                     List.of(),
-                    emulation.findings(Findings::broken).stream()
+                    emulation.results(EmulationResults::violations).stream()
                             .filter(violation -> pausedHolder == null
                                     || !violation.contains(" by " + pausedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
-                assertEquals(0, emulation.falls("s" + member.number), "overloaded cold caches at s" + member.number);
+                assertEquals(0, emulation.coldOverloadCount("s" + member.number), "overloaded cold caches at s" + member.number);
             }
-            assertTrue(emulation.findings(Findings::runs) > 0, "no order was run");
+            assertTrue(emulation.results(EmulationResults::orderCount) > 0, "no order was run");
         } finally {
             emulation.close();
             cluster.close();
@@ -154,7 +154,7 @@
     }
 
     private int answeredInTime(String site) {
-        return emulation.findings(f -> f.of(site).inTime);
+        return emulation.results(f -> f.siteCounts(site).inTime);
     }
 
     // Waits until more than 15 further requests of the site's clients are answered in time.
@@ -166,22 +166,22 @@
     @Test
     void aSiteWithoutCachesIsServedByOthersAndRecoversAutomatically() throws Exception {
         awaitServed(TESTED_SITE);
-        int ownAttempts = emulation.findings(f -> f.attempts(TESTED_SITE));
+        int ownAttempts = emulation.results(f -> f.attemptCount(TESTED_SITE));
         assertTrue(ownAttempts > 0);
-        emulation.lose(TESTED_SITE);
+        emulation.killCaches(TESTED_SITE);
         awaitPhase("lost", cluster.members);
         awaitEverywhere(
                 "only the caches of the site fail",
                 cluster.members,
                 status -> status.getString("health").equals("caches"));
-        emulation.list(TESTED_SITE, "Gone");
+        emulation.publishHealth(TESTED_SITE, "Gone");
         awaitServed(TESTED_SITE);
-        emulation.revive(TESTED_SITE);
+        emulation.restartCaches(TESTED_SITE);
         awaitPhase("whole", cluster.members);
-        int attemptsBefore = emulation.findings(f -> f.attempts(TESTED_SITE));
+        int attemptsBefore = emulation.results(f -> f.attemptCount(TESTED_SITE));
         awaitServed(TESTED_SITE);
         assertTrue(
-                emulation.findings(f -> f.attempts(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
+                emulation.results(f -> f.attemptCount(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
         assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "recovery must go step by step");
     }
 
@@ -201,9 +201,9 @@
             return cluster.leaseHolder("sites", List.of(firstMember)) != null;
         });
         firstMember.kill();
-        emulation.lose(TESTED_SITE);
+        emulation.killCaches(TESTED_SITE);
         List<MemberProcess> remaining = cluster.except(firstMember);
-        emulation.list(TESTED_SITE, "Gone");
+        emulation.publishHealth(TESTED_SITE, "Gone");
         awaitPhase("lost", remaining);
         awaitEverywhere(
                 "caches and directors of the site fail",
@@ -211,17 +211,17 @@
                 status -> status.getString("health").equals("all"));
         awaitServed(TESTED_SITE); // Its clients use other directors.
         firstMember.start();
-        emulation.revive(TESTED_SITE);
+        emulation.restartCaches(TESTED_SITE);
         awaitPhase("whole", cluster.members);
         awaitServed(TESTED_SITE);
     }
 
     @Test
     void aNewLeaseHolderContinuesRecoveryFromTheCommittedStep() throws Exception {
-        emulation.lose(TESTED_SITE);
+        emulation.killCaches(TESTED_SITE);
         awaitPhase("lost", cluster.members);
-        emulation.list(TESTED_SITE, "Gone");
-        emulation.revive(TESTED_SITE);
+        emulation.publishHealth(TESTED_SITE, "Gone");
+        emulation.restartCaches(TESTED_SITE);
         awaitPhase("returning", cluster.members);
         MemberProcess holder = cluster.awaitLeaseHolder("sites", cluster.members);
         pausedHolder = holder;
@@ -251,12 +251,12 @@
         awaitServed(TESTED_SITE);
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         // The partitioned director learns of this loss once its links are restored.
-        emulation.lose("s1");
+        emulation.killCaches("s1");
         await("loss of s1 declared", () -> remaining.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         assertNotEquals("lost", firstMember.site("s1").getString("phase"));
         cluster.healLinks();
         await("loss of s1 known to the director that was partitioned", () -> isInPhase(firstMember, "s1", "lost"));
-        emulation.revive("s1");
+        emulation.restartCaches("s1");
         await(
                 "both sites whole",
                 () -> cluster.members.stream()
@@ -266,12 +266,12 @@
 
     @Test
     void aSiteLostAgainDuringRecoveryCountsAFlapAndIsServedByOthers() throws Exception {
-        emulation.lose(TESTED_SITE);
+        emulation.killCaches(TESTED_SITE);
         awaitPhase("lost", cluster.members);
         for (int flaps = 1; flaps <= 2; flaps++) {
-            emulation.revive(TESTED_SITE);
+            emulation.restartCaches(TESTED_SITE);
             awaitPhase("returning", cluster.members);
-            emulation.lose(TESTED_SITE);
+            emulation.killCaches(TESTED_SITE);
             int minFlaps = flaps;
             awaitEverywhere(
                     "lost again with " + minFlaps + " flaps",
@@ -279,24 +279,24 @@
                     status -> status.getString("phase").equals("lost") && status.getInteger("flaps") >= minFlaps);
             awaitServed(TESTED_SITE);
         }
-        emulation.revive(TESTED_SITE);
+        emulation.restartCaches(TESTED_SITE);
         awaitPhase("whole", cluster.members);
     }
 
     @Test
     void anEmptyListOrSlowAnswersDeclareNoLossAndALostTakerIsReplaced() throws Exception {
-        emulation.list(TESTED_SITE, "Gone", "s1"); // Only the director of s1 receives this list.
-        emulation.slow("s2", 12);
+        emulation.publishHealth(TESTED_SITE, "Gone", "s1"); // Only the director of s1 receives this list.
+        emulation.slowDownCaches("s2", 12);
         await(
                 "s2 reported as slow",
                 () -> cluster.members.get(1).site("s2").getString("health").equals("slow"));
-        emulation.slow("s2", 1);
+        emulation.slowDownCaches("s2", 1);
         assertTrue(cluster.log.stream().noneMatch(line -> line.contains("phase=LOST")));
-        emulation.list(TESTED_SITE, "Ready", "s1");
-        emulation.lose(TESTED_SITE);
+        emulation.publishHealth(TESTED_SITE, "Ready", "s1");
+        emulation.killCaches(TESTED_SITE);
         awaitPhase("lost", cluster.members);
         awaitServed(TESTED_SITE);
-        emulation.lose("s1");
+        emulation.killCaches("s1");
         await("s1 lost", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "lost")));
         awaitEverywhere(
                 "s2 is the only taker in the new plan",
@@ -308,8 +308,8 @@
                                 .equals("s2"));
         awaitServed(TESTED_SITE);
         awaitServed("s2");
-        emulation.revive(TESTED_SITE);
-        emulation.revive("s1");
+        emulation.restartCaches(TESTED_SITE);
+        emulation.restartCaches("s1");
         awaitPhase("whole", cluster.members);
         await("s1 whole", () -> cluster.members.stream().allMatch(member -> isInPhase(member, "s1", "whole")));
     }
