--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -14,8 +14,8 @@
 
 /**
  * Sends the requests of the clients of one site in an open loop: the rate does not depend on the answers. A client uses a
- * director of its own site, or of another site if none of its own accepts the connection. Confined to the emulator's event
- * loop.
+ * director of its own site, or of another site if none of its own accepts the connection. Confined to the event loop
+ * of the emulator.
  */
 final class Clients {
     private static final int MAX_CONNECTIONS = 200;
@@ -50,10 +50,12 @@
         this.results = results;
     }
 
+    /** Starts sending requests. */
     void start() {
         scheduleNextRequest();
     }
 
+    /** Stops sending requests; those in flight still end. */
     void stop() {
         stopped = true;
     }
@@ -74,14 +76,16 @@
 
     private void send(Catalogue.DrawnRequest request, int triedDirectors) {
         if (triedDirectors >= directors.size()) {
-            EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
-            counts.asked++;
+            EmulationResults.RequestCounts counts =
+                    results.counts(site, request.requestClass().name());
+            counts.sent++;
             counts.failed++;
             counts.worth += request.requestClass().worth();
             return;
         }
         String director = directors.get(triedDirectors);
-        ArrayDeque<FastCgiClient> idleConnections = idleByDirector.computeIfAbsent(director, address -> new ArrayDeque<>());
+        ArrayDeque<FastCgiClient> idleConnections =
+                idleByDirector.computeIfAbsent(director, address -> new ArrayDeque<>());
         FastCgiClient connection = idleConnections.pollFirst();
         if (connection != null) {
             sendRequest(request, connection, director);
@@ -106,8 +110,9 @@
 
     private void sendRequest(Catalogue.DrawnRequest request, FastCgiClient connection, String director) {
         long sentAtMicros = EmulatedCache.now();
-        EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
-        counts.asked++;
+        EmulationResults.RequestCounts counts =
+                results.counts(site, request.requestClass().name());
+        counts.sent++;
         counts.worth += request.requestClass().worth();
         openRequests++;
         boolean[] finished = new boolean[1];
@@ -131,7 +136,7 @@
         long timeoutTimer = vertx.setTimer((long) (request.requestClass().deadlineMs() + DEADLINE_SLACK_MS), x -> {
             finished[0] = true;
             openRequests--;
-            counts.lost++;
+            counts.unanswered++;
             results.recordViolation("a request of " + site + " by " + director + " got no answer in its time");
             connections--;
             connection.close();
@@ -154,15 +159,18 @@
         });
     }
 
-    private static void count(EmulationResults.RequestCounts counts, Catalogue.DrawnRequest request, Buffer answer, double latencyMs) {
+    private static void count(
+            EmulationResults.RequestCounts counts, Catalogue.DrawnRequest request, Buffer answer, double latencyMs) {
         String status = new String(answer.getBytes(0, Math.min(16, answer.length())), StandardCharsets.US_ASCII);
         if (status.startsWith("Status: 200")) {
-            boolean inTime = latencyMs <= request.requestClass().targetMs() + request.requestClass().stretch() * request.sizeKb() / Catalogue.KB_PER_MS;
+            boolean inTime = latencyMs
+                    <= request.requestClass().targetMs()
+                            + request.requestClass().stretch() * request.sizeKb() / Catalogue.KB_PER_MS;
             counts.inTime += inTime ? 1 : 0;
             counts.late += inTime ? 0 : 1;
             counts.worthInTime += inTime ? request.requestClass().worth() : 0;
         } else if (status.startsWith("Status: 503") || status.startsWith("Status: 429")) {
-            counts.refused++;
+            counts.rejected++;
         } else {
             counts.failed++;
         }
--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -19,12 +19,12 @@
 
     /** Counts the client requests of one class at one site by their result. */
     public static final class RequestCounts {
-        public int asked;
+        public int sent;
         public int inTime;
         public int late;
-        public int refused;
+        public int rejected;
         public int failed;
-        public int lost;
+        public int unanswered;
         public double worth;
         public double worthInTime;
 
@@ -34,12 +34,12 @@
         }
 
         void add(RequestCounts other) {
-            asked += other.asked;
+            sent += other.sent;
             inTime += other.inTime;
             late += other.late;
-            refused += other.refused;
+            rejected += other.rejected;
             failed += other.failed;
-            lost += other.lost;
+            unanswered += other.unanswered;
             worth += other.worth;
             worthInTime += other.worthInTime;
         }
@@ -51,6 +51,7 @@
     private final Map<String, Map<String, RequestCounts>> countsBySiteAndClass = new TreeMap<>();
     private final Map<String, Integer> attemptsBySite = new LinkedHashMap<>();
 
+    /** Keeps the description of a violated rule, unless the maximum number is reached. */
     void recordViolation(String violation) {
         if (violations.size() < MAX_VIOLATIONS) {
             violations.add(violation);
@@ -61,7 +62,8 @@
     void recordAttempt(EmulatedCache cache, long now) {
         attemptsBySite.merge(cache.site, 1, Integer::sum);
         if (now - cache.drainingSince > DRAIN_LIMIT_MICROS) {
-            recordViolation("an attempt at " + cache.name + " " + (now - cache.drainingSince) / 1_000 + " ms after it began to drain");
+            recordViolation("an attempt at " + cache.name + " " + (now - cache.drainingSince) / 1_000
+                    + " ms after it began to drain");
         }
     }
 
@@ -72,6 +74,7 @@
         }
     }
 
+    /** Records the time at which all copies of an object were purged. */
     void recordPurge(String object, long now) {
         purgedAt.put(object, now);
     }
@@ -80,13 +83,16 @@
     void recordServedCopy(String object, long bornAt, long requestedAt) {
         Long purgeAt = purgedAt.get(object);
         if (purgeAt != null && bornAt < purgeAt && requestedAt > purgeAt + PURGE_LIMIT_MICROS) {
-            recordViolation("a copy of " + object + " from before its purge, " + (requestedAt - purgeAt) / 1_000 + " ms after it");
+            recordViolation("a copy of " + object + " from before its purge, " + (requestedAt - purgeAt) / 1_000
+                    + " ms after it");
         }
     }
 
     /** Returns the counts of one class at one site, which the caller updates. */
     RequestCounts counts(String site, String requestClass) {
-        return countsBySiteAndClass.computeIfAbsent(site, name -> new TreeMap<>()).computeIfAbsent(requestClass, name -> new RequestCounts());
+        return countsBySiteAndClass
+                .computeIfAbsent(site, name -> new TreeMap<>())
+                .computeIfAbsent(requestClass, name -> new RequestCounts());
     }
 
     /** Returns the sum of the counts of all classes of a site. */
@@ -115,10 +121,20 @@
     public String text() {
         StringBuilder table = new StringBuilder(
                 "site             class          asked  in time   late  refused  failed   lost   worth\n");
-        countsBySiteAndClass.forEach((site, classes) -> classes.forEach((requestClass, counts) -> table.append(String.format(
-                "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
-                site, requestClass, counts.asked, counts.inTime, counts.late, counts.refused, counts.failed, counts.lost, 100 * counts.share()))));
-        violations.forEach(violation -> table.append("RULE BROKEN: ").append(violation).append('\n'));
+        countsBySiteAndClass.forEach((site, classes) ->
+                classes.forEach((requestClass, counts) -> table.append(String.format(
+                        "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
+                        site,
+                        requestClass,
+                        counts.sent,
+                        counts.inTime,
+                        counts.late,
+                        counts.rejected,
+                        counts.failed,
+                        counts.unanswered,
+                        100 * counts.share()))));
+        violations.forEach(
+                violation -> table.append("RULE BROKEN: ").append(violation).append('\n'));
         return table.append(violations.isEmpty() ? "rules kept\n" : "").toString();
     }
 }
--- a/src/main/java/pewtercourse/simulator/SimulatorConnection.java
+++ b/src/main/java/pewtercourse/simulator/SimulatorConnection.java
@@ -63,7 +63,13 @@
 
     /** A ROW line of a DIRECTORY message: an endpoint before an instance's settings are applied to it. */
     private record EndpointRow(
-            long id, String zone, String kind, int cell, EndpointLifecycle lifecycle, double weight, long onlineSinceMicros) {}
+            long id,
+            String zone,
+            String kind,
+            int cell,
+            EndpointLifecycle lifecycle,
+            double weight,
+            long onlineSinceMicros) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -100,7 +106,7 @@
                 insideBatch = true;
                 nowMicros = millisField(1, "T");
             } else if (!insideBatch) {
-                throw malformed("'" + shown(verb) + "' outside a batch");
+                throw malformed("'" + abbreviate(verb) + "' outside a batch");
             } else if (verb.equals("EOB")) {
                 insideBatch = false;
                 answerBatch(nowMicros);
@@ -163,7 +169,9 @@
                     case "snapshot" -> EndpointUpdateKind.SNAPSHOT;
                     case "disk" -> EndpointUpdateKind.CACHED;
                     case "error" -> EndpointUpdateKind.FAILED;
-                    default -> throw malformed("field Mode: '" + shown(fields[4]) + "' is none of diff, snapshot, disk, error");
+                    default ->
+                        throw malformed(
+                                "field Mode: '" + abbreviate(fields[4]) + "' is none of diff, snapshot, disk, error");
                 };
                 List<Endpoint> endpoints = new ArrayList<>();
                 if (kind != EndpointUpdateKind.FAILED) {
@@ -181,7 +189,7 @@
                 Instance instance = instance();
                 Integer requestClass = instance.site.classes().get(text(3, "Profile"));
                 if (requestClass == null) {
-                    throw malformed("field Profile: '" + shown(fields[3]) + "' is not in the settings");
+                    throw malformed("field Profile: '" + abbreviate(fields[3]) + "' is not in the settings");
                 }
                 int stateBits = (int) optionalNumber(10, "StateBits");
                 instance.events.add(new RequestArrived(
@@ -201,7 +209,8 @@
                 AttemptOutcome outcome = parseOutcome(text(5, "Reason"));
                 int remark = (int) optionalNumber(8, "Remark");
                 CacheStatus[] cacheStatuses = CacheStatus.values();
-                instance().events
+                instance()
+                        .events
                         .add(new AttemptFinished(
                                 requestId(2),
                                 (int) integer(3, "Trial"),
@@ -209,12 +218,15 @@
                                 outcome,
                                 millisField(6, "Latency"),
                                 flag(7, "Last"),
-                                remark > 0 && remark < cacheStatuses.length ? cacheStatuses[remark] : CacheStatus.UNKNOWN));
+                                remark > 0 && remark < cacheStatuses.length
+                                        ? cacheStatuses[remark]
+                                        : CacheStatus.UNKNOWN));
             }
             case "INVALIDATED" ->
-                instance().events
+                instance()
+                        .events
                         .add(new ContentPurged(
-                                absent(2) ? null : fields[2],
+                                isAbsent(2) ? null : fields[2],
                                 (int) optionalNumber(3, "BatchId"),
                                 toMicros(optionalNumber(4, "Age"))));
             case "RETIRE" -> {
@@ -226,7 +238,7 @@
             case "MESSAGE" -> instance().events.add(new GossipReceived((int) integer(2, "OriginPeer"), hexBytes(3)));
             case "LEFT" -> instance().events.add(new ClientDisconnected(requestId(2)));
             case "HEALTH_RESULT" -> instance();
-            default -> throw malformed("'" + shown(verb) + "' is no message of the protocol");
+            default -> throw malformed("'" + abbreviate(verb) + "' is no message of the protocol");
         }
     }
 
@@ -242,7 +254,9 @@
                 case "Ready" -> EndpointLifecycle.READY;
                 case "Terminating" -> EndpointLifecycle.DRAINING;
                 case "Gone" -> EndpointLifecycle.GONE;
-                default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is none of Ready, Terminating, Gone");
+                default ->
+                    throw malformed(
+                            "field Lifecycle: '" + abbreviate(fields[5]) + "' is none of Ready, Terminating, Gone");
             };
             rows.add(new EndpointRow(
                     integer(1, "Node"),
@@ -257,7 +271,8 @@
     }
 
     private static Endpoint toEndpoint(Instance instance, EndpointRow row) {
-        return instance.site.member(row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
+        return instance.site.member(
+                row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
     }
 
     private void startInstance() {
@@ -267,7 +282,7 @@
         for (int index = 3; index < fields.length; index++) {
             int equalsSign = fields[index].indexOf('=');
             if (equalsSign <= 0) {
-                throw malformed("field Info: '" + shown(fields[index]) + "' is not path=value");
+                throw malformed("field Info: '" + abbreviate(fields[index]) + "' is not path=value");
             }
             settings.put(fields[index].substring(0, equalsSign), fields[index].substring(equalsSign + 1));
         }
@@ -283,6 +298,7 @@
         instancesInBatch.put(instanceNumber, instance);
     }
 
+    // Returns the instance of the field I and marks it as part of the current batch.
     private Instance instance() {
         int instanceNumber = (int) integer(1, "I");
         Instance instance = instances.get(instanceNumber);
@@ -293,12 +309,12 @@
         return instance;
     }
 
-    private boolean absent(int index) {
+    private boolean isAbsent(int index) {
         return index >= fields.length || fields[index].isEmpty() || fields[index].equals("-");
     }
 
     private String text(int index, String name) {
-        if (absent(index)) {
+        if (isAbsent(index)) {
             throw malformed("field " + name + " is missing");
         }
         return fields[index];
@@ -311,13 +327,14 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below.
+            // The exception below reports it.
         }
-        throw malformed("field " + name + ": '" + shown(value) + "' is not a number");
+        throw malformed("field " + name + ": '" + abbreviate(value) + "' is not a number");
     }
 
+    // Returns 0 if the field is absent.
     private double optionalNumber(int index, String name) {
-        return absent(index) ? 0 : parseNumber(fields[index], name);
+        return isAbsent(index) ? 0 : parseNumber(fields[index], name);
     }
 
     private long integer(int index, String name) {
@@ -325,10 +342,11 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed("field " + name + ": '" + shown(value) + "' is not a whole number");
+            throw malformed("field " + name + ": '" + abbreviate(value) + "' is not a whole number");
         }
     }
 
+    // Reads a time in milliseconds and returns microseconds.
     private long millisField(int index, String name) {
         return toMicros(parseNumber(text(index, name), name));
     }
@@ -340,7 +358,7 @@
     private boolean flag(int index, String name) {
         String value = text(index, name);
         if (!value.equals("0") && !value.equals("1")) {
-            throw malformed("field " + name + ": '" + shown(value) + "' is neither 1 nor 0");
+            throw malformed("field " + name + ": '" + abbreviate(value) + "' is neither 1 nor 0");
         }
         return value.equals("1");
     }
@@ -352,13 +370,13 @@
                 return Long.parseUnsignedLong(value, 16);
             }
         } catch (NumberFormatException e) {
-            // Reported below.
+            // The exception below reports it.
         }
-        throw malformed("field Xid: '" + shown(value) + "' is not 16 hex digits");
+        throw malformed("field Xid: '" + abbreviate(value) + "' is not 16 hex digits");
     }
 
     private byte[] hexBytes(int index) {
-        if (absent(index)) {
+        if (isAbsent(index)) {
             return new byte[0];
         }
         String value = fields[index];
@@ -384,7 +402,7 @@
             case "cancelled" -> AttemptOutcome.CANCELLED;
             case "moot" -> AttemptOutcome.SUPERSEDED;
             case "miss" -> AttemptOutcome.MISS;
-            default -> throw malformed("field Reason: '" + shown(reason) + "' is no known outcome");
+            default -> throw malformed("field Reason: '" + abbreviate(reason) + "' is no known outcome");
         };
     }
 
@@ -392,7 +410,7 @@
         return new MalformedException("line " + lineNumber + ": " + problem);
     }
 
-    private static String shown(String value) {
+    private static String abbreviate(String value) {
         return value.length() <= 40 ? value : value.substring(0, 40) + "...";
     }
 
@@ -428,7 +446,8 @@
             appendMillis(out, timer.dueAt());
         } else if (action instanceof SendGossip gossip) {
             if (gossip.payload().length > MAX_GOSSIP_BYTES) {
-                throw new IllegalArgumentException("gossip payload has " + gossip.payload().length + " bytes, the maximum is " + MAX_GOSSIP_BYTES);
+                throw new IllegalArgumentException(
+                        "gossip payload has " + gossip.payload().length + " bytes, the maximum is " + MAX_GOSSIP_BYTES);
             }
             startLine(out, "NOTIFY", instance).append(gossip.router()).append('\t');
             for (byte octet : gossip.payload()) {
--- a/src/main/java/pewtercourse/zone/Budget.java
+++ b/src/main/java/pewtercourse/zone/Budget.java
@@ -6,8 +6,8 @@
 
 /**
  * The traffic across zones that operators allow: a rate and a burst for each kind of crossing, for all classes together
- * and for single classes. A kind without a bound is unlimited. A class that is not listed is limited only by the common
- * bounds.
+ * and for single classes. A kind without a bound is unlimited. Only the common bounds limit a class
+ * that is not listed.
  */
 public record Budget(Map<Crossing, Bound> commonBounds, Map<String, ClassBudget> classes) {
     /** Above this rate a count of millionths of a byte would overflow; such a value has a wrong unit. */
@@ -20,7 +20,8 @@
     public record Bound(long bytesPerS, long burstBytes) {
         public Bound {
             if (bytesPerS < 0 || bytesPerS > MAX_BYTES_PER_S) {
-                throw new IllegalArgumentException("bytes_per_s: " + bytesPerS + " is not from 0 to " + MAX_BYTES_PER_S);
+                throw new IllegalArgumentException(
+                        "bytes_per_s: " + bytesPerS + " is not from 0 to " + MAX_BYTES_PER_S);
             }
             if (burstBytes <= 0 || burstBytes > MAX_BURST_BYTES) {
                 throw new IllegalArgumentException("burst: " + burstBytes + " is not from 1 to " + MAX_BURST_BYTES);
@@ -39,7 +40,8 @@
     public record ClassBudget(Map<Crossing, Bound> bounds, double shareLeftToOthers, boolean neverRejected) {
         public ClassBudget {
             if (!(shareLeftToOthers >= 0 && shareLeftToOthers <= 1)) {
-                throw new IllegalArgumentException("share_left_to_others: " + shareLeftToOthers + " is not from 0 to 1");
+                throw new IllegalArgumentException(
+                        "share_left_to_others: " + shareLeftToOthers + " is not from 0 to 1");
             }
             bounds = copy(bounds);
         }
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -123,7 +123,10 @@
                                     || !violation.contains(" by " + stoppedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
-                assertEquals(0, emulation.coldOverloadCount("s" + member.number), "cold caches that fell at s" + member.number);
+                assertEquals(
+                        0,
+                        emulation.coldOverloadCount("s" + member.number),
+                        "cold caches that fell at s" + member.number);
             }
             assertTrue(emulation.results(EmulationResults::orderCount) > 0, "no order ran");
         } finally {
