--- a/src/main/java/pewtercourse/simulator/SimulatorConnection.java
+++ b/src/main/java/pewtercourse/simulator/SimulatorConnection.java
@@ -271,7 +271,8 @@
     }
 
     private static Endpoint toEndpoint(Instance instance, EndpointRow row) {
-        return instance.site.endpoint(row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
+        return instance.site.endpoint(
+                row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
     }
 
     private void startInstance() {
