--- a/src/main/java/pewtercourse/failover/FailoverController.java
+++ b/src/main/java/pewtercourse/failover/FailoverController.java
@@ -92,8 +92,7 @@
     }
 
     /**
-     * Returns the request for the plan that is to be computed now; empty if no plan is due, or if one is being
-     * computed.
+     * Returns the request for the plan that is due now; empty if none is due, or if one is being computed.
      */
     public Optional<FailoverPlanRequest> requestPlan(long now, FailoverState state) {
         return planSchedule.request(now, state, detector.loads());
--- a/src/main/java/pewtercourse/failover/FailoverPlan.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlan.java
@@ -22,7 +22,7 @@
      *
      * @param site the target's name
      * @param load the planned load
-     * @param max  the largest load that the target may take if clients ask for more than planned
+     * @param max  the largest load that the target may take if clients request more than planned
      */
     public record Allocation(String site, double load, double max) {}
 
--- a/src/main/java/pewtercourse/failover/FailoverPlanSchedule.java
+++ b/src/main/java/pewtercourse/failover/FailoverPlanSchedule.java
@@ -7,7 +7,7 @@
 
 /**
  * Decides when a new failover plan is due, and keeps the computed plan until it is proposed. Computing a plan takes
- * milliseconds, so the caller does it on another thread and returns the result; only one request is pending at a time.
+ * milliseconds, so the caller does it off the event loop and returns the result; only one request is pending at a time.
  */
 final class FailoverPlanSchedule {
     private static final long PLAN_INTERVAL_MICROS = 5_000_000;
@@ -30,8 +30,7 @@
     Optional<FailoverPlanRequest> request(long now, FailoverState state, SortedMap<String, Double> loads) {
         Set<String> lost = state.divertedSites();
         lost.retainAll(knownSites);
-        // The first load report of a site makes a plan due at once: without a load there is nothing to
-        // distribute.
+        // The first load report of a site makes a plan due at once: without loads there is nothing to plan.
         boolean unchanged = lost.equals(plannedLosses) && loads.keySet().equals(sitesWithLoad);
         if (requestPending(now) || now < nextPlanAt && unchanged) {
             return Optional.empty();
--- a/src/main/java/pewtercourse/failover/OverflowRequest.java
+++ b/src/main/java/pewtercourse/failover/OverflowRequest.java
@@ -9,8 +9,8 @@
  * @param objectiveMicros  latency objective of the request's class
  * @param deadline         time after which the response is useless
  * @param expectedMicros   how long the request takes in total if nothing goes wrong
- * @param unconditional    whether only the origin can serve the request and it must not be sent twice; never rejected
- *                         here
+ * @param unconditional    whether the request is never rejected here: only the origin can serve it and it must not be
+ *                         sent twice
  * @param revalidation     whether the request refreshes a cached copy in the background; no client waits for it
  */
 public record OverflowRequest(
--- a/src/main/java/pewtercourse/failover/OverflowRouter.java
+++ b/src/main/java/pewtercourse/failover/OverflowRouter.java
@@ -16,8 +16,7 @@
  * microseconds of a monotonic clock.
  */
 public final class OverflowRouter {
-    // While the own site is lost, one request per interval is tried there; otherwise its recovery would go
-    // unnoticed.
+    // While the own site is lost, one request per interval is tried there to notice its recovery.
     private static final long TRIAL_INTERVAL_MICROS = 300_000;
     // The retry delay of rejected clients is this share of the latency objective, times a random factor from 1 up
     // to the maximum. The random factor keeps the clients from retrying all at once.
--- a/src/main/java/pewtercourse/failover/SiteFailureDetector.java
+++ b/src/main/java/pewtercourse/failover/SiteFailureDetector.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Assesses every site by the observations that are fresh now. Call this before {@link #health} and {@link
-     * #healthAgeMicros}.
+     * Assesses every site by the observations that are fresh now. Call this before {@link #health} and
+     * {@link #healthAgeMicros}.
      *
      * @param absent members that the cluster counts as absent
      */
--- a/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
+++ b/src/main/java/pewtercourse/failover/SiteStatusPolicy.java
@@ -12,8 +12,7 @@
     private static final double MIN_STEP_BACK_FAILED_SHARE = 0.2;
     private static final double MAX_ADVANCE_FAILED_SHARE = 0.05;
     private static final double MAX_ADVANCE_DELAYED_SHARE = 0.5;
-    // A step lasts this many times as long if there are too few attempts to assess it, as at a site without
-    // clients.
+    // A step lasts this many times as long if there are too few attempts to assess it, for lack of clients.
     private static final int STEP_FACTOR_WITHOUT_ATTEMPTS = 3;
 
     private final FailoverTiming timing;
@@ -104,8 +103,7 @@
         return attempts.hasEnoughCompleted() && attempts.failed() >= MIN_STEP_BACK_FAILED_SHARE * attempts.completed();
     }
 
-    // Requests rejected for lack of capacity count as late, because cold caches have no capacity for the next
-    // step yet.
+    // Requests rejected for lack of capacity count as late, because cold caches are not ready for the next step.
     private boolean mayAdvance(SiteSituation situation) {
         AttemptCounts attempts = situation.attempts();
         if (!attempts.hasEnoughCompleted()) {
--- a/src/main/java/pewtercourse/failover/TransportProblem.java
+++ b/src/main/java/pewtercourse/failover/TransportProblem.java
@@ -16,8 +16,7 @@
     /** A load up to this value counts as no load. */
     static final double NEGLIGIBLE_LOAD = 1e-6;
 
-    // Rejecting a transfer costs this many times the longest route, so only load without any capacity is
-    // rejected.
+    // Rejecting a transfer costs this many times the longest route, so only excess load is rejected.
     private static final double REJECTION_FACTOR = 1_000;
     // A plan has to be replaced once it exceeds the supply of a target by more than this share.
     private static final double OVERLOAD_TOLERANCE = 0.05;
--- a/src/main/java/pewtercourse/failover/package-info.java
+++ b/src/main/java/pewtercourse/failover/package-info.java
@@ -5,12 +5,11 @@
  *
  * <p>A loss is handled as follows. Each director's {@link pewtercourse.failover.SiteObserver} summarizes its
  * observations of the sites. Every member of the cluster passes these {@link pewtercourse.failover.SiteObservation}s to
- * its {@link pewtercourse.failover.FailoverController}, and the controller of the lease holder proposes {@link
- * pewtercourse.failover.SiteStatusChange}s and {@link pewtercourse.failover.FailoverPlan}s. Agreed changes and plans
- * are applied to each member's {@link pewtercourse.failover.FailoverState}, which every director's {@link
- * pewtercourse.failover.OverflowRouter} follows.
+ * its {@link pewtercourse.failover.FailoverController}, and the controller of the lease holder proposes
+ * {@link pewtercourse.failover.SiteStatusChange}s and {@link pewtercourse.failover.FailoverPlan}s. Agreed changes and
+ * plans are applied to each member's {@link pewtercourse.failover.FailoverState}, which every director's
+ * {@link pewtercourse.failover.OverflowRouter} follows.
  *
- * <p>Load and capacity are in concurrent transfers: the average number of responses that are being sent at the same
- * time.
+ * <p>Load and capacity are in concurrent transfers: the average number of responses that are being sent at once.
  */
 package pewtercourse.failover;
