--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,16 +1,16 @@
 #!/bin/bash
-# Starts one director with memory areas that fit limits.memory_mb of its configuration. Besides them the JVM needs
-# about 30 MB. One process from beginning to end: where no other program may be started, sed or a subshell would fail
-# and leave the default; exec, so that signals reach the director itself. Descriptor 0 may be the clients' socket, so
-# the file is read by another.
+# Starts one director with memory areas that fit limits.memory_mb of its configuration. The JVM needs about 30 MB more.
+# The script starts no other process: where that is not allowed, sed or a subshell would fail and the default limit would
+# apply. It ends with exec, so that signals reach the director itself. Descriptor 0 may be the clients' socket, so the
+# file is read through descriptor 3.
 mb=
 if [ -r "$GW_CONFIG" ]; then
   set -f
   key=
-  # The file is read by blocks: bash does, other shells read each byte by a call of its own, and a long list of caches
-  # then takes longer than a start may where calls are slow.
-  # Words between the marks of JSON, blanks among them: the number after the key, on its line or a later one. Split
-  # in one pass, as patterns take time by the square of a line's length.
+  # Bash reads the file in blocks. Other shells read each byte with its own system call; where calls are slow, a long
+  # list of caches then takes longer than the time allowed for a start.
+  # The loop splits each line into words at JSON punctuation and blanks and takes the number after the key, on the same
+  # line or a later one. Splitting takes one pass; pattern matching takes time quadratic in the length of a line.
   blanks=$IFS
   while [ -z "$mb" ] && { IFS= read -r line <&3 || [ -n "$line" ]; }; do
     IFS='{}[],:"'$blanks
@@ -27,7 +27,7 @@
 mb=${mb:-192}
 [ "$mb" -le 512 ] || mb=512
 heap=$((mb * 2 / 5))
-# Where the clients' socket is inherited, an upgrade has two processes under one limit for some seconds.
+# With an inherited clients' socket, two processes share the limit for some seconds during an upgrade.
 [ -z "$GW_SOCKET_FD" ] || heap=$((mb / 4))
 [ "$heap" -ge 16 ] || heap=16
 direct=$((mb / 7))
--- a/examples/ToySite.java
+++ b/examples/ToySite.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.Executors;
 
 /**
- * A toy site for one director: the two caches, the parent, the origin and the control feed that config.json names. Each
- * cache answers every object with a line of text. For trying things by hand; it measures nothing.
+ * Runs a toy site for one director: the two caches, the parent, the origin and the control feed that config.json names.
+ * Each cache answers every request with a line of text. Use it for manual trials, not for measurements.
  *
- * <p>Start: {@code java examples/ToySite.java [ADDRESS]}, by default on the loopback address.
+ * <p>Start it with {@code java examples/ToySite.java [ADDRESS]}; the default is the loopback address.
  */
 public final class ToySite {
     private static final int FIRST_CACHE_PORT = 9001;
     private static final int LAST_CACHE_PORT = 9004;
     private static final int FEED_PORT = 2379;
-    private static final int BACKLOG = 16;
+    private static final int ACCEPT_BACKLOG = 16;
     private static final long FEED_COMMENT_INTERVAL_MS = 1_000;
     private static final String ENTITY_TAG = "4be0c1927d55a6f3";
 
@@ -39,7 +39,7 @@
     }
 
     private static void listen(InetAddress address, int port, Handler handler) throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress(address, port), BACKLOG);
+        HttpServer server = HttpServer.create(new InetSocketAddress(address, port), ACCEPT_BACKLOG);
         server.setExecutor(Executors.newCachedThreadPool());
         server.createContext("/", handler::handle);
         server.start();
@@ -63,7 +63,7 @@
         exchange.close();
     }
 
-    /** Says nothing new: comments keep the stream alive, and the director keeps the endpoints of its configuration. */
+    /** Sends only comments, which keep the stream alive: the director keeps the endpoints of its configuration. */
     private static void sendFeed(HttpExchange exchange) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
         exchange.sendResponseHeaders(200, 0);
--- a/examples/cluster.sh
+++ b/examples/cluster.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# A cluster of three directors on this machine, until Ctrl-C. Their data folders, logs and configuration files are in
+# Runs a cluster of three directors on this machine until Ctrl-C. Their data folders, logs and configuration files are in
 # target/cluster. Needs target/pewtercourse.jar.
 # Try, in another shell:
 #   java -jar target/pewtercourse.jar cluster status --admin 127.0.0.1:9101
--- a/examples/rolling-upgrade.sh
+++ b/examples/rolling-upgrade.sh
@@ -25,12 +25,12 @@
 
 status() { curl -s -m 5 "http://$(admin "$1")/cluster/status"; }
 
-# field NUMBER KEY: a text or number of a member's status.
+# field NUMBER KEY: prints a text or number of the status of member NUMBER.
 field() { status "$1" | sed -n "s/.*\"$2\":\"\{0,1\}\([^\",}]*\).*/\1/p"; }
 
 holder() { status "$1" | sed -n "s/.*\"duty\":\"$2\",\"holder\":\"\([^\"]*\)\".*/\1/p"; }
 
-# await TEXT COMMAND...: until the command succeeds.
+# await TEXT COMMAND...: repeats the command until it succeeds; after the time limit, fails with TEXT.
 await() {
   local what=$1
   shift
@@ -68,7 +68,7 @@
   start "$1" "$2"
 }
 
-# Drains a cache and reinstates it, at one member after the other; counts what was agreed and what was rejected.
+# Repeatedly drains and reinstates a cache through each member in turn and records the HTTP status of each answer.
 propose() {
   local number=0 action code
   while true; do
@@ -84,7 +84,7 @@
 
 agreed() { grep -c '^200$' "$folder/proposals"; }
 
-# Has a lease's holder hand it to a member, unless that member holds the lease already.
+# hand_on JAR LEASE MEMBER: makes the holder hand the lease to the member, unless the member holds it already.
 hand_on() {
   holds "$3" "$2" "$3" && return 0
   java -jar "$1" cluster hand-on "$2" --to "d$3" --admin "$(admin "$3")" >/dev/null 2>&1
@@ -92,7 +92,7 @@
   holds "$3" "$2" "$3"
 }
 
-# Has the leader transfer the leadership to a member, unless that member leads already.
+# transfer_to JAR MEMBER: makes the leader transfer the leadership to the member, unless the member leads already.
 transfer_to() {
   local leader
   leader=$(field "$2" leader)
@@ -103,7 +103,8 @@
   leads "$2" "$2"
 }
 
-# Hands leadership and both leases to each of the named members in turn; the first runs the build that was just started.
+# move_leadership JAR MEMBER...: gives the leadership and both leases to each member in turn. The first member runs the
+# build that was just started.
 move_leadership() {
   local to jar=$1
   shift
--- a/examples/sites.sh
+++ b/examples/sites.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Loss and recovery of a site: three emulated sites with clients and a cluster of three directors, on this machine, for a
-# minute. At the end it prints what the clients got and whether an invariant was violated; the exit code is 1 if one was.
+# Emulates the loss and recovery of a site for a minute: three emulated sites with clients and a cluster of three directors
+# run on this machine. Prints the results of the clients and any violated invariant; exits with code 1 if there is one.
 # Logs and data folders are in target/sites. Needs target/pewtercourse.jar.
 # Try meanwhile, in another shell:
 #   java -jar target/pewtercourse.jar sites status --admin 127.0.0.1:9101
@@ -16,7 +16,7 @@
 until [ -f target/sites/director-edge-3.json ]; do sleep 0.1; done
 sleep 0.5
 # The capacity of each site is that of its caches in examples/site-loss.json: 3 or 4 caches of 6 transfers each. The
-# emulated caches have no link of bounded width.
+# links of the emulated caches have no bandwidth limit.
 sed -e 's/"capacity": 40/"capacity": 18/; s/"capacity": 60/"capacity": 24/; s/, "link": [0-9]*//' \
   deploy/sites.json >target/sites/sites.json
 if [ "$(grep -c '"capacity": \(18\|24\)' target/sites/sites.json)" != 3 ]; then
