--- a/src/test/java/pewtercourse/ExampleConfig.java
+++ b/src/test/java/pewtercourse/ExampleConfig.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import pewtercourse.config.DirectorConfig;
 
-/** The configuration in {@code examples/}, from which tests make theirs. */
+/** Reads the configuration in {@code examples/}, from which tests derive theirs. */
 public final class ExampleConfig {
     private ExampleConfig() {}
 
-    /** A copy of its own at each call. */
+    /** Returns a new copy at each call. */
     public static JsonObject json() throws IOException {
         return new JsonObject(Files.readString(Path.of("examples/config.json")));
     }
--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -32,15 +32,15 @@
 import pewtercourse.front.fastcgi.RawFrontClient;
 
 /**
- * Runs the examples as their headers and README say, in a copy of the tree that listens on a loopback address of its own.
- * In place of the packaged program, which is built after the tests, a stand-in for {@code java} starts the classes under
- * test.
+ * Runs the examples as described in their headers and README, in a copy of the tree that listens on its own loopback
+ * address. The packaged program is built after the tests, so a stand-in for {@code java} starts the classes under test
+ * instead.
  */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ExamplesTest {
-    // Far longer than any step takes: only a step that never ends runs into it.
-    private static final int STEP_SECONDS = 60;
-    private static final int POLL_MS = 50;
+    // Far longer than any step takes, so that only a step that never ends fails a test.
+    private static final int STEP_TIMEOUT_SECONDS = 60;
+    private static final int POLL_INTERVAL_MS = 50;
     private static final int HTTP_OK = 200;
     private static final int EMULATION_SECONDS = 2;
     private static final String JAR = "target/pewtercourse.jar";
@@ -53,8 +53,8 @@
     private String host;
 
     @BeforeEach
-    void copyTheTree() throws IOException {
-        // The examples have fixed ports: one address for each test process keeps two builds apart.
+    void copyExamples() throws IOException {
+        // The examples use fixed ports; an address for each test process lets two builds run at once.
         long pid = ProcessHandle.current().pid();
         host = "127." + (100 + pid / 250 / 250 % 100) + "." + pid / 250 % 250 + "." + (1 + pid % 250);
         for (String name : List.of("examples", "deploy")) {
@@ -81,7 +81,7 @@
     }
 
     @AfterEach
-    void stop() throws InterruptedException {
+    void killProcesses() throws InterruptedException {
         for (Process process : started) {
             List<ProcessHandle> children = process.descendants().toList();
             process.destroyForcibly().waitFor();
@@ -91,7 +91,7 @@
 
     private Process start(Path output, Map<String, String> environment, String... command) throws IOException {
         List<String> words = new ArrayList<>(List.of(command));
-        // A program is looked up on the PATH of this process, not on that of the new one.
+        // ProcessBuilder looks up a program on the PATH of this process, not on that of the new one.
         words.replaceAll(
                 word -> word.equals("java") ? folder.resolve("bin/java").toString() : word);
         ProcessBuilder builder = new ProcessBuilder(words)
@@ -99,9 +99,9 @@
                 .redirectErrorStream(true)
                 .redirectOutput(output.toFile());
         builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
-        builder.environment().remove("TMPDIR"); // Where two processes of one director share the operators' state.
+        builder.environment().remove("TMPDIR"); // In it, two processes of one director would share the operators' state.
         builder.environment().put("CLASSES_UNDER_TEST", System.getProperty("java.class.path"));
-        builder.environment().merge("PATH", folder.resolve("bin") + ":", (path, first) -> first + path);
+        builder.environment().merge("PATH", folder.resolve("bin") + ":", (path, firstEntry) -> firstEntry + path);
         builder.environment().putAll(environment);
         Process process = builder.start();
         started.add(process);
@@ -111,7 +111,7 @@
     private String run(int exitCode, String... command) throws Exception {
         Path output = Files.createTempFile(folder, "output", ".txt");
         Process process = start(output, Map.of(), command);
-        assertTrue(process.waitFor(STEP_SECONDS, TimeUnit.SECONDS), () -> "still runs: " + read(output));
+        assertTrue(process.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS), () -> "still runs after " + STEP_TIMEOUT_SECONDS + " s: " + read(output));
         assertEquals(exitCode, process.exitValue(), () -> read(output));
         return read(output);
     }
@@ -125,16 +125,16 @@
     }
 
     private static void awaitText(Path file, String text) throws InterruptedException {
-        for (int waited = 0; !read(file).contains(text); waited += POLL_MS) {
-            if (waited > STEP_SECONDS * 1_000) {
+        for (int waitedMs = 0; !read(file).contains(text); waitedMs += POLL_INTERVAL_MS) {
+            if (waitedMs > STEP_TIMEOUT_SECONDS * 1_000) {
                 fail("no '" + text + "' in " + file + ":\n" + read(file));
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** The scenario without its faults, for some seconds: what the faults do is tested by the simulation of sites. */
-    private void shortenTheScenario() throws IOException {
+    /** Removes the faults from the scenario and shortens it; the simulation of sites tests the effect of faults. */
+    private void shortenScenario() throws IOException {
         Path scenario = folder.resolve("examples/site-loss.json");
         JsonObject json = new JsonObject(Files.readString(scenario));
         json.put("seconds", EMULATION_SECONDS).put("faults", new JsonArray());
@@ -142,8 +142,8 @@
     }
 
     @Test
-    void theExampleOfSitesGivesEachSiteTheCapacityOfItsEmulatedCaches() throws Exception {
-        shortenTheScenario();
+    void sitesExampleGivesEachSiteTheCapacityOfItsEmulatedCaches() throws Exception {
+        shortenScenario();
         Map<String, Double> expected = new TreeMap<>();
         new JsonObject(Files.readString(folder.resolve("examples/site-loss.json")))
                 .getJsonArray("sites")
@@ -168,15 +168,15 @@
     }
 
     @Test
-    void theExampleOfSitesStopsWhereAKeyThatItReplacesHasAnotherName() throws Exception {
+    void sitesExampleFailsWhenAKeyThatItReplacesIsRenamed() throws Exception {
         Path sites = folder.resolve("deploy/sites.json");
         Files.writeString(sites, Files.readString(sites).replace("\"capacity\"", "\"room\""));
-        shortenTheScenario();
+        shortenScenario();
         assertTrue(run(1, "bash", "examples/sites.sh").contains("no longer has the capacities"));
     }
 
     @Test
-    void theExampleOfAClusterAgreesOnAnOperatorsCall() throws Exception {
+    void clusterExampleAgreesOnAnOperatorsCall() throws Exception {
         start(folder.resolve("cluster.txt"), Map.of(), "bash", "examples/cluster.sh");
         for (int i = 1; i <= 3; i++) {
             Path log = folder.resolve("target/cluster/d" + i + ".log");
@@ -184,25 +184,25 @@
             awaitText(log, " cluster.leader ");
         }
         run(0, "java", "-jar", JAR, "cluster", "status", "--admin", host + ":9101");
-        // Right after the start the maintenance budget has no holder yet, and whoever asks is to ask again.
+        // Right after the start the maintenance lease has no holder yet and the call must be repeated.
         HttpRequest enter = HttpRequest.newBuilder(URI.create("http://" + host + ":9102/maintenance/enter"))
                 .POST(HttpRequest.BodyPublishers.ofString("{\"target\":\"s-00000001\"}"))
                 .build();
-        int code = 0;
-        for (int asked = 0; code != HTTP_OK && asked < STEP_SECONDS; asked++) {
-            code = HttpClient.newHttpClient()
+        int statusCode = 0;
+        for (int calls = 0; statusCode != HTTP_OK && calls < STEP_TIMEOUT_SECONDS; calls++) {
+            statusCode = HttpClient.newHttpClient()
                     .send(enter, HttpResponse.BodyHandlers.ofString())
                     .statusCode();
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
-        assertEquals(HTTP_OK, code);
+        assertEquals(HTTP_OK, statusCode);
         JsonObject status = new JsonObject(
                 run(0, "java", "-jar", JAR, "cluster", "status", "--admin", host + ":9101", "--output", "json"));
         assertTrue(status.getJsonObject("out").containsKey("s-00000001"), status::encode);
     }
 
     @Test
-    void theRequestOfTheReadmeIsServedByTheToySite() throws Exception {
+    void toySiteServesTheRequestFromTheReadme() throws Exception {
         Path toySite = folder.resolve("toy-site.txt");
         start(toySite, Map.of(), JAVA.toString(), "examples/ToySite.java", host);
         Path log = folder.resolve("director.log");
@@ -211,22 +211,22 @@
         awaitText(log, " director.listening ");
         awaitText(log, " discovery.connected ");
 
-        Map<String, String> parameters = parametersOfTheReadme();
-        parameters.put("HTTP_X_DEADLINE_MS", "30000"); // A busy machine may need longer than README's client waits.
-        String answer = ask(parameters);
+        Map<String, String> parameters = readmeParameters();
+        parameters.put("HTTP_X_DEADLINE_MS", "30000"); // A busy machine may need longer than the deadline in README.
+        String answer = sendRequest(parameters);
         assertNotNull(answer, () -> read(log));
         assertTrue(answer.startsWith("Status: 200 OK"), answer);
         assertTrue(answer.contains("part of /"), answer);
     }
 
-    private String ask(Map<String, String> parameters) throws IOException {
+    private String sendRequest(Map<String, String> parameters) throws IOException {
         try (RawFrontClient client = new RawFrontClient(new InetSocketAddress(host, 8443))) {
             return client.write(RawFrontClient.request(1, parameters)).readAnswer();
         }
     }
 
-    /** NAME=VALUE before {@code cgi-fcgi} in README. */
-    private static Map<String, String> parametersOfTheReadme() {
+    /** The NAME=VALUE pairs before {@code cgi-fcgi} in README. */
+    private static Map<String, String> readmeParameters() {
         String readme = read(Path.of("README.md"));
         int end = readme.indexOf("cgi-fcgi -bind");
         int begin = readme.lastIndexOf("\n\n", end);
--- a/src/test/java/pewtercourse/Fixtures.java
+++ b/src/test/java/pewtercourse/Fixtures.java
@@ -20,9 +20,10 @@
 import java.util.stream.Stream;
 
 /**
- * Bytes that an earlier version of the program wrote, kept below {@code src/test/resources/fixtures}: what is on disk and
- * between members has to stay readable and is written alike. Run with {@code -Dfixtures.record=true}, the tests write
- * the files instead of comparing them; that is right only for a new fixture, never for one that a release has written.
+ * Compares bytes with those that an earlier version of the program wrote, stored in {@code src/test/resources/fixtures}:
+ * stored data and messages between members must stay readable and be written with the same bytes. With {@code
+ * -Dfixtures.record=true} the tests write the files first. Use that only for a new fixture, never for one that a release
+ * has written.
  */
 public final class Fixtures {
     private static final Path ROOT = Path.of("src", "test", "resources", "fixtures");
@@ -30,17 +31,17 @@
 
     private Fixtures() {}
 
-    /** The kept file or folder of this name. */
+    /** The path of the fixture file or folder with this name. */
     public static Path path(String name) {
         return ROOT.resolve(name);
     }
 
-    /** The content of the kept file of this name. */
+    /** The content of the fixture file with this name. */
     public static byte[] bytes(String name) throws IOException {
         return Files.readAllBytes(path(name));
     }
 
-    /** Fails unless these bytes are those of the kept file. */
+    /** Fails unless the bytes equal those of the fixture file. */
     public static void assertFile(String name, byte[] actual) throws IOException {
         if (RECORD) {
             Files.createDirectories(path(name).getParent());
@@ -49,7 +50,7 @@
         assertArrayEquals(bytes(name), actual, name);
     }
 
-    /** Fails unless the folder has the files of the kept one, each with the same bytes. */
+    /** Fails unless the files have the names and bytes of those in the fixture folder. */
     public static void assertFolder(String name, Map<String, byte[]> actual) throws IOException {
         if (RECORD) {
             for (Map.Entry<String, byte[]> file : actual.entrySet()) {
@@ -59,17 +60,17 @@
         assertSameFiles(files(path(name)), actual);
     }
 
-    /** Fails unless both have the same files with the same bytes. */
+    /** Fails unless both maps have the same file names with the same bytes. */
     public static void assertSameFiles(Map<String, byte[]> expected, Map<String, byte[]> actual) {
         assertEquals(expected.keySet(), actual.keySet());
         expected.forEach((file, bytes) -> assertArrayEquals(bytes, actual.get(file), file));
     }
 
-    /** The files of a folder by name, but the one that only serves as a lock. */
+    /** The contents of the files of a folder by name, except the lock file. */
     public static Map<String, byte[]> files(Path folder) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
-        try (Stream<Path> all = Files.list(folder)) {
-            for (Path file : all.toList()) {
+        try (Stream<Path> entries = Files.list(folder)) {
+            for (Path file : entries.toList()) {
                 String name = file.getFileName().toString();
                 if (!name.equals("lock")) {
                     files.put(name, Files.readAllBytes(file));
@@ -79,48 +80,48 @@
         return files;
     }
 
-    /** Copies a kept folder, so that it can be opened without changing it. */
-    public static Path copy(String name, Path to) throws IOException {
-        Files.createDirectories(to);
+    /** Copies a fixture folder, so that a test can open it without changing the fixture. */
+    public static Path copy(String name, Path target) throws IOException {
+        Files.createDirectories(target);
         for (Map.Entry<String, byte[]> file : files(path(name)).entrySet()) {
-            Files.write(to.resolve(file.getKey()), file.getValue());
+            Files.write(target.resolve(file.getKey()), file.getValue());
         }
-        return to;
+        return target;
     }
 
-    /** Compares records field by field, into lists, maps, byte arrays and further records. */
+    /** Compares records component by component, including nested lists, maps, byte arrays and records. */
     public static void assertSameContent(Object expected, Object actual) {
         assertSameContent("", expected, actual);
     }
 
-    private static void assertSameContent(String at, Object expected, Object actual) {
+    private static void assertSameContent(String path, Object expected, Object actual) {
         if (expected instanceof byte[] bytes) {
-            assertArrayEquals(bytes, (byte[]) actual, at);
+            assertArrayEquals(bytes, (byte[]) actual, path);
         } else if (expected instanceof List<?> list) {
-            assertEquals(list.size(), ((List<?>) actual).size(), at);
-            Iterator<?> other = ((List<?>) actual).iterator();
+            assertEquals(list.size(), ((List<?>) actual).size(), path);
+            Iterator<?> actualElements = ((List<?>) actual).iterator();
             int position = 0;
             for (Object element : list) {
-                assertSameContent(at + "[" + position++ + "]", element, other.next());
+                assertSameContent(path + "[" + position++ + "]", element, actualElements.next());
             }
         } else if (expected instanceof Map<?, ?> map) {
-            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), at);
-            map.forEach((key, value) -> assertSameContent(at + "[" + key + "]", value, ((Map<?, ?>) actual).get(key)));
+            assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), path);
+            map.forEach((key, value) -> assertSameContent(path + "[" + key + "]", value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Record record) {
-            assertEquals(expected.getClass(), actual.getClass(), at);
+            assertEquals(expected.getClass(), actual.getClass(), path);
             for (RecordComponent component : record.getClass().getRecordComponents()) {
-                String inner = at + "." + component.getName();
-                assertSameContent(inner, value(component, expected), value(component, actual));
+                String componentPath = path + "." + component.getName();
+                assertSameContent(componentPath, value(component, expected), value(component, actual));
             }
         } else {
-            assertEquals(expected, actual, at);
+            assertEquals(expected, actual, path);
         }
     }
 
-    private static Object value(RecordComponent component, Object of) {
+    private static Object value(RecordComponent component, Object record) {
         try {
             component.getAccessor().setAccessible(true);
-            return component.getAccessor().invoke(of);
+            return component.getAccessor().invoke(record);
         } catch (ReflectiveOperationException e) {
             throw new AssertionError(component.toString(), e);
         }
@@ -139,36 +140,36 @@
         return leaves;
     }
 
-    /** Fields, of these messages and of the types within them, that none of the messages sets. */
+    /** The fields of these messages, and of the message types nested in them, that no message sets. */
     public static Set<String> fieldsNeverSet(Collection<? extends Message> messages) {
-        Set<String> known = new TreeSet<>();
-        Set<String> set = new TreeSet<>();
+        Set<String> allFields = new TreeSet<>();
+        Set<String> fieldsSet = new TreeSet<>();
         for (Message message : messages) {
-            addFields(message.getDescriptorForType(), known, new TreeSet<>());
-            addFieldsSet(message, set);
+            addFields(message.getDescriptorForType(), allFields, new TreeSet<>());
+            addFieldsSet(message, fieldsSet);
         }
-        known.removeAll(set);
-        return known;
+        allFields.removeAll(fieldsSet);
+        return allFields;
     }
 
-    private static void addFields(Descriptor type, Set<String> to, Set<String> typesSeen) {
+    private static void addFields(Descriptor type, Set<String> fields, Set<String> typesSeen) {
         if (typesSeen.add(type.getFullName())) {
             for (FieldDescriptor field : type.getFields()) {
-                to.add(field.getFullName());
+                fields.add(field.getFullName());
                 if (field.getJavaType() == FieldDescriptor.JavaType.MESSAGE) {
-                    addFields(field.getMessageType(), to, typesSeen);
+                    addFields(field.getMessageType(), fields, typesSeen);
                 }
             }
         }
     }
 
-    private static void addFieldsSet(Message message, Set<String> to) {
+    private static void addFieldsSet(Message message, Set<String> fields) {
         message.getAllFields().forEach((field, value) -> {
-            to.add(field.getFullName());
+            fields.add(field.getFullName());
             List<?> values = value instanceof List<?> list ? list : List.of(value);
             for (Object element : values) {
                 if (element instanceof Message inner) {
-                    addFieldsSet(inner, to);
+                    addFieldsSet(inner, fields);
                 }
             }
         });
--- a/src/test/java/pewtercourse/GoldenText.java
+++ b/src/test/java/pewtercourse/GoldenText.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 
 /**
- * Texts recorded in {@code src/test/resources/interfaces}, each of which pins an interface that operators and their
- * scripts use. A text that differs is written to {@code target/interfaces}, to be compared with the recorded one.
+ * Compares texts with those recorded in {@code src/test/resources/interfaces}. Each text describes an interface that
+ * operators and their scripts use. A text that differs is written to {@code target/interfaces} for comparison.
  */
 public final class GoldenText {
     private static final Path RECORDED = Path.of("src/test/resources/interfaces");
@@ -22,7 +22,7 @@
 
     private GoldenText() {}
 
-    /** Fails unless {@code actual} is, line by line, what the file {@code name} holds. */
+    /** Fails unless {@code actual} equals the content of the recorded file {@code name}. */
     public static void assertRecorded(String name, String actual) throws IOException {
         Path file = RECORDED.resolve(name);
         String expected = Files.exists(file) ? Files.readString(file) : "";
@@ -34,15 +34,15 @@
     }
 
     /**
-     * The keys of JSON values and the types that each was seen with, a line for each key. Items of a list share the path
-     * {@code []}; objects at {@code mapPaths} hold names chosen by operators as keys, which become {@code *}.
+     * Describes JSON values by one line for each key path with the types of its values. The items of a list share the path
+     * {@code []}. The keys of objects at {@code mapPaths} are names chosen by operators and become {@code *}.
      */
     public static String shape(Set<String> mapPaths, Iterable<JsonObject> values) {
         Map<String, Set<String>> types = new TreeMap<>();
         values.forEach(value -> addShape(types, mapPaths, "", value));
         StringBuilder text = new StringBuilder();
-        types.forEach((path, seen) ->
-                text.append(path).append(": ").append(String.join("|", seen)).append('\n'));
+        types.forEach((path, typeNames) ->
+                text.append(path).append(": ").append(String.join("|", typeNames)).append('\n'));
         return text.toString();
     }
 
--- a/src/test/java/pewtercourse/OuterNamesTest.java
+++ b/src/test/java/pewtercourse/OuterNamesTest.java
@@ -33,10 +33,10 @@
     private static final int MIN_PROGRAM_NAMES = 700;
     private static final int MIN_DEPLOY_NAMES = 8;
 
-    /** Files whose whole text counts; of Java files only the string literals count. */
+    /** In files with these endings all text is searched; in Java files only the string literals are. */
     private static final List<String> TEXT_ENDINGS = List.of(".proto", ".json", ".toml", ".sh", ".properties");
 
-    /** The names after this line of the list stand in the deploy files and examples; all others in the program itself. */
+    /** Names after this line of the list occur in the deploy files and examples, all others in the program itself. */
     private static final String DEPLOY_SECTION = "# Deploy file and example settings";
 
     private static final List<String> PROGRAM_FOLDERS = List.of("src/main");
@@ -51,7 +51,7 @@
     Path scratch;
 
     @Test
-    void everyListedNameStandsInTheSource() throws IOException {
+    void everyListedNameOccursInTheSource() throws IOException {
         assertTrue(programNames().size() >= MIN_PROGRAM_NAMES, "too few names of the program in " + LIST);
         assertTrue(deployNames().size() >= MIN_DEPLOY_NAMES, "too few names of the deploy files in " + LIST);
         assertEquals(List.of(), missingNames(programNames(), ROOT, PROGRAM_FOLDERS));
@@ -59,15 +59,15 @@
     }
 
     @Test
-    void reportsANameThatWasTakenOutOfItsStrings() throws IOException {
-        int places = copyProgramWithout("born_ms");
+    void reportsANameThatIsReplacedInTheSource() throws IOException {
+        int changedFiles = copyProgramWithout("born_ms");
 
-        assertTrue(places >= 1, "no source has born_ms");
+        assertTrue(changedFiles >= 1, "no source file contains born_ms");
         assertEquals(List.of("born_ms"), missingNames(programNames(), scratch, PROGRAM_FOLDERS));
     }
 
     @Test
-    void aNameInACommentOrInALongerWordDoesNotCount() throws IOException {
+    void ignoresNamesInCommentsAndInLongerWords() throws IOException {
         Path folder = Files.createDirectories(scratch.resolve("src/main"));
         String source = "/** \"lag\" */ class Sample { String text = \"x_lag_ms lagging\"; } // lag\n";
         Files.writeString(folder.resolve("Sample.java"), source);
@@ -117,7 +117,7 @@
                 .toList();
     }
 
-    /** The names that stand as a whole word in no string of a Java file and in no other source file. */
+    /** The names that occur as a whole word neither in a string of a Java file nor in another source file. */
     private static List<String> missingNames(List<String> names, Path root, List<String> folders) throws IOException {
         String text = outerText(root, folders);
         List<String> missing = new ArrayList<>();
@@ -168,16 +168,16 @@
         return name.endsWith(".java") || TEXT_ENDINGS.stream().anyMatch(name::endsWith);
     }
 
-    /** Copies the program's sources to the scratch folder with the name replaced; returns in how many files it stood. */
+    /** Copies the program's sources to the scratch folder with the name replaced; returns how many files contain it. */
     private int copyProgramWithout(String name) throws IOException {
-        int files = 0;
+        int filesWithName = 0;
         for (Path source : sourceFiles(ROOT, PROGRAM_FOLDERS)) {
             Path copy = scratch.resolve(source.toString());
             Files.createDirectories(copy.getParent());
             String content = Files.readString(source);
             Files.writeString(copy, content.replace(name, "replaced_name"));
-            files += content.contains(name) ? 1 : 0;
+            filesWithName += content.contains(name) ? 1 : 0;
         }
-        return files;
+        return filesWithName;
     }
 }
--- a/src/test/java/pewtercourse/PackageDependenciesTest.java
+++ b/src/test/java/pewtercourse/PackageDependenciesTest.java
@@ -20,18 +20,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The packages depend on one another as docs/architecture.md says. Read from the compiled classes with the JDK's jdeps, as
- * ArchUnit needs slf4j, which the tests must run without (see the surefire plugin in pom.xml).
+ * Checks that the packages depend on one another only as docs/architecture.md states. The dependencies are read from the
+ * compiled classes with the JDK's jdeps, because ArchUnit needs slf4j, without which the tests must run (see the surefire
+ * plugin in pom.xml).
  */
 class PackageDependenciesTest {
     private static final String ROOT = "pewtercourse";
-    private static final Set<String> PURE = Set.of("decision", "raft", "lease", "failover", "zone");
-    private static final List<String> IMPURE =
+    private static final Set<String> PURE_PACKAGES = Set.of("decision", "raft", "lease", "failover", "zone");
+    private static final List<String> IMPURE_PACKAGES =
             List.of("io.vertx", "io.netty", "java.net", "java.nio.channels", "java.nio.file", "java.util.concurrent");
-    private static final Pattern CODE = Pattern.compile("`([a-z.]+)`");
+    private static final Pattern PACKAGE_NAME = Pattern.compile("`([a-z.]+)`");
 
-    /** What each package below the root uses; without generated ones and classes of sources that are gone. */
-    private static final Map<String, Set<String>> USED = new TreeMap<>();
+    /** The packages that each package below the root uses, without generated packages and classes whose source was deleted. */
+    private static final Map<String, Set<String>> USED_PACKAGES = new TreeMap<>();
 
     @BeforeAll
     static void readClasses() {
@@ -45,37 +46,37 @@
                 "--ignore-missing-deps",
                 Path.of("target", "classes").toString());
         assertEquals(0, exitCode, output::toString);
-        String from = "";
+        String user = "";
         for (String line : output.toString().split("\n")) {
             String[] words = line.strip().split("\\s+");
             int arrow = List.of(words).indexOf("->");
             if (arrow < 0 || !line.startsWith("   ")) {
                 continue;
             }
-            from = arrow == 0 ? from : words[0];
-            if (below(from) && Files.isDirectory(Path.of("src/main/java", from.split("\\.")))) {
-                USED.computeIfAbsent(name(from), p -> new TreeSet<>()).add(words[arrow + 1]);
+            user = arrow == 0 ? user : words[0];
+            if (isBelowRoot(user) && Files.isDirectory(Path.of("src/main/java", user.split("\\.")))) {
+                USED_PACKAGES.computeIfAbsent(nameBelowRoot(user), p -> new TreeSet<>()).add(words[arrow + 1]);
             }
         }
-        assertFalse(USED.isEmpty(), output::toString);
+        assertFalse(USED_PACKAGES.isEmpty(), output::toString);
     }
 
-    private static boolean below(String packageName) {
+    private static boolean isBelowRoot(String packageName) {
         return packageName.startsWith(ROOT + ".");
     }
 
-    private static String name(String packageName) {
+    private static String nameBelowRoot(String packageName) {
         return packageName.substring(ROOT.length() + 1);
     }
 
-    private static Set<String> usedByName(String packageName) {
+    private static Set<String> packagesUsedBy(String packageName) {
         Set<String> names = new TreeSet<>();
-        USED.get(packageName).stream().filter(PackageDependenciesTest::below).forEach(used -> names.add(name(used)));
+        USED_PACKAGES.get(packageName).stream().filter(PackageDependenciesTest::isBelowRoot).forEach(used -> names.add(nameBelowRoot(used)));
         names.remove(packageName);
         return names;
     }
 
-    /** From the table of packages: the names in its first column to those in its last. */
+    /** Reads the table of packages: maps each package in the first column to the packages in the last column. */
     private static Map<String, Set<String>> allowed() throws Exception {
         Map<String, Set<String>> allowed = new TreeMap<>();
         String page = Files.readString(Path.of("docs/architecture.md"));
@@ -83,16 +84,16 @@
         for (String line : section.split("\n")) {
             String[] cells = line.split("\\|");
             if (cells.length == 4) {
-                Set<String> uses = names(cells[3].replaceAll("\\([^)]*\\)", ""));
-                names(cells[1]).forEach(packageName -> allowed.put(packageName, uses));
+                Set<String> uses = packageNames(cells[3].replaceAll("\\([^)]*\\)", ""));
+                packageNames(cells[1]).forEach(packageName -> allowed.put(packageName, uses));
             }
         }
         return allowed;
     }
 
-    private static Set<String> names(String cell) {
+    private static Set<String> packageNames(String cell) {
         Set<String> names = new TreeSet<>();
-        Matcher name = CODE.matcher(cell);
+        Matcher name = PACKAGE_NAME.matcher(cell);
         while (name.find()) {
             names.add(name.group(1));
         }
@@ -100,29 +101,29 @@
     }
 
     @Test
-    void eachPackageUsesOnlyThoseThatTheArchitectureNames() throws Exception {
+    void eachPackageUsesOnlyPackagesListedInTheArchitectureTable() throws Exception {
         Map<String, Set<String>> allowed = allowed();
         List<String> violations = new ArrayList<>();
-        for (String packageName : USED.keySet()) {
+        for (String packageName : USED_PACKAGES.keySet()) {
             if (!allowed.containsKey(packageName)) {
                 violations.add(packageName + " is not in the table of packages");
                 continue;
             }
-            Set<String> more = usedByName(packageName);
-            more.removeAll(allowed.get(packageName));
-            if (!more.isEmpty()) {
-                violations.add(packageName + " uses " + more);
+            Set<String> notAllowed = packagesUsedBy(packageName);
+            notAllowed.removeAll(allowed.get(packageName));
+            if (!notAllowed.isEmpty()) {
+                violations.add(packageName + " uses " + notAllowed);
             }
         }
         assertEquals(List.of(), violations);
     }
 
     @Test
-    void thePureCoresTouchNeitherSocketsNorFilesNorThreads() {
+    void purePackagesUseNoSocketsFilesOrThreads() {
         List<String> violations = new ArrayList<>();
-        for (String packageName : PURE) {
-            for (String used : USED.get(packageName)) {
-                if (IMPURE.stream().anyMatch(impure -> used.equals(impure) || used.startsWith(impure + "."))) {
+        for (String packageName : PURE_PACKAGES) {
+            for (String used : USED_PACKAGES.get(packageName)) {
+                if (IMPURE_PACKAGES.stream().anyMatch(impure -> used.equals(impure) || used.startsWith(impure + "."))) {
                     violations.add(packageName + " uses " + used);
                 }
             }
@@ -131,24 +132,24 @@
     }
 
     @Test
-    void noTwoPackagesBelowTheRootDependOnEachOther() {
-        // Takes away again and again what depends on nothing that is left; what remains is on a circle, or depends on
-        // one.
-        Map<String, Set<String>> left = new TreeMap<>();
-        USED.keySet().forEach(packageName -> left.put(packageName, usedByName(packageName)));
-        left.values().forEach(used -> used.retainAll(USED.keySet()));
+    void packagesBelowTheRootHaveNoCyclicDependencies() {
+        // Repeatedly removes the packages that use none of the remaining ones. The packages left at the end are part of
+        // a cycle or depend on one.
+        Map<String, Set<String>> remaining = new TreeMap<>();
+        USED_PACKAGES.keySet().forEach(packageName -> remaining.put(packageName, packagesUsedBy(packageName)));
+        remaining.values().forEach(used -> used.retainAll(USED_PACKAGES.keySet()));
         boolean changed = true;
         while (changed) {
-            Set<String> done = new TreeSet<>();
-            left.forEach((packageName, used) -> {
+            Set<String> independent = new TreeSet<>();
+            remaining.forEach((packageName, used) -> {
                 if (used.isEmpty()) {
-                    done.add(packageName);
+                    independent.add(packageName);
                 }
             });
-            left.keySet().removeAll(done);
-            left.values().forEach(used -> used.removeAll(done));
-            changed = !done.isEmpty();
+            remaining.keySet().removeAll(independent);
+            remaining.values().forEach(used -> used.removeAll(independent));
+            changed = !independent.isEmpty();
         }
-        assertEquals(Map.of(), left);
+        assertEquals(Map.of(), remaining);
     }
 }
