--- a/src/test/java/pewtercourse/CacheStormTest.java
+++ b/src/test/java/pewtercourse/CacheStormTest.java
@@ -26,31 +26,36 @@
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
-/** A storm of caches that break in every way: one answer for each request, no order run twice, and nothing left over. */
+/**
+ * Sends requests to a cache that misbehaves in many ways: each request gets one answer, no order runs twice, and no
+ * connection stays open.
+ */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CacheStormTest {
     private static final String HOST = "127.83.17.9";
-    private static final int CLIENTS = 6, REQUESTS = 60, DEADLINE_MS = 1_500;
+    private static final int CLIENTS = 6;
+    private static final int REQUESTS_PER_CLIENT = 60;
+    private static final int DEADLINE_MS = 1_500;
 
     @TempDir
     Path folder;
 
-    private final Map<String, Integer> mayHaveRun = new ConcurrentHashMap<>();
+    private final Map<String, Integer> possibleRunsById = new ConcurrentHashMap<>();
     private ScriptedCache cache;
     private DirectorProcess director;
     private int adminPort;
 
     @BeforeEach
-    void start() throws Exception {
+    void startDirector() throws Exception {
         cache = new ScriptedCache(HOST, this::misbehave);
         adminPort = DirectorProcess.freePort(HOST);
-        JsonObject config = DirectorProcess.config(HOST, cache.dial()).put("admin_addr", HOST + ":" + adminPort);
+        JsonObject config = DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort()).put("admin_addr", HOST + ":" + adminPort);
         director = DirectorProcess.start(folder, config, "");
-        director.heard("director.listening");
+        director.awaitEvent("director.listening");
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopDirector() throws Exception {
         director.close();
         cache.close();
     }
@@ -61,7 +66,7 @@
             ScriptedCache.write(socket, ScriptedCache.NEVER_RAN);
             return;
         }
-        mayHaveRun.merge(id, 1, Integer::sum);
+        possibleRunsById.merge(id, 1, Integer::sum);
         switch (kind) {
             case 1 -> ScriptedCache.write(socket, "HTTP/1.1 200 O");
             case 2 -> {
@@ -72,43 +77,43 @@
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
-            case 4 -> endless(socket);
+            case 4 -> writeWithoutEnd(socket);
             case 5 -> {
-                ScriptedCache.serve(id).answer(socket, line, id);
-                ScriptedCache.serve(id).answer(socket, line, id);
+                ScriptedCache.respondWith(id).respond(socket, line, id);
+                ScriptedCache.respondWith(id).respond(socket, line, id);
             }
             case 6 -> ScriptedCache.write(socket, "noise\r\n\r\n");
             case 7 -> {
-                ScriptedCache.serve(id).answer(socket, line, id);
+                ScriptedCache.respondWith(id).respond(socket, line, id);
                 socket.close();
             }
-            default -> ScriptedCache.serve(id).answer(socket, line, id);
+            default -> ScriptedCache.respondWith(id).respond(socket, line, id);
         }
     }
 
-    private static void endless(Socket socket) throws IOException {
+    private static void writeWithoutEnd(Socket socket) throws IOException {
         ScriptedCache.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         String chunk = "2000\r\n" + "x".repeat(0x2000) + "\r\n";
         while (true) {
-            ScriptedCache.write(socket, chunk); // Until the director closes.
+            ScriptedCache.write(socket, chunk); // Until the director closes the connection.
         }
     }
 
-    /** One client after the other's pattern: most wait for their answers, some abort, some are gone. */
-    private Void client(int number) throws Exception {
+    /** Sends a client's requests one after another: most are awaited, some aborted, some cut off by a reset. */
+    private Void sendRequests(int number) throws Exception {
         Random random = new Random(number);
         RawFrontClient client = new RawFrontClient(director.address());
-        for (int i = 0; i < REQUESTS; i++) {
+        for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
             String id = String.format("%08x%08x", number, i);
             String className = i % 4 == 0 ? "place-order" : "menu-page";
             client.write(RawFrontClient.request(1, className, id, id, DEADLINE_MS));
-            int way = random.nextInt(10);
-            if (way == 0) {
+            int action = random.nextInt(10);
+            if (action == 0) {
                 client.reset();
                 client = new RawFrontClient(director.address());
-            } else if (way == 1) {
+            } else if (action == 1) {
                 client.write(RawFrontClient.abort(1));
-                assertNotNull(client.readAnswer(), "the end of what was aborted");
+                assertNotNull(client.readAnswer(), "no end of the aborted request " + id);
             } else {
                 String answer = client.readAnswer();
                 assertNotNull(answer, "no answer to " + id);
@@ -119,45 +124,45 @@
         return null;
     }
 
-    private Map<String, String> figures() throws IOException {
-        try (Socket s = new Socket(HOST, adminPort)) {
-            s.getOutputStream().write("GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
-            Map<String, String> figures = new HashMap<>();
-            new String(s.getInputStream().readAllBytes())
+    private Map<String, String> metrics() throws IOException {
+        try (Socket socket = new Socket(HOST, adminPort)) {
+            socket.getOutputStream().write("GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
+            Map<String, String> metrics = new HashMap<>();
+            new String(socket.getInputStream().readAllBytes())
                     .lines()
                     .filter(line -> line.contains("="))
                     .forEach(line ->
-                            figures.put(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1)));
-            return figures;
+                            metrics.put(line.substring(0, line.indexOf('=')), line.substring(line.indexOf('=') + 1)));
+            return metrics;
         }
     }
 
     @Test
-    void afterAStormNothingIsLeftOver() throws Exception {
+    void answersEachRequestAndLeavesNoConnectionsOpenWhenCachesMisbehave() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
         List<Future<Void>> clients = new ArrayList<>();
         for (int number = 1; number <= CLIENTS; number++) {
-            int n = number;
-            clients.add(threads.submit((Callable<Void>) () -> client(n)));
+            int clientNumber = number;
+            clients.add(threads.submit((Callable<Void>) () -> sendRequests(clientNumber)));
         }
         for (Future<Void> client : clients) {
             client.get(120, TimeUnit.SECONDS);
         }
         threads.shutdown();
-        mayHaveRun.forEach((id, times) -> {
+        possibleRunsById.forEach((id, times) -> {
             boolean order = Integer.parseInt(id.substring(8), 16) % 4 == 0;
             assertTrue(!order || times == 1, "an order that may have run " + times + " times: " + id);
         });
-        while (!"0".equals(figures().get("open_requests"))) {
+        while (!"0".equals(metrics().get("open_requests"))) {
             Thread.onSpinWait();
         }
-        cache.close(); // Of its connections none is needed any more.
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (director.connections() > 0 && System.nanoTime() < until) {
+        cache.close(); // Ends the idle connections to the cache too.
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (director.openConnections() > 0 && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
-        assertEquals(0, director.connections(), "connections left over");
-        assertEquals(List.of(), director.logged(" ERROR "));
-        assertEquals(List.of(), director.logged("request.unanswered"));
+        assertEquals(0, director.openConnections(), "connections are still open");
+        assertEquals(List.of(), director.logLinesContaining(" ERROR "));
+        assertEquals(List.of(), director.logLinesContaining("request.unanswered"));
     }
 }
--- a/src/test/java/pewtercourse/CommandLineCompatibilityTest.java
+++ b/src/test/java/pewtercourse/CommandLineCompatibilityTest.java
@@ -34,10 +34,13 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 import picocli.CommandLine.Option;
 
-/** Pins what scripts call: sub-commands, their options and parameters, what they send to a director, and exit codes. */
+/**
+ * Guards what scripts depend on: sub-commands, their options and parameters, the requests that they send to a director,
+ * and exit codes.
+ */
 class CommandLineCompatibilityTest {
     private static final String HOST = "127.0.0.1";
-    private static final long PROCESS_SECONDS = 90;
+    private static final long PROCESS_TIMEOUT_SECONDS = 90;
     private static final int[] STATUSES = {200, 400, 404, 405, 409, 500, 503};
 
     @TempDir
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void commandsOptionsAndParametersAreAsRecorded() throws Exception {
+    void commandsOptionsAndParametersMatchTheRecordedOnes() throws Exception {
         describe("", new picocli.CommandLine(CommandLine.class).getCommandSpec());
         assertTrue(report.toString().contains("experiment duties"), report.toString());
         assertRecorded("commands.txt", report.toString());
@@ -115,17 +118,17 @@
                         .toList();
     }
 
-    /** As it is declared: a variable of the environment by its name. */
+    /** The default value as declared: an environment variable is given by its name. */
     private static String defaultValue(ArgSpec argument) {
-        AnnotatedElement declared = (AnnotatedElement) argument.userObject();
-        Option option = declared.getAnnotation(Option.class);
+        AnnotatedElement declaration = (AnnotatedElement) argument.userObject();
+        Option option = declaration.getAnnotation(Option.class);
         return option != null ? option.defaultValue() : argument.defaultValue();
     }
 
     // ---- Exit codes ----
 
     @Test
-    void usageErrorsHaveTheirExitCodes() throws Exception {
+    void usageErrorsHaveTheRecordedExitCodes() throws Exception {
         for (String line : List.of(
                 "",
                 "--help",
@@ -165,32 +168,32 @@
     }
 
     @Test
-    void foldersAndFilesHaveTheirExitCodes() throws Exception {
+    void commandsOnFoldersAndFilesHaveTheRecordedExitCodes() throws Exception {
         JsonObject file = new JsonObject(Files.readString(Path.of("deploy/cluster.json")));
         Path data = folder.resolve("data");
-        Path good = Files.writeString(
+        Path validFile = Files.writeString(
                 folder.resolve("good"), file.copy().put("data", data.toString()).encode());
-        Path wrong = Files.writeString(
+        Path fileWithUnknownKey = Files.writeString(
                 folder.resolve("wrong"), file.copy().put("colour", "red").encode());
-        Path broken = Files.writeString(folder.resolve("broken"), "{");
+        Path malformedFile = Files.writeString(folder.resolve("broken"), "{");
         Path scenario = Files.writeString(folder.resolve("scenario"), "{}");
         for (List<String> line : List.of(
                 List.of("cluster init ", folder.resolve("missing").toString()),
-                List.of("cluster init ", broken.toString()),
-                List.of("cluster init ", wrong.toString()),
+                List.of("cluster init ", malformedFile.toString()),
+                List.of("cluster init ", fileWithUnknownKey.toString()),
                 List.of("cluster inspect ", data.toString()),
-                List.of("cluster init ", good.toString()),
-                List.of("cluster init ", good.toString()),
+                List.of("cluster init ", validFile.toString()),
+                List.of("cluster init ", validFile.toString()),
                 List.of("cluster inspect ", data.toString()),
                 List.of("emulate ", scenario.toString()),
-                List.of("emulate ", broken.toString()))) {
+                List.of("emulate ", malformedFile.toString()))) {
             run((line.get(0) + line.get(1)).split(" "));
         }
         assertRecorded("exit-codes-files.txt", report.toString().replace(folder.toString(), "FOLDER"));
     }
 
     @Test
-    void eachAnswerOfADirectorHasItsExitCode() throws Exception {
+    void eachDirectorResponseHasTheRecordedExitCode() throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             CompletableFuture<Integer> unanswered = CompletableFuture.supplyAsync(
                     () -> CommandLine.run("cluster", "status", "--admin", HOST + ":" + silent.getLocalPort()));
@@ -204,20 +207,20 @@
                     "sites drill edge-1",
                     "sites hold edge-1",
                     "sites release edge-1")) {
-                for (int given : STATUSES) {
-                    call(line, given, "text");
+                for (int givenStatus : STATUSES) {
+                    call(line, givenStatus, "text");
                 }
             }
             callClusterStatus();
             callSites();
-            int closed;
+            int closedPort;
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-                closed = free.getLocalPort();
+                closedPort = free.getLocalPort();
             }
             report.append("refused: ")
-                    .append(CommandLine.run("cluster", "transfer", "--admin", HOST + ":" + closed))
+                    .append(CommandLine.run("cluster", "transfer", "--admin", HOST + ":" + closedPort))
                     .append("\nunanswered: ")
-                    .append(unanswered.get(PROCESS_SECONDS, TimeUnit.SECONDS))
+                    .append(unanswered.get(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS))
                     .append('\n');
         }
         assertRecorded("exit-codes-answers.txt", report.toString());
@@ -236,7 +239,7 @@
                 .put("zone", "edge-1")
                 .put("by", "d1")
                 .put("out", false);
-        JsonObject led = new JsonObject()
+        JsonObject withLeader = new JsonObject()
                 .put("cluster", "c")
                 .put("name", "d1")
                 .put("open", true)
@@ -251,11 +254,11 @@
                 .put("duties", new JsonArray().add(duty))
                 .put("out", new JsonObject().put("s-2", 1))
                 .put("tickets", new JsonArray().add(ticket));
-        JsonObject leaderless = led.copy().putNull("leader").put("confirmed", false);
-        JsonObject closed =
+        JsonObject leaderless = withLeader.copy().putNull("leader").put("confirmed", false);
+        JsonObject notOpen =
                 new JsonObject().put("cluster", "c").put("name", "d1").put("open", false);
         for (String line : List.of("cluster status", "cluster status --output json", "cluster status --output x")) {
-            for (JsonObject body : List.of(led, leaderless, closed)) {
+            for (JsonObject body : List.of(withLeader, leaderless, notOpen)) {
                 call(line, 200, body.encode());
             }
             call(line, 404, "no such path");
@@ -277,18 +280,18 @@
                 .put("spare", 5.0)
                 .put("takers", new JsonArray().add(taker))
                 .put("refused", 0.0);
-        JsonObject whole = new JsonObject()
+        JsonObject planned = new JsonObject()
                 .put("controller", "d1")
                 .put("leader", "d1")
                 .put("planned", 3)
                 .put("sites", new JsonArray().add(site));
-        JsonObject lost = whole.copy();
+        JsonObject lost = planned.copy();
         lost.getJsonArray("sites").getJsonObject(0).put("phase", "lost").put("refused", 2.0);
         JsonObject leaderless =
-                whole.copy().putNull("leader").put("controller", "").put("planned", 0);
+                planned.copy().putNull("leader").put("controller", "").put("planned", 0);
         for (String line : List.of(
                 "sites status", "sites status --output json", "sites plan", "sites plan a", "sites plan unknown")) {
-            for (JsonObject body : List.of(whole, lost, leaderless)) {
+            for (JsonObject body : List.of(planned, lost, leaderless)) {
                 call(line, 200, body.encode());
             }
             call(line, 404, "no such path");
@@ -323,7 +326,7 @@
     // ---- The program as a process ----
 
     @Test
-    void programsHaveTheirExitCodes() throws Exception {
+    void processesHaveTheRecordedExitCodes() throws Exception {
         Path unusable = Files.writeString(folder.resolve("unusable.json"), "{}");
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             JsonObject config = ExampleConfig.json().put("listen", HOST + ":" + taken.getLocalPort());
@@ -341,7 +344,7 @@
             processes.put("serve, unusable configuration", start(unusable, "", "serve"));
             processes.put("serve, with an argument", start(unusable, "", "serve", "now"));
             for (Map.Entry<String, Process> process : processes.entrySet()) {
-                assertTrue(process.getValue().waitFor(PROCESS_SECONDS, TimeUnit.SECONDS), process.getKey());
+                assertTrue(process.getValue().waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS), process.getKey());
                 report.append(process.getKey())
                         .append(" -> exit ")
                         .append(process.getValue().exitValue())
@@ -367,10 +370,10 @@
             builder.environment().put("GW_CONFIG", config.toString());
         }
         Process process = builder.start();
-        try (var to = process.getOutputStream()) {
-            to.write(input.getBytes(StandardCharsets.UTF_8));
+        try (var processInput = process.getOutputStream()) {
+            processInput.write(input.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // It has ended without reading its input.
+            // The process ended without reading its input.
         }
         return process;
     }
--- a/src/test/java/pewtercourse/DirectorProcess.java
+++ b/src/test/java/pewtercourse/DirectorProcess.java
@@ -23,19 +23,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** The program as the platform runs it: a process of its own, told things by signals, whose log is read. */
+/** Runs a director as a process of its own, as the platform does: controls it by signals and reads its log. */
 final class DirectorProcess implements Closeable {
-    // Far over what any event takes: only a line that never comes is to fail a test.
-    private static final int HEARD_SECONDS = 90;
+    // Far longer than any event takes, so that only a line that is never logged fails a test.
+    private static final int EVENT_TIMEOUT_SECONDS = 90;
     private static final String LOG_ENDED = "(the log has ended)";
 
-    // Of a line of the system's table of connections.
-    private static final int TCP_STATE = 3, TCP_INODE = 9;
+    // Fields of a line of /proc/net/tcp.
+    private static final int TCP_STATE = 3;
+    private static final int TCP_INODE = 9;
     private static final String TCP_LISTEN = "0A";
 
     private final Process process;
-    private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    private final List<String> all = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
+    private final List<String> allLines = new CopyOnWriteArrayList<>();
     private final InetSocketAddress listen;
 
     private DirectorProcess(Process process, InetSocketAddress listen) {
@@ -46,8 +47,8 @@
         reader.start();
     }
 
-    /** The example's configuration with a free address to listen at and no feed; all members at {@code dial}. */
-    static JsonObject config(String host, String dial) throws IOException {
+    /** Returns the example configuration with a free listen address, no feed and {@code dial} for all members. */
+    static JsonObject configWithoutFeed(String host, String dial) throws IOException {
         JsonObject config = ExampleConfig.json();
         config.remove("feed");
         config.put("listen", host + ":" + freePort(host));
@@ -66,13 +67,17 @@
         }
     }
 
-    /** {@code shell}: what the shell does before it becomes the program, such as a limit or an ignored signal. */
-    static DirectorProcess start(Path folder, JsonObject config, String shell) throws IOException {
+    /**
+     * Starts a director.
+     *
+     * @param shellPrefix shell commands that run before the program replaces the shell, such as a limit or a trap
+     */
+    static DirectorProcess start(Path folder, JsonObject config, String shellPrefix) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config.encode());
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                shell + " exec \"$0\" \"$@\"",
+                shellPrefix + " exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
@@ -81,53 +86,53 @@
                 "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().remove("GW_LISTEN");
-        String[] at = config.getString("listen").split(":");
+        String[] hostAndPort = config.getString("listen").split(":");
         return new DirectorProcess(
-                builder.redirectErrorStream(true).start(), new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+                builder.redirectErrorStream(true).start(), new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
     }
 
     private void readLog() {
         try (BufferedReader lines = process.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                all.add(line);
-                log.add(line);
+                allLines.add(line);
+                unreadLines.add(line);
             }
         } catch (IOException e) {
-            // It was ended.
+            // The process was killed.
         }
-        log.add(LOG_ENDED);
+        unreadLines.add(LOG_ENDED);
     }
 
-    /** Waits for the next log line of this event. */
-    String heard(String event) throws InterruptedException {
-        StringBuilder seen = new StringBuilder();
-        for (String line = next(); !line.contains(" " + event); line = next()) {
-            seen.append(line).append('\n');
+    /** Waits for the next log line of this event and returns the event. */
+    String awaitEvent(String event) throws InterruptedException {
+        StringBuilder skippedLines = new StringBuilder();
+        for (String line = nextLine(); !line.contains(" " + event); line = nextLine()) {
+            skippedLines.append(line).append('\n');
             if (line.equals(LOG_ENDED)) {
-                return fail("ended without " + event + ":\n" + seen);
+                return fail("the process ended without logging " + event + ":\n" + skippedLines);
             }
         }
         return event;
     }
 
-    /** The same, and the line itself. */
-    String line(String event) throws InterruptedException {
-        String line = next();
+    /** Waits for the next log line of this event and returns the line. */
+    String awaitEventLine(String event) throws InterruptedException {
+        String line = nextLine();
         while (!line.contains(" " + event) && !line.equals(LOG_ENDED)) {
-            line = next();
+            line = nextLine();
         }
-        assertTrue(line.contains(event), "ended without " + event);
+        assertTrue(line.contains(event), "the process ended without logging " + event);
         return line;
     }
 
-    /** All lines so far that hold this text. */
-    List<String> logged(String text) {
-        return all.stream().filter(line -> line.contains(text)).toList();
+    /** All lines logged so far that contain this text. */
+    List<String> logLinesContaining(String text) {
+        return allLines.stream().filter(line -> line.contains(text)).toList();
     }
 
-    private String next() throws InterruptedException {
-        String line = log.poll(HEARD_SECONDS, TimeUnit.SECONDS);
-        return line == null ? fail("nothing more in the log") : line;
+    private String nextLine() throws InterruptedException {
+        String line = unreadLines.poll(EVENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        return line == null ? fail("no further log line within " + EVENT_TIMEOUT_SECONDS + " s") : line;
     }
 
     InetSocketAddress address() {
@@ -142,23 +147,23 @@
                         .waitFor());
     }
 
-    /** Waits for its end, for at most so long; returns its exit code. */
-    int ended(long seconds) throws InterruptedException {
-        assertTrue(process.waitFor(seconds, TimeUnit.SECONDS), "still runs after " + seconds + " s");
+    /** Waits for the process to exit and returns its exit code; fails when the timeout has passed. */
+    int awaitExit(long timeoutSeconds) throws InterruptedException {
+        assertTrue(process.waitFor(timeoutSeconds, TimeUnit.SECONDS), "still runs after " + timeoutSeconds + " s");
         return process.exitValue();
     }
 
-    /** TCP connections that it holds now, in whatever state, but for those that listen. */
-    long connections() throws IOException {
-        Set<String> own = new HashSet<>();
-        try (Stream<Path> open = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
-            open.forEach(descriptor -> own.add(inode(descriptor)));
+    /** Counts the TCP sockets that the process has open now, in any state except listening. */
+    long openConnections() throws IOException {
+        Set<String> socketInodes = new HashSet<>();
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
+            descriptors.forEach(descriptor -> socketInodes.add(inode(descriptor)));
         }
         long connections = 0;
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
             connections += Files.readAllLines(Path.of(table)).stream()
                     .map(line -> line.strip().split("\\s+"))
-                    .filter(fields -> !fields[TCP_STATE].equals(TCP_LISTEN) && own.contains(fields[TCP_INODE]))
+                    .filter(fields -> !fields[TCP_STATE].equals(TCP_LISTEN) && socketInodes.contains(fields[TCP_INODE]))
                     .count();
         }
         return connections;
@@ -168,7 +173,7 @@
         try {
             return Files.readSymbolicLink(descriptor).toString().replaceAll("socket:\\[(\\d+)]", "$1");
         } catch (IOException e) {
-            return ""; // Closed meanwhile.
+            return ""; // The descriptor was closed in the meantime.
         }
     }
 
--- a/src/test/java/pewtercourse/DiscoveryTest.java
+++ b/src/test/java/pewtercourse/DiscoveryTest.java
@@ -19,45 +19,45 @@
 import pewtercourse.ScriptedFeed.Watch;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
-/** The control feed that falls silent, breaks off or repeats itself: no request goes to a cache that was told to drain. */
+/** No request goes to a draining cache although the control feed falls silent, breaks off or repeats events. */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DiscoveryTest {
     private static final String HOST = "127.83.17.8";
     private static final int REQUESTS = 40;
-    // What the feed has to tell counts as told after this, arrived or not.
-    private static final long TOLD_MS = 7_000;
+    // A change of the feed counts as delivered after this time, whether it has arrived or not.
+    private static final long DELIVERY_DEADLINE_MS = 7_000;
 
     @TempDir
     Path folder;
 
     private ScriptedFeed feed;
-    private ScriptedCache first;
-    private ScriptedCache second;
+    private ScriptedCache firstCache;
+    private ScriptedCache secondCache;
     private DirectorProcess director;
     private JsonObject config;
     private Watch watch;
-    private int serial;
+    private int lastSerial;
 
     @BeforeEach
-    void start() throws Exception {
+    void startDirector() throws Exception {
         feed = new ScriptedFeed(HOST);
-        first = new ScriptedCache(HOST, ScriptedCache.serve("menu"));
-        second = new ScriptedCache(HOST, ScriptedCache.serve("menu"));
-        config = DirectorProcess.config(HOST, second.dial()).put("feed", feed.dial());
-        members().getJsonObject(0).put("dial", first.dial());
+        firstCache = new ScriptedCache(HOST, ScriptedCache.respondWith("menu"));
+        secondCache = new ScriptedCache(HOST, ScriptedCache.respondWith("menu"));
+        config = DirectorProcess.configWithoutFeed(HOST, secondCache.hostAndPort()).put("feed", feed.hostAndPort());
+        members().getJsonObject(0).put("dial", firstCache.hostAndPort());
         director = DirectorProcess.start(folder, config, "");
-        watch = feed.next();
-        assertEquals(1, watch.after());
-        director.heard("director.listening");
+        watch = feed.accept();
+        assertEquals(1, watch.lastEventId());
+        director.awaitEvent("director.listening");
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopDirector() throws Exception {
         director.close();
         watch.close();
         feed.close();
-        first.close();
-        second.close();
+        firstCache.close();
+        secondCache.close();
     }
 
     private JsonArray members() {
@@ -68,8 +68,8 @@
                 .getJsonArray("hosts");
     }
 
-    /** The first cache in this state, as a change of the list. */
-    private String change(long number, String state) {
+    /** An event that changes only the state of the first cache. */
+    private String changeEvent(long number, String state) {
         JsonObject host = members().getJsonObject(0).copy().put("health", state);
         return new JsonObject()
                 .put("n", number)
@@ -79,8 +79,8 @@
                 .encode();
     }
 
-    /** The whole list, with the first cache in this state. */
-    private String whole(long number, String state) {
+    /** An event with the complete list of caches, the first one in this state. */
+    private String completeListEvent(long number, String state) {
         JsonArray hosts = members().copy();
         hosts.getJsonObject(0).put("health", state);
         return new JsonObject()
@@ -91,122 +91,123 @@
                 .encode();
     }
 
-    /** Asks for many objects; returns how many of the requests came to the first cache. */
-    private int askAll() throws Exception {
-        int before = first.requestIds().size();
+    /** Requests many objects and returns how many of the requests reached the first cache. */
+    private int requestObjects() throws Exception {
+        int requestsBefore = firstCache.requestIds().size();
         try (RawFrontClient client = new RawFrontClient(director.address())) {
             for (int i = 0; i < REQUESTS; i++) {
-                String id = String.format("%016x", ++serial);
+                String id = String.format("%016x", ++lastSerial);
                 client.write(RawFrontClient.request(1, "menu-page", id, id, 20_000));
                 String answer = client.readAnswer();
                 assertNotNull(answer);
                 assertTrue(answer.startsWith("Status: 200"), answer);
             }
         }
-        return first.requestIds().size() - before;
+        return firstCache.requestIds().size() - requestsBefore;
     }
 
     @Test
-    void aWatchThatFallsSilentIsLeftAndADrainToldRightAfterItCounts() throws Exception {
-        assertTrue(askAll() > 0, "in use before");
-        long silentFrom = System.nanoTime();
-        Watch next = feed.next(); // Nothing is written on the first one, and it stays open.
-        long tookMs = (System.nanoTime() - silentFrom) / 1_000_000;
-        assertTrue(tookMs < TOLD_MS, "called again after " + tookMs + " ms");
-        assertEquals(1, next.after());
-        next.event(2, change(2, "Terminating"));
+    void reconnectsWhenTheFeedFallsSilentAndAppliesADrainSentAfterwards() throws Exception {
+        assertTrue(requestObjects() > 0, "the first cache is not used before it drains");
+        long silentSinceNanos = System.nanoTime();
+        Watch next = feed.accept(); // The first connection stays open, and nothing is written to it.
+        long reconnectMs = (System.nanoTime() - silentSinceNanos) / 1_000_000;
+        assertTrue(reconnectMs < DELIVERY_DEADLINE_MS, "reconnected after " + reconnectMs + " ms");
+        assertEquals(1, next.lastEventId());
+        next.writeEvent(2, changeEvent(2, "Terminating"));
         watch.close();
         watch = next;
-        settle(2);
-        assertEquals(0, askAll(), "sent to a cache that was told to drain");
+        awaitEventsReceived(2);
+        assertEquals(0, requestObjects(), "requests were sent to a draining cache");
     }
 
     @Test
-    void aWatchThatFallsSilentAfterAMoveIsLeft() throws Exception {
-        try (ScriptedFeed moved = new ScriptedFeed(HOST)) {
+    void reconnectsWhenTheFeedFallsSilentAfterItsAddressChanged() throws Exception {
+        try (ScriptedFeed movedFeed = new ScriptedFeed(HOST)) {
             Files.writeString(
                     folder.resolve("config.json"),
-                    config.copy().put("feed", moved.dial()).encode());
+                    config.copy().put("feed", movedFeed.hostAndPort()).encode());
             director.signal("HUP");
-            Watch silent = moved.next();
-            Watch next = moved.next(); // The first one stays open, and nothing is written on it.
-            next.event(2, change(2, "Terminating"));
-            director.heard("discovery.disconnected");
+            Watch silent = movedFeed.accept();
+            Watch next = movedFeed.accept(); // The first connection stays open, and nothing is written to it.
+            next.writeEvent(2, changeEvent(2, "Terminating"));
+            director.awaitEvent("discovery.disconnected");
             silent.close();
             watch.close();
             watch = next;
-            settleAt(moved, 2);
-            assertEquals(0, askAll(), "sent to a cache that was told to drain");
+            awaitEventsReceivedFrom(movedFeed, 2);
+            assertEquals(0, requestObjects(), "requests were sent to a draining cache");
         }
     }
 
     @Test
-    void aStreamThatIsCutInsideAnEventIsAskedForItAgain() throws Exception {
-        String drain = "id: 2\ndata: " + change(2, "Terminating") + "\n\n";
+    void requestsAnEventAgainWhenTheStreamIsCutInsideIt() throws Exception {
+        String drain = "id: 2\ndata: " + changeEvent(2, "Terminating") + "\n\n";
         watch.write(drain.substring(0, drain.length() / 2));
         watch.close();
-        watch = feed.next();
-        assertEquals(1, watch.after(), "the event was not whole");
+        watch = feed.accept();
+        assertEquals(1, watch.lastEventId(), "an incomplete event was counted as received");
         watch.write(drain);
-        settle(2);
-        assertEquals(0, askAll(), "sent to a cache that was told to drain");
+        awaitEventsReceived(2);
+        assertEquals(0, requestObjects(), "requests were sent to a draining cache");
     }
 
     @Test
-    void eventsThatComeTwiceAndAWholeListInTheirPlaceCountOnce() throws Exception {
-        watch.event(2, change(2, "Terminating"));
-        watch.event(3, change(3, "Ready"));
-        watch.event(2, change(2, "Terminating"));
-        settle(3);
-        assertTrue(askAll() > 0, "an old event undid a later one");
-        watch.event(4, whole(4, "Terminating"));
-        settle(4);
-        assertEquals(0, askAll(), "sent to a cache that was told to drain");
+    void ignoresRepeatedEventsAndAppliesACompleteList() throws Exception {
+        watch.writeEvent(2, changeEvent(2, "Terminating"));
+        watch.writeEvent(3, changeEvent(3, "Ready"));
+        watch.writeEvent(2, changeEvent(2, "Terminating"));
+        awaitEventsReceived(3);
+        assertTrue(requestObjects() > 0, "a repeated old event undid a later one");
+        watch.writeEvent(4, completeListEvent(4, "Terminating"));
+        awaitEventsReceived(4);
+        assertEquals(0, requestObjects(), "requests were sent to a draining cache");
     }
 
     @Test
-    void aDrainToldAfterSigtermCounts() throws Exception {
-        assertTrue(askAll() > 0, "in use before");
-        int before = first.requestIds().size() + second.requestIds().size();
-        CompletableFuture<Socket> held = new CompletableFuture<>();
-        first.play((socket, line, id) -> held.complete(socket));
-        second.play((socket, line, id) -> held.complete(socket));
+    void appliesADrainReceivedAfterSigterm() throws Exception {
+        assertTrue(requestObjects() > 0, "the first cache is not used before it drains");
+        int requestsBefore = firstCache.requestIds().size() + secondCache.requestIds().size();
+        CompletableFuture<Socket> unansweredSocket = new CompletableFuture<>();
+        firstCache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
+        secondCache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
         try (RawFrontClient order = new RawFrontClient(director.address());
                 RawFrontClient client = new RawFrontClient(director.address())) {
             order.write(RawFrontClient.request(1, "place-order", "00000000000f0001", 20_000));
-            Socket answers = held.get(30, TimeUnit.SECONDS); // The process stays until this one is answered.
+            // The process stays until this order is answered.
+            Socket orderSocket = unansweredSocket.get(30, TimeUnit.SECONDS);
             assertEquals(
-                    before + 1, first.requestIds().size() + second.requestIds().size());
-            first.play(ScriptedCache.serve("menu"));
-            second.play(ScriptedCache.serve("menu"));
+                    requestsBefore + 1, firstCache.requestIds().size() + secondCache.requestIds().size());
+            firstCache.setResponder(ScriptedCache.respondWith("menu"));
+            secondCache.setResponder(ScriptedCache.respondWith("menu"));
             director.signal("TERM");
-            director.heard("director.stopping");
-            watch.event(2, change(2, "Terminating"));
-            settle(2);
-            int drained = first.requestIds().size();
+            director.awaitEvent("director.stopping");
+            watch.writeEvent(2, changeEvent(2, "Terminating"));
+            awaitEventsReceived(2);
+            int requestsWhenDrained = firstCache.requestIds().size();
             for (int i = 0; i < REQUESTS; i++) {
                 String id = String.format("%016x", 0xf0010 + i);
                 client.write(RawFrontClient.request(1, "menu-page", id, id, 20_000));
                 String answer = client.readAnswer();
                 if (answer == null || answer.startsWith("Status: 503")) {
-                    break; // The cut-off.
+                    break; // The shutdown refuses new requests.
                 }
             }
-            assertEquals(drained, first.requestIds().size(), "sent to a cache that was told to drain");
-            ScriptedCache.serve("menu").answer(answers, "", "");
+            assertEquals(requestsWhenDrained, firstCache.requestIds().size(), "requests were sent to a draining cache");
+            ScriptedCache.respondWith("menu").respond(orderSocket, "", "");
             assertTrue(order.readAnswer().startsWith("Status: 200"));
         }
-        assertEquals(0, director.ended(20));
+        assertEquals(0, director.awaitExit(20));
     }
 
-    private void settle(long number) throws Exception {
-        settleAt(feed, number);
+    private void awaitEventsReceived(long lastEventId) throws Exception {
+        awaitEventsReceivedFrom(feed, lastEventId);
     }
 
-    /** Ends the stream: the next call names the last event that was taken. */
-    private void settleAt(ScriptedFeed at, long number) throws Exception {
+    /** Ends the stream and accepts the next connection, whose request names the last received event. */
+    private void awaitEventsReceivedFrom(ScriptedFeed nextFeed, long lastEventId) throws Exception {
         watch.close();
-        watch = at.next();
-        assertEquals(number, watch.after());
+        watch = nextFeed.accept();
+        assertEquals(lastEventId, watch.lastEventId());
     }
 }
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -34,13 +34,13 @@
 import pewtercourse.front.fastcgi.FastCgiClient;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
-/** The program as the platform runs it: a process that is told things by signals. */
+/** Runs the program as the platform does: as a process that is controlled by signals. */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MainTest {
-    // An address of its own, so that no other program takes the port between the look and the use.
+    // Its own address, so that no other program takes a free port between its lookup and its use.
     private static final String HOST = "127.83.17.5";
 
-    private static final int DESCRIPTORS = 128;
+    private static final int MAX_DESCRIPTORS = 128;
 
     @TempDir
     Path folder;
@@ -48,48 +48,47 @@
     private Process process;
     private BufferedReader log;
     private JsonObject config;
-    private Path file;
+    private Path configFile;
 
     @BeforeEach
-    void start() throws Exception {
-        file = folder.resolve("config.json");
+    void startProcess() throws Exception {
+        configFile = folder.resolve("config.json");
         config = ExampleConfig.json().put("feed", HOST + ":1");
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             config.put("listen", HOST + ":" + free.getLocalPort());
         }
-        config.put("limits", new JsonObject().put("sockets", DESCRIPTORS));
-        Files.writeString(file, config.encode());
-        ProcessBuilder b = new ProcessBuilder(
+        config.put("limits", new JsonObject().put("sockets", MAX_DESCRIPTORS));
+        Files.writeString(configFile, config.encode());
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"",
+                "ulimit -n " + MAX_DESCRIPTORS + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "pewtercourse.Main",
                 "serve");
-        b.environment().put("GW_CONFIG", file.toString());
-        b.environment().remove("GW_LISTEN");
-        process = b.redirectErrorStream(true).start();
+        builder.environment().put("GW_CONFIG", configFile.toString());
+        builder.environment().remove("GW_LISTEN");
+        process = builder.redirectErrorStream(true).start();
         log = process.inputReader();
-        // A line that never comes must fail the test, not hang it: reading ends with the process. Far over what any of
-        // these
-        // takes: a full table of descriptors alone takes half a minute.
+        // Kills the process so that a line that is never logged fails the test instead of blocking it. Exhausting the
+        // descriptors alone takes half a minute.
         CompletableFuture.delayedExecutor(180, TimeUnit.SECONDS).execute(process::destroyForcibly);
-        heard("director.listening");
+        awaitEventLine("director.listening");
     }
 
     @AfterEach
-    void stop() {
+    void killProcess() {
         process.destroyForcibly();
     }
 
-    private String heard(String event) throws Exception {
+    private String awaitEventLine(String event) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(event)) {
             line = log.readLine();
         }
-        assertNotNull(line, "ended without " + event);
+        assertNotNull(line, "the process ended without logging " + event);
         return line;
     }
 
@@ -102,35 +101,35 @@
     }
 
     @Test
-    void onSighupTheFileIsReadAgainAndOneThatCannotBeUsedChangesNothing() throws Exception {
-        Files.writeString(file, config.copy().put("feed", "nowhere").encode());
+    void reloadsTheFileOnSighupAndKeepsTheConfigurationWhenTheFileIsInvalid() throws Exception {
+        Files.writeString(configFile, config.copy().put("feed", "nowhere").encode());
         signal("HUP");
-        assertTrue(heard("config.kept").contains("key=feed:"));
+        assertTrue(awaitEventLine("config.kept").contains("key=feed:"));
         Files.writeString(
-                file,
+                configFile,
                 config.put("feed", HOST + ":2").put("peer_listen", HOST + ":3").encode());
         signal("HUP");
-        assertTrue(heard("config.needs_restart").contains("keys=peer_listen"));
-        assertTrue(heard("discovery.moved").contains(HOST + ":2"));
-        heard("config.reloaded");
+        assertTrue(awaitEventLine("config.needs_restart").contains("keys=peer_listen"));
+        assertTrue(awaitEventLine("discovery.moved").contains(HOST + ":2"));
+        awaitEventLine("config.reloaded");
         assertTrue(process.isAlive());
     }
 
     @Test
-    void aFileThatIsCutOffOrLacksAKeyLeavesTheSettingsWhole() throws Exception {
-        JsonObject classless = config.copy();
-        classless
+    void keepsTheSettingsWhenTheReloadedFileIsTruncatedOrLacksAKey() throws Exception {
+        JsonObject withoutDeadline = config.copy();
+        withoutDeadline
                 .getJsonObject("settings")
                 .getJsonArray("Classes")
                 .getJsonObject(0)
                 .remove("Deadline");
-        for (String broken : List.of("", config.encode().substring(0, 500), classless.encode())) {
-            Files.writeString(file, broken);
+        for (String invalidText : List.of("", config.encode().substring(0, 500), withoutDeadline.encode())) {
+            Files.writeString(configFile, invalidText);
             signal("HUP");
-            heard("config.kept");
+            awaitEventLine("config.kept");
         }
-        JsonObject next = config.copy();
-        next.getJsonObject("settings")
+        JsonObject nextConfig = config.copy();
+        nextConfig.getJsonObject("settings")
                 .getJsonArray("Classes")
                 .add(new JsonObject()
                         .put("Name", "menu-v2")
@@ -138,78 +137,78 @@
                         .put("Aim", 400.0)
                         .put("Deadline", 3000.0)
                         .put("Worth", 1.0));
-        Files.writeString(file, next.encode());
+        Files.writeString(configFile, nextConfig.encode());
         signal("HUP");
-        assertTrue(heard("config.reloaded").contains("classes=menu-media,menu-page,menu-v2,place-order"));
+        assertTrue(awaitEventLine("config.reloaded").contains("classes=menu-media,menu-page,menu-v2,place-order"));
     }
 
     @Test
-    void moreConnectionsThanDescriptorsDoNotEndTheListener() throws Exception {
-        CompletableFuture.runAsync(() -> log.lines().forEach(l -> {})); // A full pipe would stop it.
-        String[] at = config.getString("listen").split(":");
+    void keepsAcceptingAfterMoreConnectionsThanDescriptors() throws Exception {
+        CompletableFuture.runAsync(() -> log.lines().forEach(line -> {})); // A full pipe would block the process.
+        String[] hostAndPort = config.getString("listen").split(":");
         List<Socket> open = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
-            for (int i = 0; i < 3 * DESCRIPTORS; i++) {
-                Socket s = new Socket();
-                open.add(s);
+            for (int i = 0; i < 3 * MAX_DESCRIPTORS; i++) {
+                Socket socket = new Socket();
+                open.add(socket);
                 try {
-                    s.connect(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 200);
+                    socket.connect(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])), 200);
                 } catch (IOException e) {
-                    // The queue of the listener is full, too.
+                    // The listener's accept queue is full too.
                 }
             }
-            for (Socket s : open) {
-                s.close();
+            for (Socket socket : open) {
+                socket.close();
             }
         }
         Vertx vertx = Vertx.vertx();
         String answer = "";
-        // It may rest for a second before it accepts again; if it never does, the process is ended in the end.
+        // The director may pause for a second before it accepts again. If it never does, the timeout kills the process.
         while (!answer.startsWith("Status: 200") && process.isAlive()) {
             try {
-                answer = FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(at[1]), at[0]))
-                        .compose(c -> c.send(Map.of("SCRIPT_NAME", "/alive")))
+                answer = FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(hostAndPort[1]), hostAndPort[0]))
+                        .compose(client -> client.send(Map.of("SCRIPT_NAME", "/alive")))
                         .toCompletionStage()
                         .toCompletableFuture()
                         .get(3, TimeUnit.SECONDS)
                         .toString();
             } catch (Exception e) {
-                // asked again
+                // The request is repeated.
             }
         }
         vertx.close();
-        assertTrue(answer.startsWith("Status: 200"), "no longer accepts");
+        assertTrue(answer.startsWith("Status: 200"), "no longer accepts connections");
     }
 
     @Test
-    void aConfigurationThatCannotBeUsedEndsItBeforeItListens() throws Exception {
-        JsonObject broken = DirectorProcess.config(HOST, HOST + ":1");
-        broken.getJsonObject("settings")
+    void exitsBeforeListeningWhenTheConfigurationIsInvalid() throws Exception {
+        JsonObject invalidConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1");
+        invalidConfig.getJsonObject("settings")
                 .getJsonArray("Classes")
                 .getJsonObject(1)
                 .put("Deadline", "soon");
-        Path other = Files.createDirectory(folder.resolve("broken"));
-        try (DirectorProcess ended = DirectorProcess.start(other, broken, "")) {
-            assertTrue(ended.line("config.unusable").contains("key=Classes.1.Deadline:"));
-            assertEquals(2, ended.ended(60));
+        Path otherFolder = Files.createDirectory(folder.resolve("broken"));
+        try (DirectorProcess director = DirectorProcess.start(otherFolder, invalidConfig, "")) {
+            assertTrue(director.awaitEventLine("config.unusable").contains("key=Classes.1.Deadline:"));
+            assertEquals(2, director.awaitExit(60));
             assertThrows(
                     IOException.class,
                     () -> new Socket(
-                                    ended.address().getAddress(),
-                                    ended.address().getPort())
+                                    director.address().getAddress(),
+                                    director.address().getPort())
                             .close());
         }
     }
 
     @Test
-    void oneClassOfAnOddNameThatMayNotBeRepeatedIsServed() throws Exception {
-        CompletableFuture<String> asked = new CompletableFuture<>();
+    void servesASingleSideEffectClassWhoseNameNeedsEscaping() throws Exception {
+        CompletableFuture<String> requestLine = new CompletableFuture<>();
         ScriptedCache cache = new ScriptedCache(HOST, (socket, line, id) -> {
-            asked.complete(line);
-            ScriptedCache.serve("menu").answer(socket, line, id);
+            requestLine.complete(line);
+            ScriptedCache.respondWith("menu").respond(socket, line, id);
         });
-        JsonObject odd = DirectorProcess.config(HOST, cache.dial());
-        odd.getJsonObject("settings")
+        JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort());
+        nextConfig.getJsonObject("settings")
                 .put(
                         "Classes",
                         new JsonArray()
@@ -219,90 +218,89 @@
                                         .put("Aim", 400.0)
                                         .put("Deadline", 3000.0)
                                         .put("Worth", 0.25)));
-        Path other = Files.createDirectory(folder.resolve("odd"));
-        try (DirectorProcess director = DirectorProcess.start(other, odd, "")) {
-            director.heard("director.listening");
+        Path otherFolder = Files.createDirectory(folder.resolve("odd"));
+        try (DirectorProcess director = DirectorProcess.start(otherFolder, nextConfig, "")) {
+            director.awaitEvent("director.listening");
             try (RawFrontClient client = new RawFrontClient(director.address())) {
                 String answer = client.write(RawFrontClient.request(1, "menú, día/2", "00000000000000aa", 20_000))
                         .readAnswer();
                 assertTrue(answer.startsWith("Status: 200"), answer);
             }
         }
-        assertEquals("GET /o/men%C3%BA,%20d%C3%ADa%2F2/7f3a9c21e0b4d655/0 HTTP/1.1", asked.get(30, TimeUnit.SECONDS));
+        assertEquals("GET /o/men%C3%BA,%20d%C3%ADa%2F2/7f3a9c21e0b4d655/0 HTTP/1.1", requestLine.get(30, TimeUnit.SECONDS));
         cache.close();
     }
 
-    // As under nohup: the JVM doesn't take the signal, and nobody was told.
+    // As under nohup: the JVM doesn't handle an ignored signal, and nothing reported that.
     @Test
-    void whereSighupIsIgnoredTheLogSaysSoAndOperatorsCanReload() throws Exception {
+    void logsThatSighupIsIgnoredAndReloadsOnAnOperatorsCall() throws Exception {
         int adminPort = DirectorProcess.freePort(HOST);
-        JsonObject next = DirectorProcess.config(HOST, HOST + ":1").put("feed", HOST + ":1");
-        next.put("admin_addr", HOST + ":" + adminPort);
-        Path other = Files.createDirectory(folder.resolve("ignoring"));
-        try (DirectorProcess ignoring = DirectorProcess.start(other, next, "trap '' HUP;")) {
-            assertTrue(ignoring.line("signal.ignored").contains("signal=HUP"));
-            ignoring.heard("director.listening");
+        JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":1");
+        nextConfig.put("admin_addr", HOST + ":" + adminPort);
+        Path otherFolder = Files.createDirectory(folder.resolve("ignoring"));
+        try (DirectorProcess ignoring = DirectorProcess.start(otherFolder, nextConfig, "trap '' HUP;")) {
+            assertTrue(ignoring.awaitEventLine("signal.ignored").contains("signal=HUP"));
+            ignoring.awaitEvent("director.listening");
             ignoring.signal("HUP");
-            Path at = other.resolve("config.json");
-            Files.writeString(at, next.copy().put("feed", "nowhere").encode());
+            Path reloadedFile = otherFolder.resolve("config.json");
+            Files.writeString(reloadedFile, nextConfig.copy().put("feed", "nowhere").encode());
             assertTrue(post(adminPort, "/reload").contains("422"));
-            assertTrue(ignoring.line("config.kept").contains("key=feed:"));
-            Files.writeString(at, next.copy().put("feed", HOST + ":2").encode());
+            assertTrue(ignoring.awaitEventLine("config.kept").contains("key=feed:"));
+            Files.writeString(reloadedFile, nextConfig.copy().put("feed", HOST + ":2").encode());
             assertTrue(post(adminPort, "/reload").contains("200"));
-            assertTrue(ignoring.line("discovery.moved").contains(HOST + ":2"));
-            ignoring.heard("config.reloaded");
+            assertTrue(ignoring.awaitEventLine("discovery.moved").contains(HOST + ":2"));
+            ignoring.awaitEvent("config.reloaded");
         }
     }
 
     private static String post(int port, String path) throws IOException {
-        try (Socket s = new Socket(HOST, port)) {
-            s.setSoTimeout(30_000);
-            s.getOutputStream()
+        try (Socket socket = new Socket(HOST, port)) {
+            socket.setSoTimeout(30_000);
+            socket.getOutputStream()
                     .write(("POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").getBytes());
-            return new String(s.getInputStream().readAllBytes())
+            return new String(socket.getInputStream().readAllBytes())
                     .lines()
                     .findFirst()
                     .orElse("");
         }
     }
 
-    // The library accepts on a thread of its own: clients had all descriptors before the event loop had seen them, and
-    // the
-    // feed could not be called again.
+    // The library accepts connections on its own thread. Clients took all descriptors before the event loop had seen
+    // their connections, and the director could not connect to the feed again.
     @Test
-    void theFeedIsCalledAgainWhileIdleClientsTakeAllTheyCanGet() throws Exception {
+    void reconnectsToTheFeedWhileIdleClientsOpenAsManyConnectionsAsTheyCan() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 50, InetAddress.getByName(HOST))) {
             feed.setSoTimeout(60_000);
-            JsonObject next = DirectorProcess.config(HOST, HOST + ":1").put("feed", HOST + ":" + feed.getLocalPort());
-            next.put("limits", new JsonObject().put("sockets", DESCRIPTORS));
-            Path other = Files.createDirectory(folder.resolve("crowded"));
-            // The program is one file; here it holds a descriptor for each of its libraries besides.
+            JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":" + feed.getLocalPort());
+            nextConfig.put("limits", new JsonObject().put("sockets", MAX_DESCRIPTORS));
+            Path otherFolder = Files.createDirectory(folder.resolve("crowded"));
+            // The packaged program is one file; here the process also holds a descriptor for each of its libraries.
             int libraries = System.getProperty("java.class.path").split(File.pathSeparator).length;
             try (DirectorProcess crowded =
-                            DirectorProcess.start(other, next, "ulimit -n " + (DESCRIPTORS + libraries) + ";");
+                            DirectorProcess.start(otherFolder, nextConfig, "ulimit -n " + (MAX_DESCRIPTORS + libraries) + ";");
                     Crowd crowd = new Crowd(crowded)) {
                 Socket watch = feed.accept();
                 crowd.start();
                 for (int i = 0; i < 5; i++) {
-                    crowd.awaitMore(2 * DESCRIPTORS);
+                    crowd.awaitMore(2 * MAX_DESCRIPTORS);
                     watch.close();
                     watch = feed.accept();
                 }
                 watch.close();
                 assertTrue(crowded.isAlive());
                 assertEquals(
-                        List.of(), crowded.logged("Too many open files"), () -> String.join("\n", crowded.logged("")));
+                        List.of(), crowded.logLinesContaining("Too many open files"), () -> String.join("\n", crowded.logLinesContaining("")));
             }
         }
     }
 
-    /** Clients that connect as fast as they can and say nothing; as many as a process may hold, again and again. */
+    /** Opens connections as fast as possible and sends nothing; closes the oldest when there are too many. */
     private static final class Crowd implements AutoCloseable {
         private final DirectorProcess director;
         private final AtomicInteger connected = new AtomicInteger();
         private final Deque<Socket> open = new ArrayDeque<>();
         private final Thread thread = new Thread(this::connect, "crowd");
-        private volatile boolean ended;
+        private volatile boolean closed;
 
         Crowd(DirectorProcess director) {
             this.director = director;
@@ -313,43 +311,43 @@
         }
 
         private void connect() {
-            while (!ended && director.isAlive()) {
-                Socket s = new Socket();
+            while (!closed && director.isAlive()) {
+                Socket socket = new Socket();
                 try {
-                    s.connect(director.address(), 200);
-                    open.add(s);
+                    socket.connect(director.address(), 200);
+                    open.add(socket);
                     connected.incrementAndGet();
-                    if (open.size() > 3 * DESCRIPTORS) {
+                    if (open.size() > 3 * MAX_DESCRIPTORS) {
                         open.poll().close();
                     }
                 } catch (IOException e) {
-                    // It doesn't listen yet, or its queue is full.
+                    // The director doesn't listen yet, or its accept queue is full.
                 }
             }
         }
 
         void awaitMore(int count) throws InterruptedException {
-            int until = connected.get() + count;
-            while (connected.get() < until) {
-                assertTrue(director.isAlive(), "it has ended");
+            int target = connected.get() + count;
+            while (connected.get() < target) {
+                assertTrue(director.isAlive(), "the director has ended");
                 Thread.sleep(5);
             }
         }
 
         @Override
         public void close() throws Exception {
-            ended = true;
+            closed = true;
             thread.join();
-            for (Socket s : open) {
-                s.close();
+            for (Socket socket : open) {
+                socket.close();
             }
         }
     }
 
     @Test
-    void onSigtermItEndsByItselfWithZero() throws Exception {
+    void exitsWithZeroOnSigterm() throws Exception {
         signal("TERM");
-        heard("director.stopped");
+        awaitEventLine("director.stopped");
         assertEquals(0, process.waitFor());
     }
 }
--- a/src/test/java/pewtercourse/ScriptedCache.java
+++ b/src/test/java/pewtercourse/ScriptedCache.java
@@ -12,63 +12,64 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A cache, a parent or the control feed on a real socket, whose answers a test writes. */
+/** Listens on a real socket as a cache or a parent whose responses a test defines. */
 final class ScriptedCache implements Closeable {
-    /** Answers one request, or leaves it, or ends its connection. */
-    interface Play {
-        void answer(Socket socket, String requestLine, String requestId) throws IOException;
+    /** Responds to a request, leaves it unanswered or closes its connection. */
+    interface Responder {
+        void respond(Socket socket, String requestLine, String requestId) throws IOException;
     }
 
-    /** Turned away by a cache that can say so for sure. */
+    /** Rejects the request and states that the cache did not run it. */
     static final String NEVER_RAN = "HTTP/1.1 503 Service Unavailable\r\nNever-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
     private final ServerSocket listener;
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final List<String> requestIds = new CopyOnWriteArrayList<>();
-    private volatile Play play;
+    private volatile Responder responder;
 
-    ScriptedCache(String host, Play play) throws IOException {
+    ScriptedCache(String host, Responder responder) throws IOException {
         this.listener = new ServerSocket(0, 128, InetAddress.getByName(host));
-        this.play = play;
+        this.responder = responder;
         start(this::accept);
     }
 
-    private static void start(Runnable what) {
-        Thread thread = new Thread(what, "scripted-cache");
+    private static void start(Runnable task) {
+        Thread thread = new Thread(task, "scripted-cache");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** 200 with this body. */
-    static Play serve(String body) {
+    /** Responds 200 with this body. */
+    static Responder respondWith(String body) {
         return (socket, line, id) -> write(
                 socket,
                 "HTTP/1.1 200 OK\r\nETag: t" + line.hashCode() + "\r\nOutcome: mem\r\nContent-Length: " + body.length()
                         + "\r\n\r\n" + body);
     }
 
-    /** Takes the request and says nothing. */
-    static Play hang() {
+    /** Reads the request and never responds. */
+    static Responder neverRespond() {
         return (socket, line, id) -> {};
     }
 
-    static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    void play(Play next) {
-        play = next;
+    /** Replaces the responder, for requests read from now on. */
+    void setResponder(Responder newResponder) {
+        responder = newResponder;
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    String dial() {
+    String hostAndPort() {
         return address().getHostString() + ":" + address().getPort();
     }
 
-    /** Ids of the requests that came whole, in their order. */
+    /** The ids of the completely received requests, in order of arrival. */
     List<String> requestIds() {
         return requestIds;
     }
@@ -81,25 +82,25 @@
                 connections.add(connection);
                 start(() -> read(connection));
             } catch (IOException e) {
-                return; // It was closed.
+                return; // The listener was closed.
             }
         }
     }
 
     private void read(Socket connection) {
         try {
-            BufferedReader in =
+            BufferedReader reader =
                     new BufferedReader(new InputStreamReader(connection.getInputStream(), StandardCharsets.ISO_8859_1));
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 String id = "";
-                for (String field = in.readLine(); field != null && !field.isEmpty(); field = in.readLine()) {
+                for (String field = reader.readLine(); field != null && !field.isEmpty(); field = reader.readLine()) {
                     id = field.startsWith("Request-Id: ") ? field.substring("Request-Id: ".length()) : id;
                 }
                 requestIds.add(id);
-                play.answer(connection, line, id);
+                responder.respond(connection, line, id);
             }
         } catch (IOException e) {
-            // The director gave it up.
+            // The director closed the connection.
         }
     }
 
--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -21,17 +21,22 @@
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.RawFrontClient;
 
-/** SIGTERM at awkward instants: what was read gets its one answer, what comes later is not sent on, and the process ends. */
+/**
+ * Sends SIGTERM at critical moments: each request read before the cut-off gets one answer, later ones are not forwarded,
+ * and the process exits.
+ */
 @Timeout(value = 180, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ShutdownTest {
     private static final String HOST = "127.83.17.7";
-    // Together more than the sockets hold, so that the rest waits in the director, and less than it holds for one
-    // client.
-    private static final int SMALL_WINDOW = 4_096, LARGE = 200_000, LARGE_ANSWERS = 24;
-    private static final int SLOW_READER_MS = 20; // Its pace: so long before it reads each answer.
+    private static final int SMALL_RECEIVE_BUFFER_BYTES = 4_096;
+    // All large answers together exceed the socket buffers, so that the director buffers the rest, and stay below its
+    // limit for one client.
+    private static final int LARGE_ANSWER_BYTES = 200_000;
+    private static final int LARGE_ANSWERS = 24;
+    private static final int SLOW_READER_PAUSE_MS = 20; // Before each answer.
     private static final String PAGE = "menu".repeat(50);
-    // Over all bounds of a shutdown.
-    private static final long END_SECONDS = 20;
+    // Longer than all time limits of a shutdown.
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
 
     @TempDir
     Path folder;
@@ -41,136 +46,136 @@
     private JsonObject config;
 
     @BeforeEach
-    void prepare() throws Exception {
-        cache = new ScriptedCache(HOST, ScriptedCache.serve(PAGE));
-        config = DirectorProcess.config(HOST, cache.dial());
+    void startCache() throws Exception {
+        cache = new ScriptedCache(HOST, ScriptedCache.respondWith(PAGE));
+        config = DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort());
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         director.close();
         cache.close();
     }
 
-    private void start() throws Exception {
+    private void startDirector() throws Exception {
         director = DirectorProcess.start(folder, config, "");
-        director.heard("director.listening");
+        director.awaitEvent("director.listening");
     }
 
     private RawFrontClient connect() throws Exception {
         return new RawFrontClient(director.address());
     }
 
-    private static byte[] page(int number) {
+    private static byte[] pageRequest(int number) {
         return RawFrontClient.request(1, "menu-page", String.format("%016x", number), 20_000);
     }
 
     private void terminate() throws Exception {
         director.signal("TERM");
-        director.heard("director.stopping");
+        director.awaitEvent("director.stopping");
     }
 
     private static void assertServed(String answer) {
-        assertNotNull(answer, "its connection ended without an answer");
+        assertNotNull(answer, "the connection was closed without an answer");
         assertTrue(answer.startsWith("Status: 200") && answer.endsWith(PAGE), answer);
     }
 
     @Test
-    void aConnectionThatHasSaidNothingYetIsServed() throws Exception {
-        start();
+    void servesTheFirstRequestOfAConnectionThatSentNothingBeforeSigterm() throws Exception {
+        startDirector();
         try (RawFrontClient client = connect()) {
             terminate();
-            assertServed(client.write(page(1)).readAnswer());
-            assertNull(client.readAnswer(), "then it is closed, and not reset");
+            assertServed(client.write(pageRequest(1)).readAnswer());
+            assertNull(client.readAnswer(), "the connection must be closed, not reset");
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void aRequestThatIsHalfReadIsServed() throws Exception {
-        start();
+    void servesARequestThatIsPartlyReceivedAtSigterm() throws Exception {
+        startDirector();
         try (RawFrontClient client = connect()) {
-            byte[] request = page(1);
+            byte[] request = pageRequest(1);
             client.write(request, 0, 30);
             terminate();
             client.write(request, 30, request.length);
             assertServed(client.readAnswer());
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void clientsThatRestUntilTheyAreClosedKeepNobodyWaiting() throws Exception {
-        start();
-        List<RawFrontClient> resting = new ArrayList<>();
+    void closesIdleConnectionsWithoutDelayingTheExit() throws Exception {
+        startDirector();
+        List<RawFrontClient> idleClients = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            resting.add(connect());
-            assertServed(resting.get(i).write(page(i + 1)).readAnswer());
+            idleClients.add(connect());
+            assertServed(idleClients.get(i).write(pageRequest(i + 1)).readAnswer());
         }
-        resting.add(connect()); // One that never says anything.
+        idleClients.add(connect()); // A client that never sends anything.
         terminate();
-        for (RawFrontClient client : resting) {
-            assertNull(client.readAnswer(), "closed, and not reset");
+        for (RawFrontClient client : idleClients) {
+            assertNull(client.readAnswer(), "the connection must be closed, not reset");
         }
-        assertEquals(0, director.ended(END_SECONDS));
-        for (RawFrontClient client : resting) {
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
+        for (RawFrontClient client : idleClients) {
             client.close();
         }
     }
 
-    // It was sent on while another request was open, and its answer was lost with the process.
+    // Such a request was forwarded while another one was open, and its answer was lost when the process exited.
     @Test
-    void whatIsReadAfterTheCutOffIsNotSentOn() throws Exception {
-        CompletableFuture<Socket> held = new CompletableFuture<>();
-        start();
-        cache.play((socket, line, id) -> held.complete(socket));
+    void doesNotForwardARequestReadAfterTheCutOff() throws Exception {
+        CompletableFuture<Socket> unansweredSocket = new CompletableFuture<>();
+        startDirector();
+        cache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
         try (RawFrontClient slow = connect();
                 RawFrontClient late = connect()) {
-            slow.write(page(1));
-            held.get(30, TimeUnit.SECONDS);
-            cache.play(ScriptedCache.serve(PAGE));
-            assertServed(late.write(page(2)).readAnswer());
-            byte[] next = page(3);
-            late.write(next, 0, 20); // So that it is not closed as idle.
+            slow.write(pageRequest(1));
+            unansweredSocket.get(30, TimeUnit.SECONDS);
+            cache.setResponder(ScriptedCache.respondWith(PAGE));
+            assertServed(late.write(pageRequest(2)).readAnswer());
+            byte[] nextRequest = pageRequest(3);
+            late.write(nextRequest, 0, 20); // Prevents the director from closing the connection as idle.
             terminate();
-            director.heard("director.refusing");
-            late.write(next, 20, next.length);
+            director.awaitEvent("director.refusing");
+            late.write(nextRequest, 20, nextRequest.length);
             String answer = late.readAnswer();
             assertTrue(answer == null || answer.startsWith("Status: 503"), answer);
             assertEquals(List.of(String.format("%016x", 1), String.format("%016x", 2)), cache.requestIds());
-            ScriptedCache.serve(PAGE).answer(held.get(), "", "");
+            ScriptedCache.respondWith(PAGE).respond(unansweredSocket.get(), "", "");
             assertServed(slow.readAnswer());
-            assertNull(slow.readAnswer(), "closed, and not reset");
+            assertNull(slow.readAnswer(), "the connection must be closed, not reset");
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
-    // The end of the process over bytes that it had not read reset the connection, and the answer was lost with it.
+    // The process exited with unread bytes in the socket. This reset the connection, and the client lost the answer.
     @Test
-    void anAnswerIsReadWholeThoughMoreBytesCameBehindItsRequest() throws Exception {
+    void deliversTheCompleteAnswerWhenMoreBytesFollowItsRequest() throws Exception {
         String large = "x".repeat(200_000);
-        CompletableFuture<Socket> held = new CompletableFuture<>();
-        start();
-        cache.play((socket, line, id) -> held.complete(socket));
+        CompletableFuture<Socket> unansweredSocket = new CompletableFuture<>();
+        startDirector();
+        cache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
         try (RawFrontClient client = connect()) {
-            client.write(page(1));
-            held.get(30, TimeUnit.SECONDS);
+            client.write(pageRequest(1));
+            unansweredSocket.get(30, TimeUnit.SECONDS);
             terminate();
-            director.heard("director.refusing");
-            byte[] next = RawFrontClient.request(2, "menu-page", String.format("%016x", 2), 20_000);
-            client.write(next, 0, 20);
-            ScriptedCache.serve(large).answer(held.get(), "", "");
+            director.awaitEvent("director.refusing");
+            byte[] nextRequest = RawFrontClient.request(2, "menu-page", String.format("%016x", 2), 20_000);
+            client.write(nextRequest, 0, 20);
+            ScriptedCache.respondWith(large).respond(unansweredSocket.get(), "", "");
             String answer = client.readAnswer();
-            assertNotNull(answer, () -> "ended without an answer: " + director.logged(""));
-            assertTrue(answer.endsWith(large), "not whole");
+            assertNotNull(answer, () -> "the connection was closed without an answer: " + director.logLinesContaining(""));
+            assertTrue(answer.endsWith(large), "the answer is incomplete");
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void aCacheThatHangsKeepsTheProcessForABoundedTimeAndItsRequestIsAnswered() throws Exception {
-        start();
-        cache.play(ScriptedCache.hang());
+    void answersTheRequestAndExitsInBoundedTimeWhenACacheHangs() throws Exception {
+        startDirector();
+        cache.setResponder(ScriptedCache.neverRespond());
         try (RawFrontClient client = connect()) {
             client.write(RawFrontClient.request(1, "place-order", String.format("%016x", 1), 60_000));
             while (cache.requestIds().isEmpty()) {
@@ -178,18 +183,18 @@
             }
             terminate();
             String answer = client.readAnswer();
-            assertNotNull(answer, "ended without an answer");
+            assertNotNull(answer, "the connection was closed without an answer");
             assertTrue(answer.startsWith("Status: 502"), answer);
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void answersThatAreReadSlowlyDuringTheShutdownArriveWhole() throws Exception {
-        String large = "x".repeat(LARGE);
-        cache.play(ScriptedCache.serve(large));
-        start();
-        try (RawFrontClient client = new RawFrontClient(director.address(), SMALL_WINDOW, 0)) {
+    void deliversCompleteAnswersToASlowReaderDuringTheShutdown() throws Exception {
+        String large = "x".repeat(LARGE_ANSWER_BYTES);
+        cache.setResponder(ScriptedCache.respondWith(large));
+        startDirector();
+        try (RawFrontClient client = new RawFrontClient(director.address(), SMALL_RECEIVE_BUFFER_BYTES, 0)) {
             for (int i = 1; i <= LARGE_ANSWERS; i++) {
                 client.write(RawFrontClient.request(i, "menu-page", String.format("%016x", i), 20_000));
             }
@@ -197,84 +202,84 @@
                 Thread.onSpinWait();
             }
             terminate();
-            director.heard("director.refusing");
+            director.awaitEvent("director.refusing");
             for (int i = 1; i <= LARGE_ANSWERS; i++) {
-                Thread.sleep(SLOW_READER_MS);
+                Thread.sleep(SLOW_READER_PAUSE_MS);
                 String answer = client.readAnswer();
-                assertNotNull(answer, "ended without an answer");
+                assertNotNull(answer, "the connection was closed without an answer");
                 assertTrue(
                         answer.startsWith("Status: 200") && answer.endsWith(large),
-                        () -> "not whole, " + answer.length() + " characters: "
+                        () -> "the answer is incomplete, " + answer.length() + " characters: "
                                 + answer.lines().limit(5).toList());
             }
-            assertNull(client.readAnswer(), "closed, and not reset");
+            assertNull(client.readAnswer(), "the connection must be closed, not reset");
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
-    // Its first attempt is turned away once the shutdown has begun.
+    // The cache rejects the first attempt after the shutdown has begun.
     @Test
-    void aRequestThatIsRepeatedDuringTheShutdownIsServed() throws Exception {
-        CompletableFuture<Socket> held = new CompletableFuture<>();
-        start();
-        cache.play((socket, line, id) -> {
-            if (!held.complete(socket)) {
-                ScriptedCache.serve(PAGE).answer(socket, line, id);
+    void servesARequestWhoseAttemptIsRetriedDuringTheShutdown() throws Exception {
+        CompletableFuture<Socket> unansweredSocket = new CompletableFuture<>();
+        startDirector();
+        cache.setResponder((socket, line, id) -> {
+            if (!unansweredSocket.complete(socket)) {
+                ScriptedCache.respondWith(PAGE).respond(socket, line, id);
             }
         });
         try (RawFrontClient client = connect()) {
-            client.write(page(1));
-            Socket first = held.get(30, TimeUnit.SECONDS);
+            client.write(pageRequest(1));
+            Socket firstAttempt = unansweredSocket.get(30, TimeUnit.SECONDS);
             terminate();
-            ScriptedCache.write(first, ScriptedCache.NEVER_RAN);
+            ScriptedCache.write(firstAttempt, ScriptedCache.NEVER_RAN);
             assertServed(client.readAnswer());
-            assertNull(client.readAnswer(), "one answer, then closed, and not reset");
+            assertNull(client.readAnswer(), "after one answer the connection must be closed, not reset");
         }
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void aRequestWhoseAttemptStillConnectsGetsItsOneAnswer() throws Exception {
-        try (SilentListener neverUp = new SilentListener(HOST)) {
-            config = DirectorProcess.config(HOST, neverUp.dial());
-            start();
+    void answersOnceWhenAnAttemptIsStillConnecting() throws Exception {
+        try (SilentListener neverAccepting = new SilentListener(HOST)) {
+            config = DirectorProcess.configWithoutFeed(HOST, neverAccepting.hostAndPort());
+            startDirector();
             try (RawFrontClient client = connect()) {
                 client.write(RawFrontClient.request(1, "place-order", String.format("%016x", 1), 1_500));
-                neverUp.awaitDial();
+                neverAccepting.awaitConnectionAttempt();
                 terminate();
                 String answer = client.readAnswer();
-                assertNotNull(answer, "ended without an answer");
+                assertNotNull(answer, "the connection was closed without an answer");
                 assertTrue(answer.startsWith("Status: 50"), answer);
-                assertNull(client.readAnswer(), "one answer, then closed, and not reset");
+                assertNull(client.readAnswer(), "after one answer the connection must be closed, not reset");
             }
-            assertEquals(0, director.ended(END_SECONDS));
+            assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
         }
     }
 
     @Test
-    void aSignalDuringTheWarmUpEndsIt() throws Exception {
+    void exitsOnSigtermDuringTheWarmUp() throws Exception {
         director = DirectorProcess.start(folder, config, "");
-        InetSocketAddress at = director.address();
+        InetSocketAddress address = director.address();
         while (director.isAlive()) {
-            try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-                break; // It listens, and warms up.
+            try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+                break; // The director listens and warms up.
             } catch (java.io.IOException e) {
                 Thread.onSpinWait();
             }
         }
         terminate();
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 
     @Test
-    void aSignalDuringAReloadWhileTheFeedCanNotBeReachedEndsIt() throws Exception {
+    void exitsOnSigtermDuringAReloadWhileTheFeedIsUnreachable() throws Exception {
         config.put("feed", HOST + ":1");
-        start();
+        startDirector();
         Files.writeString(
                 folder.resolve("config.json"),
                 config.copy().put("feed", HOST + ":2").encode());
         director.signal("HUP");
         terminate();
-        assertEquals(0, director.ended(END_SECONDS));
+        assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
     }
 }
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -34,9 +34,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import pewtercourse.front.fastcgi.FastCgiClient;
 
-/** Two processes of one director behind one inherited socket, as at an upgrade, under some requests a second. */
+/** Runs two processes of one director on one inherited socket, as during an upgrade, under a light load. */
 class UpgradeTest {
-    // Holds the clients' socket and starts a process that inherits it for each line it reads; tells their numbers.
+    // Keeps the clients' socket open. For each line read, starts a process that inherits the socket and prints its pid.
     private static final String PLATFORM = """
             use Socket; $| = 1;
             socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, inet_aton($ARGV[0]))) or die;
@@ -54,25 +54,27 @@
     Path folder;
 
     private final Vertx vertx = Vertx.vertx();
-    private final Map<String, AtomicInteger> ran = new ConcurrentHashMap<>(); // How often each id came to a member.
-    private final Queue<String> toBanned = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger served = new AtomicInteger(), serial = new AtomicInteger();
+    private final Map<String, AtomicInteger> runsById = new ConcurrentHashMap<>(); // Requests received by caches.
+    private final Queue<String> idsAtDrainedCache = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger servedRequests = new AtomicInteger();
+    private final AtomicInteger lastSerial = new AtomicInteger();
     private final List<CompletableFuture<Void>> clients = new ArrayList<>();
-    private volatile boolean stop;
+    private volatile boolean stopping;
     private Process platform;
     private BufferedReader log;
     private JsonObject config;
     private int port;
 
     @BeforeEach
-    void start() throws Exception {
+    void startPlatformAndCaches() throws Exception {
         platform = new ProcessBuilder("perl", "-e", PLATFORM, HOST)
                 .redirectErrorStream(true)
                 .start();
         log = platform.inputReader();
         CompletableFuture.delayedExecutor(90, TimeUnit.SECONDS).execute(platform::destroyForcibly);
         port = Integer.parseInt(log.readLine());
-        int first = member(true), other = member(false);
+        int drainedCachePort = startCache(true);
+        int otherCachePort = startCache(false);
         config = ExampleConfig.json()
                 .put("listen", HOST + ":" + port)
                 .put("peer_listen", HOST + ":" + (20_000 + port % 40_000));
@@ -83,31 +85,32 @@
                 .getJsonObject("members")
                 .getJsonArray("hosts");
         for (int i = 0; i < hosts.size(); i++) {
-            hosts.getJsonObject(i).put("dial", "127.0.0.1:" + (i == 0 ? first : other));
+            hosts.getJsonObject(i).put("dial", "127.0.0.1:" + (i == 0 ? drainedCachePort : otherCachePort));
         }
     }
 
     @AfterEach
-    void end() {
-        stop = true;
+    void stop() {
+        stopping = true;
         vertx.close();
         platform.descendants().forEach(ProcessHandle::destroyForcibly);
         platform.destroyForcibly();
     }
 
-    private int member(boolean banned) throws Exception {
+    /** Starts a cache and returns its port; {@code isDrained} marks the cache that an operator drains. */
+    private int startCache(boolean isDrained) throws Exception {
         HttpServer server = vertx.createHttpServer(
                 new HttpServerOptions().setHost("127.0.0.1").setPort(0));
-        server.requestHandler(r -> {
-            ran.computeIfAbsent(r.getHeader("Request-Id"), i -> new AtomicInteger())
+        server.requestHandler(request -> {
+            runsById.computeIfAbsent(request.getHeader("Request-Id"), id -> new AtomicInteger())
                     .incrementAndGet();
-            if (banned) {
-                toBanned.add(r.getHeader("Request-Id"));
+            if (isDrained) {
+                idsAtDrainedCache.add(request.getHeader("Request-Id"));
             }
-            r.response()
-                    .putHeader("ETag", "t" + r.uri().hashCode())
+            request.response()
+                    .putHeader("ETag", "t" + request.uri().hashCode())
                     .putHeader("Outcome", "mem")
-                    .end(r.uri());
+                    .end(request.uri());
         });
         return server.listen()
                 .toCompletionStage()
@@ -116,17 +119,17 @@
                 .actualPort();
     }
 
-    private String heard(String event) throws IOException {
+    private String awaitLogLine(String text) throws IOException {
         String line = log.readLine();
-        while (line != null && !line.contains(event)) {
+        while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertNotNull(line, "ended without " + event);
+        assertNotNull(line, "the log ended without: " + text);
         return line;
     }
 
-    /** Starts one more process of the director; its number, once it is started. */
-    private long run(int adminPort) throws IOException {
+    /** Starts another process of the director and returns its pid. */
+    private long startDirector(int adminPort) throws IOException {
         Files.writeString(folder.resolve("config.json"), config.encode());
         String command = "GW_CONFIG=" + folder.resolve("config.json") + " GW_SOCKET_FD=0 TMPDIR=" + folder
                 + " GW_ADMIN_ADDR=" + HOST + ":" + adminPort + " exec "
@@ -134,39 +137,39 @@
                 + System.getProperty("java.class.path") + "' pewtercourse.Main serve\n";
         platform.getOutputStream().write(command.getBytes(StandardCharsets.UTF_8));
         platform.getOutputStream().flush();
-        return Long.parseLong(heard("started ").split(" ")[1]);
+        return Long.parseLong(awaitLogLine("started ").split(" ")[1]);
     }
 
-    private static int free() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-            return s.getLocalPort();
+    private static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+            return socket.getLocalPort();
         }
     }
 
     private String call(int adminPort, String line, String body) throws IOException {
-        try (Socket s = new Socket(HOST, adminPort)) {
-            s.setSoTimeout(30_000);
-            s.getOutputStream()
+        try (Socket socket = new Socket(HOST, adminPort)) {
+            socket.setSoTimeout(30_000);
+            socket.getOutputStream()
                     .write((line + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.UTF_8));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** One of the front's connections: a request after the other, until the test stops. */
-    private void client(CompletableFuture<Void> done) {
+    /** Opens one of the front's connections and sends requests on it, one after another, until the test stops. */
+    private void startClient(CompletableFuture<Void> completion) {
         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
-                .onSuccess(c -> ask(c, String.format("%016x", serial.incrementAndGet()), done))
-                .onFailure(done::completeExceptionally);
+                .onSuccess(client -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion))
+                .onFailure(completion::completeExceptionally);
     }
 
-    private void ask(FastCgiClient c, String id, CompletableFuture<Void> done) {
-        if (stop) {
-            done.complete(null);
+    private void sendRequest(FastCgiClient client, String id, CompletableFuture<Void> completion) {
+        if (stopping) {
+            completion.complete(null);
             return;
         }
         boolean order = id.hashCode() % 4 == 0;
-        c.send(Map.of(
+        client.send(Map.of(
                         "SCRIPT_NAME",
                         order ? "/ops/place-order" : "/ops/menu-page",
                         "HTTP_X_CORRELATION_ID",
@@ -179,92 +182,93 @@
                         "10"))
                 .onComplete(answer -> {
                     if (answer.failed()) {
-                        // It crossed the end of its connection: sent again once, on a new one, with its own id.
+                        // The connection was closed before the answer: sends the request again with the same id on a new
+                        // connection.
                         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
-                                .onSuccess(again -> ask(again, id, done))
-                                .onFailure(done::completeExceptionally);
+                                .onSuccess(newClient -> sendRequest(newClient, id, completion))
+                                .onFailure(completion::completeExceptionally);
                     } else if (answer.result().toString().startsWith("Status: 200")) {
-                        served.incrementAndGet();
+                        servedRequests.incrementAndGet();
                         vertx.setTimer(
                                 1 + Math.floorMod(id.hashCode(), 60),
-                                t -> ask(c, String.format("%016x", serial.incrementAndGet()), done));
+                                timer -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion));
                     } else if (answer.result().toString().startsWith("Status: 503")) {
-                        vertx.setTimer(20, t -> ask(c, String.format("%016x", serial.incrementAndGet()), done));
+                        vertx.setTimer(20, timer -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion));
                     } else {
-                        done.completeExceptionally(
+                        completion.completeExceptionally(
                                 new AssertionError(answer.result().toString()));
                     }
                 });
     }
 
-    private void untilServed(int more) throws InterruptedException {
-        int until = served.get() + more;
-        while (served.get() < until && platform.isAlive()) {
+    private void awaitServedRequests(int count) throws InterruptedException {
+        int target = servedRequests.get() + count;
+        while (servedRequests.get() < target && platform.isAlive()) {
             clients.stream().filter(CompletableFuture::isCompletedExceptionally).forEach(CompletableFuture::join);
             Thread.sleep(10);
         }
-        assertTrue(served.get() >= until, "requests are no longer served");
+        assertTrue(servedRequests.get() >= target, "requests are no longer served");
     }
 
     @Test
-    void twiceUnderLoadEachRequestRunsOnceAndABanGoesAlong() throws Exception {
-        int[] admin = {free(), free(), free()};
-        long before = run(admin[0]);
-        heard("director.listening");
+    void twoUpgradesUnderLoadRunEachRequestOnceAndKeepAnOperatorsDrain() throws Exception {
+        int[] adminPorts = {freePort(), freePort(), freePort()};
+        long oldPid = startDirector(adminPorts[0]);
+        awaitLogLine("director.listening");
         for (int i = 0; i < CONNECTIONS; i++) {
             clients.add(new CompletableFuture<>());
-            client(clients.get(i));
+            startClient(clients.get(i));
         }
-        untilServed(50);
-        assertFalse(toBanned.isEmpty(), "in use before the ban");
-        assertTrue(call(admin[0], "POST /maintenance/enter", "{\"target\":\"s-00000001\"}")
+        awaitServedRequests(50);
+        assertFalse(idsAtDrainedCache.isEmpty(), "the cache is not used before it is drained");
+        assertTrue(call(adminPorts[0], "POST /maintenance/enter", "{\"target\":\"s-00000001\"}")
                 .startsWith("HTTP/1.1 200"));
-        untilServed(2 * CONNECTIONS); // What was under way is done.
-        int banned = toBanned.size();
-        for (int i = 1; i < admin.length; i++) {
-            long next = run(admin[i]);
-            heard("director.listening");
-            assertTrue(call(admin[i], "GET /status", "").startsWith("HTTP/1.1 200"));
+        awaitServedRequests(2 * CONNECTIONS); // After these, requests already in flight are completed.
+        int requestsWhenDrained = idsAtDrainedCache.size();
+        for (int i = 1; i < adminPorts.length; i++) {
+            long newPid = startDirector(adminPorts[i]);
+            awaitLogLine("director.listening");
+            assertTrue(call(adminPorts[i], "GET /status", "").startsWith("HTTP/1.1 200"));
             assertEquals(
                     0,
-                    new ProcessBuilder("kill", "-TERM", String.valueOf(before))
+                    new ProcessBuilder("kill", "-TERM", String.valueOf(oldPid))
                             .start()
                             .waitFor());
-            heard("director.stopped open=0");
-            before = next;
-            untilServed(50);
+            awaitLogLine("director.stopped open=0");
+            oldPid = newPid;
+            awaitServedRequests(50);
         }
-        assertEquals(banned, toBanned.size(), "out by hand, and used after an upgrade");
-        assertTrue(call(admin[2], "POST /maintenance/exit", "{\"target\":\"s-00000001\"}")
+        assertEquals(requestsWhenDrained, idsAtDrainedCache.size(), "a cache drained by an operator is used after an upgrade");
+        assertTrue(call(adminPorts[2], "POST /maintenance/exit", "{\"target\":\"s-00000001\"}")
                 .startsWith("HTTP/1.1 200"));
-        while (toBanned.size() == banned) {
-            untilServed(10);
+        while (idsAtDrainedCache.size() == requestsWhenDrained) {
+            awaitServedRequests(10);
         }
-        stop = true;
-        for (CompletableFuture<Void> c : clients) {
-            c.get(60, TimeUnit.SECONDS);
+        stopping = true;
+        for (CompletableFuture<Void> client : clients) {
+            client.get(60, TimeUnit.SECONDS);
         }
-        ran.forEach((id, times) -> assertEquals(1, times.get(), "run more than once: " + id));
+        runsById.forEach((id, times) -> assertEquals(1, times.get(), "run more than once: " + id));
     }
 
     @Test
-    void aDescriptorThatIsNoListeningSocketIsRefused() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(
+    void refusesADescriptorThatIsNotAListeningSocket() throws Exception {
+        ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "pewtercourse.Main",
                         "serve")
                 .redirectErrorStream(true);
-        b.environment()
+        builder.environment()
                 .put(
                         "GW_CONFIG",
                         Files.writeString(folder.resolve("c.json"), config.encode())
                                 .toString());
-        b.environment().put("GW_SOCKET_FD", "0");
-        Process refused = b.start();
-        String out = new String(refused.getInputStream().readAllBytes());
+        builder.environment().put("GW_SOCKET_FD", "0");
+        Process refused = builder.start();
+        String output = new String(refused.getInputStream().readAllBytes());
         assertEquals(2, refused.waitFor());
-        assertTrue(out.contains("config.unusable key=GW_SOCKET_FD:"), out);
+        assertTrue(output.contains("config.unusable key=GW_SOCKET_FD:"), output);
     }
 }
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -28,14 +28,14 @@
 
 class WarmupTest {
     private final Vertx vertx = Vertx.vertx();
-    private final List<ClientRequest> served = new CopyOnWriteArrayList<>();
+    private final List<ClientRequest> serviceRequests = new CopyOnWriteArrayList<>();
 
     @AfterEach
     void close() {
         vertx.close();
     }
 
-    private static ClientRequest clientsRequest() {
+    private static ClientRequest clientRequest() {
         return new ClientRequest(
                 "9b1f03aa5c7e2d41",
                 "menu-page",
@@ -49,34 +49,34 @@
                 3_000);
     }
 
-    private static <T> T get(Future<T> f) throws Exception {
-        return f.toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
+    private static <T> T await(Future<T> future) throws Exception {
+        return future.toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
     }
 
     @Test
-    void noneOfItsRequestsReachesTheServiceAndNoClientIsToldToComeBefore() throws Exception {
+    void keepsItsRequestsFromTheServiceAndReportsReadyOnlyAtItsEnd() throws Exception {
         DirectorConfig config = ExampleConfig.read();
-        CompletableFuture<Warmup> made = new CompletableFuture<>();
+        CompletableFuture<Warmup> created = new CompletableFuture<>();
         vertx.getOrCreateContext()
-                .runOnContext(v -> made.complete(new Warmup(vertx, config, (r, answer) -> {
-                    served.add(r);
+                .runOnContext(v -> created.complete(new Warmup(vertx, config, (request, answer) -> {
+                    serviceRequests.add(request);
                     answer.accept(Answer.served(Buffer.buffer("menu"), null));
                     return () -> {};
                 })));
-        Warmup warmup = made.get(30, TimeUnit.SECONDS);
-        int port = get(new FastCgiServer(vertx, warmup, () -> System.currentTimeMillis() * 1000, config.front())
+        Warmup warmup = created.get(30, TimeUnit.SECONDS);
+        int port = await(new FastCgiServer(vertx, warmup, () -> System.currentTimeMillis() * 1000, config.front())
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1")))
                 .actualPort();
-        SocketAddress at = SocketAddress.inetSocketAddress(port, "127.0.0.1");
-        FastCgiClient client = get(FastCgiClient.connect(vertx, at));
+        SocketAddress address = SocketAddress.inetSocketAddress(port, "127.0.0.1");
+        FastCgiClient client = await(FastCgiClient.connect(vertx, address));
         Map<String, String> alive = Map.of("SCRIPT_NAME", "/alive");
-        assertFalse(get(client.send(alive)).toString().startsWith("Status: 200"));
+        assertFalse(await(client.send(alive)).toString().startsWith("Status: 200"));
         CompletableFuture<Void> done = new CompletableFuture<>();
-        vertx.runOnContext(v -> warmup.run(at, true).onComplete(d -> done.complete(null)));
+        vertx.runOnContext(v -> warmup.run(address, true).onComplete(ignored -> done.complete(null)));
         done.get(30, TimeUnit.SECONDS);
-        assertEquals(List.of(), served);
-        assertTrue(get(client.send(alive)).toString().startsWith("Status: 200"));
-        assertTrue(get(client.send(Map.of(
+        assertEquals(List.of(), serviceRequests);
+        assertTrue(await(client.send(alive)).toString().startsWith("Status: 200"));
+        assertTrue(await(client.send(Map.of(
                         "SCRIPT_NAME",
                         "/ops/menu-page",
                         "HTTP_X_CORRELATION_ID",
@@ -87,101 +87,102 @@
                         "3000")))
                 .toString()
                 .endsWith("menu"));
-        assertEquals(1, served.size());
+        assertEquals(1, serviceRequests.size());
     }
 
+    // An answer at this time would come from the canned transport and not from a cache.
     @Test
-    void aClientThatComesBeforeIsRefusedAndNeverGetsAnAnswerThatNoCacheMade() throws Exception {
+    void refusesClientRequestsUntilItsEnd() throws Exception {
         DirectorConfig config = ExampleConfig.read();
-        CompletableFuture<Answer> got = new CompletableFuture<>();
+        CompletableFuture<Answer> clientAnswer = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
-            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
-            w.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), true);
-            w.handle(clientsRequest(), got::complete);
+            Warmup warmup = new Warmup(vertx, config, (request, answer) -> () -> {});
+            warmup.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), true);
+            warmup.handle(clientRequest(), clientAnswer::complete);
         });
-        Answer a = got.get(30, TimeUnit.SECONDS);
-        assertEquals(Answer.Kind.REFUSED, a.kind());
-        assertTrue(a.pushbackMs() > 0);
+        Answer answer = clientAnswer.get(30, TimeUnit.SECONDS);
+        assertEquals(Answer.Kind.REFUSED, answer.kind());
+        assertTrue(answer.pushbackMs() > 0);
     }
 
-    // No request of its own is ever answered here: only a sign that others are at work can end it, before or after
-    // the time that is left to it then.
+    // None of the warm-up requests is answered, so that only a sign that the fleet serves clients ends the warm-up. The
+    // sign comes before or after the shorter time limit.
     @Test
-    void aRestartIntoAFleetAtWorkTakesTheShorterTime() throws Exception {
+    void usesTheShorterTimeLimitOnceTheFleetServesClients() throws Exception {
         DirectorConfig config = ExampleConfig.read();
-        NetServer deaf = get(vertx.createNetServer().connectHandler(s -> {}).listen(0, "127.0.0.1"));
+        NetServer neverAnswering = await(vertx.createNetServer().connectHandler(socket -> {}).listen(0, "127.0.0.1"));
         for (int sign = 0; sign < 3; sign++) {
-            int kind = sign;
+            int fleetSign = sign;
             CompletableFuture<Boolean> readyBefore = new CompletableFuture<>();
             CompletableFuture<Void> done = new CompletableFuture<>();
             vertx.getOrCreateContext().runOnContext(v -> {
-                Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {}, 3_600_000, 50);
-                w.run(SocketAddress.inetSocketAddress(deaf.actualPort(), "127.0.0.1"), true)
-                        .onComplete(d -> done.complete(null));
-                if (kind == 0) {
-                    w.onFleetServing();
-                } else if (kind == 1) {
-                    w.handle(clientsRequest(), a -> {});
+                Warmup warmup = new Warmup(vertx, config, (request, answer) -> () -> {}, 3_600_000, 50);
+                warmup.run(SocketAddress.inetSocketAddress(neverAnswering.actualPort(), "127.0.0.1"), true)
+                        .onComplete(ignored -> done.complete(null));
+                if (fleetSign == 0) {
+                    warmup.onFleetServing();
+                } else if (fleetSign == 1) {
+                    warmup.handle(clientRequest(), answer -> {});
                 } else {
-                    vertx.setTimer(100, t -> w.onFleetServing()); // Later than the time that is left.
+                    vertx.setTimer(100, timer -> warmup.onFleetServing()); // After the shorter time limit.
                 }
-                readyBefore.complete(w.ready());
+                readyBefore.complete(warmup.ready());
             });
             assertFalse(readyBefore.get(30, TimeUnit.SECONDS));
             done.get(30, TimeUnit.SECONDS);
         }
     }
 
-    /** The front keeps the warm-up's own requests back until the warm-up is over, and only then hands them in. */
+    // The front delivers the warm-up requests only after the warm-up has ended.
     @Test
-    void itsOwnRequestsThatAreReadAfterItsEndAreRefusedAtOnce() throws Exception {
+    void refusesItsOwnRequestsThatAreDeliveredAfterItsEnd() throws Exception {
         DirectorConfig config = ExampleConfig.read();
-        List<ClientRequest> heldBack = new CopyOnWriteArrayList<>();
+        List<ClientRequest> delayedRequests = new CopyOnWriteArrayList<>();
         RequestHandler front = (request, answer) -> {
-            heldBack.add(request);
+            delayedRequests.add(request);
             return () -> {};
         };
-        int port = get(new FastCgiServer(vertx, front, () -> System.currentTimeMillis() * 1000, config.front())
+        int port = await(new FastCgiServer(vertx, front, () -> System.currentTimeMillis() * 1000, config.front())
                         .listen(SocketAddress.inetSocketAddress(0, "127.0.0.1")))
                 .actualPort();
-        CompletableFuture<Warmup> made = new CompletableFuture<>();
+        CompletableFuture<Warmup> created = new CompletableFuture<>();
         Context loop = vertx.getOrCreateContext();
-        loop.runOnContext(v -> made.complete(new Warmup(
+        loop.runOnContext(v -> created.complete(new Warmup(
                 vertx,
                 config,
                 (request, answer) -> {
-                    served.add(request);
+                    serviceRequests.add(request);
                     return () -> {};
                 },
                 3_600_000,
                 1)));
-        Warmup warmup = made.get(30, TimeUnit.SECONDS);
+        Warmup warmup = created.get(30, TimeUnit.SECONDS);
         CompletableFuture<List<Answer.Kind>> answeredAtOnce = new CompletableFuture<>();
         loop.runOnContext(v -> {
             warmup.run(SocketAddress.inetSocketAddress(port, "127.0.0.1"), true).onComplete(done -> {
                 List<Answer.Kind> kinds = new ArrayList<>();
-                heldBack.forEach(request -> warmup.handle(request, answer -> kinds.add(answer.kind())));
+                delayedRequests.forEach(request -> warmup.handle(request, answer -> kinds.add(answer.kind())));
                 answeredAtOnce.complete(kinds);
             });
             vertx.setPeriodic(5, poll -> {
-                if (heldBack.size() == 4) {
+                if (delayedRequests.size() == 4) {
                     vertx.cancelTimer(poll);
-                    warmup.onFleetServing(); // Ends it.
+                    warmup.onFleetServing(); // Ends the warm-up.
                 }
             });
         });
         assertEquals(Collections.nCopies(4, Answer.Kind.REFUSED), answeredAtOnce.get(30, TimeUnit.SECONDS));
-        assertEquals(List.of(), served);
+        assertEquals(List.of(), serviceRequests);
     }
 
     @Test
-    void withoutTimeItIsReadyAtOnce() throws Exception {
+    void isReadyImmediatelyWhenItIsSkipped() throws Exception {
         DirectorConfig config = ExampleConfig.read();
         CompletableFuture<Boolean> ready = new CompletableFuture<>();
         vertx.getOrCreateContext().runOnContext(v -> {
-            Warmup w = new Warmup(vertx, config, (r, answer) -> () -> {});
-            w.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), false);
-            ready.complete(w.ready());
+            Warmup warmup = new Warmup(vertx, config, (request, answer) -> () -> {});
+            warmup.run(SocketAddress.inetSocketAddress(1, "127.0.0.1"), false);
+            ready.complete(warmup.ready());
         });
         assertTrue(ready.get(30, TimeUnit.SECONDS));
     }
