--- a/src/test/java/pewtercourse/Fixtures.java
+++ b/src/test/java/pewtercourse/Fixtures.java
@@ -127,17 +127,17 @@
         }
     }
 
-    /** The record types of a sealed interface, also of the sealed interfaces below it. */
-    public static Set<Class<?>> leaves(Class<?> sealed) {
-        Set<Class<?>> leaves = new java.util.HashSet<>();
+    /** The record types that implement a sealed interface, including those of nested sealed interfaces. */
+    public static Set<Class<?>> recordTypes(Class<?> sealed) {
+        Set<Class<?>> types = new java.util.HashSet<>();
         for (Class<?> type : sealed.getPermittedSubclasses()) {
             if (type.isSealed()) {
-                leaves.addAll(leaves(type));
+                types.addAll(recordTypes(type));
             } else {
-                leaves.add(type);
+                types.add(type);
             }
         }
-        return leaves;
+        return types;
     }
 
     /** The fields of these messages, and of the message types nested in them, that no message sets. */
--- a/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
+++ b/src/test/java/pewtercourse/lease/StateSnapshotCompatibilityTest.java
@@ -165,7 +165,7 @@
             parsed.add(LeaseWire.Command.parseFrom(Fixtures.bytes(file)));
             kinds.add(commands.get(i).command().getClass());
         }
-        assertEquals(Fixtures.leaves(Command.class), kinds);
+        assertEquals(Fixtures.recordTypes(Command.class), kinds);
         assertEquals(Set.of(), Fixtures.fieldsNeverSet(parsed));
         assertEquals(commands.size(), Fixtures.files(Fixtures.path("commands")).size());
     }
--- a/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/net/MemberMessageCompatibilityTest.java
@@ -139,7 +139,7 @@
             Fixtures.assertSameContent(message.getValue(), decoded);
             decodedTypes.add(decoded.getClass());
         }
-        assertEquals(Fixtures.leaves(Message.class), decodedTypes);
+        assertEquals(Fixtures.recordTypes(Message.class), decodedTypes);
         for (Map.Entry<String, Wire.Frame> call : calls().entrySet()) {
             assertEquals(call.getValue(), read(file(call.getKey())));
             assertTrue(Codec.decode(call.getValue()).isEmpty(), "not a message of the Raft protocol");
--- a/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
+++ b/src/test/java/pewtercourse/raft/store/StoredDataCompatibilityTest.java
@@ -200,7 +200,7 @@
         Set<Class<?>> commandTypes = new HashSet<>();
         SampleCommands.signed()
                 .forEach(signed -> commandTypes.add(signed.command().getClass()));
-        assertEquals(Fixtures.leaves(Command.class), commandTypes);
+        assertEquals(Fixtures.recordTypes(Command.class), commandTypes);
     }
 
     // ---- Torn last record ----
