--- a/examples/sites.sh
+++ b/examples/sites.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Emulates the loss and recovery of a site for a minute: three emulated sites with clients and a cluster of three directors
-# run on this machine. Prints the results of the clients and any violated invariant; exits with code 1 if there is one.
+# Emulates the loss and recovery of a site for a minute: runs three emulated sites with clients and a cluster of three
+# directors on this machine. Prints the results of the clients and any violated invariant; exits with code 1 if there is
+# one.
 # Logs and data folders are in target/sites. Needs target/pewtercourse.jar.
 # Try meanwhile, in another shell:
 #   java -jar target/pewtercourse.jar sites status --admin 127.0.0.1:9101
