--- a/src/test/java/pewtercourse/CacheStormTest.java
+++ b/src/test/java/pewtercourse/CacheStormTest.java
@@ -49,7 +49,8 @@
     void startDirector() throws Exception {
         cache = new ScriptedCache(HOST, this::misbehave);
         adminPort = DirectorProcess.freePort(HOST);
-        JsonObject config = DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort()).put("admin_addr", HOST + ":" + adminPort);
+        JsonObject config =
+                DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort()).put("admin_addr", HOST + ":" + adminPort);
         director = DirectorProcess.start(folder, config, "");
         director.awaitEvent("director.listening");
     }
--- a/src/test/java/pewtercourse/DirectorProcess.java
+++ b/src/test/java/pewtercourse/DirectorProcess.java
@@ -88,7 +88,8 @@
         builder.environment().remove("GW_LISTEN");
         String[] hostAndPort = config.getString("listen").split(":");
         return new DirectorProcess(
-                builder.redirectErrorStream(true).start(), new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
+                builder.redirectErrorStream(true).start(),
+                new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
     }
 
     private void readLog() {
--- a/src/test/java/pewtercourse/DiscoveryTest.java
+++ b/src/test/java/pewtercourse/DiscoveryTest.java
@@ -43,7 +43,8 @@
         feed = new ScriptedFeed(HOST);
         firstCache = new ScriptedCache(HOST, ScriptedCache.respondWith("menu"));
         secondCache = new ScriptedCache(HOST, ScriptedCache.respondWith("menu"));
-        config = DirectorProcess.configWithoutFeed(HOST, secondCache.hostAndPort()).put("feed", feed.hostAndPort());
+        config = DirectorProcess.configWithoutFeed(HOST, secondCache.hostAndPort())
+                .put("feed", feed.hostAndPort());
         members().getJsonObject(0).put("dial", firstCache.hostAndPort());
         director = DirectorProcess.start(folder, config, "");
         watch = feed.accept();
@@ -167,7 +168,8 @@
     @Test
     void appliesADrainReceivedAfterSigterm() throws Exception {
         assertTrue(requestObjects() > 0, "the first cache is not used before it drains");
-        int requestsBefore = firstCache.requestIds().size() + secondCache.requestIds().size();
+        int requestsBefore =
+                firstCache.requestIds().size() + secondCache.requestIds().size();
         CompletableFuture<Socket> unansweredSocket = new CompletableFuture<>();
         firstCache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
         secondCache.setResponder((socket, line, id) -> unansweredSocket.complete(socket));
@@ -177,7 +179,8 @@
             // The process stays until this order is answered.
             Socket orderSocket = unansweredSocket.get(30, TimeUnit.SECONDS);
             assertEquals(
-                    requestsBefore + 1, firstCache.requestIds().size() + secondCache.requestIds().size());
+                    requestsBefore + 1,
+                    firstCache.requestIds().size() + secondCache.requestIds().size());
             firstCache.setResponder(ScriptedCache.respondWith("menu"));
             secondCache.setResponder(ScriptedCache.respondWith("menu"));
             director.signal("TERM");
--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -99,7 +99,8 @@
                 .redirectErrorStream(true)
                 .redirectOutput(output.toFile());
         builder.environment().keySet().removeIf(name -> name.startsWith("GW_"));
-        builder.environment().remove("TMPDIR"); // In it, two processes of one director would share the operators' state.
+        builder.environment()
+                .remove("TMPDIR"); // In it, two processes of one director would share the operators' state.
         builder.environment().put("CLASSES_UNDER_TEST", System.getProperty("java.class.path"));
         builder.environment().merge("PATH", folder.resolve("bin") + ":", (path, firstEntry) -> firstEntry + path);
         builder.environment().putAll(environment);
@@ -111,7 +112,9 @@
     private String run(int exitCode, String... command) throws Exception {
         Path output = Files.createTempFile(folder, "output", ".txt");
         Process process = start(output, Map.of(), command);
-        assertTrue(process.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS), () -> "still runs after " + STEP_TIMEOUT_SECONDS + " s: " + read(output));
+        assertTrue(
+                process.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                () -> "still runs after " + STEP_TIMEOUT_SECONDS + " s: " + read(output));
         assertEquals(exitCode, process.exitValue(), () -> read(output));
         return read(output);
     }
--- a/src/test/java/pewtercourse/Fixtures.java
+++ b/src/test/java/pewtercourse/Fixtures.java
@@ -106,7 +106,8 @@
             }
         } else if (expected instanceof Map<?, ?> map) {
             assertEquals(map.keySet(), ((Map<?, ?>) actual).keySet(), path);
-            map.forEach((key, value) -> assertSameContent(path + "[" + key + "]", value, ((Map<?, ?>) actual).get(key)));
+            map.forEach(
+                    (key, value) -> assertSameContent(path + "[" + key + "]", value, ((Map<?, ?>) actual).get(key)));
         } else if (expected instanceof Record record) {
             assertEquals(expected.getClass(), actual.getClass(), path);
             for (RecordComponent component : record.getClass().getRecordComponents()) {
--- a/src/test/java/pewtercourse/GoldenText.java
+++ b/src/test/java/pewtercourse/GoldenText.java
@@ -41,8 +41,10 @@
         Map<String, Set<String>> types = new TreeMap<>();
         values.forEach(value -> addShape(types, mapPaths, "", value));
         StringBuilder text = new StringBuilder();
-        types.forEach((path, typeNames) ->
-                text.append(path).append(": ").append(String.join("|", typeNames)).append('\n'));
+        types.forEach((path, typeNames) -> text.append(path)
+                .append(": ")
+                .append(String.join("|", typeNames))
+                .append('\n'));
         return text.toString();
     }
 
--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -129,7 +129,8 @@
             awaitEventLine("config.kept");
         }
         JsonObject nextConfig = config.copy();
-        nextConfig.getJsonObject("settings")
+        nextConfig
+                .getJsonObject("settings")
                 .getJsonArray("Classes")
                 .add(new JsonObject()
                         .put("Name", "menu-v2")
@@ -166,7 +167,9 @@
         // The director may pause for a second before it accepts again. If it never does, the timeout kills the process.
         while (!answer.startsWith("Status: 200") && process.isAlive()) {
             try {
-                answer = FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(Integer.parseInt(hostAndPort[1]), hostAndPort[0]))
+                answer = FastCgiClient.connect(
+                                vertx,
+                                SocketAddress.inetSocketAddress(Integer.parseInt(hostAndPort[1]), hostAndPort[0]))
                         .compose(client -> client.send(Map.of("SCRIPT_NAME", "/alive")))
                         .toCompletionStage()
                         .toCompletableFuture()
@@ -183,7 +186,8 @@
     @Test
     void exitsBeforeListeningWhenTheConfigurationIsInvalid() throws Exception {
         JsonObject invalidConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1");
-        invalidConfig.getJsonObject("settings")
+        invalidConfig
+                .getJsonObject("settings")
                 .getJsonArray("Classes")
                 .getJsonObject(1)
                 .put("Deadline", "soon");
@@ -208,7 +212,8 @@
             ScriptedCache.respondWith("menu").respond(socket, line, id);
         });
         JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, cache.hostAndPort());
-        nextConfig.getJsonObject("settings")
+        nextConfig
+                .getJsonObject("settings")
                 .put(
                         "Classes",
                         new JsonArray()
@@ -227,7 +232,8 @@
                 assertTrue(answer.startsWith("Status: 200"), answer);
             }
         }
-        assertEquals("GET /o/men%C3%BA,%20d%C3%ADa%2F2/7f3a9c21e0b4d655/0 HTTP/1.1", requestLine.get(30, TimeUnit.SECONDS));
+        assertEquals(
+                "GET /o/men%C3%BA,%20d%C3%ADa%2F2/7f3a9c21e0b4d655/0 HTTP/1.1", requestLine.get(30, TimeUnit.SECONDS));
         cache.close();
     }
 
@@ -235,7 +241,8 @@
     @Test
     void logsThatSighupIsIgnoredAndReloadsOnAnOperatorsCall() throws Exception {
         int adminPort = DirectorProcess.freePort(HOST);
-        JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":1");
+        JsonObject nextConfig =
+                DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":1");
         nextConfig.put("admin_addr", HOST + ":" + adminPort);
         Path otherFolder = Files.createDirectory(folder.resolve("ignoring"));
         try (DirectorProcess ignoring = DirectorProcess.start(otherFolder, nextConfig, "trap '' HUP;")) {
@@ -243,10 +250,12 @@
             ignoring.awaitEvent("director.listening");
             ignoring.signal("HUP");
             Path reloadedFile = otherFolder.resolve("config.json");
-            Files.writeString(reloadedFile, nextConfig.copy().put("feed", "nowhere").encode());
+            Files.writeString(
+                    reloadedFile, nextConfig.copy().put("feed", "nowhere").encode());
             assertTrue(post(adminPort, "/reload").contains("422"));
             assertTrue(ignoring.awaitEventLine("config.kept").contains("key=feed:"));
-            Files.writeString(reloadedFile, nextConfig.copy().put("feed", HOST + ":2").encode());
+            Files.writeString(
+                    reloadedFile, nextConfig.copy().put("feed", HOST + ":2").encode());
             assertTrue(post(adminPort, "/reload").contains("200"));
             assertTrue(ignoring.awaitEventLine("discovery.moved").contains(HOST + ":2"));
             ignoring.awaitEvent("config.reloaded");
@@ -271,13 +280,14 @@
     void reconnectsToTheFeedWhileIdleClientsOpenAsManyConnectionsAsTheyCan() throws Exception {
         try (ServerSocket feed = new ServerSocket(0, 50, InetAddress.getByName(HOST))) {
             feed.setSoTimeout(60_000);
-            JsonObject nextConfig = DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":" + feed.getLocalPort());
+            JsonObject nextConfig =
+                    DirectorProcess.configWithoutFeed(HOST, HOST + ":1").put("feed", HOST + ":" + feed.getLocalPort());
             nextConfig.put("limits", new JsonObject().put("sockets", MAX_DESCRIPTORS));
             Path otherFolder = Files.createDirectory(folder.resolve("crowded"));
             // The packaged program is one file; here the process also holds a descriptor for each of its libraries.
             int libraries = System.getProperty("java.class.path").split(File.pathSeparator).length;
-            try (DirectorProcess crowded =
-                            DirectorProcess.start(otherFolder, nextConfig, "ulimit -n " + (MAX_DESCRIPTORS + libraries) + ";");
+            try (DirectorProcess crowded = DirectorProcess.start(
+                            otherFolder, nextConfig, "ulimit -n " + (MAX_DESCRIPTORS + libraries) + ";");
                     Crowd crowd = new Crowd(crowded)) {
                 Socket watch = feed.accept();
                 crowd.start();
@@ -289,7 +299,9 @@
                 watch.close();
                 assertTrue(crowded.isAlive());
                 assertEquals(
-                        List.of(), crowded.logLinesContaining("Too many open files"), () -> String.join("\n", crowded.logLinesContaining("")));
+                        List.of(),
+                        crowded.logLinesContaining("Too many open files"),
+                        () -> String.join("\n", crowded.logLinesContaining("")));
             }
         }
     }
--- a/src/test/java/pewtercourse/PackageDependenciesTest.java
+++ b/src/test/java/pewtercourse/PackageDependenciesTest.java
@@ -55,7 +55,9 @@
             }
             user = arrow == 0 ? user : words[0];
             if (isBelowRoot(user) && Files.isDirectory(Path.of("src/main/java", user.split("\\.")))) {
-                USED_PACKAGES.computeIfAbsent(nameBelowRoot(user), p -> new TreeSet<>()).add(words[arrow + 1]);
+                USED_PACKAGES
+                        .computeIfAbsent(nameBelowRoot(user), p -> new TreeSet<>())
+                        .add(words[arrow + 1]);
             }
         }
         assertFalse(USED_PACKAGES.isEmpty(), output::toString);
@@ -71,7 +73,9 @@
 
     private static Set<String> packagesUsedBy(String packageName) {
         Set<String> names = new TreeSet<>();
-        USED_PACKAGES.get(packageName).stream().filter(PackageDependenciesTest::isBelowRoot).forEach(used -> names.add(nameBelowRoot(used)));
+        USED_PACKAGES.get(packageName).stream()
+                .filter(PackageDependenciesTest::isBelowRoot)
+                .forEach(used -> names.add(nameBelowRoot(used)));
         names.remove(packageName);
         return names;
     }
--- a/src/test/java/pewtercourse/RunScriptTest.java
+++ b/src/test/java/pewtercourse/RunScriptTest.java
@@ -36,10 +36,14 @@
         ProcessBuilder builder = new ProcessBuilder("/bin/bash", "deploy/run.sh");
         builder.environment().put("PATH", folder.toString());
         builder.environment().put("GW_CONFIG", file.toString());
-        Process process = builder.redirectInput(input.toFile()).redirectErrorStream(true).start();
+        Process process =
+                builder.redirectInput(input.toFile()).redirectErrorStream(true).start();
         String output = new String(process.getInputStream().readAllBytes()).strip();
         assertEquals(0, process.waitFor(), output);
-        assertEquals(process.pid() + " untouched", output.substring(0, output.indexOf(" -")), "java runs in another process, or the script has read its input");
+        assertEquals(
+                process.pid() + " untouched",
+                output.substring(0, output.indexOf(" -")),
+                "java runs in another process, or the script has read its input");
         return output.replaceFirst(".*-Xmx(\\d+)m.*", "$1");
     }
 
--- a/src/test/java/pewtercourse/ShutdownTest.java
+++ b/src/test/java/pewtercourse/ShutdownTest.java
@@ -166,7 +166,8 @@
             client.write(nextRequest, 0, 20);
             ScriptedCache.respondWith(large).respond(unansweredSocket.get(), "", "");
             String answer = client.readAnswer();
-            assertNotNull(answer, () -> "the connection was closed without an answer: " + director.logLinesContaining(""));
+            assertNotNull(
+                    answer, () -> "the connection was closed without an answer: " + director.logLinesContaining(""));
             assertTrue(answer.endsWith(large), "the answer is incomplete");
         }
         assertEquals(0, director.awaitExit(EXIT_TIMEOUT_SECONDS));
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -159,7 +159,8 @@
     /** Opens one of the front's connections and sends requests on it, one after another, until the test stops. */
     private void startClient(CompletableFuture<Void> completion) {
         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
-                .onSuccess(client -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion))
+                .onSuccess(
+                        client -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion))
                 .onFailure(completion::completeExceptionally);
     }
 
@@ -182,7 +183,8 @@
                         "10"))
                 .onComplete(answer -> {
                     if (answer.failed()) {
-                        // The connection was closed before the answer: sends the request again with the same id on a new
+                        // The connection was closed before the answer: sends the request again with the same id on a
+                        // new
                         // connection.
                         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
                                 .onSuccess(newClient -> sendRequest(newClient, id, completion))
@@ -191,9 +193,13 @@
                         servedRequests.incrementAndGet();
                         vertx.setTimer(
                                 1 + Math.floorMod(id.hashCode(), 60),
-                                timer -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion));
+                                timer -> sendRequest(
+                                        client, String.format("%016x", lastSerial.incrementAndGet()), completion));
                     } else if (answer.result().toString().startsWith("Status: 503")) {
-                        vertx.setTimer(20, timer -> sendRequest(client, String.format("%016x", lastSerial.incrementAndGet()), completion));
+                        vertx.setTimer(
+                                20,
+                                timer -> sendRequest(
+                                        client, String.format("%016x", lastSerial.incrementAndGet()), completion));
                     } else {
                         completion.completeExceptionally(
                                 new AssertionError(answer.result().toString()));
@@ -238,7 +244,10 @@
             oldPid = newPid;
             awaitServedRequests(50);
         }
-        assertEquals(requestsWhenDrained, idsAtDrainedCache.size(), "a cache drained by an operator is used after an upgrade");
+        assertEquals(
+                requestsWhenDrained,
+                idsAtDrainedCache.size(),
+                "a cache drained by an operator is used after an upgrade");
         assertTrue(call(adminPorts[2], "POST /maintenance/exit", "{\"target\":\"s-00000001\"}")
                 .startsWith("HTTP/1.1 200"));
         while (idsAtDrainedCache.size() == requestsWhenDrained) {
--- a/src/test/java/pewtercourse/WarmupTest.java
+++ b/src/test/java/pewtercourse/WarmupTest.java
@@ -110,7 +110,8 @@
     @Test
     void usesTheShorterTimeLimitOnceTheFleetServesClients() throws Exception {
         DirectorConfig config = ExampleConfig.read();
-        NetServer neverAnswering = await(vertx.createNetServer().connectHandler(socket -> {}).listen(0, "127.0.0.1"));
+        NetServer neverAnswering =
+                await(vertx.createNetServer().connectHandler(socket -> {}).listen(0, "127.0.0.1"));
         for (int sign = 0; sign < 3; sign++) {
             int fleetSign = sign;
             CompletableFuture<Boolean> readyBefore = new CompletableFuture<>();
