--- a/src/test/java/pewtercourse/MainTest.java
+++ b/src/test/java/pewtercourse/MainTest.java
@@ -72,8 +72,8 @@
         builder.environment().remove("GW_LISTEN");
         process = builder.redirectErrorStream(true).start();
         log = process.inputReader();
-        // Kills the process so that a line that is never logged fails the test instead of blocking it. Exhausting the
-        // descriptors alone takes half a minute.
+        // Kills the process so that a line that is never logged fails the test instead of blocking it. The delay is
+        // far longer than any test takes: exhausting the descriptors alone takes half a minute.
         CompletableFuture.delayedExecutor(180, TimeUnit.SECONDS).execute(process::destroyForcibly);
         awaitEventLine("director.listening");
     }
--- a/src/test/java/pewtercourse/RunScriptTest.java
+++ b/src/test/java/pewtercourse/RunScriptTest.java
@@ -47,8 +47,8 @@
         return output.replaceFirst(".*-Xmx(\\d+)m.*", "$1");
     }
 
-    // Reading byte by byte took 35,000 system calls. Where these are slow, the start took too long and all directors
-    // crashed.
+    // Reading byte by byte took 35,000 system calls. Where these are slow, the start took too long and all
+    // directors crashed.
     @Test
     void readsALongFileInBlocks() throws Exception {
         assertTrue(
--- a/src/test/java/pewtercourse/UpgradeTest.java
+++ b/src/test/java/pewtercourse/UpgradeTest.java
@@ -183,9 +183,8 @@
                         "10"))
                 .onComplete(answer -> {
                     if (answer.failed()) {
-                        // The connection was closed before the answer: sends the request again with the same id on a
-                        // new
-                        // connection.
+                        // The connection was closed before the answer: sends the request again with
+                        // the same id on a new connection.
                         FastCgiClient.connect(vertx, SocketAddress.inetSocketAddress(port, HOST))
                                 .onSuccess(newClient -> sendRequest(newClient, id, completion))
                                 .onFailure(completion::completeExceptionally);
