--- a/src/main/java/pewtercourse/experiment/Charts.java
+++ b/src/main/java/pewtercourse/experiment/Charts.java
@@ -11,11 +11,11 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Charts as PNG files. */
+/** Draws charts of the results as PNG files. */
 final class Charts {
     private Charts() {}
 
-    /** Worth served in time by second, of all sites, for each way: the mean over seeds and its 95% interval. */
+    /** Draws the worth served in time per second at all sites, by strategy: the mean over seeds and its 95% interval. */
     static void sites(Path file, List<SitesExperiment.Run> runs) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
@@ -25,32 +25,34 @@
                 .yAxisTitle("worth answered in time, of all sites")
                 .build();
         chart.getStyler().setYAxisMax(1.0);
-        for (SitesSim.Way way : SitesSim.Way.values()) {
-            List<double[]> of = runs.stream()
-                    .filter(r -> r.way() == way && r.trouble() == SitesSim.Trouble.ONE)
+        for (SitesSim.Strategy strategy : SitesSim.Strategy.values()) {
+            List<double[]> seriesByRun = runs.stream()
+                    .filter(r -> r.strategy() == strategy && r.incident() == SitesSim.Incident.ONE)
                     .map(SitesExperiment.Run::bySecond)
                     .toList();
-            if (of.size() < 2) {
+            if (seriesByRun.size() < 2) {
                 continue;
             }
-            double[] x = new double[of.get(0).length], mean = new double[x.length], half = new double[x.length];
-            for (int i = 0; i < x.length; i++) {
-                SummaryStatistics s = new SummaryStatistics();
-                for (double[] run : of) {
-                    s.addValue(run[i]);
+            double[] seconds = new double[seriesByRun.get(0).length];
+            double[] mean = new double[seconds.length];
+            double[] halfInterval = new double[seconds.length];
+            for (int i = 0; i < seconds.length; i++) {
+                SummaryStatistics statistics = new SummaryStatistics();
+                for (double[] run : seriesByRun) {
+                    statistics.addValue(run[i]);
                 }
-                x[i] = i;
-                mean[i] = s.getMean();
-                half[i] = new TDistribution(s.getN() - 1).inverseCumulativeProbability(0.975)
-                        * s.getStandardDeviation()
-                        / Math.sqrt(s.getN());
+                seconds[i] = i;
+                mean[i] = statistics.getMean();
+                halfInterval[i] = new TDistribution(statistics.getN() - 1).inverseCumulativeProbability(0.975)
+                        * statistics.getStandardDeviation()
+                        / Math.sqrt(statistics.getN());
             }
-            chart.addSeries(DutiesExperiment.word(way), x, mean, half).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(DutiesExperiment.lowerCaseWords(strategy), seconds, mean, halfInterval).setMarker(SeriesMarkers.NONE);
         }
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** The share of runs that had a holder again within a time, for each way and fault. */
+    /** Draws the share of runs with a new holder over the time since the fault, by strategy and fault. */
     static void handOver(Path file, List<DutiesExperiment.Run> runs) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(900)
@@ -62,19 +64,19 @@
         chart.getStyler().setXAxisLogarithmic(true);
         chart.getStyler().setYAxisMin(0.0);
         chart.getStyler().setYAxisMax(1.0);
-        for (DutiesExperiment.Way way : DutiesExperiment.Way.values()) {
+        for (DutiesExperiment.Strategy strategy : DutiesExperiment.Strategy.values()) {
             for (DutiesExperiment.Fault fault : DutiesExperiment.Fault.values()) {
-                double[] gaps = runs.stream()
-                        .filter(r -> r.way() == way && r.fault() == fault)
+                double[] gapsMs = runs.stream()
+                        .filter(r -> r.strategy() == strategy && r.fault() == fault)
                         .mapToDouble(DutiesExperiment.Run::gapMs)
                         .filter(g -> g >= 0)
                         .map(g -> Math.max(0.25, g))
                         .sorted()
                         .toArray();
-                if (gaps.length > 0) {
-                    double[] share = new double[gaps.length];
-                    Arrays.setAll(share, i -> (i + 1.0) / gaps.length);
-                    chart.addSeries(DutiesExperiment.word(way) + ", " + DutiesExperiment.word(fault), gaps, share)
+                if (gapsMs.length > 0) {
+                    double[] share = new double[gapsMs.length];
+                    Arrays.setAll(share, i -> (i + 1.0) / gapsMs.length);
+                    chart.addSeries(DutiesExperiment.lowerCaseWords(strategy) + ", " + DutiesExperiment.lowerCaseWords(fault), gapsMs, share)
                             .setMarker(SeriesMarkers.NONE);
                 }
             }
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -30,23 +30,25 @@
 import pewtercourse.raft.Snapshot;
 
 /**
- * Some members on a virtual clock, with clocks of different rates, links that lose, double, delay and reorder messages or
- * are cut one way, disks that take time, and members that crash (what was not synced is lost) or stand still. What must
- * never happen is checked after each step; the same seed plays the same.
+ * Simulates the members of a cluster on a virtual clock. Their clocks run at different rates; links lose, duplicate, delay and
+ * reorder messages or are cut in one direction; disks take time to sync; members pause, or crash and lose unsynced writes.
+ * The invariants are checked after each step. Two simulations with the same seed give the same result.
  */
 final class ClusterSim {
-    /** Faults of the program itself, to see that the checks find them. */
-    enum Planted {
+    /** Faults of the program that tests inject to show that the checks detect them. */
+    enum InjectedFault {
         NONE,
-        SAID_BEFORE_SAVED,
-        LEASE_FROM_ANSWER,
+        ACKNOWLEDGED_BEFORE_SAVED,
+        LEASE_FROM_REPLY_TIME,
         TOKEN_UNCHECKED,
         NO_PRE_VOTE,
-        LOAN_FROM_ANSWER,
-        WORD_UNCHECKED
+        LOAN_FROM_REPLY_TIME,
+        COMMAND_ORDER_UNCHECKED
     }
 
-    static final long MS = 1_000, SECOND = 1_000_000;
+    // Times of the simulation are in microseconds.
+    static final long MS = 1_000;
+    static final long SECOND = 1_000_000;
     static final int CACHES = 12;
     private static final RaftSettings RAFT = new RaftSettings(
             50 * MS,
@@ -55,12 +57,13 @@
             new RaftSettings.Replication(4_096, 16, 4, 256),
             new RaftSettings.Snapshots(64, 1 << 20, 8));
 
-    private record Event(long at, long order, int node, int life, Runnable run) {}
+    private record Event(long dueAt, long order, int node, int lifecycleEpoch, Runnable action) {}
 
-    /** What outlives a crash. */
+    /** The state of a member that survives a crash. */
     private static final class DiskModel {
         final long incarnation;
-        long term, commit;
+        long term;
+        long commit;
         String votedFor;
         Snapshot snapshot;
         final TreeMap<Long, Entry> entries = new TreeMap<>();
@@ -70,17 +73,17 @@
             this.snapshot = snapshot;
         }
 
-        void apply(Save s) {
-            term = s.term();
-            votedFor = s.votedFor();
-            commit = Math.max(commit, s.commit());
-            if (s.snapshot() != null) {
-                snapshot = s.snapshot();
+        void apply(Save save) {
+            term = save.term();
+            votedFor = save.votedFor();
+            commit = Math.max(commit, save.commit());
+            if (save.snapshot() != null) {
+                snapshot = save.snapshot();
                 entries.clear();
             }
-            for (Entry e : s.entries()) {
-                entries.tailMap(e.index(), true).clear();
-                entries.put(e.index(), e);
+            for (Entry entry : save.entries()) {
+                entries.tailMap(entry.index(), true).clear();
+                entries.put(entry.index(), entry);
             }
         }
 
@@ -98,62 +101,64 @@
     final class Node {
         final String name;
         final int number;
-        final double rate;
-        final long offset;
+        final double clockRate;
+        final long clockOffset;
         DiskModel disk;
         Raft raft;
-        LeaseManager duties;
-        int life;
-        boolean up, still;
-        long applied, wakeAt;
+        LeaseManager leaseManager;
+        int lifecycleEpoch;
+        boolean isUp;
+        boolean isPaused;
+        long appliedIndex;
+        long wakeAt;
         final List<Save> unsynced = new ArrayList<>();
         boolean syncing;
-        final List<Runnable> late = new ArrayList<>(); // What comes while it stands still.
+        final List<Runnable> deferredEvents = new ArrayList<>(); // Events that arrive during a pause.
 
         Node(int number) {
             this.number = number;
             this.name = "d" + number;
-            this.rate = 1 + (random.nextDouble() - 0.5) * set.clockDrift();
-            this.offset = random.nextInt(1_000_000);
+            this.clockRate = 1 + (random.nextDouble() - 0.5) * settings.clockDrift();
+            this.clockOffset = random.nextInt(1_000_000);
         }
 
         long clock() {
-            return offset + (long) (now * rate);
+            return clockOffset + (long) (now * clockRate);
         }
 
         void start() {
-            life++;
-            up = true;
+            lifecycleEpoch++;
+            isUp = true;
             syncing = false;
             unsynced.clear();
             raft = new Raft(RAFT, name, disk.read(), clock(), new Random(random.nextLong()));
-            duties = new LeaseManager(
-                    set,
+            leaseManager = new LeaseManager(
+                    settings,
                     name,
-                    (long) life * 1_000_000_000L,
+                    (long) lifecycleEpoch * 1_000_000_000L,
                     t -> "z" + Math.floorMod(t.hashCode(), 2),
                     z -> CACHES / 2);
-            if (planted == Planted.LEASE_FROM_ANSWER || planted == Planted.LOAN_FROM_ANSWER) {
-                duties.countValidityFrom((asked, answered) -> answered);
+            if (injectedFault == InjectedFault.LEASE_FROM_REPLY_TIME || injectedFault == InjectedFault.LOAN_FROM_REPLY_TIME) {
+                leaseManager.countValidityFrom((requestedAt, answeredAt) -> answeredAt);
             }
-            applied = disk.snapshot.index();
+            appliedIndex = disk.snapshot.index();
             pump();
         }
 
         void crash() {
-            up = false;
-            life++;
-            late.clear();
+            isUp = false;
+            lifecycleEpoch++;
+            deferredEvents.clear();
             if (syncing && random.nextBoolean()) {
-                unsynced.forEach(disk::apply); // It was on its way, and made it.
+                unsynced.forEach(disk::apply); // The write reached the disk before the crash.
             }
             raft = null;
-            duties = null;
+            leaseManager = null;
         }
 
-        // As the shell around the real ones does.
+        // Saves, sends and applies the output of Raft, like the event loop of a real member.
         void pump() {
-            if (planted == Planted.NO_PRE_VOTE && raft.role() == Raft.Role.PRE_CANDIDATE) {
+            if (injectedFault == InjectedFault.NO_PRE_VOTE && raft.role() == Raft.Role.PRE_CANDIDATE) {
                 for (Node n : nodes) {
                     raft.receive(
                             clock(),
@@ -163,153 +168,153 @@
                 }
             }
             for (int round = 0; round < 8; round++) {
-                Ready r = raft.take();
-                if (r.save() != null) {
-                    unsynced.add(r.save());
-                    if (planted == Planted.SAID_BEFORE_SAVED) {
-                        raft.saved(clock(), r.save().number());
+                Ready ready = raft.take();
+                if (ready.save() != null) {
+                    unsynced.add(ready.save());
+                    if (injectedFault == InjectedFault.ACKNOWLEDGED_BEFORE_SAVED) {
+                        raft.saved(clock(), ready.save().number());
                     }
-                    sync();
+                    scheduleSync();
                 }
-                r.messages().forEach(m -> send(this, m.to(), m.message()));
-                boolean changed = apply(r);
-                boolean asked = false;
+                ready.messages().forEach(m -> send(this, m.to(), m.message()));
+                boolean changed = apply(ready);
+                boolean proposed = false;
                 if (!raft.members().all().isEmpty()) {
-                    Set<String> heard = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(clock()) : null;
-                    for (Command.Envelope s : duties.tick(
-                            clock(), new LeaseManager.View(raft.members().all().keySet(), heard, now / MS))) {
-                        offer(s);
-                        asked = true;
+                    Set<String> activeMembers = raft.role() == Raft.Role.LEADER ? raft.recentlyActive(clock()) : null;
+                    for (Command.Envelope envelope : leaseManager.tick(
+                            clock(), new LeaseManager.View(raft.members().all().keySet(), activeMembers, now / MS))) {
+                        submit(envelope);
+                        proposed = true;
                     }
                 }
-                if (!changed && !asked && r.save() == null && r.messages().isEmpty()) {
+                if (!changed && !proposed && ready.save() == null && ready.messages().isEmpty()) {
                     break;
                 }
             }
-            wake();
+            scheduleWakeup();
         }
 
-        private boolean apply(Ready r) {
-            boolean changed = r.snapshot() != null;
+        private boolean apply(Ready ready) {
+            boolean changed = ready.snapshot() != null;
             try {
-                if (r.snapshot() != null) {
-                    duties.restore(clock(), ClusterState.decode(r.snapshot().state()));
-                    applied = r.snapshot().index();
+                if (ready.snapshot() != null) {
+                    leaseManager.restore(clock(), ClusterState.decode(ready.snapshot().state()));
+                    appliedIndex = ready.snapshot().index();
                 }
-                for (Entry e : r.committed()) {
-                    check(e.index() == applied + 1, "out of order: " + e.index() + " after " + applied);
-                    applied = e.index();
-                    Entry before = agreed.putIfAbsent(e.index(), e);
+                for (Entry entry : ready.committed()) {
+                    check(entry.index() == appliedIndex + 1, "entry applied out of order: " + entry.index() + " after " + appliedIndex);
+                    appliedIndex = entry.index();
+                    Entry firstCommitted = committedEntries.putIfAbsent(entry.index(), entry);
                     check(
-                            before == null
-                                    || before.term() == e.term()
-                                            && java.util.Arrays.equals(before.command(), e.command()),
-                            "two entries agreed at " + e.index());
-                    if (e.kind() == Entry.Kind.COMMAND) {
-                        Command.Envelope s = CommandCodec.decode(e.command());
-                        long held = duties.state().lease(LeaseNames.MAINTENANCE).token();
-                        CommandOutcome result = duties.apply(
+                            firstCommitted == null
+                                    || firstCommitted.term() == entry.term()
+                                            && java.util.Arrays.equals(firstCommitted.command(), entry.command()),
+                            "two different entries committed at " + entry.index());
+                    if (entry.kind() == Entry.Kind.COMMAND) {
+                        Command.Envelope envelope = CommandCodec.decode(entry.command());
+                        long currentToken = leaseManager.state().lease(LeaseNames.MAINTENANCE).token();
+                        CommandOutcome result = leaseManager.apply(
                                 clock(),
-                                e.index(),
-                                planted == Planted.TOKEN_UNCHECKED || planted == Planted.WORD_UNCHECKED
-                                        ? forged(s)
-                                        : s);
-                        if (before == null
+                                entry.index(),
+                                injectedFault == InjectedFault.TOKEN_UNCHECKED || injectedFault == InjectedFault.COMMAND_ORDER_UNCHECKED
+                                        ? withCurrentPreconditions(envelope)
+                                        : envelope);
+                        if (firstCommitted == null
                                 && result.isApplied()
-                                && (s.command() instanceof Command.RequestMaintenance
-                                        || s.command() instanceof Command.ReinstateCache)) {
-                            check(counted.add(s.proposer() + ' ' + s.id()), "an operator's word counted twice");
+                                && (envelope.command() instanceof Command.RequestMaintenance
+                                        || envelope.command() instanceof Command.ReinstateCache)) {
+                            check(appliedOperatorCommands.add(envelope.proposer() + ' ' + envelope.id()), "operator's command applied twice: " + envelope.id());
                         }
                         check(
-                                !(s.command() instanceof Command.GrantMaintenance l)
-                                        || l.token() == held
+                                !(envelope.command() instanceof Command.GrantMaintenance grant)
+                                        || grant.token() == currentToken
                                         || !result.isApplied(),
-                                "an order with an older token took effect");
+                                "command with an outdated token applied");
                         changed = true;
                     }
                 }
             } catch (InvalidProtocolBufferException e) {
                 throw new IllegalStateException(e);
             }
-            if (applied - raft.snapshotIndex() > 60) {
-                Snapshot s = raft.snapshotAt(applied, duties.state().encode());
+            if (appliedIndex - raft.snapshotIndex() > 60) {
+                Snapshot snapshot = raft.snapshotAt(appliedIndex, leaseManager.state().encode());
                 if (s != null) {
-                    disk.snapshot = s; // Written and renamed at once: nothing relies on it before.
-                    disk.entries.headMap(s.index(), true).clear();
-                    raft.compacted(s);
+                    disk.snapshot = snapshot; // Takes no time: nothing uses the new file before its rename.
+                    disk.entries.headMap(snapshot.index(), true).clear();
+                    raft.compacted(snapshot);
                 }
             }
             return changed;
         }
 
-        // As if the receiver did not look at the token, or at the words since.
-        private Command.Envelope forged(Command.Envelope s) {
-            ClusterState state = duties.state();
-            Command c = s.command();
-            if (planted == Planted.TOKEN_UNCHECKED) {
-                c = c instanceof Command.GrantMaintenance l
+        // Replaces the expected token or operator's command by the current one, so that its check always passes.
+        private Command.Envelope withCurrentPreconditions(Command.Envelope envelope) {
+            ClusterState state = leaseManager.state();
+            Command command = envelope.command();
+            if (injectedFault == InjectedFault.TOKEN_UNCHECKED) {
+                command = command instanceof Command.GrantMaintenance grant
                         ? new Command.GrantMaintenance(
-                                l.target(),
-                                l.request(),
+                                grant.target(),
+                                grant.request(),
                                 state.lease(LeaseNames.MAINTENANCE).token(),
-                                l.atUnixMs())
-                        : c;
-            } else if (c instanceof Command.ReinstateCache b) {
-                c = new Command.ReinstateCache(b.target(), b.atUnixMs(), state.lastOperatorCommand(b.target()));
-            } else if (c instanceof Command.RequestMaintenance a) {
-                c = new Command.RequestMaintenance(
-                        a.target(), a.zone(), a.atUnixMs(), state.lastOperatorCommand(a.target()));
+                                grant.atUnixMs())
+                        : command;
+            } else if (command instanceof Command.ReinstateCache reinstate) {
+                command = new Command.ReinstateCache(reinstate.target(), reinstate.atUnixMs(), state.lastOperatorCommand(reinstate.target()));
+            } else if (command instanceof Command.RequestMaintenance request) {
+                command = new Command.RequestMaintenance(
+                        request.target(), request.zone(), request.atUnixMs(), state.lastOperatorCommand(request.target()));
             }
-            return new Command.Envelope(s.proposer(), s.id(), c);
+            return new Command.Envelope(envelope.proposer(), envelope.id(), command);
         }
 
-        void offer(Command.Envelope s) {
-            if (s.command() instanceof Command.GrantMaintenance || s.command() instanceof Command.CancelMaintenance) {
-                acts++;
+        void submit(Command.Envelope envelope) {
+            if (envelope.command() instanceof Command.GrantMaintenance || envelope.command() instanceof Command.CancelMaintenance) {
+                maintenanceCommandCount++;
             }
-            byte[] bytes = CommandCodec.encode(s);
+            byte[] bytes = CommandCodec.encode(envelope);
             if (raft.role() == Raft.Role.LEADER) {
                 raft.propose(clock(), bytes);
             } else if (raft.leader() != null) {
-                Node to = node(raft.leader());
-                at(
-                        now + stopped(s.command()),
-                        () -> carry(this, to, () -> {
-                            to.raft.propose(to.clock(), bytes);
-                            to.pump();
+                Node leader = node(raft.leader());
+                schedule(
+                        now + randomPauseMicros(envelope.command()),
+                        () -> deliver(this, leader, () -> {
+                            leader.raft.propose(leader.clock(), bytes);
+                            leader.pump();
                         }));
             }
         }
 
-        // Between the check of the lease and the sending a process can be stopped for any time.
-        private long stopped(Command c) {
-            return random.nextInt(c instanceof Command.GrantMaintenance ? 4 : 40) == 0 ? random.nextInt(3_000_000) : 0;
+        // A process can pause for any time between the check of its lease and the sending of the command.
+        private long randomPauseMicros(Command command) {
+            return random.nextInt(command instanceof Command.GrantMaintenance ? 4 : 40) == 0 ? random.nextInt(3_000_000) : 0;
         }
 
-        private void sync() {
+        private void scheduleSync() {
             if (syncing) {
                 return;
             }
             syncing = true;
             List<Save> group = List.copyOf(unsynced);
-            at(now + 200 + random.nextInt(random.nextInt(20) == 0 ? 80_000 : 5_000), this, () -> {
+            schedule(now + 200 + random.nextInt(random.nextInt(20) == 0 ? 80_000 : 5_000), this, () -> {
                 group.forEach(disk::apply);
                 unsynced.removeAll(group);
                 syncing = false;
                 raft.saved(clock(), group.get(group.size() - 1).number());
                 if (!unsynced.isEmpty()) {
-                    sync();
+                    scheduleSync();
                 }
                 pump();
             });
         }
 
-        private void wake() {
-            long next = Math.min(raft.wakeAt(), clock() + 20 * MS) - clock();
-            long at = now + Math.max(500, (long) (next / rate));
-            wakeAt = at;
-            at(at, this, () -> {
-                if (wakeAt == at) {
+        private void scheduleWakeup() {
+            long delay = Math.min(raft.wakeAt(), clock() + 20 * MS) - clock();
+            long dueAt = now + Math.max(500, (long) (delay / clockRate));
+            wakeAt = dueAt;
+            schedule(dueAt, this, () -> {
+                if (wakeAt == dueAt) {
                     raft.tick(clock());
                     pump();
                 }
@@ -318,8 +323,8 @@
     }
 
     final Random random;
-    final Planted planted;
-    final LeaseSettings set = new LeaseSettings(
+    final InjectedFault injectedFault;
+    final LeaseSettings settings = new LeaseSettings(
             800 * MS,
             0.02,
             150 * MS,
@@ -327,26 +332,30 @@
             new LeaseSettings.MaintenanceBudget(2, 0, 3 * SECOND, true),
             new LeaseSettings.QuotaPolicy(400, 500 * MS));
     final List<Node> nodes = new ArrayList<>();
-    final Map<Long, Entry> agreed = new HashMap<>();
+    final Map<Long, Entry> committedEntries = new HashMap<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
-    private final Map<Long, String> leaders = new HashMap<>(); // By term.
-    private final Set<Long> cut = new HashSet<>(); // Links, as from * 100 + to.
-    private final Map<String, Long> greatestToken = new HashMap<>();
-    private final Set<String> counted = new HashSet<>(); // Operators' words that took effect.
-    double lossy;
-    long now, order, acts, highestTerm, lentMost;
-    String trouble;
-
-    ClusterSim(long seed, int members, Planted planted) {
+            (a, b) -> a.dueAt() != b.dueAt() ? Long.compare(a.dueAt(), b.dueAt()) : Long.compare(a.order(), b.order()));
+    private final Map<Long, String> leaderByTerm = new HashMap<>();
+    private final Set<Long> cutLinks = new HashSet<>(); // Sender's number * 100 + receiver's number.
+    private final Map<String, Long> highestTokenByLease = new HashMap<>();
+    private final Set<String> appliedOperatorCommands = new HashSet<>();
+    double faultProbability;
+    long now;
+    long nextEventOrder;
+    long maintenanceCommandCount;
+    long highestTerm;
+    long maxGrantedQuotaThousandths;
+    String violation;
+
+    ClusterSim(long seed, int members, InjectedFault injectedFault) {
         this.random = new Random(seed);
-        this.planted = planted;
-        Map<String, String> names = new TreeMap<>();
+        this.injectedFault = injectedFault;
+        Map<String, String> addressByName = new TreeMap<>();
         for (int i = 0; i < members; i++) {
             nodes.add(new Node(i));
-            names.put("d" + i, "");
+            addressByName.put("d" + i, "");
         }
-        Snapshot founding = new Snapshot(0, 0, Membership.bootstrap(names), new byte[0]);
+        Snapshot founding = new Snapshot(0, 0, Membership.bootstrap(addressByName), new byte[0]);
         nodes.forEach(n -> n.disk = new DiskModel(Membership.BOOTSTRAP_INCARNATION, founding));
         nodes.forEach(Node::start);
     }
@@ -355,163 +364,163 @@
         return nodes.stream().filter(n -> n.name.equals(name)).findFirst().orElseThrow();
     }
 
-    private void at(long time, Node n, Runnable run) {
-        queue.add(new Event(time, order++, n.number, n.life, run));
+    private void schedule(long time, Node n, Runnable action) {
+        queue.add(new Event(time, nextEventOrder++, n.number, n.lifecycleEpoch, action));
     }
 
-    void at(long time, Runnable run) {
-        queue.add(new Event(time, order++, -1, 0, run));
+    void schedule(long time, Runnable action) {
+        queue.add(new Event(time, nextEventOrder++, -1, 0, action));
     }
 
-    private void send(Node from, String to, Message m) {
-        Node n = node(to);
-        long of = from.disk.incarnation;
-        Message same = Codec.decode(Codec.encode(m)).orElse(null); // By way of its form on the wire.
-        carry(from, n, () -> {
-            n.raft.tick(n.clock());
-            n.raft.receive(n.clock(), from.name, of, same);
-            n.pump();
+    private void send(Node from, String to, Message message) {
+        Node receiver = node(to);
+        long senderIncarnation = from.disk.incarnation;
+        Message decoded = Codec.decode(Codec.encode(message)).orElse(null); // Passes through the wire format.
+        deliver(from, receiver, () -> {
+            receiver.raft.tick(receiver.clock());
+            receiver.raft.receive(receiver.clock(), from.name, senderIncarnation, decoded);
+            receiver.pump();
         });
     }
 
-    private void carry(Node from, Node to, Runnable run) {
-        int copies = random.nextDouble() < lossy ? 0 : random.nextDouble() < lossy ? 2 : 1;
+    private void deliver(Node from, Node to, Runnable action) {
+        int copies = random.nextDouble() < faultProbability ? 0 : random.nextDouble() < faultProbability ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long takes = 100 + random.nextInt(random.nextDouble() < lossy ? 400_000 : 3_000);
-            at(now + takes, () -> {
-                if (to.up && !cut.contains(from.number * 100L + to.number)) {
-                    if (to.still) {
-                        to.late.add(run);
+            long latency = 100 + random.nextInt(random.nextDouble() < faultProbability ? 400_000 : 3_000);
+            schedule(now + latency, () -> {
+                if (to.isUp && !cutLinks.contains(from.number * 100L + to.number)) {
+                    if (to.isPaused) {
+                        to.deferredEvents.add(action);
                     } else {
-                        run.run();
+                        action.run();
                     }
                 }
             });
         }
     }
 
-    void cut(Node from, Node to, boolean on) {
-        if (on) {
-            cut.add(from.number * 100L + to.number);
+    void setLinkCut(Node from, Node to, boolean isCut) {
+        if (isCut) {
+            cutLinks.add(from.number * 100L + to.number);
         } else {
-            cut.remove(from.number * 100L + to.number);
+            cutLinks.remove(from.number * 100L + to.number);
         }
     }
 
     void heal() {
-        cut.clear();
-        lossy = 0;
+        cutLinks.clear();
+        faultProbability = 0;
         nodes.forEach(n -> {
-            if (!n.up) {
+            if (!n.isUp) {
                 n.start();
-            } else if (n.still) {
-                goOn(n);
+            } else if (n.isPaused) {
+                resume(n);
             }
         });
     }
 
-    void stop(Node n) {
-        n.still = true;
+    void pause(Node n) {
+        n.isPaused = true;
     }
 
-    void goOn(Node n) {
-        n.still = false;
-        List<Runnable> late = List.copyOf(n.late);
-        n.late.clear();
-        int life = n.life;
-        late.forEach(r -> {
-            if (n.up && n.life == life) {
+    void resume(Node n) {
+        n.isPaused = false;
+        List<Runnable> deferred = List.copyOf(n.deferredEvents);
+        n.deferredEvents.clear();
+        int epoch = n.lifecycleEpoch;
+        deferred.forEach(r -> {
+            if (n.isUp && n.lifecycleEpoch == epoch) {
                 r.run();
             }
         });
     }
 
-    /** A member comes back without its folder. */
-    void swap(Node n) {
+    /** Replaces the disk of a member by an empty one. */
+    void replaceDisk(Node n) {
         n.disk = new DiskModel(random.nextLong() | 2, Snapshot.EMPTY);
     }
 
-    /** Plays on until a time, or until something is wrong. */
-    void play(long until) {
-        while (trouble == null && !queue.isEmpty() && queue.peek().at() <= until) {
-            Event e = queue.poll();
-            now = Math.max(now, e.at());
-            if (e.node() >= 0) {
-                Node n = nodes.get(e.node());
-                if (!n.up || n.life != e.life()) {
+    /** Runs the simulation up to a time, or until an invariant is violated. */
+    void runTo(long endTime) {
+        while (violation == null && !queue.isEmpty() && queue.peek().dueAt() <= endTime) {
+            Event event = queue.poll();
+            now = Math.max(now, event.dueAt());
+            if (event.node() >= 0) {
+                Node n = nodes.get(event.node());
+                if (!n.isUp || n.lifecycleEpoch != event.lifecycleEpoch()) {
                     continue;
                 }
-                if (n.still) {
-                    n.late.add(e.run());
+                if (n.isPaused) {
+                    n.deferredEvents.add(event.action());
                     continue;
                 }
             }
-            e.run().run();
-            always();
+            event.action().run();
+            checkInvariants();
         }
-        now = Math.max(now, until);
+        now = Math.max(now, endTime);
     }
 
-    /** Plays on until something holds; false if it does not within so long. */
-    boolean until(long most, java.util.function.BooleanSupplier holds) {
-        long end = now + most;
-        while (trouble == null && now < end && !holds.getAsBoolean()) {
-            play(now + 20 * MS);
+    /** Runs the simulation until the condition holds; returns false if it does not hold within the time limit. */
+    boolean runUntil(long timeLimit, java.util.function.BooleanSupplier condition) {
+        long end = now + timeLimit;
+        while (violation == null && now < end && !condition.getAsBoolean()) {
+            runTo(now + 20 * MS);
         }
-        return holds.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
-    private void check(boolean holds, String what) {
-        if (!holds && trouble == null) {
-            trouble = what + " at " + now;
+    private void check(boolean holds, String description) {
+        if (!holds && violation == null) {
+            violation = description + " at " + now;
         }
     }
 
-    // What must hold at each moment.
-    private void always() {
-        Map<String, String> holding = new HashMap<>();
-        long parts = 0;
+    // Checks the invariants that hold after each event.
+    private void checkInvariants() {
+        Map<String, String> holderByLease = new HashMap<>();
+        long quotaSum = 0;
         for (Node n : nodes) {
-            if (!n.up) {
-                parts += set.reservedThousandths();
+            if (!n.isUp) {
+                quotaSum += settings.reservedThousandths();
                 continue;
             }
             highestTerm = Math.max(highestTerm, n.raft.term());
             if (n.raft.role() == Raft.Role.LEADER) {
-                String other = leaders.putIfAbsent(n.raft.term(), n.name);
+                String other = leaderByTerm.putIfAbsent(n.raft.term(), n.name);
                 check(other == null || other.equals(n.name), "two leaders of term " + n.raft.term());
             }
-            for (String duty : set.leaseNames()) {
-                long token = n.duties.validToken(duty, n.clock());
+            for (String lease : settings.leaseNames()) {
+                long token = n.leaseManager.validToken(lease, n.clock());
                 if (token > 0) {
-                    String other = holding.put(duty, n.name);
-                    check(other == null, "two hold " + duty + ": " + other + " and " + n.name);
-                    long greatest = greatestToken.getOrDefault(duty, 0L);
-                    check(token >= greatest, "token " + token + " of " + duty + " acts after " + greatest);
-                    greatestToken.put(duty, Math.max(token, greatest));
+                    String other = holderByLease.put(lease, n.name);
+                    check(other == null, "two holders of " + lease + ": " + other + " and " + n.name);
+                    long highest = highestTokenByLease.getOrDefault(lease, 0L);
+                    check(token >= highest, "token " + token + " of " + lease + " is valid after " + highest);
+                    highestTokenByLease.put(lease, Math.max(token, highest));
                 }
             }
-            parts += n.duties.quotaThousandths(n.clock());
-            lentMost = Math.max(lentMost, n.duties.state().grantedQuotaThousandths());
+            quotaSum += n.leaseManager.quotaThousandths(n.clock());
+            maxGrantedQuotaThousandths = Math.max(maxGrantedQuotaThousandths, n.leaseManager.state().grantedQuotaThousandths());
             for (int z = 0; z < 2; z++) {
                 String zone = "z" + z;
-                long out = n.duties.state().maintenanceRequests().values().stream()
+                long grantedCount = n.leaseManager.state().maintenanceRequests().values().stream()
                         .filter(t -> t.granted() && t.zone().equals(zone))
                         .count();
-                check(out <= set.maintenanceBudget().maxDrained(), out + " out in " + zone);
+                check(grantedCount <= settings.maintenanceBudget().maxDrained(), grantedCount + " caches drained in " + zone);
             }
         }
-        check(parts <= 1_000L * nodes.size(), "parts of " + parts);
+        check(quotaSum <= 1_000L * nodes.size(), "sum of quotas in thousandths is " + quotaSum);
     }
 
-    /** Members that agree on who leads, or null. */
+    /** Returns the leader that all members name, or null if they differ or a member is down. */
     String leader() {
-        Set<String> named = new TreeSet<>();
+        Set<String> leaderNames = new TreeSet<>();
         for (Node n : nodes) {
-            named.add(n.up ? String.valueOf(n.raft.leader()) : "down");
+            leaderNames.add(n.isUp ? String.valueOf(n.raft.leader()) : "down");
         }
-        return named.size() == 1 && !named.contains("null") && !named.contains("down")
-                ? named.iterator().next()
+        return leaderNames.size() == 1 && !leaderNames.contains("null") && !leaderNames.contains("down")
+                ? leaderNames.iterator().next()
                 : null;
     }
 }
--- a/src/main/java/pewtercourse/experiment/ColumnFile.java
+++ b/src/main/java/pewtercourse/experiment/ColumnFile.java
@@ -15,9 +15,9 @@
 import org.apache.arrow.vector.VectorSchemaRoot;
 import org.apache.arrow.vector.ipc.ArrowFileWriter;
 
-/** A table in Arrow's file format. */
+/** Writes a table in the Arrow file format. */
 final class ColumnFile {
-    /** A column of texts or of numbers. */
+    /** A named column of strings or of doubles. */
     record Column(String name, List<?> values) {}
 
     private ColumnFile() {}
@@ -31,16 +31,16 @@
     }
 
     static void write(Path file, List<Column> columns) throws IOException {
-        try (BufferAllocator memory = new RootAllocator()) {
+        try (BufferAllocator allocator = new RootAllocator()) {
             List<FieldVector> vectors = new ArrayList<>();
-            columns.forEach(c -> vectors.add(vector(c, memory)));
+            columns.forEach(c -> vectors.add(toVector(c, allocator)));
             try (VectorSchemaRoot root = new VectorSchemaRoot(vectors);
-                    FileChannel out = FileChannel.open(
+                    FileChannel channel = FileChannel.open(
                             file,
                             StandardOpenOption.CREATE,
                             StandardOpenOption.WRITE,
                             StandardOpenOption.TRUNCATE_EXISTING);
-                    ArrowFileWriter writer = new ArrowFileWriter(root, null, out)) {
+                    ArrowFileWriter writer = new ArrowFileWriter(root, null, channel)) {
                 root.setRowCount(columns.get(0).values().size());
                 writer.start();
                 writer.writeBatch();
@@ -49,20 +49,20 @@
         }
     }
 
-    private static FieldVector vector(Column c, BufferAllocator memory) {
-        if (!c.values().isEmpty() && c.values().get(0) instanceof String) {
-            VarCharVector v = new VarCharVector(c.name(), memory);
-            for (int i = 0; i < c.values().size(); i++) {
-                v.setSafe(i, ((String) c.values().get(i)).getBytes(StandardCharsets.UTF_8));
+    private static FieldVector toVector(Column column, BufferAllocator allocator) {
+        if (!column.values().isEmpty() && column.values().get(0) instanceof String) {
+            VarCharVector strings = new VarCharVector(column.name(), allocator);
+            for (int i = 0; i < column.values().size(); i++) {
+                strings.setSafe(i, ((String) column.values().get(i)).getBytes(StandardCharsets.UTF_8));
             }
-            v.setValueCount(c.values().size());
-            return v;
+            strings.setValueCount(column.values().size());
+            return strings;
         }
-        Float8Vector v = new Float8Vector(c.name(), memory);
-        for (int i = 0; i < c.values().size(); i++) {
-            v.setSafe(i, (Double) c.values().get(i));
+        Float8Vector numbers = new Float8Vector(column.name(), allocator);
+        for (int i = 0; i < column.values().size(); i++) {
+            numbers.setSafe(i, (Double) column.values().get(i));
         }
-        v.setValueCount(c.values().size());
-        return v;
+        numbers.setValueCount(column.values().size());
+        return numbers;
     }
 }
--- a/src/main/java/pewtercourse/experiment/Experiments.java
+++ b/src/main/java/pewtercourse/experiment/Experiments.java
@@ -4,28 +4,28 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Entry of the experiments; their libraries are in the jar of tools alone. */
+/** Runs the experiments of the command line. Only the tools jar contains their libraries. */
 public final class Experiments {
     private Experiments() {}
 
-    /** {@code start}: time to be ready and memory of programs, by name, with and without a cluster. */
-    public static void start(Path into, Map<String, Path> jars, int rounds, Path config) throws Exception {
-        Files.createDirectories(into);
+    /** Runs {@code start}: measures the start time and memory of the jars, keyed by name, with and without a cluster. */
+    public static void start(Path outputFolder, Map<String, Path> jars, int rounds, Path config) throws Exception {
+        Files.createDirectories(outputFolder);
         String table = StartExperiment.run(jars, rounds, config);
-        Files.writeString(into.resolve("start.md"), table);
+        Files.writeString(outputFolder.resolve("start.md"), table);
         System.out.print(table);
     }
 
-    /** {@code sites}: the loss of a site and its return, several ways, over seeds. */
-    public static void sites(Path into, int seeds) throws Exception {
-        SitesExperiment.run(into, seeds);
+    /** Runs {@code sites}: simulates the loss and return of a site with each strategy over many seeds. */
+    public static void sites(Path outputFolder, int seeds) throws Exception {
+        SitesExperiment.run(outputFolder, seeds);
     }
 
-    /** {@code duties}: how duties change hands, what the log does, how budgets are used; files go into {@code into}. */
-    public static void duties(Path into, int seeds) throws Exception {
-        DutiesExperiment.run(into, seeds);
+    /** Runs {@code duties}: measures hand-over of duties, use of budgets and the log; writes files to the output folder. */
+    public static void duties(Path outputFolder, int seeds) throws Exception {
+        DutiesExperiment.run(outputFolder, seeds);
         String log = "\n" + LogExperiment.rates() + "\n" + LogExperiment.recovery();
-        Files.writeString(into.resolve("duties-hand-over.md"), log, java.nio.file.StandardOpenOption.APPEND);
+        Files.writeString(outputFolder.resolve("duties-hand-over.md"), log, java.nio.file.StandardOpenOption.APPEND);
         System.out.print(log);
     }
 }
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -25,14 +25,15 @@
 import pewtercourse.raft.Save;
 import pewtercourse.raft.store.LogStore;
 
-/** Agreed changes a second and how long one takes, with real sockets and disks; and how long a start takes by log length. */
+/** Measures commit throughput and latency with real sockets and disks, and recovery time by log length. */
 final class LogExperiment {
     private static final String HOST = "127.0.0.1";
-    private static final long WARM_MS = 2_000, RUN_MS = 4_000;
+    private static final long WARM_UP_MS = 2_000;
+    private static final long MEASURE_MS = 4_000;
 
     private LogExperiment() {}
 
-    private static final ClusterHost NOBODY = new ClusterHost() {
+    private static final ClusterHost NO_OP_HOST = new ClusterHost() {
         @Override
         public void drainsChanged(Map<String, Long> drained, Map<String, Long> reinstated) {}
 
@@ -55,19 +56,19 @@
         }
     };
 
-    /** A line for each number of callers at once. */
+    /** Measures throughput and latency; the table has one line per number of concurrent callers. */
     static String rates() throws Exception {
         Vertx vertx = Vertx.vertx();
         Path folder = Files.createTempDirectory("experiment");
         List<Integer> ports = new ArrayList<>();
         JsonArray members = new JsonArray();
         for (int i = 0; i < 3; i++) {
-            try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
-                ports.add(s.getLocalPort());
+            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+                ports.add(socket.getLocalPort());
             }
             members.add(new JsonObject().put("name", "d" + i).put("address", HOST + ":" + ports.get(i)));
         }
-        List<ClusterMember> clusters = new ArrayList<>();
+        List<ClusterMember> clusterMembers = new ArrayList<>();
         List<Context> loops = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Path file = Files.writeString(
@@ -82,101 +83,101 @@
             ClusterConfig config = ClusterConfig.fromFile(file);
             LogStore.bootstrap(config.data(), config.cluster(), config.name(), Membership.bootstrap(config.members()));
             var started = new java.util.concurrent.CompletableFuture<Void>();
-            Context loop = vertx.getOrCreateContext(); // Another one each time, as this is no thread of the library's.
+            Context loop = vertx.getOrCreateContext(); // A new context each time: this thread does not belong to Vert.x.
             loops.add(loop);
             loop.runOnContext(v -> {
-                ClusterMember c = new ClusterMember(vertx, config, NOBODY);
-                clusters.add(c);
-                c.start().onComplete(r -> started.complete(null));
+                ClusterMember member = new ClusterMember(vertx, config, NO_OP_HOST);
+                clusterMembers.add(member);
+                member.start().onComplete(r -> started.complete(null));
             });
             started.get(30, TimeUnit.SECONDS);
         }
-        StringBuilder t = new StringBuilder(
+        StringBuilder table = new StringBuilder(
                 "| callers at once | agreed a second | median ms | 99th ms |\n| --- | --- | --- | --- |\n");
         for (int callers : new int[] {1, 8, 64, 240}) {
-            ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
-            AtomicLong done = new AtomicLong();
-            long begin = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WARM_MS);
-            long end = begin + TimeUnit.MILLISECONDS.toNanos(RUN_MS);
+            ConcurrentHistogram latenciesMicros = new ConcurrentHistogram(60_000_000, 3);
+            AtomicLong committedCount = new AtomicLong();
+            long measureFromNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WARM_UP_MS);
+            long measureUntilNanos = measureFromNanos + TimeUnit.MILLISECONDS.toNanos(MEASURE_MS);
             loops.get(0).runOnContext(v -> {
                 for (int i = 0; i < callers; i++) {
-                    call(clusters.get(0), i, begin, end, times, done);
+                    callRepeatedly(clusterMembers.get(0), i, measureFromNanos, measureUntilNanos, latenciesMicros, committedCount);
                 }
             });
-            Thread.sleep(WARM_MS + RUN_MS + 1_500);
-            t.append(String.format(
+            Thread.sleep(WARM_UP_MS + MEASURE_MS + 1_500);
+            table.append(String.format(
                     "| %d | %.0f | %.2f | %.2f |%n",
                     callers,
-                    done.get() * 1_000.0 / RUN_MS,
-                    times.getValueAtPercentile(50) / 1_000.0,
-                    times.getValueAtPercentile(99) / 1_000.0));
+                    committedCount.get() * 1_000.0 / MEASURE_MS,
+                    latenciesMicros.getValueAtPercentile(50) / 1_000.0,
+                    latenciesMicros.getValueAtPercentile(99) / 1_000.0));
         }
-        for (int i = 0; i < clusters.size(); i++) {
-            ClusterMember c = clusters.get(i);
-            loops.get(i).runOnContext(v -> c.close());
+        for (int i = 0; i < clusterMembers.size(); i++) {
+            ClusterMember member = clusterMembers.get(i);
+            loops.get(i).runOnContext(v -> member.close());
         }
         Thread.sleep(500);
         vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-        return t.toString();
+        return table.toString();
     }
 
-    private static void call(
-            ClusterMember c, int caller, long begin, long end, ConcurrentHistogram times, AtomicLong done) {
-        long from = System.nanoTime();
-        if (from >= end) {
+    private static void callRepeatedly(
+            ClusterMember member, int caller, long measureFromNanos, long measureUntilNanos, ConcurrentHistogram latenciesMicros, AtomicLong committedCount) {
+        long startedNanos = System.nanoTime();
+        if (startedNanos >= measureUntilNanos) {
             return;
         }
-        boolean out = (done.get() & 1) == 0;
+        boolean drains = (committedCount.get() & 1) == 0;
         String target = "c" + caller;
-        c.propose(() -> out
-                        ? new Command.DrainCache(target, 1, c.state().lastOperatorCommand(target))
-                        : new Command.ReinstateCache(target, 1, c.state().lastOperatorCommand(target)))
+        member.propose(() -> drains
+                        ? new Command.DrainCache(target, 1, member.state().lastOperatorCommand(target))
+                        : new Command.ReinstateCache(target, 1, member.state().lastOperatorCommand(target)))
                 .onComplete(r -> {
                     long now = System.nanoTime();
-                    if (r.succeeded() && from >= begin && now < end) {
-                        times.recordValue((now - from) / 1_000);
-                        done.incrementAndGet();
+                    if (r.succeeded() && startedNanos >= measureFromNanos && now < measureUntilNanos) {
+                        latenciesMicros.recordValue((now - startedNanos) / 1_000);
+                        committedCount.incrementAndGet();
                     }
-                    call(c, caller, begin, end, times, done);
+                    callRepeatedly(member, caller, measureFromNanos, measureUntilNanos, latenciesMicros, committedCount);
                 });
     }
 
-    /** A line for each length of the log. */
+    /** Measures recovery time; the table has one line per length of the log. */
     static String recovery() throws IOException {
-        StringBuilder t = new StringBuilder(
+        StringBuilder table = new StringBuilder(
                 "| entries after the snapshot | MB | start, ms (median of five) |\n| --- | --- | --- |\n");
         for (int entries : new int[] {1_000, 10_000, 100_000}) {
             Path folder = Files.createTempDirectory("experiment").resolve("d");
             LogStore.bootstrap(folder, "c", "m", Membership.bootstrap(Map.of("m", "a:1", "n", "a:2", "o", "a:3")));
-            try (LogStore s = LogStore.open(folder, "c", "m", 4 << 20)) {
-                s.recover();
+            try (LogStore store = LogStore.open(folder, "c", "m", 4 << 20)) {
+                store.recover();
                 for (int i = 0; i < entries; i += 100) {
-                    List<Entry> list = new ArrayList<>();
+                    List<Entry> batch = new ArrayList<>();
                     for (int j = 1; j <= 100; j++) {
-                        list.add(Entry.command(
+                        batch.add(Entry.command(
                                 i + j,
                                 1,
                                 CommandCodec.encode(new Command.Envelope(
                                         "d1", i + j, new Command.DrainCache("s-" + j, 1_700_000_000_000L, 0)))));
                     }
-                    s.save(List.of(new Save(i, 1, "m", i, null, list)));
+                    store.save(List.of(new Save(i, 1, "m", i, null, batch)));
                 }
             }
-            long bytes;
+            long logBytes;
             try (var files = Files.list(folder)) {
-                bytes = files.mapToLong(f -> f.toFile().length()).sum();
+                logBytes = files.mapToLong(f -> f.toFile().length()).sum();
             }
-            double[] times = new double[5];
-            for (int i = 0; i < times.length; i++) {
-                long from = System.nanoTime();
-                try (LogStore s = LogStore.open(folder, "c", "m", 4 << 20)) {
-                    s.recover();
+            double[] recoveryMs = new double[5];
+            for (int i = 0; i < recoveryMs.length; i++) {
+                long startedNanos = System.nanoTime();
+                try (LogStore store = LogStore.open(folder, "c", "m", 4 << 20)) {
+                    store.recover();
                 }
-                times[i] = (System.nanoTime() - from) / 1e6;
+                recoveryMs[i] = (System.nanoTime() - startedNanos) / 1e6;
             }
-            java.util.Arrays.sort(times);
-            t.append(String.format("| %d | %.1f | %.0f |%n", entries, bytes / 1e6, times[2]));
+            java.util.Arrays.sort(recoveryMs);
+            table.append(String.format("| %d | %.1f | %.0f |%n", entries, logBytes / 1e6, recoveryMs[2]));
         }
-        return t.toString();
+        return table.toString();
     }
 }
--- a/src/main/java/pewtercourse/experiment/RankSim.java
+++ b/src/main/java/pewtercourse/experiment/RankSim.java
@@ -5,58 +5,60 @@
 import java.util.Random;
 
 /**
- * A baseline: members say every 50 ms that they are there, and whoever is the first by rank of those it hears holds the
- * duty. The same links as in {@link ClusterSim}, on the same virtual clock, in steps of a millisecond.
+ * Simulates a baseline for {@link ClusterSim}: members send a heartbeat every 50 ms, and a member holds the duty if it receives
+ * heartbeats from no member of a lower number. The virtual clock advances in steps of one millisecond.
  */
 final class RankSim {
-    private static final int BEAT_MS = 50, ALIVE_MS = 300;
+    private static final int HEARTBEAT_INTERVAL_MS = 50;
+    private static final int HEARTBEAT_TIMEOUT_MS = 300;
 
-    private record Beat(long at, int from, int to) {}
+    private record Heartbeat(long arrivesAtMs, int from, int to) {}
 
     private final Random random;
-    private final long[][] heard; // By listener and speaker: when last.
-    private final boolean[] up, still;
-    private final boolean[][] cut;
-    private final List<Beat> under = new ArrayList<>();
-    private final int[] phase;
-    long now;
+    private final long[][] lastHeartbeatMs; // By receiver and sender.
+    private final boolean[] up;
+    private final boolean[] paused;
+    private final boolean[][] linkCut;
+    private final List<Heartbeat> inTransit = new ArrayList<>();
+    private final int[] heartbeatPhaseMs;
+    long nowMs;
 
-    RankSim(long seed, int members) {
+    RankSim(long seed, int memberCount) {
         random = new Random(seed);
-        heard = new long[members][members];
-        up = new boolean[members];
-        still = new boolean[members];
-        cut = new boolean[members][members];
-        phase = random.ints(members, 0, BEAT_MS).toArray();
+        lastHeartbeatMs = new long[memberCount][memberCount];
+        up = new boolean[memberCount];
+        paused = new boolean[memberCount];
+        linkCut = new boolean[memberCount][memberCount];
+        heartbeatPhaseMs = random.ints(memberCount, 0, HEARTBEAT_INTERVAL_MS).toArray();
         java.util.Arrays.fill(up, true);
     }
 
-    /** One more millisecond. */
+    /** Advances the simulation by one millisecond. */
     void step() {
-        now++;
+        nowMs++;
         for (int i = 0; i < up.length; i++) {
-            if (up[i] && !still[i] && now % BEAT_MS == phase[i]) {
+            if (up[i] && !paused[i] && nowMs % HEARTBEAT_INTERVAL_MS == heartbeatPhaseMs[i]) {
                 for (int j = 0; j < up.length; j++) {
-                    under.add(new Beat(now + 1 + random.nextInt(3), i, j));
+                    inTransit.add(new Heartbeat(nowMs + 1 + random.nextInt(3), i, j));
                 }
             }
         }
-        under.removeIf(b -> {
-            boolean due = b.at() <= now;
-            if (due && !cut[b.from()][b.to()]) {
-                heard[b.to()][b.from()] = now;
+        inTransit.removeIf(heartbeat -> {
+            boolean due = heartbeat.arrivesAtMs() <= nowMs;
+            if (due && !linkCut[heartbeat.from()][heartbeat.to()]) {
+                lastHeartbeatMs[heartbeat.to()][heartbeat.from()] = nowMs;
             }
             return due;
         });
     }
 
-    /** Whether it takes itself to hold the duty; one that stands still believes what it last knew. */
-    boolean holds(int i) {
+    /** Whether it takes itself to hold the duty; one that stands paused believes what it last knew. */
+    boolean considersItselfHolder(int i) {
         if (!up[i]) {
             return false;
         }
         for (int j = 0; j < i; j++) {
-            if (now - heard[i][j] <= ALIVE_MS) {
+            if (nowMs - lastHeartbeatMs[i][j] <= HEARTBEAT_TIMEOUT_MS) {
                 return false;
             }
         }
@@ -67,18 +69,18 @@
         up[i] = false;
     }
 
-    void stand(int i, boolean on) {
-        still[i] = on;
+    void setPaused(int i, boolean isPaused) {
+        paused[i] = isPaused;
     }
 
-    void cutOff(int i) {
+    void isolate(int i) {
         for (int j = 0; j < up.length; j++) {
-            cut[i][j] = i != j;
-            cut[j][i] = i != j;
+            linkCut[i][j] = i != j;
+            linkCut[j][i] = i != j;
         }
     }
 
-    int members() {
+    int memberCount() {
         return up.length;
     }
 }
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -31,207 +31,217 @@
 import pewtercourse.failover.Sites;
 import pewtercourse.hash.StableHash;
 
-/** The loss of a site and its return: worth served in time over seeds, several ways; false alarms; costs. */
+/**
+ * Measures the worth served in time around the loss and return of a site, for each strategy and over many seeds; also false
+ * alarms, planning time and the cost of a routing decision.
+ */
 final class SitesExperiment {
-    /** One play. Shares of worth: of the whole incident, its worst ten seconds, and the clients of all other sites. */
+    /**
+     * The result of one simulation. The shares of worth served in time are those of the whole incident, of its worst ten seconds
+     * and of the clients of all other sites.
+     */
     record Run(
-            SitesSim.Trouble trouble,
-            SitesSim.Way way,
+            SitesSim.Incident incident,
+            SitesSim.Strategy strategy,
             long seed,
-            double served,
-            double worst,
-            double others,
+            double servedShare,
+            double worstShare,
+            double otherSitesShare,
             double declaredMs,
             double returnMs,
-            int falls,
-            int twice,
+            int coldOverloadCount,
+            int duplicateEffectCount,
             double[] bySecond) {}
 
-    private static final int SECONDS = 80;
+    private static final int SECOND_COUNT = 80;
 
     private SitesExperiment() {}
 
-    private static Run play(SitesSim.Trouble trouble, SitesSim.Way way, long seed) {
-        SitesSim sim = new SitesSim(seed, way, trouble, SitesSim.Planted.NONE).play();
-        long from = SitesSim.lostAt(), to = SitesSim.incidentEnds();
-        double[] seconds = new double[SECONDS];
-        for (int i = 0; i < SECONDS; i++) {
-            seconds[i] = sim.served(i * SitesSim.SECOND, (i + 1) * SitesSim.SECOND, -1);
+    private static Run simulate(SitesSim.Incident incident, SitesSim.Strategy strategy, long seed) {
+        SitesSim sim = new SitesSim(seed, strategy, incident, SitesSim.InjectedFault.NONE).run();
+        long from = SitesSim.lostAt();
+        long to = SitesSim.incidentEnds();
+        double[] shareBySecond = new double[SECOND_COUNT];
+        for (int i = 0; i < SECOND_COUNT; i++) {
+            shareBySecond[i] = sim.servedWorthShare(i * SitesSim.SECOND, (i + 1) * SitesSim.SECOND, -1);
         }
-        double others = 0;
+        double otherSitesShare = 0;
         for (int s = 1; s < 5; s++) {
-            others += sim.served(from, to, s) / 4;
+            otherSitesShare += sim.servedWorthShare(from, to, s) / 4;
         }
         return new Run(
-                trouble,
-                way,
+                incident,
+                strategy,
                 seed,
-                sim.served(from, to, -1),
-                sim.worst(from, to),
-                others,
-                sim.declaredAt < 0 ? Double.NaN : (sim.declaredAt - from) / 1e3,
-                sim.wholeAt < 0 ? Double.NaN : (sim.wholeAt - SitesSim.backAt()) / 1e3,
-                sim.falls(),
-                sim.effectsTwice(),
-                seconds);
+                sim.servedWorthShare(from, to, -1),
+                sim.worstTenSecondShare(from, to),
+                otherSitesShare,
+                sim.lossDeclaredAt < 0 ? Double.NaN : (sim.lossDeclaredAt - from) / 1e3,
+                sim.restoredAt < 0 ? Double.NaN : (sim.restoredAt - SitesSim.recoveredAt()) / 1e3,
+                sim.coldOverloadCount(),
+                sim.duplicateEffectCount(),
+                shareBySecond);
     }
 
     private static String mean(List<Double> values) {
-        SummaryStatistics s = new SummaryStatistics();
-        values.stream().filter(v -> !v.isNaN()).forEach(s::addValue);
-        if (s.getN() < 2) {
-            return s.getN() == 0 ? "-" : String.format("%.3f", s.getMean());
+        SummaryStatistics statistics = new SummaryStatistics();
+        values.stream().filter(v -> !v.isNaN()).forEach(statistics::addValue);
+        if (statistics.getN() < 2) {
+            return statistics.getN() == 0 ? "-" : String.format("%.3f", statistics.getMean());
         }
-        double half = new TDistribution(s.getN() - 1).inverseCumulativeProbability(0.975)
-                * s.getStandardDeviation()
-                / Math.sqrt(s.getN());
-        return String.format("%.3f ± %.3f", s.getMean(), half);
+        double halfInterval = new TDistribution(statistics.getN() - 1).inverseCumulativeProbability(0.975)
+                * statistics.getStandardDeviation()
+                / Math.sqrt(statistics.getN());
+        return String.format("%.3f ± %.3f", statistics.getMean(), halfInterval);
     }
 
     private static String tables(List<Run> runs) {
-        StringBuilder t = new StringBuilder(
+        StringBuilder table = new StringBuilder(
                 "| trouble | way | worth served in time | worst 10 s | clients of other sites | of the bound"
                         + " | worst, of the bound | cold caches that fell | orders run twice |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        for (SitesSim.Trouble trouble : SitesSim.Trouble.values()) {
-            Map<Long, Run> bound = new HashMap<>();
+        for (SitesSim.Incident incident : SitesSim.Incident.values()) {
+            Map<Long, Run> upperBoundBySeed = new HashMap<>();
             runs.stream()
-                    .filter(r -> r.trouble() == trouble && r.way() == SitesSim.Way.SEEING)
-                    .forEach(r -> bound.put(r.seed(), r));
-            for (SitesSim.Way way : SitesSim.Way.values()) {
-                List<Run> of = runs.stream()
-                        .filter(r -> r.trouble() == trouble && r.way() == way)
+                    .filter(r -> r.incident() == incident && r.strategy() == SitesSim.Strategy.SEEING)
+                    .forEach(r -> upperBoundBySeed.put(r.seed(), r));
+            for (SitesSim.Strategy strategy : SitesSim.Strategy.values()) {
+                List<Run> selected = runs.stream()
+                        .filter(r -> r.incident() == incident && r.strategy() == strategy)
                         .toList();
-                if (of.isEmpty()) {
+                if (selected.isEmpty()) {
                     continue;
                 }
-                t.append(String.format(
+                table.append(String.format(
                         "| %s | %s | %s | %s | %s | %s | %s | %d | %d |%n",
-                        DutiesExperiment.word(trouble),
-                        DutiesExperiment.word(way),
-                        mean(of.stream().map(Run::served).toList()),
-                        mean(of.stream().map(Run::worst).toList()),
-                        mean(of.stream().map(Run::others).toList()),
-                        mean(of.stream()
-                                .map(r -> r.served() / bound.get(r.seed()).served())
+                        DutiesExperiment.lowerCaseWords(incident),
+                        DutiesExperiment.lowerCaseWords(strategy),
+                        mean(selected.stream().map(Run::servedShare).toList()),
+                        mean(selected.stream().map(Run::worstShare).toList()),
+                        mean(selected.stream().map(Run::otherSitesShare).toList()),
+                        mean(selected.stream()
+                                .map(r -> r.servedShare() / upperBoundBySeed.get(r.seed()).servedShare())
                                 .toList()),
-                        mean(of.stream()
-                                .map(r -> r.worst() / bound.get(r.seed()).worst())
+                        mean(selected.stream()
+                                .map(r -> r.worstShare() / upperBoundBySeed.get(r.seed()).worstShare())
                                 .toList()),
-                        of.stream().mapToInt(Run::falls).sum(),
-                        of.stream().mapToInt(Run::twice).sum()));
+                        selected.stream().mapToInt(Run::coldOverloadCount).sum(),
+                        selected.stream().mapToInt(Run::duplicateEffectCount).sum()));
             }
         }
-        t.append(String.format(
+        table.append(String.format(
                 "%n| trouble | time to declare, ms (median; greatest) | whole again after the caches' return, ms (median; greatest) |%n"
                         + "| --- | --- | --- |%n"));
-        for (SitesSim.Trouble trouble : SitesSim.Trouble.values()) {
-            DescriptiveStatistics declared = new DescriptiveStatistics(), whole = new DescriptiveStatistics();
+        for (SitesSim.Incident incident : SitesSim.Incident.values()) {
+            DescriptiveStatistics declaredMs = new DescriptiveStatistics();
+            DescriptiveStatistics returnMs = new DescriptiveStatistics();
             runs.stream()
-                    .filter(r -> r.trouble() == trouble && r.way() == SitesSim.Way.PLANNED)
+                    .filter(r -> r.incident() == incident && r.strategy() == SitesSim.Strategy.PLANNED)
                     .forEach(r -> {
                         if (!Double.isNaN(r.declaredMs())) {
-                            declared.addValue(r.declaredMs());
+                            declaredMs.addValue(r.declaredMs());
                         }
                         if (!Double.isNaN(r.returnMs())) {
-                            whole.addValue(r.returnMs());
+                            returnMs.addValue(r.returnMs());
                         }
                     });
-            t.append(
-                    declared.getN() == 0
-                            ? String.format("| %s | never declared | - |%n", DutiesExperiment.word(trouble))
+            table.append(
+                    declaredMs.getN() == 0
+                            ? String.format("| %s | never declared | - |%n", DutiesExperiment.lowerCaseWords(incident))
                             : String.format(
                                     "| %s | %.0f; %.0f | %.0f; %.0f |%n",
-                                    DutiesExperiment.word(trouble),
-                                    declared.getPercentile(50),
-                                    declared.getMax(),
-                                    whole.getPercentile(50),
-                                    whole.getMax()));
+                                    DutiesExperiment.lowerCaseWords(incident),
+                                    declaredMs.getPercentile(50),
+                                    declaredMs.getMax(),
+                                    returnMs.getPercentile(50),
+                                    returnMs.getMax()));
         }
-        return t.toString();
+        return table.toString();
     }
 
-    // ---- False alarms: what members see of sites that are well, with all that is usual at a bad hour ----
+    // ---- False alarms: observations of healthy sites, with the usual disturbances of a bad hour ----
 
-    /** Declarations of a loss in so many hours in which no site was lost. */
+    /** Counts the losses that are declared during some hours without a loss of a site. */
     static long falseAlarms(long seed, int hours, boolean noisy) {
         Random random = new Random(seed);
         Sites sites = sites(5, random);
         FailoverController failoverController = new FailoverController(sites);
         FailoverState failover = new FailoverState();
         List<String> names = List.copyOf(sites.byName().keySet());
-        long alarms = 0, entry = 0;
-        double[] bad = new double[names.size()];
-        long[] badUntil = new long[names.size()],
-                emptyUntil = new long[names.size()],
-                silentUntil = new long[names.size()];
+        long alarms = 0;
+        long lastLogIndex = 0;
+        double[] failureShare = new double[names.size()];
+        long[] failingUntil = new long[names.size()];
+        long[] emptyUntil = new long[names.size()]; // Until then the endpoint list of the member has no ready caches.
+        long[] silentUntil = new long[names.size()]; // Until then the member reports nothing.
         for (long s = 0; s < hours * 3_600L; s++) {
             long now = s * 1_000_000;
             for (int m = 0; m < names.size(); m++) {
                 if (noisy && random.nextInt(600) == 0) {
-                    // Every ten minutes: many failures for a while, or nearly all for a second.
+                    // Every ten minutes on average: many failures for up to 20 s, or almost only failures for a second.
                     boolean brief = random.nextBoolean();
-                    bad[m] = brief ? 0.95 : 0.2 + 0.4 * random.nextDouble();
-                    badUntil[m] = s + 1 + (brief ? 0 : random.nextInt(20));
+                    failureShare[m] = brief ? 0.95 : 0.2 + 0.4 * random.nextDouble();
+                    failingUntil[m] = s + 1 + (brief ? 0 : random.nextInt(20));
                 }
                 emptyUntil[m] = noisy && random.nextInt(3_600) == 0 ? s + random.nextInt(10) : emptyUntil[m];
                 silentUntil[m] = noisy && random.nextInt(1_800) == 0 ? s + random.nextInt(4) : silentUntil[m];
                 if (s < silentUntil[m]) {
                     continue;
                 }
-                Map<String, SiteObservation> told = new TreeMap<>();
+                Map<String, SiteObservation> observations = new TreeMap<>();
                 for (int x = 0; x < names.size(); x++) {
-                    int ends =
+                    int attemptCount =
                             x == m ? 40 + random.nextInt(80) : noisy && random.nextInt(50) == 0 ? random.nextInt(4) : 0;
-                    double share = s < badUntil[x] ? bad[x] : noisy ? 0.03 : 0.005;
-                    int failed = 0, late = 0;
-                    for (int i = 0; i < ends; i++) {
-                        failed += random.nextDouble() < share ? 1 : 0;
+                    double failureProbability = s < failingUntil[x] ? failureShare[x] : noisy ? 0.03 : 0.005;
+                    int failed = 0;
+                    int late = 0;
+                    for (int i = 0; i < attemptCount; i++) {
+                        failed += random.nextDouble() < failureProbability ? 1 : 0;
                         late += random.nextDouble() < (noisy ? 0.3 : 0.03) ? 1 : 0;
                     }
-                    int good = Math.max(0, ends - failed - late);
-                    told.put(
+                    int good = Math.max(0, attemptCount - failed - late);
+                    observations.put(
                             names.get(x),
                             new SiteObservation(
                                     new EndpointCount(4, s < emptyUntil[m] ? 0 : 4),
                                     new EndpointCount(2, 2),
                                     new AttemptCounts(
                                             good,
-                                            ends - failed - good,
+                                            attemptCount - failed - good,
                                             failed,
                                             x == m && noisy ? random.nextInt(6) : 0),
                                     x == m ? 10 : 0));
                 }
-                failoverController.detector().observe(now, "d" + m, told);
+                failoverController.detector().observe(now, "d" + m, observations);
             }
             for (SiteStatusChange d : failoverController.proposeChanges(now, failover, Set.of())) {
                 alarms += d.phase() == SiteStatus.Phase.LOST ? 1 : 0;
-                failover.changeStatus(++entry, d);
+                failover.changeStatus(++lastLogIndex, d);
             }
         }
         return alarms;
     }
 
     private static Sites sites(int count, Random random) {
-        TreeMap<String, Site> all = new TreeMap<>();
+        TreeMap<String, Site> sitesByName = new TreeMap<>();
         for (int i = 0; i < count; i++) {
-            List<Site.FailoverTarget> takers = new ArrayList<>();
+            List<Site.FailoverTarget> failoverTargets = new ArrayList<>();
             for (int d = 1; d <= Math.min(6, count - 1); d++) {
-                takers.add(new Site.FailoverTarget(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
+                failoverTargets.add(new Site.FailoverTarget(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
             }
-            all.put(
+            sitesByName.put(
                     String.format("s%03d", i),
-                    new Site(String.format("s%03d", i), "hub", Set.of("d" + i), 20, 0.8, 0.5, 0, takers));
+                    new Site(String.format("s%03d", i), "hub", Set.of("d" + i), 20, 0.8, 0.5, 0, failoverTargets));
         }
         return new Sites(
-                all,
+                sitesByName,
                 0.5,
                 new FailoverTiming(
                         1_500_000, 2_000_000, 120_000_000, 1_500_000, List.of(0.15, 0.3, 0.5, 0.75, 1.0), 3_000_000));
     }
 
-    /** Time to plan, by sites. */
-    static String planning() {
-        StringBuilder t =
+    /** Measures the time of one plan for several numbers of sites. */
+    static String planningTimes() {
+        StringBuilder table =
                 new StringBuilder("| sites | planned for | one plan, ms (median of nine) |\n| --- | --- | --- |\n");
         for (int n : new int[] {3, 5, 10, 16, 50, 100, 200}) {
             Random random = new Random(n);
@@ -250,13 +260,13 @@
                     ms.addValue((System.nanoTime() - from) / 1e6);
                 }
             }
-            t.append(String.format("| %d | %d sets of lost sites | %.2f |%n", n, cases, ms.getPercentile(50)));
+            table.append(String.format("| %d | %d sets of lost sites | %.2f |%n", n, cases, ms.getPercentile(50)));
         }
-        return t.toString();
+        return table.toString();
     }
 
-    /** What a request costs at its director, in nanoseconds: while its site is whole, and while it is lost. */
-    static String perRequest() {
+    /** Measures how long a director takes to choose a site for a request, while its own site is whole and while it is lost. */
+    static String routingCosts() {
         Random random = new Random(1);
         Sites sites = sites(5, random);
         Map<String, Double> loads = new TreeMap<>();
@@ -265,15 +275,15 @@
         failover.setPlan(new FailoverPlanner().plan(sites, FailoverPlanRequest.first(loads)));
         OverflowRouter overflowRouter = new OverflowRouter(sites, "s000", 500_000, 1);
         overflowRouter.follow(0, failover, 1);
-        double whole = nanos(overflowRouter);
+        double wholeNanos = nanosPerChoice(overflowRouter);
         failover.changeStatus(1, new SiteStatusChange("s000", SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, 0));
         overflowRouter.follow(0, failover, 1);
         return String.format(
                 "A request's choice of a site takes %.0f ns while its site is whole and %.0f ns while it is lost.%n",
-                whole, nanos(overflowRouter));
+                wholeNanos, nanosPerChoice(overflowRouter));
     }
 
-    private static double nanos(OverflowRouter overflowRouter) {
+    private static double nanosPerChoice(OverflowRouter overflowRouter) {
         double best = Double.MAX_VALUE;
         for (int round = 0; round < 12; round++) {
             long from = System.nanoTime();
@@ -299,11 +309,11 @@
     static void run(Path into, int seeds) throws IOException {
         Files.createDirectories(into);
         List<Run> runs = new ArrayList<>();
-        for (SitesSim.Trouble trouble : SitesSim.Trouble.values()) {
-            for (SitesSim.Way way : SitesSim.Way.values()) {
+        for (SitesSim.Incident incident : SitesSim.Incident.values()) {
+            for (SitesSim.Strategy strategy : SitesSim.Strategy.values()) {
                 runs.addAll(IntStream.range(0, seeds)
                         .parallel()
-                        .mapToObj(seed -> play(trouble, way, seed))
+                        .mapToObj(seed -> simulate(incident, strategy, seed))
                         .toList());
             }
         }
@@ -313,21 +323,21 @@
                         ColumnFile.text(
                                 "trouble",
                                 runs.stream()
-                                        .map(r -> DutiesExperiment.word(r.trouble()))
+                                        .map(r -> DutiesExperiment.lowerCaseWords(r.incident()))
                                         .toList()),
                         ColumnFile.text(
                                 "way",
                                 runs.stream()
-                                        .map(r -> DutiesExperiment.word(r.way()))
+                                        .map(r -> DutiesExperiment.lowerCaseWords(r.strategy()))
                                         .toList()),
                         ColumnFile.number(
                                 "seed",
                                 runs.stream().map(r -> (double) r.seed()).toList()),
                         ColumnFile.number(
-                                "served", runs.stream().map(Run::served).toList()),
-                        ColumnFile.number("worst", runs.stream().map(Run::worst).toList()),
+                                "served", runs.stream().map(Run::servedShare).toList()),
+                        ColumnFile.number("worst", runs.stream().map(Run::worstShare).toList()),
                         ColumnFile.number(
-                                "others", runs.stream().map(Run::others).toList()),
+                                "others", runs.stream().map(Run::otherSitesShare).toList()),
                         ColumnFile.number(
                                 "declared_ms",
                                 runs.stream().map(Run::declaredMs).toList()),
@@ -335,7 +345,7 @@
                                 "return_ms", runs.stream().map(Run::returnMs).toList()),
                         ColumnFile.number(
                                 "falls",
-                                runs.stream().map(r -> (double) r.falls()).toList())));
+                                runs.stream().map(r -> (double) r.coldOverloadCount()).toList())));
         Charts.sites(into.resolve("sites.png"), runs);
         int hours = 500;
         long quiet = IntStream.range(0, 8)
@@ -346,13 +356,13 @@
                 .parallel()
                 .mapToLong(i -> falseAlarms(100 + i, hours / 8 + 1, true))
                 .sum();
-        String all = tables(runs)
+        String report = tables(runs)
                 + String.format(
                         "%nLosses declared where there was none: %d in %d quiet hours, %d in %d noisy ones, five"
                                 + " sites each.%n%n",
                         quiet, 8 * (hours / 8 + 1), noisy, 8 * (hours / 8 + 1))
-                + planning() + "\n" + perRequest();
-        Files.writeString(into.resolve("sites.md"), all);
-        System.out.print(all);
+                + planningTimes() + "\n" + routingCosts();
+        Files.writeString(into.resolve("sites.md"), report);
+        System.out.print(report);
     }
 }
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -70,26 +70,26 @@
 import pewtercourse.hash.StableHash;
 
 /**
- * Several sites on a virtual clock: the real decision module and the real parts that keep sites, around modelled caches,
- * links and clients in open loop. The same seed plays the same.
+ * Simulates several sites on a virtual clock. The decision module and the failover classes are the real ones; caches, links
+ * and open-loop clients are models. Two simulations with the same seed give the same result.
  */
 final class SitesSim {
-    /** What is done about a lost site. */
-    enum Way {
-        /** Nothing: each site's clients are its own. */
+    /** How the load of a lost site is handled. The constants are written out as words in the results. */
+    enum Strategy {
+        /** No failover: each site serves only its own clients. */
         ALONE,
-        /** The nearest taker gets all, without a bound, and all comes back at once. */
+        /** The nearest failover target takes the whole load without a limit, and all load returns at once. */
         NEAREST,
-        /** All takers, by what they bear, without a bound, and all comes back at once. */
+        /** All failover targets share the load by weight without a limit, and all load returns at once. */
         PROPORTIONAL,
-        /** As built. */
+        /** The failover of the program. */
         PLANNED,
-        /** As built, but a loss is known in the instant in which it happens: what could be had at most. */
+        /** The failover of the program with losses known at once: the upper bound for every strategy. */
         SEEING
     }
 
-    /** What goes wrong. */
-    enum Trouble {
+    /** What fails during a simulation. The constants are written out as words in the results. */
+    enum Incident {
         ONE,
         TWO,
         WHOLE,
@@ -104,24 +104,33 @@
         LIST_SHRINKS
     }
 
-    /** Faults of the program itself, to see that checks find them. */
-    enum Planted {
+    /** Faults of the program that tests inject to show that the checks detect them. */
+    enum InjectedFault {
         NONE,
         RETURNS_AT_ONCE,
         NO_BOUND
     }
 
-    static final long MS = 1_000, SECOND = 1_000_000;
-    private static final long LOST_AT = 20 * SECOND, BACK_AT = 38 * SECOND, END = 90 * SECOND;
-    private static final int SITES = 5, CACHES = 4, OBJECTS = 3_000;
-    private static final double BEARS = 5; // Of one cache.
-    // What its operators say that a site bears is what it serves in time, fills among it; and what it lends of the
-    // rest.
-    private static final double IN_TIME = 0.85, LENDS = 0.5;
+    // Times of the simulation are in microseconds.
+    static final long MS = 1_000;
+    static final long SECOND = 1_000_000;
+    private static final long LOST_AT = 20 * SECOND;
+    private static final long RECOVERED_AT = 38 * SECOND;
+    private static final long SIMULATION_END = 90 * SECOND;
+    private static final int SITE_COUNT = 5;
+    private static final int CACHES_PER_SITE = 4;
+    private static final int OBJECT_COUNT = 3_000;
+    private static final double CACHE_CAPACITY = 5;
+    // The configured capacity of a site is the fraction that the site serves in time, fills included.
+    private static final double IN_TIME_FRACTION = 0.85;
+    // The fraction of its spare capacity that a site offers to lost sites.
+    private static final double LENDABLE_FRACTION = 0.5;
     private static final CacheModel.Settings CACHE =
-            new CacheModel.Settings(BEARS, 2.5, 700, 0.23, 16 * SECOND, 2, 1_500 * MS);
+            new CacheModel.Settings(CACHE_CAPACITY, 2.5, 700, 0.23, 16 * SECOND, 2, 1_500 * MS);
     private static final UpstreamModel.Settings UPSTREAM = new UpstreamModel.Settings(8, 0.75, 45 * MS, 60 * MS, 4);
-    private static final long AGREED_IN = 6 * MS, TICK = 20 * MS, TAKEN_OVER_IN = 1_300 * MS;
+    private static final long COMMIT_LATENCY = 6 * MS;
+    private static final long CONTROLLER_TICK = 20 * MS;
+    private static final long CONTROLLER_TAKEOVER = 1_300 * MS;
     private static final RequestClass[] CLASSES = {
         new RequestClass(Idempotency.SAFE, DeduplicationScope.ALL, 0, 600 * MS, 2, 5 * SECOND, false, 0, false, false),
         new RequestClass(
@@ -129,37 +138,43 @@
         new RequestClass(
                 Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 600 * MS, 0, 3 * SECOND, false, 0, false, true)
     };
-    private static final double[] WORTH = {2, 1, 3},
-            SHARE = {0.54, 0.97, 1.0},
-            MEAN_WORK = {300 * MS, 50 * MS, 30 * MS};
-    private static final double PACE = 1; // KB for a millisecond of work.
+    private static final double[] CLASS_WORTH = {2, 1, 3};
+    private static final double[] CUMULATIVE_CLASS_SHARE = {0.54, 0.97, 1.0};
+    private static final double[] MEAN_WORK_MICROS = {300 * MS, 50 * MS, 30 * MS};
+    private static final double KB_PER_WORK_MS = 1;
 
-    private record Event(long at, long order, Runnable run) {}
+    private record Event(long dueAt, long order, Runnable action) {}
 
-    /** What became of one client's request. */
-    static final class Asked {
-        final int site, cls;
-        final long at, work, object, expires;
+    /** A client's request and its result. */
+    static final class ClientRequest {
+        final int site;
+        final int classIndex;
+        final long arrivedAt;
+        final long work;
+        final long object;
+        final long deadline;
         long id;
-        int attempts, effects;
-        boolean answered, served;
+        int attemptCount;
+        int effectCount; // How often a request with a side effect was executed.
+        boolean answered;
+        boolean served;
         long answeredAt;
 
-        Asked(int site, int cls, long at, long work, long object) {
+        ClientRequest(int site, int classIndex, long arrivedAt, long work, long object) {
             this.site = site;
-            this.cls = cls;
-            this.at = at;
+            this.classIndex = classIndex;
+            this.arrivedAt = arrivedAt;
             this.work = work;
             this.object = object;
-            this.expires = at + CLASSES[cls].deadline();
+            this.deadline = arrivedAt + CLASSES[classIndex].deadline();
         }
 
-        long aim() {
-            return CLASSES[cls].latencyObjective() + (long) (CLASSES[cls].transferAllowance() * work);
+        long latencyObjective() {
+            return CLASSES[classIndex].latencyObjective() + (long) (CLASSES[classIndex].transferAllowance() * work);
         }
 
-        boolean inTime() {
-            return served && answeredAt - at <= aim();
+        boolean isServedInTime() {
+            return served && answeredAt - arrivedAt <= latencyObjective();
         }
     }
 
@@ -167,7 +182,7 @@
         final long id;
         final int site;
         final CacheModel model = new CacheModel(CACHE);
-        int life; // What was out when it died never ends.
+        int lifecycleEpoch; // Changes at each start and stop, so that transfers of an earlier epoch do not complete.
 
         Cache(long id, int site) {
             this.id = id;
@@ -175,40 +190,41 @@
         }
     }
 
-    private final class Desk {
-        final Director of;
+    /** The router of a director for one site, and the director that executes its actions. */
+    private final class SiteRouter {
+        final Director director;
         final Router router;
 
-        Desk(Director of, Router router) {
-            this.of = of;
+        SiteRouter(Director director, Router router) {
+            this.director = director;
             this.router = router;
         }
 
-        void tell(RouterEvent e) {
-            if (of.up) {
-                router.handle(now, List.of(e)).forEach(this::act);
+        void handleEvent(RouterEvent event) {
+            if (director.isUp) {
+                router.handle(now, List.of(event)).forEach(this::execute);
             }
         }
 
-        private void act(RouterAction a) {
-            if (a instanceof StartTimer t) {
-                int life = of.life;
-                at(t.dueAt(), () -> {
-                    if (of.life == life) {
-                        tell(new TimerFired(t.name()));
+        private void execute(RouterAction action) {
+            if (action instanceof StartTimer timer) {
+                int epoch = director.lifecycleEpoch;
+                schedule(timer.dueAt(), () -> {
+                    if (director.lifecycleEpoch == epoch) {
+                        handleEvent(new TimerFired(timer.name()));
                     }
                 });
-            } else if (a instanceof SendAttempt s) {
-                of.send(this, s);
-            } else if (a instanceof CancelAttempt c) {
-                of.cancel(this, c);
-            } else if (a instanceof RejectRequest r) {
-                of.end(r.requestId(), false);
-                if (this == of.home) {
-                    of.siteObservations.recordRejection(now);
+            } else if (action instanceof SendAttempt attempt) {
+                director.send(this, attempt);
+            } else if (action instanceof CancelAttempt cancel) {
+                director.cancel(this, cancel);
+            } else if (action instanceof RejectRequest rejection) {
+                director.endRequest(rejection.requestId(), false);
+                if (this == director.homeRouter) {
+                    director.siteObservations.recordRejection(now);
                 }
-            } else if (a instanceof FailRequest f) {
-                of.end(f.requestId(), false);
+            } else if (action instanceof FailRequest failure) {
+                director.endRequest(failure.requestId(), false);
             }
         }
     }
@@ -216,15 +232,15 @@
     private final class Director {
         final int site;
         final String name;
-        final Map<Long, Asked> open = new HashMap<>();
-        final Map<Long, long[]> out = new HashMap<>(); // By request: its attempt's number, a mark and its cache.
+        final Map<Long, ClientRequest> openRequests = new HashMap<>();
+        final Map<Long, long[]> runningAttempts = new HashMap<>(); // By request id: attempt number, attempt id, endpoint id.
         OverflowRouter overflowRouter;
         SiteObserver siteObservations;
         FailoverController failoverController;
-        Desk home;
-        Map<Integer, Desk> abroad = new TreeMap<>();
-        boolean up = true;
-        int life;
+        SiteRouter homeRouter;
+        Map<Integer, SiteRouter> remoteRouters = new TreeMap<>();
+        boolean isUp = true;
+        int lifecycleEpoch;
 
         Director(int site) {
             this.site = site;
@@ -233,171 +249,172 @@
         }
 
         void start() {
-            life++;
-            up = true;
-            open.clear();
-            out.clear();
-            abroad.clear();
+            lifecycleEpoch++;
+            isUp = true;
+            openRequests.clear();
+            runningAttempts.clear();
+            remoteRouters.clear();
             overflowRouter = new OverflowRouter(sites, siteName(site), 500 * MS, random.nextLong());
             siteObservations = new SiteObserver(siteName(site));
             failoverController = new FailoverController(sites);
-            home = new Desk(this, new RoutingEngine(settings(site), random.nextLong()));
-            home.tell(listed());
-            int mine = life;
-            at(now + random.nextInt((int) SECOND), () -> report(mine));
+            homeRouter = new SiteRouter(this, new RoutingEngine(settings(site), random.nextLong()));
+            homeRouter.handleEvent(endpointSnapshot());
+            int epoch = lifecycleEpoch;
+            schedule(now + random.nextInt((int) SECOND), () -> report(epoch));
         }
 
-        private void report(int mine) {
-            if (!up || life != mine) {
+        private void report(int epoch) {
+            if (!isUp || lifecycleEpoch != epoch) {
                 return;
             }
             Map<String, Integer> ready = new TreeMap<>();
-            listedReady.forEach(c -> ready.merge(siteName(c.site), 1, Integer::sum));
-            Map<String, SiteObservation> told = siteObservations.observe(now, sites, ready, Map.of("hub", 2));
-            agree(() -> directors.forEach(d -> {
-                if (d.up) {
-                    d.failoverController.detector().observe(now, name, told);
+            listedCaches.forEach(c -> ready.merge(siteName(c.site), 1, Integer::sum));
+            Map<String, SiteObservation> observations = siteObservations.observe(now, sites, ready, Map.of("hub", 2));
+            scheduleAfterCommit(() -> directors.forEach(d -> {
+                if (d.isUp) {
+                    d.failoverController.detector().observe(now, name, observations);
                 }
             }));
-            at(now + SECOND, () -> report(mine));
+            schedule(now + SECOND, () -> report(epoch));
         }
 
-        private EndpointsChanged listed() {
+        private EndpointsChanged endpointSnapshot() {
             List<Endpoint> list = new ArrayList<>();
-            listedReady.forEach(c -> list.add(new Endpoint(
+            listedCaches.forEach(c -> list.add(new Endpoint(
                     c.id, c.site, EndpointRole.CACHE, 0, EndpointLifecycle.READY, 1, c.model.startedAt())));
-            list.add(new Endpoint(900, SITES, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
-            list.add(new Endpoint(901, SITES, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
-            list.add(new Endpoint(999, SITES, EndpointRole.ORIGIN, 0, EndpointLifecycle.READY, 1, 0));
+            list.add(new Endpoint(900, SITE_COUNT, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
+            list.add(new Endpoint(901, SITE_COUNT, EndpointRole.PARENT, 0, EndpointLifecycle.READY, 1, 0));
+            list.add(new Endpoint(999, SITE_COUNT, EndpointRole.ORIGIN, 0, EndpointLifecycle.READY, 1, 0));
             return new EndpointsChanged(EndpointUpdateKind.SNAPSHOT, list);
         }
 
-        void relist() {
-            home.tell(listed());
-            abroad.values().forEach(d -> d.tell(listed()));
-            overflowRouter.setOwnCachesListed(listedReady.stream().anyMatch(c -> c.site == site));
+        void sendEndpointSnapshot() {
+            homeRouter.handleEvent(endpointSnapshot());
+            remoteRouters.values().forEach(d -> d.handleEvent(endpointSnapshot()));
+            overflowRouter.setOwnCachesListed(listedCaches.stream().anyMatch(c -> c.site == site));
         }
 
-        void arrive(Asked q) {
-            q.id = nextId++;
-            open.put(q.id, q);
-            int life0 = life;
-            at(q.expires - 40 * MS, () -> {
-                if (life == life0 && open.containsKey(q.id)) {
-                    overdue++;
-                    end(q.id, false);
+        void arrive(ClientRequest request) {
+            request.id = nextRequestId++;
+            openRequests.put(request.id, request);
+            int epoch = lifecycleEpoch;
+            schedule(request.deadline - 40 * MS, () -> {
+                if (lifecycleEpoch == epoch && openRequests.containsKey(request.id)) {
+                    overdueCount++;
+                    endRequest(request.id, false);
                 }
             });
-            siteObservations.recordRequest(now, q.work);
-            boolean must = CLASSES[q.cls].idempotency() == Idempotency.NON_IDEMPOTENT;
-            OverflowDecision c = overflowRouter.choose(
+            siteObservations.recordRequest(now, request.work);
+            boolean nonIdempotent = CLASSES[request.classIndex].idempotency() == Idempotency.NON_IDEMPOTENT;
+            OverflowDecision decision = overflowRouter.choose(
                     now,
                     new OverflowRequest(
-                            q.object,
-                            WORTH[q.cls],
-                            q.work,
-                            CLASSES[q.cls].latencyObjective(),
-                            q.expires,
-                            q.work,
-                            must,
+                            request.object,
+                            CLASS_WORTH[request.classIndex],
+                            request.work,
+                            CLASSES[request.classIndex].latencyObjective(),
+                            request.deadline,
+                            request.work,
+                            nonIdempotent,
                             false));
-            if (c.rejected()) {
-                shed++;
-                end(q.id, false);
+            if (decision.rejected()) {
+                rejectedCount++;
+                endRequest(request.id, false);
                 return;
             }
-            int to = Integer.parseInt(c.site().orElseThrow().substring(1));
-            if (to != site) {
-                crossed++;
+            int targetSite = Integer.parseInt(decision.site().orElseThrow().substring(1));
+            if (targetSite != site) {
+                remoteCount++;
             }
-            Desk desk = to == site
-                    ? home
-                    : abroad.computeIfAbsent(to, t -> {
-                        Desk d = new Desk(
+            SiteRouter siteRouter = targetSite == site
+                    ? homeRouter
+                    : remoteRouters.computeIfAbsent(targetSite, remoteSite -> {
+                        SiteRouter d = new SiteRouter(
                                 this,
                                 new RoutingEngine(
-                                        settings(site).forRemoteZone(t, List.of(CLASSES)), random.nextLong()));
-                        d.tell(new QuotaChanged(0));
-                        d.tell(listed());
+                                        settings(site).forRemoteZone(remoteSite, List.of(CLASSES)), random.nextLong()));
+                        d.handleEvent(new QuotaChanged(0));
+                        d.handleEvent(endpointSnapshot());
                         return d;
                     });
-            desk.tell(new RequestArrived(
-                    q.id,
-                    q.cls,
-                    Long.toHexString(q.object),
+            siteRouter.handleEvent(new RequestArrived(
+                    request.id,
+                    request.classIndex,
+                    Long.toHexString(request.object),
                     0,
                     0,
-                    q.work / (double) MS * PACE,
-                    q.expires - 100 * MS,
+                    request.work / (double) MS * KB_PER_WORK_MS,
+                    request.deadline - 100 * MS,
                     false,
-                    CLASSES[q.cls].uncacheable()));
+                    CLASSES[request.classIndex].uncacheable()));
         }
 
-        void send(Desk desk, SendAttempt s) {
-            Asked q = open.get(s.requestId());
-            if (q == null) {
+        void send(SiteRouter siteRouter, SendAttempt s) {
+            ClientRequest request = openRequests.get(s.requestId());
+            if (request == null) {
                 return;
             }
-            int number = q.attempts++;
-            long began = now, mark = ++marks;
-            out.put(s.requestId(), new long[] {number, mark, s.endpointId()});
-            Cache c = byId.get(s.endpointId());
-            boolean unreached = cutFrom.contains(site * 100 + c.site);
+            int attemptNumber = request.attemptCount++;
+            long startedAt = now;
+            long attemptId = ++lastAttemptId;
+            runningAttempts.put(s.requestId(), new long[] {attemptNumber, attemptId, s.endpointId()});
+            Cache c = cachesById.get(s.endpointId());
+            boolean unreachable = cutLinks.contains(site * 100 + c.site);
             boolean fills = s.fillSourceId() != s.endpointId();
-            CacheModel.Answer a = unreached
+            CacheModel.Answer answer = unreachable
                     ? new CacheModel.Answer(CacheModel.Outcome.DOWN, 0, 0)
                     : c.model.handleRequest(
                             now,
-                            q.object,
-                            q.work,
+                            request.object,
+                            request.work,
                             fills,
-                            desk == home ? s.retentionRank() : Math.min(1, s.retentionRank()),
+                            siteRouter == homeRouter ? s.retentionRank() : Math.min(1, s.retentionRank()),
                             s.maxAge());
-            boolean silent = unreached || c.model.isUp() == false && vanished.contains(c.site);
-            int cacheLife = c.life;
-            long slow = slowSite == c.site ? 3 : 1;
-            long until = s.timeout() > 0 ? Math.min(q.expires - 40 * MS, now + s.timeout()) : q.expires - 40 * MS;
-            switch (a.outcome()) {
+            boolean connectTimesOut = unreachable || c.model.isUp() == false && sitesWithVanishedCaches.contains(c.site);
+            int cacheEpoch = c.lifecycleEpoch;
+            long slowdownFactor = slowSite == c.site ? 3 : 1;
+            long attemptDeadline = s.timeout() > 0 ? Math.min(request.deadline - 40 * MS, now + s.timeout()) : request.deadline - 40 * MS;
+            switch (answer.outcome()) {
                 case DOWN ->
-                    ended(
-                            desk,
+                    scheduleAttemptEnd(
+                            siteRouter,
                             s,
-                            number,
-                            mark,
-                            began,
-                            now + (silent ? 400 * MS : MS),
-                            silent ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
+                            attemptNumber,
+                            attemptId,
+                            startedAt,
+                            now + (connectTimesOut ? 400 * MS : MS),
+                            connectTimesOut ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
                             CacheStatus.UNKNOWN);
-                case FULL -> ended(desk, s, number, mark, began, now + MS, AttemptResult.FULL, CacheStatus.UNKNOWN);
-                case MISS -> ended(desk, s, number, mark, began, now + MS, AttemptResult.MISS, CacheStatus.UNKNOWN);
+                case FULL -> scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, now + MS, AttemptResult.FULL, CacheStatus.UNKNOWN);
+                case MISS -> scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, now + MS, AttemptResult.MISS, CacheStatus.UNKNOWN);
                 default -> {
-                    if (CLASSES[q.cls].uncacheable()) {
-                        q.effects++;
+                    if (CLASSES[request.classIndex].uncacheable()) {
+                        request.effectCount++;
                     }
-                    boolean fill = a.outcome() == CacheModel.Outcome.FILL;
-                    UpstreamModel.Fill up =
-                            fill ? upstream[c.site].begin(q.object, CLASSES[q.cls].uncacheable()) : null;
-                    long filling = fill ? up.durationMicros() + q.work / 3 : 0;
-                    long at = now + slow * (a.durationMicros() + filling) + (c.site == site ? 0 : 8 * MS);
-                    at(Math.min(at, until), () -> {
-                        if (c.life == cacheLife) {
+                    boolean fill = answer.outcome() == CacheModel.Outcome.FILL;
+                    UpstreamModel.Fill upstreamFill =
+                            fill ? upstreams[c.site].begin(request.object, CLASSES[request.classIndex].uncacheable()) : null;
+                    long fillDuration = fill ? upstreamFill.durationMicros() + request.work / 3 : 0;
+                    long completesAt = now + slowdownFactor * (answer.durationMicros() + fillDuration) + (c.site == site ? 0 : 8 * MS);
+                    schedule(Math.min(completesAt, attemptDeadline), () -> {
+                        if (c.lifecycleEpoch == cacheEpoch) {
                             c.model.endTransfer();
                         }
                         if (fill) {
-                            upstream[c.site].end(up);
+                            upstreams[c.site].end(upstreamFill);
                         }
                     });
-                    if (at > until) {
-                        ended(desk, s, number, mark, began, until, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
+                    if (completesAt > attemptDeadline) {
+                        scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, attemptDeadline, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
                     } else {
-                        at(at, () -> {
-                            boolean died = c.life != cacheLife;
-                            close(
-                                    desk,
+                        schedule(completesAt, () -> {
+                            boolean died = c.lifecycleEpoch != cacheEpoch;
+                            finishAttempt(
+                                    siteRouter,
                                     s,
-                                    number,
-                                    mark,
-                                    began,
+                                    attemptNumber,
+                                    attemptId,
+                                    startedAt,
                                     died ? AttemptResult.RESET : AttemptResult.SERVED,
                                     died ? CacheStatus.UNKNOWN : fill ? CacheStatus.FILLED : CacheStatus.HIT);
                         });
@@ -406,36 +423,36 @@
             }
         }
 
-        private void ended(
-                Desk desk,
+        private void scheduleAttemptEnd(
+                SiteRouter siteRouter,
                 SendAttempt s,
-                int number,
-                long mark,
-                long began,
-                long at,
-                AttemptResult end,
-                CacheStatus note) {
-            at(at, () -> close(desk, s, number, mark, began, end, note));
-        }
-
-        private void close(
-                Desk desk, SendAttempt s, int number, long mark, long began, AttemptResult end, CacheStatus note) {
-            long[] is = out.get(s.requestId());
-            if (is == null || is[1] != mark) {
+                int attemptNumber,
+                long attemptId,
+                long startedAt,
+                long endsAt,
+                AttemptResult result,
+                CacheStatus cacheStatus) {
+            schedule(endsAt, () -> finishAttempt(siteRouter, s, attemptNumber, attemptId, startedAt, result, cacheStatus));
+        }
+
+        private void finishAttempt(
+                SiteRouter siteRouter, SendAttempt s, int attemptNumber, long attemptId, long startedAt, AttemptResult result, CacheStatus cacheStatus) {
+            long[] runningAttempt = runningAttempts.get(s.requestId());
+            if (runningAttempt == null || runningAttempt[1] != attemptId) {
                 return;
             }
-            out.remove(s.requestId());
-            Asked q = open.get(s.requestId());
-            boolean over = q == null;
-            Cache c = byId.get(s.endpointId());
-            if (q != null) {
-                siteObservations.recordAttempt(now, siteName(c.site), end, now - began > q.aim());
-                if (end == AttemptResult.SERVED) {
-                    end(s.requestId(), true);
-                    over = true;
+            runningAttempts.remove(s.requestId());
+            ClientRequest request = openRequests.get(s.requestId());
+            boolean requestEnded = request == null;
+            Cache c = cachesById.get(s.endpointId());
+            if (request != null) {
+                siteObservations.recordAttempt(now, siteName(c.site), result, now - startedAt > request.latencyObjective());
+                if (result == AttemptResult.SERVED) {
+                    endRequest(s.requestId(), true);
+                    requestEnded = true;
                 }
             }
-            AttemptOutcome ending = switch (end) {
+            AttemptOutcome outcome = switch (result) {
                 case SERVED -> AttemptOutcome.OK;
                 case MISS -> AttemptOutcome.MISS;
                 case FULL -> AttemptOutcome.OVERLOADED;
@@ -444,125 +461,136 @@
                 case CANCELLED -> AttemptOutcome.CANCELLED;
                 default -> AttemptOutcome.TIMEOUT;
             };
-            desk.tell(new AttemptFinished(s.requestId(), number, s.endpointId(), ending, now - began, over, note));
-        }
-
-        void cancel(Desk desk, CancelAttempt c) {
-            long[] is = out.get(c.requestId());
-            if (is != null && is[0] == c.attempt()) {
-                // The module hears of it as of any end, in the next instant.
-                Asked q = open.get(c.requestId());
-                long mark = is[1];
-                at(now, () -> {
-                    long[] still = out.get(c.requestId());
-                    if (still != null && still[1] == mark) {
-                        out.remove(c.requestId());
-                        desk.tell(new AttemptFinished(
+            siteRouter.handleEvent(new AttemptFinished(s.requestId(), attemptNumber, s.endpointId(), outcome, now - startedAt, requestEnded, cacheStatus));
+        }
+
+        void cancel(SiteRouter siteRouter, CancelAttempt c) {
+            long[] runningAttempt = runningAttempts.get(c.requestId());
+            if (runningAttempt != null && runningAttempt[0] == c.attempt()) {
+                // The end of a cancelled attempt reaches the router as a later event, like any other end.
+                ClientRequest request = openRequests.get(c.requestId());
+                long attemptId = runningAttempt[1];
+                schedule(now, () -> {
+                    long[] current = runningAttempts.get(c.requestId());
+                    if (current != null && current[1] == attemptId) {
+                        runningAttempts.remove(c.requestId());
+                        siteRouter.handleEvent(new AttemptFinished(
                                 c.requestId(),
-                                (int) still[0],
-                                still[2],
+                                (int) current[0],
+                                current[2],
                                 AttemptOutcome.CANCELLED,
                                 0,
-                                q == null,
+                                request == null,
                                 CacheStatus.UNKNOWN));
                     }
                 });
             }
         }
 
-        void end(long id, boolean served) {
-            Asked q = open.remove(id);
-            if (q != null && !q.answered) {
-                q.answered = true;
-                q.served = served;
-                q.answeredAt = now;
-            } else if (q != null) {
-                trouble = "two answers";
+        void endRequest(long id, boolean served) {
+            ClientRequest request = openRequests.remove(id);
+            if (request != null && !request.answered) {
+                request.answered = true;
+                request.served = served;
+                request.answeredAt = now;
+            } else if (request != null) {
+                violation = "request " + id + " got two answers";
             }
         }
     }
 
-    final Way way;
-    final Trouble kind;
+    final Strategy strategy;
+    final Incident incident;
     final Sites sites;
-    final List<Asked> asked = new ArrayList<>();
+    final List<ClientRequest> clientRequests = new ArrayList<>();
     final Map<Long, Integer> phases = new TreeMap<>();
-    private final Planted planted;
+    private final InjectedFault injectedFault;
     private final Random random;
-    private final RandomGenerator draws;
-    private final LogNormalDistribution[] sizes = new LogNormalDistribution[2];
+    private final RandomGenerator distributionRandom;
+    private final LogNormalDistribution[] workDistributions = new LogNormalDistribution[2];
     private final ZipfDistribution popularity;
     private final PriorityQueue<Event> queue = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+            (a, b) -> a.dueAt() != b.dueAt() ? Long.compare(a.dueAt(), b.dueAt()) : Long.compare(a.order(), b.order()));
     private final List<Cache> caches = new ArrayList<>();
-    private final Map<Long, Cache> byId = new HashMap<>();
-    private final List<Cache> listedReady = new ArrayList<>();
+    private final Map<Long, Cache> cachesById = new HashMap<>();
+    private final List<Cache> listedCaches = new ArrayList<>();
     private final List<Director> directors = new ArrayList<>();
-    private final Set<Integer> vanished = new HashSet<>(), cutFrom = new HashSet<>();
-    private final UpstreamModel[] upstream = new UpstreamModel[SITES];
-    private final double[] load = new double[SITES];
+    private final Set<Integer> sitesWithVanishedCaches = new HashSet<>();
+    private final Set<Integer> cutLinks = new HashSet<>(); // Director's site * 100 + cache's site.
+    private final UpstreamModel[] upstreams = new UpstreamModel[SITE_COUNT];
+    private final double[] siteLoads = new double[SITE_COUNT];
     private FailoverState failover = new FailoverState();
-    private int failoverController;
-    long now, nextId = 1, entry, shed, crossed, overdue, declaredAt = -1, wholeAt = -1, falseAlarms;
-    private long order, marks, controllerFrom;
+    private int controllerSite;
+    long now;
+    long nextRequestId = 1;
+    long lastLogIndex;
+    long rejectedCount;
+    long remoteCount; // Requests that were routed to another site.
+    long overdueCount;
+    long lossDeclaredAt = -1;
+    long restoredAt = -1;
+    long falseAlarmCount;
+    private long nextEventOrder;
+    private long lastAttemptId;
+    private long controllerActiveFrom;
     private int slowSite = -1;
-    String trouble;
+    String violation;
 
-    SitesSim(long seed, Way way, Trouble kind, Planted planted) {
-        this.way = way;
-        this.kind = kind;
-        this.planted = planted;
+    SitesSim(long seed, Strategy strategy, Incident incident, InjectedFault injectedFault) {
+        this.strategy = strategy;
+        this.incident = incident;
+        this.injectedFault = injectedFault;
         this.random = new Random(seed);
-        this.draws = new Well19937c(seed);
-        this.popularity = new ZipfDistribution(draws, OBJECTS, 0.9);
+        this.distributionRandom = new Well19937c(seed);
+        this.popularity = new ZipfDistribution(distributionRandom, OBJECT_COUNT, 0.9);
         for (int i = 0; i < 2; i++) {
             double sigma = 0.6;
-            sizes[i] = new LogNormalDistribution(draws, Math.log(MEAN_WORK[i]) - sigma * sigma / 2, sigma);
+            workDistributions[i] = new LogNormalDistribution(distributionRandom, Math.log(MEAN_WORK_MICROS[i]) - sigma * sigma / 2, sigma);
         }
-        TreeMap<String, Site> all = new TreeMap<>();
-        for (int i = 0; i < SITES; i++) {
-            load[i] = (0.5 + 0.2 * random.nextDouble()) * BEARS * CACHES;
+        TreeMap<String, Site> sitesByName = new TreeMap<>();
+        for (int i = 0; i < SITE_COUNT; i++) {
+            siteLoads[i] = (0.5 + 0.2 * random.nextDouble()) * CACHE_CAPACITY * CACHES_PER_SITE;
         }
-        for (int i = 0; i < SITES; i++) {
-            List<Site.FailoverTarget> takers = new ArrayList<>();
-            for (int d = 1; d < SITES; d++) {
-                int step = Math.min(d, SITES - d);
-                takers.add(new Site.FailoverTarget(siteName((i + d) % SITES), step));
+        for (int i = 0; i < SITE_COUNT; i++) {
+            List<Site.FailoverTarget> failoverTargets = new ArrayList<>();
+            for (int offset = 1; offset < SITE_COUNT; offset++) {
+                int distance = Math.min(offset, SITE_COUNT - offset);
+                failoverTargets.add(new Site.FailoverTarget(siteName((i + offset) % SITE_COUNT), distance));
             }
-            takers.sort((a, b) -> Double.compare(a.distance(), b.distance()));
-            all.put(
+            failoverTargets.sort((a, b) -> Double.compare(a.distance(), b.distance()));
+            sitesByName.put(
                     siteName(i),
-                    new Site(siteName(i), "hub", Set.of("d" + i), IN_TIME * BEARS * CACHES, LENDS, 0.5, 0, takers));
+                    new Site(siteName(i), "hub", Set.of("d" + i), IN_TIME_FRACTION * CACHE_CAPACITY * CACHES_PER_SITE, LENDABLE_FRACTION, 0.5, 0, failoverTargets));
         }
-        boolean steps = way == Way.PLANNED || way == Way.SEEING;
+        boolean returnsInSteps = strategy == Strategy.PLANNED || strategy == Strategy.SEEING;
         this.sites = new Sites(
-                all,
+                sitesByName,
                 0.5,
                 new FailoverTiming(
                         1_500 * MS,
                         2 * SECOND,
                         120 * SECOND,
                         1_500 * MS,
-                        steps && planted != Planted.RETURNS_AT_ONCE ? List.of(0.15, 0.3, 0.5, 0.75, 1.0) : List.of(1.0),
+                        returnsInSteps && injectedFault != InjectedFault.RETURNS_AT_ONCE ? List.of(0.15, 0.3, 0.5, 0.75, 1.0) : List.of(1.0),
                         3 * SECOND));
-        for (int s = 0; s < SITES; s++) {
-            upstream[s] = new UpstreamModel(UPSTREAM); // The part of it that this site's link and hub have.
-            for (int c = 0; c < CACHES; c++) {
-                Cache x = new Cache(1 + s * 10 + c, s);
-                caches.add(x);
-                byId.put(x.id, x);
-                listedReady.add(x);
+        for (int s = 0; s < SITE_COUNT; s++) {
+            upstreams[s] = new UpstreamModel(UPSTREAM); // The capacity of this site's link and hub.
+            for (int c = 0; c < CACHES_PER_SITE; c++) {
+                Cache cache = new Cache(1 + s * 10 + c, s);
+                caches.add(cache);
+                cachesById.put(cache.id, cache);
+                listedCaches.add(cache);
             }
         }
-        for (int s = 0; s < SITES; s++) {
+        for (int s = 0; s < SITE_COUNT; s++) {
             directors.add(new Director(s));
         }
-        failoverController = kind == Trouble.WHOLE ? 0 : random.nextInt(SITES);
-        for (int s = 0; s < SITES; s++) {
-            ask(s);
+        controllerSite = incident == Incident.WHOLE ? 0 : random.nextInt(SITE_COUNT);
+        for (int s = 0; s < SITE_COUNT; s++) {
+            scheduleNextRequest(s);
         }
-        at(TICK, this::keep);
-        script();
+        schedule(CONTROLLER_TICK, this::runController);
+        scheduleIncident();
     }
 
     private static String siteName(int i) {
@@ -570,13 +598,13 @@
     }
 
     private static RouterSettings settings(int site) {
-        int[] seats = new int[SITES + 1];
-        java.util.Arrays.fill(seats, 0, SITES, 1);
+        int[] zoneWeights = new int[SITE_COUNT + 1];
+        java.util.Arrays.fill(zoneWeights, 0, SITE_COUNT, 1);
         return new RouterSettings(
                 new RouterTopology(
-                        site, SITES, site, Arrays.stream(seats).boxed().toList()),
+                        site, SITE_COUNT, site, Arrays.stream(zoneWeights).boxed().toList()),
                 List.of(CLASSES),
-                new Bandwidth(PACE * 1_000, 0),
+                new Bandwidth(KB_PER_WORK_MS * 1_000, 0),
                 new RouterFeatures(true, false, false, false, true),
                 new RetryLimits(500 * MS, 6),
                 new UpstreamFeatures(true, false, SiblingFillPolicy.OWN_ZONE, CacheStatusDetail.HITS),
@@ -585,130 +613,130 @@
                 6 * SECOND);
     }
 
-    void at(long time, Runnable run) {
-        queue.add(new Event(Math.max(now, time), order++, run));
+    void schedule(long time, Runnable action) {
+        queue.add(new Event(Math.max(now, time), nextEventOrder++, action));
     }
 
-    private void agree(Runnable then) {
-        at(now + AGREED_IN, then);
+    private void scheduleAfterCommit(Runnable then) {
+        schedule(now + COMMIT_LATENCY, then);
     }
 
-    // ---- Clients: in open loop, their own site's director, or another's where that is dead ----
+    // ---- Clients: open loop; a request goes to the director of its site or, if that is dead, of the next site ----
 
-    private void ask(int site) {
-        double busy = 1 + 0.15 * Math.sin(now / 1e6 / 90 * Math.PI); // The busiest minute is in the middle.
+    private void scheduleNextRequest(int site) {
+        double loadFactor = 1 + 0.15 * Math.sin(now / 1e6 / 90 * Math.PI); // The load peaks in the middle of the simulation.
         double meanWork =
-                SHARE[0] * MEAN_WORK[0] + (SHARE[1] - SHARE[0]) * MEAN_WORK[1] + (1 - SHARE[1]) * MEAN_WORK[2];
-        double perS = load[site] / 1.12 * busy / meanWork * 1e6;
-        at(now + (long) (-Math.log(1 - random.nextDouble()) / perS * 1e6), () -> {
-            double u = random.nextDouble();
-            int cls = u < SHARE[0] ? 0 : u < SHARE[1] ? 1 : 2;
-            long work = cls == 2 ? (long) MEAN_WORK[2] : (long) Math.min(3e6, Math.max(5e3, sizes[cls].sample()));
-            long object = StableHash.of(cls == 2 ? "o" + nextId : cls + "/" + popularity.sample());
-            boolean odd = now > LOST_AT && now < BACK_AT + 10 * SECOND && cls == 0;
-            if (kind == Trouble.SCAN && odd && random.nextDouble() < 0.2) {
-                object = random.nextLong(); // Wanted once.
-            } else if (kind == Trouble.OVERSIZED && odd && random.nextDouble() < 0.02) {
+                CUMULATIVE_CLASS_SHARE[0] * MEAN_WORK_MICROS[0] + (CUMULATIVE_CLASS_SHARE[1] - CUMULATIVE_CLASS_SHARE[0]) * MEAN_WORK_MICROS[1] + (1 - CUMULATIVE_CLASS_SHARE[1]) * MEAN_WORK_MICROS[2];
+        double requestsPerSecond = siteLoads[site] / 1.12 * loadFactor / meanWork * 1e6;
+        schedule(now + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e6), () -> {
+            double classDraw = random.nextDouble();
+            int classIndex = classDraw < CUMULATIVE_CLASS_SHARE[0] ? 0 : classDraw < CUMULATIVE_CLASS_SHARE[1] ? 1 : 2;
+            long work = classIndex == 2 ? (long) MEAN_WORK_MICROS[2] : (long) Math.min(3e6, Math.max(5e3, workDistributions[classIndex].sample()));
+            long object = StableHash.of(classIndex == 2 ? "o" + nextRequestId : classIndex + "/" + popularity.sample());
+            boolean specialTraffic = now > LOST_AT && now < RECOVERED_AT + 10 * SECOND && classIndex == 0;
+            if (incident == Incident.SCAN && specialTraffic && random.nextDouble() < 0.2) {
+                object = random.nextLong(); // An object that is requested only once.
+            } else if (incident == Incident.OVERSIZED && specialTraffic && random.nextDouble() < 0.02) {
                 work = 12 * work;
                 object = StableHash.of("large" + random.nextInt(5));
             }
-            Asked q = new Asked(site, cls, now, work, object);
-            asked.add(q);
+            ClientRequest request = new ClientRequest(site, classIndex, now, work, object);
+            clientRequests.add(request);
             Director d = directors.get(site);
-            for (int i = 1; !d.up && i < SITES; i++) {
-                d = directors.get((site + i) % SITES);
+            for (int i = 1; !d.isUp && i < SITE_COUNT; i++) {
+                d = directors.get((site + i) % SITE_COUNT);
             }
-            if (d.up) {
-                d.arrive(q);
+            if (d.isUp) {
+                d.arrive(request);
             }
-            ask(site);
+            scheduleNextRequest(site);
         });
     }
 
-    // ---- The controller of the sites ----
+    // ---- The failover controller ----
 
-    private void keep() {
-        at(now + TICK, this::keep);
-        if (!directors.get(failoverController).up) {
-            for (int i = 0; i < SITES; i++) {
-                if (directors.get(i).up) {
-                    failoverController = i;
+    private void runController() {
+        schedule(now + CONTROLLER_TICK, this::runController);
+        if (!directors.get(controllerSite).isUp) {
+            for (int i = 0; i < SITE_COUNT; i++) {
+                if (directors.get(i).isUp) {
+                    controllerSite = i;
                 }
             }
-            controllerFrom = now + TAKEN_OVER_IN;
+            controllerActiveFrom = now + CONTROLLER_TAKEOVER;
         }
-        Director d = directors.get(failoverController);
-        if (way == Way.ALONE || now < controllerFrom || !d.up) {
+        Director d = directors.get(controllerSite);
+        if (strategy == Strategy.ALONE || now < controllerActiveFrom || !d.isUp) {
             return;
         }
         Set<String> absent = new TreeSet<>();
         directors.forEach(x -> {
-            if (!x.up) {
+            if (!x.isUp) {
                 absent.add(x.name);
             }
         });
-        for (SiteStatusChange o : d.failoverController.proposeChanges(now, failover, absent)) {
-            if (way != Way.SEEING || o.phase() == SiteStatus.Phase.RETURNING || o.phase() == SiteStatus.Phase.WHOLE) {
-                declare(o);
+        for (SiteStatusChange change : d.failoverController.proposeChanges(now, failover, absent)) {
+            if (strategy != Strategy.SEEING || change.phase() == SiteStatus.Phase.RETURNING || change.phase() == SiteStatus.Phase.WHOLE) {
+                commitStatusChange(change);
             }
         }
-        FailoverPlanRequest q = d.failoverController.requestPlan(now, failover).orElse(null);
-        if (q != null) {
-            FailoverPlan plan = plan(q);
+        FailoverPlanRequest request = d.failoverController.requestPlan(now, failover).orElse(null);
+        if (request != null) {
+            FailoverPlan plan = computePlan(request);
             d.failoverController.planComputed(now, plan);
             FailoverPlan changed =
                     d.failoverController.takeComputedPlan(failover).orElse(null);
             if (changed != null) {
-                agree(() -> {
+                scheduleAfterCommit(() -> {
                     failover.setPlan(changed);
-                    follow();
+                    applyCommittedState();
                 });
             }
         }
     }
 
-    private void declare(SiteStatusChange o) {
-        agree(() -> {
-            if (failover.changeStatus(++entry, o)) {
-                boolean lost = o.phase() == SiteStatus.Phase.LOST;
+    private void commitStatusChange(SiteStatusChange change) {
+        scheduleAfterCommit(() -> {
+            if (failover.changeStatus(++lastLogIndex, change)) {
+                boolean lost = change.phase() == SiteStatus.Phase.LOST;
                 boolean dead = caches.stream()
-                        .filter(c -> siteName(c.site).equals(o.site()))
+                        .filter(c -> siteName(c.site).equals(change.site()))
                         .noneMatch(c -> c.model.isUp());
-                if (lost && declaredAt < 0) {
-                    declaredAt = now;
+                if (lost && lossDeclaredAt < 0) {
+                    lossDeclaredAt = now;
                 }
-                falseAlarms += lost && !dead && o.flaps() == 0 ? 1 : 0;
-                if (o.phase() == SiteStatus.Phase.WHOLE && declaredAt >= 0) {
-                    wholeAt = now;
+                falseAlarmCount += lost && !dead && change.flaps() == 0 ? 1 : 0;
+                if (change.phase() == SiteStatus.Phase.WHOLE && lossDeclaredAt >= 0) {
+                    restoredAt = now;
                 }
-                follow();
+                applyCommittedState();
             }
         });
     }
 
-    private void follow() {
+    private void applyCommittedState() {
         directors.forEach(x -> {
-            if (x.up) {
+            if (x.isUp) {
                 x.failoverController.trackChanges(now, failover);
                 x.overflowRouter.follow(now, failover, 1);
             }
         });
     }
 
-    private FailoverPlan plan(FailoverPlanRequest q) {
-        if (way == Way.PLANNED || way == Way.SEEING) {
-            FailoverPlan p = new FailoverPlanner().plan(sites, q);
-            return planted == Planted.NO_BOUND ? unbounded(p, q.lost()) : p;
+    private FailoverPlan computePlan(FailoverPlanRequest request) {
+        if (strategy == Strategy.PLANNED || strategy == Strategy.SEEING) {
+            FailoverPlan p = new FailoverPlanner().plan(sites, request);
+            return injectedFault == InjectedFault.NO_BOUND ? unbounded(p, request.lost()) : p;
         }
         TreeMap<String, java.util.SortedMap<String, FailoverPlan.Distribution>> cases = new TreeMap<>();
         for (String s : sites.byName().keySet()) {
-            Set<String> lost = new TreeSet<>(q.lost());
+            Set<String> lost = new TreeSet<>(request.lost());
             lost.add(s);
             java.util.SortedMap<String, FailoverPlan.Distribution> shares = new TreeMap<>();
             for (String l : lost) {
                 List<FailoverPlan.Allocation> parts = new ArrayList<>();
                 for (Site.FailoverTarget t : sites.byName().get(l).failoverTargets()) {
-                    if (!lost.contains(t.site()) && (way == Way.PROPORTIONAL || parts.isEmpty())) {
+                    if (!lost.contains(t.site()) && (strategy == Strategy.PROPORTIONAL || parts.isEmpty())) {
                         parts.add(new FailoverPlan.Allocation(t.site(), 1, 1e6));
                     }
                 }
@@ -735,173 +763,174 @@
         return new FailoverPlan(cases);
     }
 
-    // ---- What goes wrong ----
+    // ---- Incidents ----
 
-    private void script() {
-        int other = 1 + random.nextInt(SITES - 1);
-        switch (kind) {
-            case ONE -> lose(0, LOST_AT, BACK_AT, false);
+    private void scheduleIncident() {
+        int other = 1 + random.nextInt(SITE_COUNT - 1);
+        switch (incident) {
+            case ONE -> loseSite(0, LOST_AT, RECOVERED_AT, false);
             case TWO -> {
-                lose(0, LOST_AT, BACK_AT, false);
-                lose(other, LOST_AT + 4 * SECOND, BACK_AT + 3 * SECOND, false);
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
+                loseSite(other, LOST_AT + 4 * SECOND, RECOVERED_AT + 3 * SECOND, false);
             }
-            case WHOLE -> lose(0, LOST_AT, BACK_AT, true);
+            case WHOLE -> loseSite(0, LOST_AT, RECOVERED_AT, true);
             case FLAPS -> {
-                lose(0, LOST_AT, BACK_AT, false);
-                lose(0, BACK_AT + 6 * SECOND, BACK_AT + 12 * SECOND, false);
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
+                loseSite(0, RECOVERED_AT + 6 * SECOND, RECOVERED_AT + 12 * SECOND, false);
             }
             case SEEN_BY_HALF -> {
-                // Only directors of other sites lose sight of it: nothing is to be declared.
-                at(LOST_AT, () -> {
-                    cutFrom.add(100 + 0);
-                    cutFrom.add(200 + 0);
+                // Only the directors of two other sites lose contact, so no loss must be declared.
+                schedule(LOST_AT, () -> {
+                    cutLinks.add(100 + 0);
+                    cutLinks.add(200 + 0);
                 });
-                at(BACK_AT, cutFrom::clear);
+                schedule(RECOVERED_AT, cutLinks::clear);
             }
             case CACHES_VANISH -> {
-                vanished.add(0);
-                lose(0, LOST_AT, BACK_AT, false);
+                sitesWithVanishedCaches.add(0);
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
             }
             case SLOW -> {
-                at(LOST_AT, () -> slowSite = 0);
-                at(BACK_AT, () -> slowSite = -1);
+                schedule(LOST_AT, () -> slowSite = 0);
+                schedule(RECOVERED_AT, () -> slowSite = -1);
             }
             case COPIES_VOID -> {
-                lose(0, LOST_AT, BACK_AT, false);
-                at(BACK_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.discardCopies()));
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
+                schedule(RECOVERED_AT + 7 * SECOND, () -> caches.forEach(c -> c.model.discardCopies()));
             }
-            case SCAN, OVERSIZED -> lose(0, LOST_AT, BACK_AT, false);
+            case SCAN, OVERSIZED -> loseSite(0, LOST_AT, RECOVERED_AT, false);
             case LIST_SHRINKS -> {
-                // For some seconds half of a site that is well is missing from all lists; then another is lost.
-                at(LOST_AT - 12 * SECOND, () -> {
-                    listedReady.removeIf(c -> c.site == 2 && c.id % 2 == 0);
-                    directors.forEach(Director::relist);
+                // Half of the caches of a healthy site are missing from all lists for 4 s; then another site is lost.
+                schedule(LOST_AT - 12 * SECOND, () -> {
+                    listedCaches.removeIf(c -> c.site == 2 && c.id % 2 == 0);
+                    directors.forEach(Director::sendEndpointSnapshot);
                 });
-                at(LOST_AT - 8 * SECOND, () -> listAsIs(2, true));
-                lose(0, LOST_AT, BACK_AT, false);
+                schedule(LOST_AT - 8 * SECOND, () -> setListed(2, true));
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
             }
             default -> {
-                lose(0, LOST_AT, BACK_AT, false);
-                lose(1, LOST_AT + 8 * SECOND, BACK_AT, false); // Its nearest taker, while it bears the other's load.
+                loseSite(0, LOST_AT, RECOVERED_AT, false);
+                loseSite(1, LOST_AT + 8 * SECOND, RECOVERED_AT, false); // The nearest target of site 0, under its load.
             }
         }
     }
 
-    private void lose(int site, long from, long to, boolean directorToo) {
-        at(from, () -> {
-            each(site, c -> {
+    private void loseSite(int site, long from, long to, boolean directorToo) {
+        schedule(from, () -> {
+            forEachCache(site, c -> {
                 c.model.kill();
-                c.life++;
+                c.lifecycleEpoch++;
             });
             if (directorToo) {
                 Director d = directors.get(site);
-                d.up = false;
-                d.life++;
-                d.open.clear();
+                d.isUp = false;
+                d.lifecycleEpoch++;
+                d.openRequests.clear();
             }
-            if (way == Way.SEEING) {
+            if (strategy == Strategy.SEEING) {
                 String lost = siteName(site);
                 long expected = failover.status(lost).lastChangeIndex();
                 failover.changeStatus(
-                        ++entry, new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
-                declaredAt = declaredAt < 0 ? now : declaredAt;
-                follow();
+                        ++lastLogIndex, new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
+                lossDeclaredAt = lossDeclaredAt < 0 ? now : lossDeclaredAt;
+                applyCommittedState();
             }
         });
-        at(from + 2 * SECOND + random.nextInt((int) (2 * SECOND)), () -> list(site, false));
-        at(to, () -> {
-            each(site, c -> {
+        schedule(from + 2 * SECOND + random.nextInt((int) (2 * SECOND)), () -> updateListing(site, false));
+        schedule(to, () -> {
+            forEachCache(site, c -> {
                 c.model.start(now);
-                c.life++;
+                c.lifecycleEpoch++;
             });
             if (directorToo) {
                 directors.get(site).start();
-                follow();
+                applyCommittedState();
             }
         });
-        at(to + SECOND + random.nextInt((int) SECOND), () -> list(site, true));
+        schedule(to + SECOND + random.nextInt((int) SECOND), () -> updateListing(site, true));
     }
 
-    private void each(int site, java.util.function.Consumer<Cache> then) {
+    private void forEachCache(int site, java.util.function.Consumer<Cache> then) {
         caches.stream().filter(c -> c.site == site).forEach(then);
     }
 
-    private void list(int site, boolean ready) {
+    private void updateListing(int site, boolean ready) {
         boolean alive = caches.stream().anyMatch(c -> c.site == site && c.model.isUp());
         if (alive != ready) {
-            return; // It came back, or went, before the list told.
+            return; // The site changed again before the list was updated.
         }
-        listAsIs(site, ready);
+        setListed(site, ready);
     }
 
-    private void listAsIs(int site, boolean ready) {
-        each(site, c -> {
-            listedReady.remove(c);
+    private void setListed(int site, boolean ready) {
+        forEachCache(site, c -> {
+            listedCaches.remove(c);
             if (ready) {
-                listedReady.add(c);
+                listedCaches.add(c);
             }
         });
-        listedReady.sort((a, b) -> Long.compare(a.id, b.id));
+        listedCaches.sort((a, b) -> Long.compare(a.id, b.id));
         directors.forEach(d -> {
-            if (d.up) {
-                d.relist();
+            if (d.isUp) {
+                d.sendEndpointSnapshot();
             }
         });
     }
 
-    // ---- What came of it ----
+    // ---- Results ----
 
-    SitesSim play() {
-        while (!queue.isEmpty() && queue.peek().at() <= END && trouble == null) {
-            Event e = queue.poll();
-            now = e.at();
-            e.run().run();
+    SitesSim run() {
+        while (!queue.isEmpty() && queue.peek().dueAt() <= SIMULATION_END && violation == null) {
+            Event event = queue.poll();
+            now = event.dueAt();
+            event.action().run();
         }
         return this;
     }
 
-    int falls() {
+    int coldOverloadCount() {
         return caches.stream().mapToInt(c -> c.model.coldOverloadCount()).sum();
     }
 
-    int effectsTwice() {
-        return (int) asked.stream().filter(q -> q.effects > 1).count();
+    int duplicateEffectCount() {
+        return (int) clientRequests.stream().filter(request -> request.effectCount > 1).count();
     }
 
-    /** Requests of living directors that got no answer in their time. */
-    long unanswered() {
-        return asked.stream()
-                        .filter(q -> !q.answered && q.id > 0 && q.expires < END)
+    /** Counts requests that got no answer by their deadline, without those that a dying director lost. */
+    long unansweredCount() {
+        return clientRequests.stream()
+                        .filter(request -> !request.answered && request.id > 0 && request.deadline < SIMULATION_END)
                         .count()
-                - abandoned();
+                - abandonedCount();
     }
 
-    // Those that a dying director held.
-    private long abandoned() {
-        return kind != Trouble.WHOLE
+    // Counts unanswered requests that arrived at the lost director before it died.
+    private long abandonedCount() {
+        return incident != Incident.WHOLE
                 ? 0
-                : asked.stream()
-                        .filter(q -> !q.answered && q.id > 0 && q.expires < END && q.site == 0 && q.at < LOST_AT)
+                : clientRequests.stream()
+                        .filter(request -> !request.answered && request.id > 0 && request.deadline < SIMULATION_END && request.site == 0 && request.arrivedAt < LOST_AT)
                         .count();
     }
 
-    /** Worth answered in time over worth asked for, of requests in this time, of one site or (-1) all. */
-    double served(long from, long to, int site) {
-        double got = 0, all = 0;
-        for (Asked q : asked) {
-            if (q.at >= from && q.at < to && (site < 0 || q.site == site)) {
-                all += WORTH[q.cls];
-                got += q.inTime() ? WORTH[q.cls] : 0;
+    /** Returns the share of worth served in time, for requests that arrive in the interval at one site (-1: all sites). */
+    double servedWorthShare(long from, long to, int site) {
+        double servedWorth = 0;
+        double requestedWorth = 0;
+        for (ClientRequest request : clientRequests) {
+            if (request.arrivedAt >= from && request.arrivedAt < to && (site < 0 || request.site == site)) {
+                requestedWorth += CLASS_WORTH[request.classIndex];
+                servedWorth += request.isServedInTime() ? CLASS_WORTH[request.classIndex] : 0;
             }
         }
-        return all == 0 ? 1 : got / all;
+        return requestedWorth == 0 ? 1 : servedWorth / requestedWorth;
     }
 
-    /** The worst ten seconds of the incident, of all sites. */
-    double worst(long from, long to) {
+    /** Returns the share of worth served in time in the worst ten seconds of the interval, over all sites. */
+    double worstTenSecondShare(long from, long to) {
         double worst = 1;
         for (long t = from; t + 10 * SECOND <= to; t += SECOND) {
-            worst = Math.min(worst, served(t, t + 10 * SECOND, -1));
+            worst = Math.min(worst, servedWorthShare(t, t + 10 * SECOND, -1));
         }
         return worst;
     }
@@ -910,11 +939,11 @@
         return LOST_AT;
     }
 
-    static long backAt() {
-        return BACK_AT;
+    static long recoveredAt() {
+        return RECOVERED_AT;
     }
 
     static long incidentEnds() {
-        return END - 10 * SECOND;
+        return SIMULATION_END - 10 * SECOND;
     }
 }
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -21,14 +21,19 @@
 import pewtercourse.raft.store.LogStore;
 
 /**
- * How long {@code serve} takes to be ready, the processor time it uses until then and what memory it has, of several programs by turns, without a cluster and,
- * of the last of them, as the third member of one. All run one after the other: the machine should be idle.
+ * Measures the start time of {@code serve}, the processor time until it is ready, and its memory. Several jars are started in
+ * turn without a cluster; the last of them is also started as the third member of a cluster. The machine should be idle.
  */
 final class StartExperiment {
-    private static final String HOST = "127.0.0.1", CLUSTER = " with a cluster";
-    private static final long READY_MOST_MS = 30_000, SETTLE_MS = 2_000;
+    private static final String HOST = "127.0.0.1";
+    private static final String CLUSTER_SUFFIX = " with a cluster";
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long SETTLE_MS = 2_000;
 
-    /** {@code cpuMs}: processor time used until it was ready; divided by a share of a core, the least that a start takes there. */
+    /**
+     * One start. {@code cpuMs} is the processor time until ready; divided by a share of a core, it is the shortest start time on
+     * that share.
+     */
     private record Sample(double readyMs, double cpuMs, double residentMb, double peakMb) {}
 
     private final Path folder;
@@ -37,62 +42,62 @@
         this.folder = folder;
     }
 
-    /** {@code jars}: by name. A line for each way. */
+    /** Starts each jar, keyed by name, in each round; returns a table with one line per program. */
     static String run(Map<String, Path> jars, int rounds, Path config) throws Exception {
-        StartExperiment e = new StartExperiment(Files.createTempDirectory("experiment"));
+        StartExperiment experiment = new StartExperiment(Files.createTempDirectory("experiment"));
         Map<String, List<Sample>> samples = new LinkedHashMap<>();
-        Path newest = null;
-        String name = "";
-        for (Map.Entry<String, Path> j : jars.entrySet()) {
-            newest = j.getValue();
-            name = j.getKey();
+        Path lastJar = null;
+        String lastName = "";
+        for (Map.Entry<String, Path> jar : jars.entrySet()) {
+            lastJar = jar.getValue();
+            lastName = jar.getKey();
         }
-        List<Path> members = e.members();
+        List<Path> memberFiles = experiment.createMembers();
         for (int i = 0; i < rounds; i++) {
-            for (Map.Entry<String, Path> j : jars.entrySet()) {
-                samples.computeIfAbsent(j.getKey(), k -> new ArrayList<>()).add(e.sample(j.getValue(), config, null));
+            for (Map.Entry<String, Path> jar : jars.entrySet()) {
+                samples.computeIfAbsent(jar.getKey(), k -> new ArrayList<>()).add(experiment.sample(jar.getValue(), config, null));
             }
-            List<Process> others = new ArrayList<>();
-            for (Path file : members.subList(0, 2)) {
-                others.add(e.serve(newest, config, file, port(), port()));
+            List<Process> otherMembers = new ArrayList<>();
+            for (Path file : memberFiles.subList(0, 2)) {
+                otherMembers.add(experiment.serve(lastJar, config, file, freePort(), freePort()));
             }
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            samples.computeIfAbsent(name + CLUSTER, k -> new ArrayList<>())
-                    .add(e.sample(newest, config, members.get(2)));
-            for (Process p : others) {
-                p.destroyForcibly().waitFor();
+            samples.computeIfAbsent(lastName + CLUSTER, k -> new ArrayList<>())
+                    .add(experiment.sample(lastJar, config, memberFiles.get(2)));
+            for (Process process : otherMembers) {
+                process.destroyForcibly().waitFor();
             }
         }
-        StringBuilder t = new StringBuilder("| program | starts | ready, ms (median; least to greatest)"
+        StringBuilder table = new StringBuilder("| program | starts | ready, ms (median; least to greatest)"
                 + " | processor time until ready, ms | resident MB, settled | greatest MB |\n"
                 + "| --- | --- | --- | --- | --- | --- |\n");
-        samples.forEach((way, of) -> t.append(String.format(
+        samples.forEach((program, programSamples) -> table.append(String.format(
                 "| %s | %d | %s | %s | %s | %s |%n",
-                way,
-                of.size(),
-                spread(of.stream().mapToDouble(Sample::readyMs).toArray(), "%.0f"),
-                spread(of.stream().mapToDouble(Sample::cpuMs).toArray(), "%.0f"),
-                spread(of.stream().mapToDouble(Sample::residentMb).toArray(), "%.1f"),
-                spread(of.stream().mapToDouble(Sample::peakMb).toArray(), "%.1f"))));
-        return t.toString();
+                program,
+                programSamples.size(),
+                spread(programSamples.stream().mapToDouble(Sample::readyMs).toArray(), "%.0f"),
+                spread(programSamples.stream().mapToDouble(Sample::cpuMs).toArray(), "%.0f"),
+                spread(programSamples.stream().mapToDouble(Sample::residentMb).toArray(), "%.1f"),
+                spread(programSamples.stream().mapToDouble(Sample::peakMb).toArray(), "%.1f"))));
+        return table.toString();
     }
 
-    private static String spread(double[] of, String form) {
-        Percentile p = new Percentile();
+    private static String spread(double[] values, String format) {
+        Percentile percentile = new Percentile();
         return String.format(
-                form + "; " + form + " to " + form,
-                p.evaluate(of, 50),
-                java.util.Arrays.stream(of).min().orElse(0),
-                java.util.Arrays.stream(of).max().orElse(0));
+                format + "; " + format + " to " + format,
+                percentile.evaluate(values, 50),
+                java.util.Arrays.stream(values).min().orElse(0),
+                java.util.Arrays.stream(values).max().orElse(0));
     }
 
-    // Three files and laid folders.
-    private List<Path> members() throws IOException {
-        JsonArray all = new JsonArray();
+    // Writes the configuration files of three members and bootstraps their data folders.
+    private List<Path> createMembers() throws IOException {
+        JsonArray membersJson = new JsonArray();
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            ports.add(port());
-            all.add(new JsonObject().put("name", "d" + i).put("address", HOST + ":" + ports.get(i)));
+            ports.add(freePort());
+            membersJson.add(new JsonObject().put("name", "d" + i).put("address", HOST + ":" + ports.get(i)));
         }
         List<Path> files = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -103,47 +108,47 @@
                             .put("name", "d" + i)
                             .put("listen", HOST + ":" + ports.get(i))
                             .put("data", folder.resolve("d" + i).toString())
-                            .put("members", all)
+                            .put("members", membersJson)
                             .put(
                                     "duties",
                                     new JsonObject()
                                             .put("maintenance", new JsonObject().put("most", 1))
                                             .put("quota", new JsonObject()))
                             .encode());
-            ClusterConfig c = ClusterConfig.fromFile(file);
-            LogStore.bootstrap(c.data(), c.cluster(), c.name(), Membership.bootstrap(c.members()));
+            ClusterConfig clusterConfig = ClusterConfig.fromFile(file);
+            LogStore.bootstrap(clusterConfig.data(), clusterConfig.cluster(), clusterConfig.name(), Membership.bootstrap(clusterConfig.members()));
             files.add(file);
         }
         return files;
     }
 
     private Sample sample(Path jar, Path config, Path cluster) throws Exception {
-        int admin = port();
-        long from = System.nanoTime();
-        Process p = serve(jar, config, cluster, port(), admin);
+        int adminPort = freePort();
+        long startedNanos = System.nanoTime();
+        Process process = serve(jar, config, cluster, freePort(), adminPort);
         try {
-            while (!ready(admin)) {
-                if (!p.isAlive() || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MOST_MS)) {
+            while (!isReady(adminPort)) {
+                if (!process.isAlive() || System.nanoTime() - startedNanos > TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS)) {
                     throw new IOException(
-                            jar + " is not ready" + (p.isAlive() ? "" : ", it ended with " + p.exitValue()));
+                            jar + " is not ready" + (process.isAlive() ? "" : ", it ended with " + process.exitValue()));
                 }
                 TimeUnit.MILLISECONDS.sleep(2);
             }
-            double readyMs = (System.nanoTime() - from) / 1e6;
-            double cpuMs = p.info()
+            double readyMs = (System.nanoTime() - startedNanos) / 1e6;
+            double cpuMs = process.info()
                     .totalCpuDuration()
                     .map(Duration::toMillis)
                     .map(Long::doubleValue)
                     .orElse(Double.NaN);
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            return new Sample(readyMs, cpuMs, statusMb(p, "VmRSS:"), statusMb(p, "VmHWM:"));
+            return new Sample(readyMs, cpuMs, statusMb(process, "VmRSS:"), statusMb(process, "VmHWM:"));
         } finally {
-            p.destroyForcibly().waitFor();
+            process.destroyForcibly().waitFor();
         }
     }
 
-    private Process serve(Path jar, Path config, Path cluster, int listen, int admin) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(
+    private Process serve(Path jar, Path config, Path cluster, int listenPort, int adminPort) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder(
                         "java",
                         "-XX:+UseSerialGC",
                         "-XX:-UsePerfData",
@@ -154,17 +159,17 @@
                         "serve")
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD);
-        b.environment().put("GW_CONFIG", config.toString());
-        b.environment().put("GW_LISTEN", HOST + ":" + listen);
-        b.environment().put("GW_ADMIN_ADDR", HOST + ":" + admin);
+        builder.environment().put("GW_CONFIG", config.toString());
+        builder.environment().put("GW_LISTEN", HOST + ":" + listenPort);
+        builder.environment().put("GW_ADMIN_ADDR", HOST + "":" + adminPort);
         if (cluster != null) {
-            b.environment().put("GW_CLUSTER", cluster.toString());
+            builder.environment().put("GW_CLUSTER", cluster.toString());
         }
-        return b.start();
+        return builder.start();
     }
 
-    private static boolean ready(int admin) {
-        try (Socket s = new Socket(HOST, admin)) {
+    private static boolean isReady(int adminPort) {
+        try (Socket s = new Socket(HOST, adminPort)) {
             s.setSoTimeout(2_000);
             s.getOutputStream().write("GET /status HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             return new String(s.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith(" 200");
@@ -173,15 +178,15 @@
         }
     }
 
-    private static double statusMb(Process p, String field) throws IOException {
-        return Files.readAllLines(Path.of("/proc", String.valueOf(p.pid()), "status")).stream()
+    private static double statusMb(Process process, String field) throws IOException {
+        return Files.readAllLines(Path.of("/proc", String.valueOf(process.pid()), "status")).stream()
                 .filter(l -> l.startsWith(field))
                 .mapToDouble(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1_024.0)
                 .findFirst()
                 .orElse(Double.NaN);
     }
 
-    private static int port() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
             return s.getLocalPort();
         }
--- a/src/main/java/pewtercourse/experiment/package-info.java
+++ b/src/main/java/pewtercourse/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements and simulations on a virtual clock, run by {@code experiment}; only in the jar of tools. */
+/** Measurements and simulations on a virtual clock for the {@code experiment} command. Only the tools jar contains them. */
 package pewtercourse.experiment;
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -11,174 +11,177 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import pewtercourse.lease.Command;
 
-/** The agreement and the duties over many seeds of faults; a failing seed is named and plays the same again. */
+/** Simulates consensus and leases with random faults over many seeds. A failure names its seed, which reproduces it. */
 class ClusterSimTest {
-    private static final int SEEDS = 300, SEEDS_PLANTED = 300;
-    private static final long SECOND = ClusterSim.SECOND, MS = ClusterSim.MS;
+    private static final int SEEDS = 300;
+    private static final int INJECTED_FAULT_SEEDS = 300;
+    private static final long SECOND = ClusterSim.SECOND;
+    private static final long MS = ClusterSim.MS;
 
-    /** Faults for ten seconds, then none: it must be well again by itself. */
-    private static ClusterSim play(long seed, ClusterSim.Planted planted) {
-        ClusterSim sim = new ClusterSim(seed, 3 + 2 * (int) (seed % 2), planted);
+    /** Simulates ten seconds with faults and ten seconds without; the cluster must recover in the second part. */
+    private static ClusterSim runWithFaults(long seed, ClusterSim.InjectedFault injectedFault) {
+        ClusterSim sim = new ClusterSim(seed, 3 + 2 * (int) (seed % 2), injectedFault);
         for (long t = 300 * MS; t < 10 * SECOND; t += 50 * MS + sim.random.nextInt(400_000)) {
-            sim.at(t, () -> trouble(sim));
+            sim.schedule(t, () -> injectRandomFault(sim));
         }
         for (long t = 100 * MS; t < 14 * SECOND; t += 20 * MS + sim.random.nextInt(150_000)) {
-            sim.at(t, () -> demand(sim));
+            sim.schedule(t, () -> submitRandomCommand(sim));
         }
-        sim.play(10 * SECOND);
-        if (sim.trouble == null) {
+        sim.runTo(10 * SECOND);
+        if (sim.violation == null) {
             sim.heal();
-            sim.play(20 * SECOND);
+            sim.runTo(20 * SECOND);
         }
         return sim;
     }
 
-    private static void trouble(ClusterSim sim) {
+    private static void injectRandomFault(ClusterSim sim) {
         ClusterSim.Node n = sim.nodes.get(sim.random.nextInt(sim.nodes.size()));
-        ClusterSim.Node m = sim.nodes.get(sim.random.nextInt(sim.nodes.size()));
+        ClusterSim.Node other = sim.nodes.get(sim.random.nextInt(sim.nodes.size()));
         switch (sim.random.nextInt(10)) {
             case 0 -> {
-                if (n.up) {
+                if (n.isUp) {
                     n.crash();
-                    sim.at(sim.now + sim.random.nextInt(1_500_000), () -> {
-                        if (!n.up) {
+                    sim.schedule(sim.now + sim.random.nextInt(1_500_000), () -> {
+                        if (!n.isUp) {
                             n.start();
                         }
                     });
                 }
             }
             case 1, 2 -> {
-                sim.stop(n);
-                sim.at(sim.now + sim.random.nextInt(2_500_000), () -> sim.goOn(n));
+                sim.pause(n);
+                sim.schedule(sim.now + sim.random.nextInt(2_500_000), () -> sim.resume(n));
             }
             case 3 ->
                 sim.nodes.forEach(
-                        x -> { // Alone.
-                            sim.cut(n, x, true);
-                            sim.cut(x, n, true);
+                        x -> { // Isolated.
+                            sim.setLinkCut(n, x, true);
+                            sim.setLinkCut(x, n, true);
                         });
-            case 4 -> sim.nodes.forEach(x -> sim.cut(n, x, true)); // Heard no more, and still hears.
-            case 5 -> sim.cut(n, m, true);
+            case 4 -> sim.nodes.forEach(x -> sim.setLinkCut(n, x, true)); // Receives messages but cannot send any.
+            case 5 -> sim.setLinkCut(n, other, true);
             case 7 ->
                 sim.nodes.forEach(
-                        x -> { // All at once.
-                            if (x.up) {
+                        x -> { // All members crash together.
+                            if (x.isUp) {
                                 x.crash();
-                                sim.at(sim.now + sim.random.nextInt(600_000), () -> {
-                                    if (!x.up) {
+                                sim.schedule(sim.now + sim.random.nextInt(600_000), () -> {
+                                    if (!x.isUp) {
                                         x.start();
                                     }
                                 });
                             }
                         });
-            case 6 -> sim.lossy = sim.random.nextDouble() * 0.3;
-            default -> sim.nodes.forEach(x -> sim.nodes.forEach(y -> sim.cut(x, y, false)));
+            case 6 -> sim.faultProbability = sim.random.nextDouble() * 0.3;
+            default -> sim.nodes.forEach(x -> sim.nodes.forEach(y -> sim.setLinkCut(x, y, false)));
         }
     }
 
-    private static void demand(ClusterSim sim) {
+    private static void submitRandomCommand(ClusterSim sim) {
         ClusterSim.Node n = sim.nodes.get(sim.random.nextInt(sim.nodes.size()));
-        if (!n.up || n.still) {
+        if (!n.isUp || n.isPaused) {
             return;
         }
         String target = "c" + sim.random.nextInt(ClusterSim.CACHES);
         long unix = sim.now / MS;
         int kind = sim.random.nextInt(3);
-        Command.Envelope s = kind == 0
-                ? n.duties
+        Command.Envelope envelope = kind == 0
+                ? n.leaseManager
                         .requestQuota(n.clock(), 200 + sim.random.nextInt(2_000))
                         .orElse(null)
-                : n.duties.sign(
+                : n.leaseManager.sign(
                         kind == 1
                                 ? new Command.RequestMaintenance(
                                         target,
                                         "z" + Math.floorMod(target.hashCode(), 2),
                                         unix,
-                                        n.duties.state().lastOperatorCommand(target))
+                                        n.leaseManager.state().lastOperatorCommand(target))
                                 : new Command.ReinstateCache(
-                                        target, unix, n.duties.state().lastOperatorCommand(target)));
-        if (s != null) {
-            n.offer(s);
+                                        target, unix, n.leaseManager.state().lastOperatorCommand(target)));
+        if (envelope != null) {
+            n.submit(envelope);
             n.pump();
         }
     }
 
     @Test
-    void throughAllFaultsNothingAgreedIsLostAndNoDutyIsHeldTwice() {
-        AtomicLong acts = new AtomicLong(), lent = new AtomicLong();
+    void keepsCommittedEntriesAndSingleLeaseHoldersThroughAllFaults() {
+        AtomicLong maintenanceCommands = new AtomicLong();
+        AtomicLong grantedQuota = new AtomicLong();
         LongStream.range(0, SEEDS).parallel().forEach(seed -> {
-            ClusterSim sim = play(seed, ClusterSim.Planted.NONE);
-            boolean well = sim.until(
+            ClusterSim sim = runWithFaults(seed, ClusterSim.InjectedFault.NONE);
+            boolean recovered = sim.runUntil(
                     20 * SECOND,
                     () -> sim.leader() != null
-                            && sim.set.leaseNames().stream()
-                                    .allMatch(duty -> sim.nodes.stream()
-                                            .anyMatch(n -> n.duties.validToken(duty, n.clock()) > 0)));
-            assertNull(sim.trouble, "seed " + seed);
-            assertTrue(well, "seed " + seed + ": no leader, or a duty that nobody holds, after the faults were over");
-            acts.addAndGet(sim.acts);
-            lent.addAndGet(sim.lentMost);
+                            && sim.settings.leaseNames().stream()
+                                    .allMatch(lease -> sim.nodes.stream()
+                                            .anyMatch(n -> n.leaseManager.validToken(lease, n.clock()) > 0)));
+            assertNull(sim.violation, "seed " + seed);
+            assertTrue(recovered, "seed " + seed + ": no leader, or a lease without a holder, after the last fault");
+            maintenanceCommands.addAndGet(sim.maintenanceCommandCount);
+            grantedQuota.addAndGet(sim.maxGrantedQuotaThousandths);
         });
-        assertTrue(acts.get() > SEEDS, "the maintenance duty acts: " + acts);
-        assertTrue(lent.get() > 0, "the quota duty lends: " + lent);
+        assertTrue(maintenanceCommands.get() > SEEDS, "maintenance commands submitted: " + maintenanceCommands);
+        assertTrue(grantedQuota.get() > 0, "quota granted: " + grantedQuota);
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = ClusterSim.Planted.class,
-            names = {"SAID_BEFORE_SAVED", "LEASE_FROM_ANSWER", "TOKEN_UNCHECKED", "LOAN_FROM_ANSWER", "WORD_UNCHECKED"})
-    void aPlantedFaultIsFound(ClusterSim.Planted planted) {
+            value = ClusterSim.InjectedFault.class,
+            names = {"ACKNOWLEDGED_BEFORE_SAVED", "LEASE_FROM_REPLY_TIME", "TOKEN_UNCHECKED", "LOAN_FROM_REPLY_TIME", "COMMAND_ORDER_UNCHECKED"})
+    void detectsInjectedFault(ClusterSim.InjectedFault injectedFault) {
         assertTrue(
-                LongStream.range(0, SEEDS_PLANTED).parallel().anyMatch(seed -> play(seed, planted).trouble != null),
-                "not found: " + planted);
+                LongStream.range(0, INJECTED_FAULT_SEEDS).parallel().anyMatch(seed -> runWithFaults(seed, injectedFault).violation != null),
+                "not detected: " + injectedFault);
     }
 
-    /** How far the term rises when a member that was cut off for long comes back. */
-    private static long termsByReturn(ClusterSim.Planted planted) {
-        ClusterSim sim = new ClusterSim(7, 3, planted);
-        sim.play(3 * SECOND);
-        ClusterSim.Node away = sim.nodes.stream()
+    /** Returns by how much the term rises when a member rejoins after a long isolation. */
+    private static long termIncreaseOnRejoin(ClusterSim.InjectedFault injectedFault) {
+        ClusterSim sim = new ClusterSim(7, 3, injectedFault);
+        sim.runTo(3 * SECOND);
+        ClusterSim.Node isolated = sim.nodes.stream()
                 .filter(n -> !n.name.equals(sim.leader()))
                 .findFirst()
                 .orElseThrow();
         sim.nodes.forEach(x -> {
-            sim.cut(away, x, true);
-            sim.cut(x, away, true);
+            sim.setLinkCut(isolated, x, true);
+            sim.setLinkCut(x, isolated, true);
         });
-        long before = sim.highestTerm;
-        sim.play(8 * SECOND);
+        long termBefore = sim.highestTerm;
+        sim.runTo(8 * SECOND);
         sim.heal();
-        sim.play(12 * SECOND);
-        assertNull(sim.trouble);
-        return sim.highestTerm - before;
+        sim.runTo(12 * SECOND);
+        assertNull(sim.violation);
+        return sim.highestTerm - termBefore;
     }
 
     @Test
-    void aMemberThatWasCutOffComesBackWithoutAnElection() {
-        assertEquals(0, termsByReturn(ClusterSim.Planted.NONE));
-        assertTrue(termsByReturn(ClusterSim.Planted.NO_PRE_VOTE) > 1, "without the pre-vote it unseats the leader");
+    void isolatedMemberRejoinsWithoutAnElection() {
+        assertEquals(0, termIncreaseOnRejoin(ClusterSim.InjectedFault.NONE));
+        assertTrue(termIncreaseOnRejoin(ClusterSim.InjectedFault.NO_PRE_VOTE) > 1, "without the pre-vote the member deposes the leader");
     }
 
     @Test
-    void aMemberThatLostItsFolderLearnsAnewAndVotesAgain() {
+    void memberWithAnEmptyDiskCatchesUpAndVotesAgain() {
         LongStream.range(0, 40).parallel().forEach(seed -> {
-            ClusterSim sim = new ClusterSim(seed, 3, ClusterSim.Planted.NONE);
-            sim.at(2 * SECOND, () -> {
+            ClusterSim sim = new ClusterSim(seed, 3, ClusterSim.InjectedFault.NONE);
+            sim.schedule(2 * SECOND, () -> {
                 ClusterSim.Node n = sim.nodes.get(sim.random.nextInt(3));
                 n.crash();
-                sim.swap(n);
+                sim.replaceDisk(n);
                 n.start();
             });
             for (long t = 100 * MS; t < 9 * SECOND; t += 50 * MS) {
-                sim.at(t, () -> demand(sim));
+                sim.schedule(t, () -> submitRandomCommand(sim));
             }
-            sim.play(4 * SECOND);
-            boolean votes = sim.until(
+            sim.runTo(4 * SECOND);
+            boolean allVote = sim.runUntil(
                     20 * SECOND,
                     () -> sim.leader() != null
                             && sim.node(sim.leader()).raft.members().voterCount() == 3);
-            assertNull(sim.trouble, "seed " + seed);
-            assertTrue(votes, "seed " + seed + ": a member is missing, " + sim.leader());
+            assertNull(sim.violation, "seed " + seed);
+            assertTrue(allVote, "seed " + seed + ": a voter is missing, leader " + sim.leader());
         });
     }
 }
--- a/src/test/java/pewtercourse/experiment/SitesSimTest.java
+++ b/src/test/java/pewtercourse/experiment/SitesSimTest.java
@@ -9,73 +9,74 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Losses of sites on a virtual clock, over seeds: what must hold in each, and what the plan is for. */
+/** Simulates losses of sites over several seeds: checks the invariants and that the failover plan serves the lost load. */
 class SitesSimTest {
     private static final int SEEDS = 6;
 
-    private static SitesSim play(long seed, SitesSim.Way way, SitesSim.Trouble trouble, SitesSim.Planted planted) {
-        return new SitesSim(seed, way, trouble, planted).play();
+    private static SitesSim play(long seed, SitesSim.Strategy strategy, SitesSim.Incident incident, SitesSim.InjectedFault injectedFault) {
+        return new SitesSim(seed, strategy, incident, injectedFault).run();
     }
 
     @ParameterizedTest
-    @EnumSource(SitesSim.Trouble.class)
-    void noColdCacheFallsNoOrderRunsTwiceAndAllGetOneAnswer(SitesSim.Trouble trouble) {
+    @EnumSource(SitesSim.Incident.class)
+    void noColdCacheOverloadsNoSideEffectRunsTwiceAndEachRequestGetsOneAnswer(SitesSim.Incident incident) {
         LongStream.range(0, SEEDS).parallel().forEach(seed -> {
-            SitesSim sim = play(seed, SitesSim.Way.PLANNED, trouble, SitesSim.Planted.NONE);
-            assertNull(sim.trouble, trouble + " " + seed);
-            assertEquals(0, sim.falls(), "cold caches that fell: " + trouble + " " + seed);
-            assertEquals(0, sim.effectsTwice(), "orders run twice: " + trouble + " " + seed);
-            assertEquals(0, sim.unanswered(), "no answer: " + trouble + " " + seed);
-            boolean lost = trouble != SitesSim.Trouble.SEEN_BY_HALF && trouble != SitesSim.Trouble.SLOW;
-            assertEquals(lost, sim.declaredAt >= 0, "declared lost: " + trouble + " " + seed);
-            assertEquals(0, sim.falseAlarms, "a site that lives declared lost: " + trouble + " " + seed);
+            SitesSim sim = play(seed, SitesSim.Strategy.PLANNED, incident, SitesSim.InjectedFault.NONE);
+            assertNull(sim.violation, incident + " " + seed);
+            assertEquals(0, sim.coldOverloadCount(), "overloads of cold caches: " + incident + " " + seed);
+            assertEquals(0, sim.duplicateEffectCount(), "side effects executed twice: " + incident + " " + seed);
+            assertEquals(0, sim.unansweredCount(), "requests without an answer: " + incident + " " + seed);
+            boolean lost = incident != SitesSim.Incident.SEEN_BY_HALF && incident != SitesSim.Incident.SLOW;
+            assertEquals(lost, sim.lossDeclaredAt >= 0, "declared lost: " + incident + " " + seed);
+            assertEquals(0, sim.falseAlarmCount, "living sites declared lost: " + incident + " " + seed);
         });
     }
 
     @Test
-    void theLoadOfALostSiteIsServedElsewhere() {
+    void servesTheLoadOfALostSiteAtOtherSites() {
         LongStream.range(0, SEEDS).parallel().forEach(seed -> {
-            long from = SitesSim.lostAt() + 4 * SitesSim.SECOND, to = SitesSim.backAt();
-            SitesSim alone = play(seed, SitesSim.Way.ALONE, SitesSim.Trouble.ONE, SitesSim.Planted.NONE);
-            SitesSim planned = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NONE);
-            assertTrue(alone.served(from, to, 0) < 0.05, "alone " + alone.served(from, to, 0));
-            assertTrue(planned.served(from, to, 0) > 0.4, "planned " + planned.served(from, to, 0));
-            assertTrue(planned.crossed > 0);
+            long from = SitesSim.lostAt() + 4 * SitesSim.SECOND;
+            long to = SitesSim.recoveredAt();
+            SitesSim alone = play(seed, SitesSim.Strategy.ALONE, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
+            SitesSim planned = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
+            assertTrue(alone.servedWorthShare(from, to, 0) < 0.05, "alone " + alone.servedWorthShare(from, to, 0));
+            assertTrue(planned.servedWorthShare(from, to, 0) > 0.4, "planned " + planned.servedWorthShare(from, to, 0));
+            assertTrue(planned.remoteCount > 0);
         });
     }
 
-    /** What the return's steps and the takers' bounds are for shows where they are left out. */
+    /** Without a limit on the failover targets, the clients of the sites that were not lost are served worse. */
     @Test
-    void plantedFaultsAreFound() {
+    void detectsInjectedFaults() {
         assertTrue(
                 LongStream.range(0, SEEDS).parallel().anyMatch(seed -> {
-                    SitesSim whole = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NONE);
-                    SitesSim broken = play(seed, SitesSim.Way.PLANNED, SitesSim.Trouble.ONE, SitesSim.Planted.NO_BOUND);
-                    return others(broken) < others(whole) - 0.02;
+                    SitesSim correct = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
+                    SitesSim broken = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NO_BOUND);
+                    return servedAtOtherSites(broken) < servedAtOtherSites(correct) - 0.02;
                 }),
-                "takers without a bound lose nothing");
+                "the missing limit on failover targets was not detected");
     }
 
-    // The clients of sites that were never lost.
-    private static double others(SitesSim sim) {
+    // Returns the mean share of worth served in time for the clients of the sites that were not lost.
+    private static double servedAtOtherSites(SitesSim sim) {
         double sum = 0;
         for (int s = 1; s < 5; s++) {
-            sum += sim.served(SitesSim.lostAt(), SitesSim.backAt(), s);
+            sum += sim.servedWorthShare(SitesSim.lostAt(), SitesSim.recoveredAt(), s);
         }
         return sum / 4;
     }
 
     @Test
-    void aSeedPlaysTheSameAgain() {
-        SitesSim a = play(5, SitesSim.Way.PLANNED, SitesSim.Trouble.FLAPS, SitesSim.Planted.NONE);
-        SitesSim b = play(5, SitesSim.Way.PLANNED, SitesSim.Trouble.FLAPS, SitesSim.Planted.NONE);
-        assertEquals(a.asked.size(), b.asked.size());
-        assertEquals(a.served(0, SitesSim.incidentEnds(), -1), b.served(0, SitesSim.incidentEnds(), -1));
-        assertEquals(a.crossed, b.crossed);
+    void sameSeedGivesTheSameResult() {
+        SitesSim first = play(5, SitesSim.Strategy.PLANNED, SitesSim.Incident.FLAPS, SitesSim.InjectedFault.NONE);
+        SitesSim second = play(5, SitesSim.Strategy.PLANNED, SitesSim.Incident.FLAPS, SitesSim.InjectedFault.NONE);
+        assertEquals(first.clientRequests.size(), second.clientRequests.size());
+        assertEquals(first.servedWorthShare(0, SitesSim.incidentEnds(), -1), second.servedWorthShare(0, SitesSim.incidentEnds(), -1));
+        assertEquals(first.remoteCount, second.remoteCount);
     }
 
     @Test
-    void nothingIsDeclaredInHoursWithoutALoss() {
+    void declaresNoLossInHoursWithoutALoss() {
         assertEquals(
                 0,
                 LongStream.range(0, 8)
