--- a/src/main/java/pewtercourse/experiment/Charts.java
+++ b/src/main/java/pewtercourse/experiment/Charts.java
@@ -47,7 +47,8 @@
                         * statistics.getStandardDeviation()
                         / Math.sqrt(statistics.getN());
             }
-            chart.addSeries(DutiesExperiment.lowerCaseWords(strategy), seconds, mean, halfInterval).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(DutiesExperiment.lowerCaseWords(strategy), seconds, mean, halfInterval)
+                    .setMarker(SeriesMarkers.NONE);
         }
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
@@ -76,7 +77,11 @@
                 if (gapsMs.length > 0) {
                     double[] share = new double[gapsMs.length];
                     Arrays.setAll(share, i -> (i + 1.0) / gapsMs.length);
-                    chart.addSeries(DutiesExperiment.lowerCaseWords(strategy) + ", " + DutiesExperiment.lowerCaseWords(fault), gapsMs, share)
+                    chart.addSeries(
+                                    DutiesExperiment.lowerCaseWords(strategy) + ", "
+                                            + DutiesExperiment.lowerCaseWords(fault),
+                                    gapsMs,
+                                    share)
                             .setMarker(SeriesMarkers.NONE);
                 }
             }
--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -138,7 +138,8 @@
                     (long) lifecycleEpoch * 1_000_000_000L,
                     t -> "z" + Math.floorMod(t.hashCode(), 2),
                     z -> CACHES / 2);
-            if (injectedFault == InjectedFault.LEASE_FROM_REPLY_TIME || injectedFault == InjectedFault.LOAN_FROM_REPLY_TIME) {
+            if (injectedFault == InjectedFault.LEASE_FROM_REPLY_TIME
+                    || injectedFault == InjectedFault.LOAN_FROM_REPLY_TIME) {
                 leaseManager.countValidityFrom((requestedAt, answeredAt) -> answeredAt);
             }
             appliedIndex = disk.snapshot.index();
@@ -187,7 +188,10 @@
                         proposed = true;
                     }
                 }
-                if (!changed && !proposed && ready.save() == null && ready.messages().isEmpty()) {
+                if (!changed
+                        && !proposed
+                        && ready.save() == null
+                        && ready.messages().isEmpty()) {
                     break;
                 }
             }
@@ -198,11 +202,14 @@
             boolean changed = ready.snapshot() != null;
             try {
                 if (ready.snapshot() != null) {
-                    leaseManager.restore(clock(), ClusterState.decode(ready.snapshot().state()));
+                    leaseManager.restore(
+                            clock(), ClusterState.decode(ready.snapshot().state()));
                     appliedIndex = ready.snapshot().index();
                 }
                 for (Entry entry : ready.committed()) {
-                    check(entry.index() == appliedIndex + 1, "entry applied out of order: " + entry.index() + " after " + appliedIndex);
+                    check(
+                            entry.index() == appliedIndex + 1,
+                            "entry applied out of order: " + entry.index() + " after " + appliedIndex);
                     appliedIndex = entry.index();
                     Entry firstCommitted = committedEntries.putIfAbsent(entry.index(), entry);
                     check(
@@ -212,18 +219,24 @@
                             "two different entries committed at " + entry.index());
                     if (entry.kind() == Entry.Kind.COMMAND) {
                         Command.Envelope envelope = CommandCodec.decode(entry.command());
-                        long currentToken = leaseManager.state().lease(LeaseNames.MAINTENANCE).token();
+                        long currentToken = leaseManager
+                                .state()
+                                .lease(LeaseNames.MAINTENANCE)
+                                .token();
                         CommandOutcome result = leaseManager.apply(
                                 clock(),
                                 entry.index(),
-                                injectedFault == InjectedFault.TOKEN_UNCHECKED || injectedFault == InjectedFault.COMMAND_ORDER_UNCHECKED
+                                injectedFault == InjectedFault.TOKEN_UNCHECKED
+                                                || injectedFault == InjectedFault.COMMAND_ORDER_UNCHECKED
                                         ? withCurrentPreconditions(envelope)
                                         : envelope);
                         if (firstCommitted == null
                                 && result.isApplied()
                                 && (envelope.command() instanceof Command.RequestMaintenance
                                         || envelope.command() instanceof Command.ReinstateCache)) {
-                            check(appliedOperatorCommands.add(envelope.proposer() + ' ' + envelope.id()), "operator's command applied twice: " + envelope.id());
+                            check(
+                                    appliedOperatorCommands.add(envelope.proposer() + ' ' + envelope.id()),
+                                    "operator's command applied twice: " + envelope.id());
                         }
                         check(
                                 !(envelope.command() instanceof Command.GrantMaintenance grant)
@@ -237,7 +250,8 @@
                 throw new IllegalStateException(e);
             }
             if (appliedIndex - raft.snapshotIndex() > 60) {
-                Snapshot snapshot = raft.snapshotAt(appliedIndex, leaseManager.state().encode());
+                Snapshot snapshot =
+                        raft.snapshotAt(appliedIndex, leaseManager.state().encode());
                 if (s != null) {
                     disk.snapshot = snapshot; // Takes no time: nothing uses the new file before its rename.
                     disk.entries.headMap(snapshot.index(), true).clear();
@@ -260,16 +274,21 @@
                                 grant.atUnixMs())
                         : command;
             } else if (command instanceof Command.ReinstateCache reinstate) {
-                command = new Command.ReinstateCache(reinstate.target(), reinstate.atUnixMs(), state.lastOperatorCommand(reinstate.target()));
+                command = new Command.ReinstateCache(
+                        reinstate.target(), reinstate.atUnixMs(), state.lastOperatorCommand(reinstate.target()));
             } else if (command instanceof Command.RequestMaintenance request) {
                 command = new Command.RequestMaintenance(
-                        request.target(), request.zone(), request.atUnixMs(), state.lastOperatorCommand(request.target()));
+                        request.target(),
+                        request.zone(),
+                        request.atUnixMs(),
+                        state.lastOperatorCommand(request.target()));
             }
             return new Command.Envelope(envelope.proposer(), envelope.id(), command);
         }
 
         void submit(Command.Envelope envelope) {
-            if (envelope.command() instanceof Command.GrantMaintenance || envelope.command() instanceof Command.CancelMaintenance) {
+            if (envelope.command() instanceof Command.GrantMaintenance
+                    || envelope.command() instanceof Command.CancelMaintenance) {
                 maintenanceCommandCount++;
             }
             byte[] bytes = CommandCodec.encode(envelope);
@@ -288,7 +307,9 @@
 
         // A process can pause for any time between the check of its lease and the sending of the command.
         private long randomPauseMicros(Command command) {
-            return random.nextInt(command instanceof Command.GrantMaintenance ? 4 : 40) == 0 ? random.nextInt(3_000_000) : 0;
+            return random.nextInt(command instanceof Command.GrantMaintenance ? 4 : 40) == 0
+                    ? random.nextInt(3_000_000)
+                    : 0;
         }
 
         private void scheduleSync() {
@@ -501,13 +522,16 @@
                 }
             }
             quotaSum += n.leaseManager.quotaThousandths(n.clock());
-            maxGrantedQuotaThousandths = Math.max(maxGrantedQuotaThousandths, n.leaseManager.state().grantedQuotaThousandths());
+            maxGrantedQuotaThousandths =
+                    Math.max(maxGrantedQuotaThousandths, n.leaseManager.state().grantedQuotaThousandths());
             for (int z = 0; z < 2; z++) {
                 String zone = "z" + z;
                 long grantedCount = n.leaseManager.state().maintenanceRequests().values().stream()
                         .filter(t -> t.granted() && t.zone().equals(zone))
                         .count();
-                check(grantedCount <= settings.maintenanceBudget().maxDrained(), grantedCount + " caches drained in " + zone);
+                check(
+                        grantedCount <= settings.maintenanceBudget().maxDrained(),
+                        grantedCount + " caches drained in " + zone);
             }
         }
         check(quotaSum <= 1_000L * nodes.size(), "sum of quotas in thousandths is " + quotaSum);
--- a/src/main/java/pewtercourse/experiment/DutiesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/DutiesExperiment.java
@@ -56,7 +56,9 @@
                 }
                 IntStream.range(0, seeds)
                         .parallel()
-                        .mapToObj(seed -> strategy == Strategy.RANK ? runByRank(fault, seed) : runWithLeases(strategy, fault, seed))
+                        .mapToObj(seed -> strategy == Strategy.RANK
+                                ? runByRank(fault, seed)
+                                : runWithLeases(strategy, fault, seed))
                         .sequential()
                         .forEachOrdered(runs::add);
             }
@@ -66,14 +68,19 @@
 
     private static ClusterSim.Node holder(ClusterSim sim, Predicate<ClusterSim.Node> filter) {
         return sim.nodes.stream()
-                .filter(n -> n.isUp && filter.test(n) && n.leaseManager.validToken(LeaseNames.MAINTENANCE, n.clock()) > 0)
+                .filter(n ->
+                        n.isUp && filter.test(n) && n.leaseManager.validToken(LeaseNames.MAINTENANCE, n.clock()) > 0)
                 .findFirst()
                 .orElse(null);
     }
 
     private static Run runWithLeases(Strategy strategy, Fault fault, long seed) {
         ClusterSim sim = new ClusterSim(
-                seed, MEMBER_COUNT, strategy == Strategy.AGREED ? ClusterSim.InjectedFault.NONE : ClusterSim.InjectedFault.LEASE_FROM_REPLY_TIME);
+                seed,
+                MEMBER_COUNT,
+                strategy == Strategy.AGREED
+                        ? ClusterSim.InjectedFault.NONE
+                        : ClusterSim.InjectedFault.LEASE_FROM_REPLY_TIME);
         sim.runUntil(TAKEOVER_TIMEOUT, () -> holder(sim, n -> true) != null);
         sim.runTo(sim.now + SECOND + new Random(seed).nextInt((int) SECOND));
         sim.runUntil(TAKEOVER_TIMEOUT, () -> holder(sim, n -> true) != null);
@@ -92,7 +99,9 @@
                 });
             case HAND_ON -> {
                 oldHolder.submit(oldHolder.leaseManager.sign(new Command.RequestTransfer(
-                        LeaseNames.MAINTENANCE, oldHolder.leaseManager.validToken(LeaseNames.MAINTENANCE, oldHolder.clock()), "")));
+                        LeaseNames.MAINTENANCE,
+                        oldHolder.leaseManager.validToken(LeaseNames.MAINTENANCE, oldHolder.clock()),
+                        "")));
                 oldHolder.pump();
             }
         }
@@ -100,13 +109,15 @@
         while (sim.violation == null && sim.now < end && holder(sim, n -> n != oldHolder) == null) {
             sim.runTo(sim.now + MS / 4);
             // In a planned hand-over the gap starts when the old holder releases the lease.
-            if (fault == Fault.HAND_ON && oldHolder.leaseManager.validToken(LeaseNames.MAINTENANCE, oldHolder.clock()) > 0) {
+            if (fault == Fault.HAND_ON
+                    && oldHolder.leaseManager.validToken(LeaseNames.MAINTENANCE, oldHolder.clock()) > 0) {
                 gapStart = sim.now;
             }
         }
         double gapMs = sim.now < end ? (sim.now - gapStart) / (double) MS : -1;
         sim.runTo(sim.now + STALL_DURATION + SECOND);
-        return new Run(strategy, fault, seed, gapMs, sim.violation != null && sim.violation.startsWith("two holders of "));
+        return new Run(
+                strategy, fault, seed, gapMs, sim.violation != null && sim.violation.startsWith("two holders of "));
     }
 
     private static Run runByRank(Fault fault, long seed) {
@@ -129,7 +140,9 @@
             if (fault == Fault.STALL && sim.nowMs == faultMs + STALL_DURATION / MS) {
                 sim.setPaused(0, false);
             }
-            long otherHolders = IntStream.range(1, sim.memberCount()).filter(sim::considersItselfHolder).count();
+            long otherHolders = IntStream.range(1, sim.memberCount())
+                    .filter(sim::considersItselfHolder)
+                    .count();
             gapMs = gapMs < 0 && otherHolders > 0 ? sim.nowMs - faultMs : gapMs;
             hadTwoHolders |= otherHolders + (sim.considersItselfHolder(0) ? 1 : 0) > 1;
         }
@@ -148,7 +161,8 @@
         ClusterSim sim = new ClusterSim(seed, MEMBER_COUNT, ClusterSim.InjectedFault.NONE);
         Random random = new Random(seed);
         sim.runUntil(
-                TAKEOVER_TIMEOUT, () -> sim.nodes.stream().anyMatch(n -> n.leaseManager.validToken(LeaseNames.QUOTA, n.clock()) > 0));
+                TAKEOVER_TIMEOUT,
+                () -> sim.nodes.stream().anyMatch(n -> n.leaseManager.validToken(LeaseNames.QUOTA, n.clock()) > 0));
         double usableFixed = 0;
         double usableDivided = 0;
         double available = 0;
@@ -161,7 +175,8 @@
             for (long end = sim.now + 2 * SECOND; sim.now < end; ) {
                 for (ClusterSim.Node n : sim.nodes) {
                     n.leaseManager
-                            .requestQuota(n.clock(), wantedThousandths[n.number] - n.leaseManager.quotaThousandths(n.clock()))
+                            .requestQuota(
+                                    n.clock(), wantedThousandths[n.number] - n.leaseManager.quotaThousandths(n.clock()))
                             .ifPresent(request -> {
                                 n.submit(request);
                                 n.pump();
@@ -186,8 +201,10 @@
                 List<Run> selected = runs.stream()
                         .filter(r -> r.strategy() == strategy && r.fault() == fault)
                         .toList();
-                double[] gaps =
-                        selected.stream().mapToDouble(Run::gapMs).filter(g -> g >= 0).toArray();
+                double[] gaps = selected.stream()
+                        .mapToDouble(Run::gapMs)
+                        .filter(g -> g >= 0)
+                        .toArray();
                 if (selected.isEmpty() || gaps.length == 0) {
                     continue;
                 }
@@ -225,9 +242,15 @@
                 into.resolve("duties-hand-over.arrow"),
                 List.of(
                         ColumnFile.text(
-                                "way", runs.stream().map(r -> lowerCaseWords(r.strategy())).toList()),
+                                "way",
+                                runs.stream()
+                                        .map(r -> lowerCaseWords(r.strategy()))
+                                        .toList()),
                         ColumnFile.text(
-                                "fault", runs.stream().map(r -> lowerCaseWords(r.fault())).toList()),
+                                "fault",
+                                runs.stream()
+                                        .map(r -> lowerCaseWords(r.fault()))
+                                        .toList()),
                         ColumnFile.number(
                                 "seed",
                                 runs.stream().map(r -> (double) r.seed()).toList()),
@@ -235,14 +258,17 @@
                                 "gap_ms", runs.stream().map(Run::gapMs).toList()),
                         ColumnFile.number(
                                 "two_at_once",
-                                runs.stream().map(r -> r.hadTwoHolders() ? 1.0 : 0.0).toList())));
+                                runs.stream()
+                                        .map(r -> r.hadTwoHolders() ? 1.0 : 0.0)
+                                        .toList())));
         ColumnFile.write(
                 into.resolve("duties-budget.arrow"),
                 List.of(
                         ColumnFile.number(
                                 "seed",
                                 uses.stream().map(u -> (double) u.seed()).toList()),
-                        ColumnFile.number("fixed", uses.stream().map(BudgetUse::fixed).toList()),
+                        ColumnFile.number(
+                                "fixed", uses.stream().map(BudgetUse::fixed).toList()),
                         ColumnFile.number(
                                 "divided", uses.stream().map(BudgetUse::divided).toList())));
         Charts.handOver(into.resolve("duties-hand-over.png"), runs);
--- a/src/main/java/pewtercourse/experiment/LogExperiment.java
+++ b/src/main/java/pewtercourse/experiment/LogExperiment.java
@@ -83,7 +83,8 @@
             ClusterConfig config = ClusterConfig.fromFile(file);
             LogStore.bootstrap(config.data(), config.cluster(), config.name(), Membership.bootstrap(config.members()));
             var started = new java.util.concurrent.CompletableFuture<Void>();
-            Context loop = vertx.getOrCreateContext(); // A new context each time: this thread does not belong to Vert.x.
+            Context loop =
+                    vertx.getOrCreateContext(); // A new context each time: this thread does not belong to Vert.x.
             loops.add(loop);
             loop.runOnContext(v -> {
                 ClusterMember member = new ClusterMember(vertx, config, NO_OP_HOST);
@@ -101,7 +102,13 @@
             long measureUntilNanos = measureFromNanos + TimeUnit.MILLISECONDS.toNanos(MEASURE_MS);
             loops.get(0).runOnContext(v -> {
                 for (int i = 0; i < callers; i++) {
-                    callRepeatedly(clusterMembers.get(0), i, measureFromNanos, measureUntilNanos, latenciesMicros, committedCount);
+                    callRepeatedly(
+                            clusterMembers.get(0),
+                            i,
+                            measureFromNanos,
+                            measureUntilNanos,
+                            latenciesMicros,
+                            committedCount);
                 }
             });
             Thread.sleep(WARM_UP_MS + MEASURE_MS + 1_500);
@@ -122,7 +129,12 @@
     }
 
     private static void callRepeatedly(
-            ClusterMember member, int caller, long measureFromNanos, long measureUntilNanos, ConcurrentHistogram latenciesMicros, AtomicLong committedCount) {
+            ClusterMember member,
+            int caller,
+            long measureFromNanos,
+            long measureUntilNanos,
+            ConcurrentHistogram latenciesMicros,
+            AtomicLong committedCount) {
         long startedNanos = System.nanoTime();
         if (startedNanos >= measureUntilNanos) {
             return;
@@ -138,7 +150,8 @@
                         latenciesMicros.recordValue((now - startedNanos) / 1_000);
                         committedCount.incrementAndGet();
                     }
-                    callRepeatedly(member, caller, measureFromNanos, measureUntilNanos, latenciesMicros, committedCount);
+                    callRepeatedly(
+                            member, caller, measureFromNanos, measureUntilNanos, latenciesMicros, committedCount);
                 });
     }
 
--- a/src/main/java/pewtercourse/experiment/RankSim.java
+++ b/src/main/java/pewtercourse/experiment/RankSim.java
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Whether it takes itself to hold the duty; one that stands paused believes what it last knew. */
+    /** Returns whether a living member considers itself the holder, by the last heartbeats that were delivered to it. */
     boolean considersItselfHolder(int i) {
         if (!up[i]) {
             return false;
--- a/src/main/java/pewtercourse/experiment/SitesExperiment.java
+++ b/src/main/java/pewtercourse/experiment/SitesExperiment.java
@@ -119,10 +119,12 @@
                         mean(selected.stream().map(Run::worstShare).toList()),
                         mean(selected.stream().map(Run::otherSitesShare).toList()),
                         mean(selected.stream()
-                                .map(r -> r.servedShare() / upperBoundBySeed.get(r.seed()).servedShare())
+                                .map(r -> r.servedShare()
+                                        / upperBoundBySeed.get(r.seed()).servedShare())
                                 .toList()),
                         mean(selected.stream()
-                                .map(r -> r.worstShare() / upperBoundBySeed.get(r.seed()).worstShare())
+                                .map(r -> r.worstShare()
+                                        / upperBoundBySeed.get(r.seed()).worstShare())
                                 .toList()),
                         selected.stream().mapToInt(Run::coldOverloadCount).sum(),
                         selected.stream().mapToInt(Run::duplicateEffectCount).sum()));
@@ -226,7 +228,8 @@
         for (int i = 0; i < count; i++) {
             List<Site.FailoverTarget> failoverTargets = new ArrayList<>();
             for (int d = 1; d <= Math.min(6, count - 1); d++) {
-                failoverTargets.add(new Site.FailoverTarget(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
+                failoverTargets.add(
+                        new Site.FailoverTarget(String.format("s%03d", (i + d) % count), 1 + random.nextInt(5)));
             }
             sitesByName.put(
                     String.format("s%03d", i),
@@ -335,9 +338,11 @@
                                 runs.stream().map(r -> (double) r.seed()).toList()),
                         ColumnFile.number(
                                 "served", runs.stream().map(Run::servedShare).toList()),
-                        ColumnFile.number("worst", runs.stream().map(Run::worstShare).toList()),
                         ColumnFile.number(
-                                "others", runs.stream().map(Run::otherSitesShare).toList()),
+                                "worst", runs.stream().map(Run::worstShare).toList()),
+                        ColumnFile.number(
+                                "others",
+                                runs.stream().map(Run::otherSitesShare).toList()),
                         ColumnFile.number(
                                 "declared_ms",
                                 runs.stream().map(Run::declaredMs).toList()),
@@ -345,7 +350,9 @@
                                 "return_ms", runs.stream().map(Run::returnMs).toList()),
                         ColumnFile.number(
                                 "falls",
-                                runs.stream().map(r -> (double) r.coldOverloadCount()).toList())));
+                                runs.stream()
+                                        .map(r -> (double) r.coldOverloadCount())
+                                        .toList())));
         Charts.sites(into.resolve("sites.png"), runs);
         int hours = 500;
         long quiet = IntStream.range(0, 8)
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -233,7 +233,8 @@
         final int site;
         final String name;
         final Map<Long, ClientRequest> openRequests = new HashMap<>();
-        final Map<Long, long[]> runningAttempts = new HashMap<>(); // By request id: attempt number, attempt id, endpoint id.
+        final Map<Long, long[]> runningAttempts =
+                new HashMap<>(); // By request id: attempt number, attempt id, endpoint id.
         OverflowRouter overflowRouter;
         SiteObserver siteObservations;
         FailoverController failoverController;
@@ -370,10 +371,13 @@
                             fills,
                             siteRouter == homeRouter ? s.retentionRank() : Math.min(1, s.retentionRank()),
                             s.maxAge());
-            boolean connectTimesOut = unreachable || c.model.isUp() == false && sitesWithVanishedCaches.contains(c.site);
+            boolean connectTimesOut =
+                    unreachable || c.model.isUp() == false && sitesWithVanishedCaches.contains(c.site);
             int cacheEpoch = c.lifecycleEpoch;
             long slowdownFactor = slowSite == c.site ? 3 : 1;
-            long attemptDeadline = s.timeout() > 0 ? Math.min(request.deadline - 40 * MS, now + s.timeout()) : request.deadline - 40 * MS;
+            long attemptDeadline = s.timeout() > 0
+                    ? Math.min(request.deadline - 40 * MS, now + s.timeout())
+                    : request.deadline - 40 * MS;
             switch (answer.outcome()) {
                 case DOWN ->
                     scheduleAttemptEnd(
@@ -385,17 +389,38 @@
                             now + (connectTimesOut ? 400 * MS : MS),
                             connectTimesOut ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
                             CacheStatus.UNKNOWN);
-                case FULL -> scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, now + MS, AttemptResult.FULL, CacheStatus.UNKNOWN);
-                case MISS -> scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, now + MS, AttemptResult.MISS, CacheStatus.UNKNOWN);
+                case FULL ->
+                    scheduleAttemptEnd(
+                            siteRouter,
+                            s,
+                            attemptNumber,
+                            attemptId,
+                            startedAt,
+                            now + MS,
+                            AttemptResult.FULL,
+                            CacheStatus.UNKNOWN);
+                case MISS ->
+                    scheduleAttemptEnd(
+                            siteRouter,
+                            s,
+                            attemptNumber,
+                            attemptId,
+                            startedAt,
+                            now + MS,
+                            AttemptResult.MISS,
+                            CacheStatus.UNKNOWN);
                 default -> {
                     if (CLASSES[request.classIndex].uncacheable()) {
                         request.effectCount++;
                     }
                     boolean fill = answer.outcome() == CacheModel.Outcome.FILL;
-                    UpstreamModel.Fill upstreamFill =
-                            fill ? upstreams[c.site].begin(request.object, CLASSES[request.classIndex].uncacheable()) : null;
+                    UpstreamModel.Fill upstreamFill = fill
+                            ? upstreams[c.site].begin(request.object, CLASSES[request.classIndex].uncacheable())
+                            : null;
                     long fillDuration = fill ? upstreamFill.durationMicros() + request.work / 3 : 0;
-                    long completesAt = now + slowdownFactor * (answer.durationMicros() + fillDuration) + (c.site == site ? 0 : 8 * MS);
+                    long completesAt = now
+                            + slowdownFactor * (answer.durationMicros() + fillDuration)
+                            + (c.site == site ? 0 : 8 * MS);
                     schedule(Math.min(completesAt, attemptDeadline), () -> {
                         if (c.lifecycleEpoch == cacheEpoch) {
                             c.model.endTransfer();
@@ -405,7 +430,15 @@
                         }
                     });
                     if (completesAt > attemptDeadline) {
-                        scheduleAttemptEnd(siteRouter, s, attemptNumber, attemptId, startedAt, attemptDeadline, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
+                        scheduleAttemptEnd(
+                                siteRouter,
+                                s,
+                                attemptNumber,
+                                attemptId,
+                                startedAt,
+                                attemptDeadline,
+                                AttemptResult.TIMEOUT,
+                                CacheStatus.UNKNOWN);
                     } else {
                         schedule(completesAt, () -> {
                             boolean died = c.lifecycleEpoch != cacheEpoch;
@@ -432,11 +465,19 @@
                 long endsAt,
                 AttemptResult result,
                 CacheStatus cacheStatus) {
-            schedule(endsAt, () -> finishAttempt(siteRouter, s, attemptNumber, attemptId, startedAt, result, cacheStatus));
+            schedule(
+                    endsAt,
+                    () -> finishAttempt(siteRouter, s, attemptNumber, attemptId, startedAt, result, cacheStatus));
         }
 
         private void finishAttempt(
-                SiteRouter siteRouter, SendAttempt s, int attemptNumber, long attemptId, long startedAt, AttemptResult result, CacheStatus cacheStatus) {
+                SiteRouter siteRouter,
+                SendAttempt s,
+                int attemptNumber,
+                long attemptId,
+                long startedAt,
+                AttemptResult result,
+                CacheStatus cacheStatus) {
             long[] runningAttempt = runningAttempts.get(s.requestId());
             if (runningAttempt == null || runningAttempt[1] != attemptId) {
                 return;
@@ -446,7 +487,8 @@
             boolean requestEnded = request == null;
             Cache c = cachesById.get(s.endpointId());
             if (request != null) {
-                siteObservations.recordAttempt(now, siteName(c.site), result, now - startedAt > request.latencyObjective());
+                siteObservations.recordAttempt(
+                        now, siteName(c.site), result, now - startedAt > request.latencyObjective());
                 if (result == AttemptResult.SERVED) {
                     endRequest(s.requestId(), true);
                     requestEnded = true;
@@ -461,7 +503,8 @@
                 case CANCELLED -> AttemptOutcome.CANCELLED;
                 default -> AttemptOutcome.TIMEOUT;
             };
-            siteRouter.handleEvent(new AttemptFinished(s.requestId(), attemptNumber, s.endpointId(), outcome, now - startedAt, requestEnded, cacheStatus));
+            siteRouter.handleEvent(new AttemptFinished(
+                    s.requestId(), attemptNumber, s.endpointId(), outcome, now - startedAt, requestEnded, cacheStatus));
         }
 
         void cancel(SiteRouter siteRouter, CancelAttempt c) {
@@ -545,7 +588,8 @@
         this.popularity = new ZipfDistribution(distributionRandom, OBJECT_COUNT, 0.9);
         for (int i = 0; i < 2; i++) {
             double sigma = 0.6;
-            workDistributions[i] = new LogNormalDistribution(distributionRandom, Math.log(MEAN_WORK_MICROS[i]) - sigma * sigma / 2, sigma);
+            workDistributions[i] = new LogNormalDistribution(
+                    distributionRandom, Math.log(MEAN_WORK_MICROS[i]) - sigma * sigma / 2, sigma);
         }
         TreeMap<String, Site> sitesByName = new TreeMap<>();
         for (int i = 0; i < SITE_COUNT; i++) {
@@ -560,7 +604,15 @@
             failoverTargets.sort((a, b) -> Double.compare(a.distance(), b.distance()));
             sitesByName.put(
                     siteName(i),
-                    new Site(siteName(i), "hub", Set.of("d" + i), IN_TIME_FRACTION * CACHE_CAPACITY * CACHES_PER_SITE, LENDABLE_FRACTION, 0.5, 0, failoverTargets));
+                    new Site(
+                            siteName(i),
+                            "hub",
+                            Set.of("d" + i),
+                            IN_TIME_FRACTION * CACHE_CAPACITY * CACHES_PER_SITE,
+                            LENDABLE_FRACTION,
+                            0.5,
+                            0,
+                            failoverTargets));
         }
         boolean returnsInSteps = strategy == Strategy.PLANNED || strategy == Strategy.SEEING;
         this.sites = new Sites(
@@ -571,7 +623,9 @@
                         2 * SECOND,
                         120 * SECOND,
                         1_500 * MS,
-                        returnsInSteps && injectedFault != InjectedFault.RETURNS_AT_ONCE ? List.of(0.15, 0.3, 0.5, 0.75, 1.0) : List.of(1.0),
+                        returnsInSteps && injectedFault != InjectedFault.RETURNS_AT_ONCE
+                                ? List.of(0.15, 0.3, 0.5, 0.75, 1.0)
+                                : List.of(1.0),
                         3 * SECOND));
         for (int s = 0; s < SITE_COUNT; s++) {
             upstreams[s] = new UpstreamModel(UPSTREAM); // The capacity of this site's link and hub.
@@ -602,7 +656,10 @@
         java.util.Arrays.fill(zoneWeights, 0, SITE_COUNT, 1);
         return new RouterSettings(
                 new RouterTopology(
-                        site, SITE_COUNT, site, Arrays.stream(zoneWeights).boxed().toList()),
+                        site,
+                        SITE_COUNT,
+                        site,
+                        Arrays.stream(zoneWeights).boxed().toList()),
                 List.of(CLASSES),
                 new Bandwidth(KB_PER_WORK_MS * 1_000, 0),
                 new RouterFeatures(true, false, false, false, true),
@@ -624,14 +681,18 @@
     // ---- Clients: open loop; a request goes to the director of its site or, if that is dead, of the next site ----
 
     private void scheduleNextRequest(int site) {
-        double loadFactor = 1 + 0.15 * Math.sin(now / 1e6 / 90 * Math.PI); // The load peaks in the middle of the simulation.
-        double meanWork =
-                CUMULATIVE_CLASS_SHARE[0] * MEAN_WORK_MICROS[0] + (CUMULATIVE_CLASS_SHARE[1] - CUMULATIVE_CLASS_SHARE[0]) * MEAN_WORK_MICROS[1] + (1 - CUMULATIVE_CLASS_SHARE[1]) * MEAN_WORK_MICROS[2];
+        double loadFactor =
+                1 + 0.15 * Math.sin(now / 1e6 / 90 * Math.PI); // The load peaks in the middle of the simulation.
+        double meanWork = CUMULATIVE_CLASS_SHARE[0] * MEAN_WORK_MICROS[0]
+                + (CUMULATIVE_CLASS_SHARE[1] - CUMULATIVE_CLASS_SHARE[0]) * MEAN_WORK_MICROS[1]
+                + (1 - CUMULATIVE_CLASS_SHARE[1]) * MEAN_WORK_MICROS[2];
         double requestsPerSecond = siteLoads[site] / 1.12 * loadFactor / meanWork * 1e6;
         schedule(now + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * 1e6), () -> {
             double classDraw = random.nextDouble();
             int classIndex = classDraw < CUMULATIVE_CLASS_SHARE[0] ? 0 : classDraw < CUMULATIVE_CLASS_SHARE[1] ? 1 : 2;
-            long work = classIndex == 2 ? (long) MEAN_WORK_MICROS[2] : (long) Math.min(3e6, Math.max(5e3, workDistributions[classIndex].sample()));
+            long work = classIndex == 2
+                    ? (long) MEAN_WORK_MICROS[2]
+                    : (long) Math.min(3e6, Math.max(5e3, workDistributions[classIndex].sample()));
             long object = StableHash.of(classIndex == 2 ? "o" + nextRequestId : classIndex + "/" + popularity.sample());
             boolean specialTraffic = now > LOST_AT && now < RECOVERED_AT + 10 * SECOND && classIndex == 0;
             if (incident == Incident.SCAN && specialTraffic && random.nextDouble() < 0.2) {
@@ -676,11 +737,14 @@
             }
         });
         for (SiteStatusChange change : d.failoverController.proposeChanges(now, failover, absent)) {
-            if (strategy != Strategy.SEEING || change.phase() == SiteStatus.Phase.RETURNING || change.phase() == SiteStatus.Phase.WHOLE) {
+            if (strategy != Strategy.SEEING
+                    || change.phase() == SiteStatus.Phase.RETURNING
+                    || change.phase() == SiteStatus.Phase.WHOLE) {
                 commitStatusChange(change);
             }
         }
-        FailoverPlanRequest request = d.failoverController.requestPlan(now, failover).orElse(null);
+        FailoverPlanRequest request =
+                d.failoverController.requestPlan(now, failover).orElse(null);
         if (request != null) {
             FailoverPlan plan = computePlan(request);
             d.failoverController.planComputed(now, plan);
@@ -831,7 +895,8 @@
                 String lost = siteName(site);
                 long expected = failover.status(lost).lastChangeIndex();
                 failover.changeStatus(
-                        ++lastLogIndex, new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
+                        ++lastLogIndex,
+                        new SiteStatusChange(lost, SiteStatus.Phase.LOST, SiteHealth.CACHES, 0, 0, expected));
                 lossDeclaredAt = lossDeclaredAt < 0 ? now : lossDeclaredAt;
                 applyCommittedState();
             }
@@ -893,7 +958,9 @@
     }
 
     int duplicateEffectCount() {
-        return (int) clientRequests.stream().filter(request -> request.effectCount > 1).count();
+        return (int) clientRequests.stream()
+                .filter(request -> request.effectCount > 1)
+                .count();
     }
 
     /** Counts requests that got no answer by their deadline, without those that a dying director lost. */
@@ -909,7 +976,11 @@
         return incident != Incident.WHOLE
                 ? 0
                 : clientRequests.stream()
-                        .filter(request -> !request.answered && request.id > 0 && request.deadline < SIMULATION_END && request.site == 0 && request.arrivedAt < LOST_AT)
+                        .filter(request -> !request.answered
+                                && request.id > 0
+                                && request.deadline < SIMULATION_END
+                                && request.site == 0
+                                && request.arrivedAt < LOST_AT)
                         .count();
     }
 
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -62,7 +62,7 @@
                 otherMembers.add(experiment.serve(lastJar, config, file, freePort(), freePort()));
             }
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            samples.computeIfAbsent(lastName + CLUSTER, k -> new ArrayList<>())
+            samples.computeIfAbsent(lastName + CLUSTER_SUFFIX, k -> new ArrayList<>())
                     .add(experiment.sample(lastJar, config, memberFiles.get(2)));
             for (Process process : otherMembers) {
                 process.destroyForcibly().waitFor();
@@ -161,7 +161,7 @@
                 .redirectError(ProcessBuilder.Redirect.DISCARD);
         builder.environment().put("GW_CONFIG", config.toString());
         builder.environment().put("GW_LISTEN", HOST + ":" + listenPort);
-        builder.environment().put("GW_ADMIN_ADDR", HOST + "":" + adminPort);
+        builder.environment().put("GW_ADMIN_ADDR", HOST + ":" + adminPort);
         if (cluster != null) {
             builder.environment().put("GW_CLUSTER", cluster.toString());
         }
--- a/src/test/java/pewtercourse/experiment/ClusterSimTest.java
+++ b/src/test/java/pewtercourse/experiment/ClusterSimTest.java
@@ -129,10 +129,18 @@
     @ParameterizedTest
     @EnumSource(
             value = ClusterSim.InjectedFault.class,
-            names = {"ACKNOWLEDGED_BEFORE_SAVED", "LEASE_FROM_REPLY_TIME", "TOKEN_UNCHECKED", "LOAN_FROM_REPLY_TIME", "COMMAND_ORDER_UNCHECKED"})
+            names = {
+                "ACKNOWLEDGED_BEFORE_SAVED",
+                "LEASE_FROM_REPLY_TIME",
+                "TOKEN_UNCHECKED",
+                "LOAN_FROM_REPLY_TIME",
+                "COMMAND_ORDER_UNCHECKED"
+            })
     void detectsInjectedFault(ClusterSim.InjectedFault injectedFault) {
         assertTrue(
-                LongStream.range(0, INJECTED_FAULT_SEEDS).parallel().anyMatch(seed -> runWithFaults(seed, injectedFault).violation != null),
+                LongStream.range(0, INJECTED_FAULT_SEEDS)
+                        .parallel()
+                        .anyMatch(seed -> runWithFaults(seed, injectedFault).violation != null),
                 "not detected: " + injectedFault);
     }
 
@@ -159,7 +167,9 @@
     @Test
     void isolatedMemberRejoinsWithoutAnElection() {
         assertEquals(0, termIncreaseOnRejoin(ClusterSim.InjectedFault.NONE));
-        assertTrue(termIncreaseOnRejoin(ClusterSim.InjectedFault.NO_PRE_VOTE) > 1, "without the pre-vote the member deposes the leader");
+        assertTrue(
+                termIncreaseOnRejoin(ClusterSim.InjectedFault.NO_PRE_VOTE) > 1,
+                "without the pre-vote the member deposes the leader");
     }
 
     @Test
--- a/src/test/java/pewtercourse/experiment/SitesSimTest.java
+++ b/src/test/java/pewtercourse/experiment/SitesSimTest.java
@@ -13,7 +13,8 @@
 class SitesSimTest {
     private static final int SEEDS = 6;
 
-    private static SitesSim play(long seed, SitesSim.Strategy strategy, SitesSim.Incident incident, SitesSim.InjectedFault injectedFault) {
+    private static SitesSim play(
+            long seed, SitesSim.Strategy strategy, SitesSim.Incident incident, SitesSim.InjectedFault injectedFault) {
         return new SitesSim(seed, strategy, incident, injectedFault).run();
     }
 
@@ -38,7 +39,8 @@
             long from = SitesSim.lostAt() + 4 * SitesSim.SECOND;
             long to = SitesSim.recoveredAt();
             SitesSim alone = play(seed, SitesSim.Strategy.ALONE, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
-            SitesSim planned = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
+            SitesSim planned =
+                    play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
             assertTrue(alone.servedWorthShare(from, to, 0) < 0.05, "alone " + alone.servedWorthShare(from, to, 0));
             assertTrue(planned.servedWorthShare(from, to, 0) > 0.4, "planned " + planned.servedWorthShare(from, to, 0));
             assertTrue(planned.remoteCount > 0);
@@ -50,8 +52,10 @@
     void detectsInjectedFaults() {
         assertTrue(
                 LongStream.range(0, SEEDS).parallel().anyMatch(seed -> {
-                    SitesSim correct = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
-                    SitesSim broken = play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NO_BOUND);
+                    SitesSim correct =
+                            play(seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NONE);
+                    SitesSim broken = play(
+                            seed, SitesSim.Strategy.PLANNED, SitesSim.Incident.ONE, SitesSim.InjectedFault.NO_BOUND);
                     return servedAtOtherSites(broken) < servedAtOtherSites(correct) - 0.02;
                 }),
                 "the missing limit on failover targets was not detected");
@@ -71,7 +75,9 @@
         SitesSim first = play(5, SitesSim.Strategy.PLANNED, SitesSim.Incident.FLAPS, SitesSim.InjectedFault.NONE);
         SitesSim second = play(5, SitesSim.Strategy.PLANNED, SitesSim.Incident.FLAPS, SitesSim.InjectedFault.NONE);
         assertEquals(first.clientRequests.size(), second.clientRequests.size());
-        assertEquals(first.servedWorthShare(0, SitesSim.incidentEnds(), -1), second.servedWorthShare(0, SitesSim.incidentEnds(), -1));
+        assertEquals(
+                first.servedWorthShare(0, SitesSim.incidentEnds(), -1),
+                second.servedWorthShare(0, SitesSim.incidentEnds(), -1));
         assertEquals(first.remoteCount, second.remoteCount);
     }
 
