--- a/src/main/java/pewtercourse/experiment/ClusterSim.java
+++ b/src/main/java/pewtercourse/experiment/ClusterSim.java
@@ -252,7 +252,7 @@
             if (appliedIndex - raft.snapshotIndex() > 60) {
                 Snapshot snapshot =
                         raft.snapshotAt(appliedIndex, leaseManager.state().encode());
-                if (s != null) {
+                if (snapshot != null) {
                     disk.snapshot = snapshot; // Takes no time: nothing uses the new file before its rename.
                     disk.entries.headMap(snapshot.index(), true).clear();
                     raft.compacted(snapshot);
--- a/src/main/java/pewtercourse/experiment/StartExperiment.java
+++ b/src/main/java/pewtercourse/experiment/StartExperiment.java
@@ -55,7 +55,8 @@
         List<Path> memberFiles = experiment.createMembers();
         for (int i = 0; i < rounds; i++) {
             for (Map.Entry<String, Path> jar : jars.entrySet()) {
-                samples.computeIfAbsent(jar.getKey(), k -> new ArrayList<>()).add(experiment.sample(jar.getValue(), config, null));
+                samples.computeIfAbsent(jar.getKey(), k -> new ArrayList<>())
+                        .add(experiment.sample(jar.getValue(), config, null));
             }
             List<Process> otherMembers = new ArrayList<>();
             for (Path file : memberFiles.subList(0, 2)) {
@@ -116,7 +117,11 @@
                                             .put("quota", new JsonObject()))
                             .encode());
             ClusterConfig clusterConfig = ClusterConfig.fromFile(file);
-            LogStore.bootstrap(clusterConfig.data(), clusterConfig.cluster(), clusterConfig.name(), Membership.bootstrap(clusterConfig.members()));
+            LogStore.bootstrap(
+                    clusterConfig.data(),
+                    clusterConfig.cluster(),
+                    clusterConfig.name(),
+                    Membership.bootstrap(clusterConfig.members()));
             files.add(file);
         }
         return files;
@@ -128,9 +133,10 @@
         Process process = serve(jar, config, cluster, freePort(), adminPort);
         try {
             while (!isReady(adminPort)) {
-                if (!process.isAlive() || System.nanoTime() - startedNanos > TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS)) {
-                    throw new IOException(
-                            jar + " is not ready" + (process.isAlive() ? "" : ", it ended with " + process.exitValue()));
+                if (!process.isAlive()
+                        || System.nanoTime() - startedNanos > TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS)) {
+                    throw new IOException(jar + " is not ready"
+                            + (process.isAlive() ? "" : ", it ended with " + process.exitValue()));
                 }
                 TimeUnit.MILLISECONDS.sleep(2);
             }
