--- a/src/main/java/pewtercourse/Main.java
+++ b/src/main/java/pewtercourse/Main.java
@@ -125,8 +125,7 @@
                 .onComplete(started -> {
                     if (started.failed()) {
                         Log.warn("director.not_started", "listen", config.listen(), "error", started.cause());
-                        Runtime.getRuntime()
-                                .halt(1); // Unlike exit, runs no shutdown hook, which would wait for this thread.
+                        Runtime.getRuntime().halt(1); // Unlike exit, runs no shutdown hook, which would wait for this thread.
                     }
                     Log.info("director.listening", "name", config.name(), "listen", config.listen());
                 });
--- a/src/main/java/pewtercourse/emulator/CacheModel.java
+++ b/src/main/java/pewtercourse/emulator/CacheModel.java
@@ -22,13 +22,7 @@
      * @param collapseWindowMicros time over which the load of a cold cache is measured; 0 if it never collapses
      */
     public record Settings(
-            double capacity,
-            double queueFactor,
-            int maxCopies,
-            double coldShare,
-            long warmUpMicros,
-            double collapseFactor,
-            long collapseWindowMicros) {}
+            double capacity, double queueFactor, int maxCopies, double coldShare, long warmUpMicros, double collapseFactor, long collapseWindowMicros) {}
 
     /** The result of a request at a modelled cache. */
     public enum Outcome {
@@ -106,8 +100,7 @@
         if (startedAt == Long.MIN_VALUE || settings.warmUpMicros() <= 0) {
             return 1;
         }
-        return Math.min(
-                1, settings.coldShare() + (1 - settings.coldShare()) * (now - startedAt) / settings.warmUpMicros());
+        return Math.min(1, settings.coldShare() + (1 - settings.coldShare()) * (now - startedAt) / settings.warmUpMicros());
     }
 
     /**
@@ -118,8 +111,7 @@
      * @param retentionRank the rank at which the object is stored, 0 if it is not stored
      * @param maxAgeMicros the maximum age of a usable copy, 0 for any age
      */
-    public Answer handleRequest(
-            long now, long object, long work, boolean mayFill, int retentionRank, long maxAgeMicros) {
+    public Answer handleRequest(long now, long object, long work, boolean mayFill, int retentionRank, long maxAgeMicros) {
         if (!isUp()) {
             return new Answer(Outcome.DOWN, 0, 0);
         }
@@ -188,9 +180,7 @@
         Long victim = null;
         int lowestRank = newRank + 1;
         int inspected = 0;
-        for (Iterator<Map.Entry<Long, Copy>> i = copies.entrySet().iterator();
-                i.hasNext() && inspected < 64;
-                inspected++) {
+        for (Iterator<Map.Entry<Long, Copy>> i = copies.entrySet().iterator(); i.hasNext() && inspected < 64; inspected++) {
             Map.Entry<Long, Copy> entry = i.next();
             if (entry.getValue().rank < lowestRank) {
                 lowestRank = entry.getValue().rank;
--- a/src/main/java/pewtercourse/emulator/Catalogue.java
+++ b/src/main/java/pewtercourse/emulator/Catalogue.java
@@ -48,9 +48,7 @@
                 String object = String.format(
                         "%016x",
                         StableHash.of(c.name()
-                                + (c.uncacheable()
-                                        ? "#" + orderCount++ + random.nextLong()
-                                        : "/" + popularity.sample())));
+                                + (c.uncacheable() ? "#" + orderCount++ + random.nextLong() : "/" + popularity.sample())));
                 return new DrawnRequest(c, object, sizeKb(c, object));
             }
         }
@@ -68,8 +66,7 @@
             return requestClass.meanWorkMs() * KB_PER_MS;
         }
         double u = ((StableHash.of("size" + object) >>> 11) + 0.5) * 0x1.0p-53;
-        double workMs = new LogNormalDistribution(
-                        null, Math.log(requestClass.meanWorkMs()) - SIZE_SIGMA * SIZE_SIGMA / 2, SIZE_SIGMA)
+        double workMs = new LogNormalDistribution(null, Math.log(requestClass.meanWorkMs()) - SIZE_SIGMA * SIZE_SIGMA / 2, SIZE_SIGMA)
                 .inverseCumulativeProbability(u);
         return Math.round(10 * Math.max(1, Math.min(2_000, workMs * KB_PER_MS))) / 10.0;
     }
--- a/src/main/java/pewtercourse/emulator/Clients.java
+++ b/src/main/java/pewtercourse/emulator/Clients.java
@@ -74,16 +74,14 @@
 
     private void send(Catalogue.DrawnRequest request, int triedDirectors) {
         if (triedDirectors >= directors.size()) {
-            EmulationResults.RequestCounts counts =
-                    results.counts(site, request.requestClass().name());
+            EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
             counts.asked++;
             counts.failed++;
             counts.worth += request.requestClass().worth();
             return;
         }
         String director = directors.get(triedDirectors);
-        ArrayDeque<FastCgiClient> idleConnections =
-                idleByDirector.computeIfAbsent(director, address -> new ArrayDeque<>());
+        ArrayDeque<FastCgiClient> idleConnections = idleByDirector.computeIfAbsent(director, address -> new ArrayDeque<>());
         FastCgiClient connection = idleConnections.pollFirst();
         if (connection != null) {
             sendRequest(request, connection, director);
@@ -108,8 +106,7 @@
 
     private void sendRequest(Catalogue.DrawnRequest request, FastCgiClient connection, String director) {
         long sentAtMicros = EmulatedCache.now();
-        EmulationResults.RequestCounts counts =
-                results.counts(site, request.requestClass().name());
+        EmulationResults.RequestCounts counts = results.counts(site, request.requestClass().name());
         counts.asked++;
         counts.worth += request.requestClass().worth();
         openRequests++;
@@ -157,13 +154,10 @@
         });
     }
 
-    private static void count(
-            EmulationResults.RequestCounts counts, Catalogue.DrawnRequest request, Buffer answer, double latencyMs) {
+    private static void count(EmulationResults.RequestCounts counts, Catalogue.DrawnRequest request, Buffer answer, double latencyMs) {
         String status = new String(answer.getBytes(0, Math.min(16, answer.length())), StandardCharsets.US_ASCII);
         if (status.startsWith("Status: 200")) {
-            boolean inTime = latencyMs
-                    <= request.requestClass().targetMs()
-                            + request.requestClass().stretch() * request.sizeKb() / Catalogue.KB_PER_MS;
+            boolean inTime = latencyMs <= request.requestClass().targetMs() + request.requestClass().stretch() * request.sizeKb() / Catalogue.KB_PER_MS;
             counts.inTime += inTime ? 1 : 0;
             counts.late += inTime ? 0 : 1;
             counts.worthInTime += inTime ? request.requestClass().worth() : 0;
--- a/src/main/java/pewtercourse/emulator/EmulatedCache.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedCache.java
@@ -29,8 +29,7 @@
     private double slowdownFactor = 1;
     long drainingSince = Long.MAX_VALUE; // Microseconds; new attempts should stop then.
 
-    EmulatedCache(
-            Vertx vertx, String name, String site, CacheModel model, UpstreamModel upstream, EmulationResults results) {
+    EmulatedCache(Vertx vertx, String name, String site, CacheModel model, UpstreamModel upstream, EmulationResults results) {
         this.vertx = vertx;
         this.name = name;
         this.site = site;
@@ -48,9 +47,7 @@
             c.closeHandler(v -> connections.remove(c));
         });
         server.requestHandler(this::handle);
-        return server.listen(port)
-                .onSuccess(listening -> port = listening.actualPort())
-                .mapEmpty();
+        return server.listen(port).onSuccess(listening -> port = listening.actualPort()).mapEmpty();
     }
 
     String address() {
@@ -109,31 +106,21 @@
         switch (answer.outcome()) {
             case DOWN -> request.connection().close();
             case FULL ->
-                request.response()
-                        .setStatusCode(503)
-                        .putHeader("Never-Ran", "1")
-                        .end();
+                request.response().setStatusCode(503).putHeader("Never-Ran", "1").end();
             case MISS -> request.response().setStatusCode(404).end();
             default -> serve(request, requestClass, object, sizeKb, answer);
         }
     }
 
-    private void serve(
-            HttpServerRequest request,
-            Catalogue.RequestClass requestClass,
-            String object,
-            double sizeKb,
-            CacheModel.Answer answer) {
+    private void serve(HttpServerRequest request, Catalogue.RequestClass requestClass, String object, double sizeKb, CacheModel.Answer answer) {
         boolean hit = answer.outcome() == CacheModel.Outcome.HIT;
         if (requestClass.uncacheable()) {
             results.recordOrderRun(request.getHeader("Request-Id"));
         } else if (hit) {
             results.recordServedCopy(object, answer.bornAtMicros(), now());
         }
-        UpstreamModel.Fill fill =
-                hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), requestClass.uncacheable());
-        long durationMs = Math.max(
-                1, Math.round(slowdownFactor * (answer.durationMicros() + (hit ? 0 : fill.durationMicros())) / 1_000));
+        UpstreamModel.Fill fill = hit ? null : upstream.begin(Long.parseUnsignedLong(object, 16), requestClass.uncacheable());
+        long durationMs = Math.max(1, Math.round(slowdownFactor * (answer.durationMicros() + (hit ? 0 : fill.durationMicros())) / 1_000));
         int generation = processGeneration;
         vertx.setTimer(durationMs, timer -> {
             if (fill != null) {
@@ -147,8 +134,7 @@
                 request.response()
                         .putHeader("ETag", object)
                         .putHeader(
-                                "X-Born-Ms",
-                                String.valueOf(System.currentTimeMillis() - (now() - answer.bornAtMicros()) / 1_000))
+                                "X-Born-Ms", String.valueOf(System.currentTimeMillis() - (now() - answer.bornAtMicros()) / 1_000))
                         .putHeader("Outcome", hit ? "mem" : "parent")
                         .putHeader("Load-Report", "inflight:" + model.transfersInFlight() + ";x0:0.5")
                         .end(Buffer.buffer(new byte[(int) Math.min(200_000, Math.max(1, sizeKb * BYTES_PER_KB))]));
--- a/src/main/java/pewtercourse/emulator/EmulatedFeed.java
+++ b/src/main/java/pewtercourse/emulator/EmulatedFeed.java
@@ -29,9 +29,7 @@
         HttpServer server = vertx.createHttpServer();
         server.requestHandler(this::follow);
         vertx.setPeriodic(1_000, t -> followers.keySet().forEach(follower -> follower.write(": here\n\n")));
-        return server.listen(0, HOST)
-                .onSuccess(listening -> port = listening.actualPort())
-                .mapEmpty();
+        return server.listen(0, HOST).onSuccess(listening -> port = listening.actualPort()).mapEmpty();
     }
 
     String address() {
@@ -39,8 +37,7 @@
     }
 
     private void follow(HttpServerRequest request) {
-        HttpServerResponse response =
-                request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
+        HttpServerResponse response = request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
         String lastEventId = request.getHeader("Last-Event-ID");
         long lastSeen = lastEventId == null || lastEventId.isEmpty() ? 0 : Long.parseLong(lastEventId);
         response.closeHandler(v -> followers.remove(response));
@@ -74,9 +71,6 @@
         return new JsonObject()
                 .put(
                         "members",
-                        new JsonObject()
-                                .put("seq", sequence)
-                                .put("whole", complete)
-                                .put("hosts", list));
+                        new JsonObject().put("seq", sequence).put("whole", complete).put("hosts", list));
     }
 }
--- a/src/main/java/pewtercourse/emulator/Emulation.java
+++ b/src/main/java/pewtercourse/emulator/Emulation.java
@@ -26,8 +26,7 @@
      * @param requestsPerSecond rate at which its clients send requests
      * @param directors addresses in the order in which its clients try them: first those of the site, then the others
      */
-    public record SiteSpec(
-            String name, int caches, double capacity, double requestsPerSecond, List<String> directors) {}
+    public record SiteSpec(String name, int caches, double capacity, double requestsPerSecond, List<String> directors) {}
 
     private static final String HUB = "hub";
     private static final int OBJECT_COUNT = 500;
@@ -64,8 +63,7 @@
                             vertx,
                             String.format("s-%08x", cacheNumber++),
                             spec.name(),
-                            new CacheModel(new CacheModel.Settings(
-                                    spec.capacity(), 2.5, 400, 0.23, WARM_UP_MICROS, 2, COLLAPSE_WINDOW_MICROS)),
+                            new CacheModel(new CacheModel.Settings(spec.capacity(), 2.5, 400, 0.23, WARM_UP_MICROS, 2, COLLAPSE_WINDOW_MICROS)),
                             upstream,
                             results);
                     listening.add(cache.listen());
@@ -78,13 +76,7 @@
                 clients.put(
                         spec.name(),
                         new Clients(
-                                vertx,
-                                spec.name(),
-                                spec.directors(),
-                                seed * 31 + cacheNumber,
-                                OBJECT_COUNT,
-                                spec.requestsPerSecond(),
-                                results));
+                                vertx, spec.name(), spec.directors(), seed * 31 + cacheNumber, OBJECT_COUNT, spec.requestsPerSecond(), results));
             }
             return null;
         });
@@ -250,8 +242,7 @@
 
     /** Returns the number of client requests without an answer. */
     public int openRequestCount() {
-        return runOnLoop(() ->
-                clients.values().stream().mapToInt(Clients::openRequestCount).sum());
+        return runOnLoop(() -> clients.values().stream().mapToInt(Clients::openRequestCount).sum());
     }
 
     /** Ends all caches of a site at the same time. The feeds report it only after {@link #publishHealth}. */
@@ -264,8 +255,8 @@
 
     /** Starts the caches of a site again, cold and without copies, and publishes them as Ready. */
     public void restartCaches(String site) throws Exception {
-        List<Future<Void>> starting = runOnLoop(
-                () -> caches.get(site).stream().map(EmulatedCache::start).toList());
+        List<Future<Void>> starting =
+                runOnLoop(() -> caches.get(site).stream().map(EmulatedCache::start).toList());
         for (Future<Void> started : starting) {
             started.toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         }
@@ -308,9 +299,7 @@
 
     /** Returns how often a cache of a site collapsed because it was overloaded while cold. */
     public int coldOverloadCount(String site) {
-        return runOnLoop(() -> caches.get(site).stream()
-                .mapToInt(c -> c.model.coldOverloadCount())
-                .sum());
+        return runOnLoop(() -> caches.get(site).stream().mapToInt(c -> c.model.coldOverloadCount()).sum());
     }
 
     /** Reads from the results so far; {@code reader} runs on the event loop. */
--- a/src/main/java/pewtercourse/emulator/EmulationResults.java
+++ b/src/main/java/pewtercourse/emulator/EmulationResults.java
@@ -61,8 +61,7 @@
     void recordAttempt(EmulatedCache cache, long now) {
         attemptsBySite.merge(cache.site, 1, Integer::sum);
         if (now - cache.drainingSince > DRAIN_LIMIT_MICROS) {
-            recordViolation("an attempt at " + cache.name + " " + (now - cache.drainingSince) / 1_000
-                    + " ms after it began to drain");
+            recordViolation("an attempt at " + cache.name + " " + (now - cache.drainingSince) / 1_000 + " ms after it began to drain");
         }
     }
 
@@ -81,16 +80,13 @@
     void recordServedCopy(String object, long bornAt, long requestedAt) {
         Long purgeAt = purgedAt.get(object);
         if (purgeAt != null && bornAt < purgeAt && requestedAt > purgeAt + PURGE_LIMIT_MICROS) {
-            recordViolation("a copy of " + object + " from before its purge, " + (requestedAt - purgeAt) / 1_000
-                    + " ms after it");
+            recordViolation("a copy of " + object + " from before its purge, " + (requestedAt - purgeAt) / 1_000 + " ms after it");
         }
     }
 
     /** Returns the counts of one class at one site, which the caller updates. */
     RequestCounts counts(String site, String requestClass) {
-        return countsBySiteAndClass
-                .computeIfAbsent(site, name -> new TreeMap<>())
-                .computeIfAbsent(requestClass, name -> new RequestCounts());
+        return countsBySiteAndClass.computeIfAbsent(site, name -> new TreeMap<>()).computeIfAbsent(requestClass, name -> new RequestCounts());
     }
 
     /** Returns the sum of the counts of all classes of a site. */
@@ -119,20 +115,10 @@
     public String text() {
         StringBuilder table = new StringBuilder(
                 "site             class          asked  in time   late  refused  failed   lost   worth\n");
-        countsBySiteAndClass.forEach((site, classes) ->
-                classes.forEach((requestClass, counts) -> table.append(String.format(
-                        "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
-                        site,
-                        requestClass,
-                        counts.asked,
-                        counts.inTime,
-                        counts.late,
-                        counts.refused,
-                        counts.failed,
-                        counts.lost,
-                        100 * counts.share()))));
-        violations.forEach(
-                violation -> table.append("RULE BROKEN: ").append(violation).append('\n'));
+        countsBySiteAndClass.forEach((site, classes) -> classes.forEach((requestClass, counts) -> table.append(String.format(
+                "%-16s %-12s %7d %8d %6d %8d %7d %6d %6.1f%%%n",
+                site, requestClass, counts.asked, counts.inTime, counts.late, counts.refused, counts.failed, counts.lost, 100 * counts.share()))));
+        violations.forEach(violation -> table.append("RULE BROKEN: ").append(violation).append('\n'));
         return table.append(violations.isEmpty() ? "rules kept\n" : "").toString();
     }
 }
--- a/src/main/java/pewtercourse/emulator/Scenario.java
+++ b/src/main/java/pewtercourse/emulator/Scenario.java
@@ -38,8 +38,7 @@
         JsonArray siteList = array("sites", json.getValue("sites"));
         List<String> directors = new ArrayList<>();
         for (int i = 0; i < siteList.size(); i++) {
-            directors.add(text(
-                    "sites[" + i + "].director", object(siteList, "sites", i).getValue("director")));
+            directors.add(text("sites[" + i + "].director", object(siteList, "sites", i).getValue("director")));
             DirectorConfig.address("sites[" + i + "].director", directors.get(i));
         }
         for (int i = 0; i < siteList.size(); i++) {
@@ -60,8 +59,7 @@
         if (sites.isEmpty()) {
             throw new ConfigException("sites", "there is none");
         }
-        JsonArray faultList =
-                json.getValue("faults") == null ? new JsonArray() : array("faults", json.getValue("faults"));
+        JsonArray faultList = json.getValue("faults") == null ? new JsonArray() : array("faults", json.getValue("faults"));
         for (int i = 0; i < faultList.size(); i++) {
             JsonObject fault = object(faultList, "faults", i);
             String key = "faults[" + i + "].";
@@ -110,13 +108,7 @@
             for (Emulation.SiteSpec spec : sites) {
                 Path file = outputFolder.resolve("director-" + spec.name() + ".json");
                 Files.writeString(
-                        file,
-                        emulation
-                                .config(
-                                        spec.name(),
-                                        spec.name(),
-                                        spec.directors().get(0))
-                                .encodePrettily());
+                        file, emulation.config(spec.name(), spec.name(), spec.directors().get(0)).encodePrettily());
                 out.println("for the director of " + spec.name() + ": GW_CONFIG=" + file);
             }
             for (Emulation.SiteSpec spec : sites) {
@@ -141,12 +133,9 @@
                 Thread.sleep(100);
             }
             out.print(emulation.results(EmulationResults::text));
-            int coldOverloads = sites.stream()
-                    .mapToInt(s -> emulation.coldOverloadCount(s.name()))
-                    .sum();
+            int coldOverloads = sites.stream().mapToInt(s -> emulation.coldOverloadCount(s.name())).sum();
             out.println("cold caches that fell: " + coldOverloads);
-            return coldOverloads == 0
-                    && emulation.results(results -> results.violations().isEmpty());
+            return coldOverloads == 0 && emulation.results(results -> results.violations().isEmpty());
         }
     }
 
--- a/src/main/java/pewtercourse/emulator/UpstreamModel.java
+++ b/src/main/java/pewtercourse/emulator/UpstreamModel.java
@@ -15,8 +15,7 @@
      * @param originCapacity requests that the origin answers at the same time at full speed; beyond it the time grows with
      *     the square of the load
      */
-    public record Settings(
-            double linkCapacity, double parentHitShare, long parentMicros, long originMicros, double originCapacity) {}
+    public record Settings(double linkCapacity, double parentHitShare, long parentMicros, long originMicros, double originCapacity) {}
 
     /** A fill in progress: how long it takes and whether it needs the origin. */
     public record Fill(long durationMicros, boolean fromOrigin) {}
@@ -36,13 +35,11 @@
      */
     public Fill begin(long object, boolean uncacheable) {
         fillsInFlight++;
-        boolean needsOrigin =
-                uncacheable || (StableHash.of("held" + object) >>> 11) * 0x1.0p-53 >= settings.parentHitShare();
+        boolean needsOrigin = uncacheable || (StableHash.of("held" + object) >>> 11) * 0x1.0p-53 >= settings.parentHitShare();
         originRequestsInFlight += needsOrigin ? 1 : 0;
         double originLoad = Math.max(1, originRequestsInFlight / settings.originCapacity());
         return new Fill(
-                (long) (settings.parentMicros() * Math.max(1, fillsInFlight / settings.linkCapacity())
-                        + (needsOrigin ? settings.originMicros() * originLoad * originLoad : 0)),
+                (long) (settings.parentMicros() * Math.max(1, fillsInFlight / settings.linkCapacity()) + (needsOrigin ? settings.originMicros() * originLoad * originLoad : 0)),
                 needsOrigin);
     }
 
--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -327,7 +327,7 @@
             if (targetSite != site) {
                 remoteCount++;
             }
-            SiteRouter siteRouter = targetSite == site
+            SiteRouter router = targetSite == site
                     ? homeRouter
                     : remoteRouters.computeIfAbsent(targetSite, remoteSite -> {
                         SiteRouter d = new SiteRouter(
@@ -338,7 +338,7 @@
                         d.handleEvent(endpointSnapshot());
                         return d;
                     });
-            siteRouter.handleEvent(new RequestArrived(
+            router.handleEvent(new RequestArrived(
                     request.id,
                     request.classIndex,
                     Long.toHexString(request.object),
@@ -350,15 +350,15 @@
                     CLASSES[request.classIndex].uncacheable()));
         }
 
-        void send(SiteRouter siteRouter, SendAttempt s) {
+        void send(SiteRouter router, SendAttempt s) {
             ClientRequest request = openRequests.get(s.requestId());
             if (request == null) {
                 return;
             }
-            int attemptNumber = request.attemptCount++;
+            int number = request.attemptCount++;
             long startedAt = now;
             long attemptId = ++lastAttemptId;
-            runningAttempts.put(s.requestId(), new long[] {attemptNumber, attemptId, s.endpointId()});
+            runningAttempts.put(s.requestId(), new long[] {number, attemptId, s.endpointId()});
             Cache c = cachesById.get(s.endpointId());
             boolean unreachable = cutLinks.contains(site * 100 + c.site);
             boolean fills = s.fillSourceId() != s.endpointId();
@@ -369,7 +369,7 @@
                             request.object,
                             request.work,
                             fills,
-                            siteRouter == homeRouter ? s.retentionRank() : Math.min(1, s.retentionRank()),
+                            router == homeRouter ? s.retentionRank() : Math.min(1, s.retentionRank()),
                             s.maxAge());
             boolean connectTimesOut =
                     unreachable || c.model.isUp() == false && sitesWithVanishedCaches.contains(c.site);
@@ -380,30 +380,30 @@
                     : request.deadline - 40 * MS;
             switch (answer.outcome()) {
                 case DOWN ->
-                    scheduleAttemptEnd(
-                            siteRouter,
+                    endAt(
+                            router,
                             s,
-                            attemptNumber,
+                            number,
                             attemptId,
                             startedAt,
                             now + (connectTimesOut ? 400 * MS : MS),
                             connectTimesOut ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
                             CacheStatus.UNKNOWN);
                 case FULL ->
-                    scheduleAttemptEnd(
-                            siteRouter,
+                    endAt(
+                            router,
                             s,
-                            attemptNumber,
+                            number,
                             attemptId,
                             startedAt,
                             now + MS,
                             AttemptResult.FULL,
                             CacheStatus.UNKNOWN);
                 case MISS ->
-                    scheduleAttemptEnd(
-                            siteRouter,
+                    endAt(
+                            router,
                             s,
-                            attemptNumber,
+                            number,
                             attemptId,
                             startedAt,
                             now + MS,
@@ -430,10 +430,10 @@
                         }
                     });
                     if (completesAt > attemptDeadline) {
-                        scheduleAttemptEnd(
-                                siteRouter,
+                        endAt(
+                                router,
                                 s,
-                                attemptNumber,
+                                number,
                                 attemptId,
                                 startedAt,
                                 attemptDeadline,
@@ -443,9 +443,9 @@
                         schedule(completesAt, () -> {
                             boolean died = c.lifecycleEpoch != cacheEpoch;
                             finishAttempt(
-                                    siteRouter,
+                                    router,
                                     s,
-                                    attemptNumber,
+                                    number,
                                     attemptId,
                                     startedAt,
                                     died ? AttemptResult.RESET : AttemptResult.SERVED,
@@ -456,10 +456,10 @@
             }
         }
 
-        private void scheduleAttemptEnd(
-                SiteRouter siteRouter,
+        private void endAt(
+                SiteRouter router,
                 SendAttempt s,
-                int attemptNumber,
+                int number,
                 long attemptId,
                 long startedAt,
                 long endsAt,
@@ -467,13 +467,13 @@
                 CacheStatus cacheStatus) {
             schedule(
                     endsAt,
-                    () -> finishAttempt(siteRouter, s, attemptNumber, attemptId, startedAt, result, cacheStatus));
+                    () -> finishAttempt(router, s, number, attemptId, startedAt, result, cacheStatus));
         }
 
         private void finishAttempt(
-                SiteRouter siteRouter,
+                SiteRouter router,
                 SendAttempt s,
-                int attemptNumber,
+                int number,
                 long attemptId,
                 long startedAt,
                 AttemptResult result,
@@ -503,11 +503,11 @@
                 case CANCELLED -> AttemptOutcome.CANCELLED;
                 default -> AttemptOutcome.TIMEOUT;
             };
-            siteRouter.handleEvent(new AttemptFinished(
-                    s.requestId(), attemptNumber, s.endpointId(), outcome, now - startedAt, requestEnded, cacheStatus));
+            router.handleEvent(new AttemptFinished(
+                    s.requestId(), number, s.endpointId(), outcome, now - startedAt, requestEnded, cacheStatus));
         }
 
-        void cancel(SiteRouter siteRouter, CancelAttempt c) {
+        void cancel(SiteRouter router, CancelAttempt c) {
             long[] runningAttempt = runningAttempts.get(c.requestId());
             if (runningAttempt != null && runningAttempt[0] == c.attempt()) {
                 // The end of a cancelled attempt reaches the router as a later event, like any other end.
@@ -517,7 +517,7 @@
                     long[] current = runningAttempts.get(c.requestId());
                     if (current != null && current[1] == attemptId) {
                         runningAttempts.remove(c.requestId());
-                        siteRouter.handleEvent(new AttemptFinished(
+                        router.handleEvent(new AttemptFinished(
                                 c.requestId(),
                                 (int) current[0],
                                 current[2],
--- a/src/main/java/pewtercourse/simulator/SimulatorConnection.java
+++ b/src/main/java/pewtercourse/simulator/SimulatorConnection.java
@@ -63,13 +63,7 @@
 
     /** A ROW line of a DIRECTORY message: an endpoint before an instance's settings are applied to it. */
     private record EndpointRow(
-            long id,
-            String zone,
-            String kind,
-            int cell,
-            EndpointLifecycle lifecycle,
-            double weight,
-            long onlineSinceMicros) {}
+            long id, String zone, String kind, int cell, EndpointLifecycle lifecycle, double weight, long onlineSinceMicros) {}
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -169,9 +163,7 @@
                     case "snapshot" -> EndpointUpdateKind.SNAPSHOT;
                     case "disk" -> EndpointUpdateKind.CACHED;
                     case "error" -> EndpointUpdateKind.FAILED;
-                    default ->
-                        throw malformed(
-                                "field Mode: '" + shown(fields[4]) + "' is none of diff, snapshot, disk, error");
+                    default -> throw malformed("field Mode: '" + shown(fields[4]) + "' is none of diff, snapshot, disk, error");
                 };
                 List<Endpoint> endpoints = new ArrayList<>();
                 if (kind != EndpointUpdateKind.FAILED) {
@@ -209,8 +201,7 @@
                 AttemptOutcome outcome = parseOutcome(text(5, "Reason"));
                 int remark = (int) optionalNumber(8, "Remark");
                 CacheStatus[] cacheStatuses = CacheStatus.values();
-                instance()
-                        .events
+                instance().events
                         .add(new AttemptFinished(
                                 requestId(2),
                                 (int) integer(3, "Trial"),
@@ -218,13 +209,10 @@
                                 outcome,
                                 millisField(6, "Latency"),
                                 flag(7, "Last"),
-                                remark > 0 && remark < cacheStatuses.length
-                                        ? cacheStatuses[remark]
-                                        : CacheStatus.UNKNOWN));
+                                remark > 0 && remark < cacheStatuses.length ? cacheStatuses[remark] : CacheStatus.UNKNOWN));
             }
             case "INVALIDATED" ->
-                instance()
-                        .events
+                instance().events
                         .add(new ContentPurged(
                                 absent(2) ? null : fields[2],
                                 (int) optionalNumber(3, "BatchId"),
@@ -254,8 +242,7 @@
                 case "Ready" -> EndpointLifecycle.READY;
                 case "Terminating" -> EndpointLifecycle.DRAINING;
                 case "Gone" -> EndpointLifecycle.GONE;
-                default ->
-                    throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is none of Ready, Terminating, Gone");
+                default -> throw malformed("field Lifecycle: '" + shown(fields[5]) + "' is none of Ready, Terminating, Gone");
             };
             rows.add(new EndpointRow(
                     integer(1, "Node"),
@@ -270,8 +257,7 @@
     }
 
     private static Endpoint toEndpoint(Instance instance, EndpointRow row) {
-        return instance.site.endpoint(
-                row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
+        return instance.site.endpoint(row.id, row.zone, row.kind, row.cell, row.lifecycle, row.weight, row.onlineSinceMicros);
     }
 
     private void startInstance() {
@@ -442,8 +428,7 @@
             appendMillis(out, timer.dueAt());
         } else if (action instanceof SendGossip gossip) {
             if (gossip.payload().length > MAX_GOSSIP_BYTES) {
-                throw new IllegalArgumentException(
-                        "gossip payload has " + gossip.payload().length + " bytes, the maximum is " + MAX_GOSSIP_BYTES);
+                throw new IllegalArgumentException("gossip payload has " + gossip.payload().length + " bytes, the maximum is " + MAX_GOSSIP_BYTES);
             }
             startLine(out, "NOTIFY", instance).append(gossip.router()).append('\t');
             for (byte octet : gossip.payload()) {
--- a/src/main/java/pewtercourse/zone/Budget.java
+++ b/src/main/java/pewtercourse/zone/Budget.java
@@ -20,8 +20,7 @@
     public record Bound(long bytesPerS, long burstBytes) {
         public Bound {
             if (bytesPerS < 0 || bytesPerS > MAX_BYTES_PER_S) {
-                throw new IllegalArgumentException(
-                        "bytes_per_s: " + bytesPerS + " is not from 0 to " + MAX_BYTES_PER_S);
+                throw new IllegalArgumentException("bytes_per_s: " + bytesPerS + " is not from 0 to " + MAX_BYTES_PER_S);
             }
             if (burstBytes <= 0 || burstBytes > MAX_BURST_BYTES) {
                 throw new IllegalArgumentException("burst: " + burstBytes + " is not from 1 to " + MAX_BURST_BYTES);
@@ -40,8 +39,7 @@
     public record ClassBudget(Map<Crossing, Bound> bounds, double shareLeftToOthers, boolean neverRejected) {
         public ClassBudget {
             if (!(shareLeftToOthers >= 0 && shareLeftToOthers <= 1)) {
-                throw new IllegalArgumentException(
-                        "share_left_to_others: " + shareLeftToOthers + " is not from 0 to 1");
+                throw new IllegalArgumentException("share_left_to_others: " + shareLeftToOthers + " is not from 0 to 1");
             }
             bounds = copy(bounds);
         }
--- a/src/main/java/pewtercourse/zone/Ledger.java
+++ b/src/main/java/pewtercourse/zone/Ledger.java
@@ -33,8 +33,7 @@
             level += becomesFull ? missing : Math.min(missing, bound.bytesPerS() * elapsedMicros);
         }
 
-        // A debt stays, and the level is cut to the new burst. So a smaller burst takes effect immediately, and a
-        // larger
+        // A debt stays, and the level is cut to the new burst. So a smaller burst takes effect immediately, and a larger
         // one fills over time.
         private void changeBound(Budget.Bound newBound) {
             bound = newBound;
@@ -89,8 +88,7 @@
         for (Crossing crossing : Crossing.values()) {
             long bytes = cost.bytesOf(crossing);
             Bucket commonBucket = commonBuckets.get(crossing);
-            Bucket classBucket =
-                    bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing);
+            Bucket classBucket = bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing);
             if (bytes > 0
                     && (commonBucket != null && !commonBucket.affords(bytes, classBudget.shareLeftToOthers())
                             || classBucket != null && !classBucket.affords(bytes, 0))) {
@@ -108,8 +106,7 @@
         Reservation reservation = new Reservation(estimate);
         for (Crossing crossing : Crossing.values()) {
             for (Bucket bucket : new Bucket[] {
-                commonBuckets.get(crossing),
-                bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing)
+                commonBuckets.get(crossing), bucketsByClass.getOrDefault(requestClass, Map.of()).get(crossing)
             }) {
                 if (bucket != null) {
                     bucket.addTokens(-estimate.bytesOf(crossing));
@@ -125,8 +122,7 @@
         refill(now);
         // Gives back only to the buckets that were charged, and only once: a bound that a reload has added since then
         // was not charged.
-        reservation.charged.forEach(
-                (bucket, crossing) -> bucket.addTokens(reservation.cost.bytesOf(crossing) - actual.bytesOf(crossing)));
+        reservation.charged.forEach((bucket, crossing) -> bucket.addTokens(reservation.cost.bytesOf(crossing) - actual.bytesOf(crossing)));
         reservation.charged.clear();
     }
 
@@ -147,17 +143,14 @@
         budget = newBudget;
         bindBuckets(commonBuckets, newBudget.commonBounds());
         bucketsByClass.keySet().retainAll(newBudget.classes().keySet());
-        newBudget
-                .classes()
-                .forEach((name, classBudget) -> bindBuckets(
-                        bucketsByClass.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)),
-                        classBudget.bounds()));
+        newBudget.classes()
+                .forEach((name, classBudget) -> bindBuckets(bucketsByClass.computeIfAbsent(name, n -> new EnumMap<>(Crossing.class)), classBudget.bounds()));
     }
 
     private static void bindBuckets(Map<Crossing, Bucket> buckets, Map<Crossing, Budget.Bound> bounds) {
         buckets.keySet().retainAll(bounds.keySet());
-        bounds.forEach((crossing, bound) ->
-                buckets.computeIfAbsent(crossing, k -> new Bucket(bound)).changeBound(bound));
+        bounds.forEach(
+                (crossing, bound) -> buckets.computeIfAbsent(crossing, k -> new Bucket(bound)).changeBound(bound));
     }
 
     // If the clock steps back, no tokens are added until it has passed the last refill.
@@ -166,9 +159,7 @@
             long elapsedMicros = now - lastRefillAt;
             lastRefillAt = now;
             commonBuckets.values().forEach(bucket -> bucket.refill(elapsedMicros));
-            bucketsByClass
-                    .values()
-                    .forEach(classBuckets -> classBuckets.values().forEach(bucket -> bucket.refill(elapsedMicros)));
+            bucketsByClass.values().forEach(classBuckets -> classBuckets.values().forEach(bucket -> bucket.refill(elapsedMicros)));
         }
     }
 
@@ -179,14 +170,12 @@
      */
     public Long remainingBytes(long now, String requestClass, Crossing crossing) {
         refill(now);
-        Bucket bucket = (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of()))
-                .get(crossing);
+        Bucket bucket = (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of())).get(crossing);
         return bucket == null ? null : Math.floorDiv(bucket.level, UNITS_PER_BYTE);
     }
 
     /** Returns the bucket of a bound for tests; {@code requestClass} is null for the bound of all classes. */
     Bucket bucket(String requestClass, Crossing crossing) {
-        return (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of()))
-                .get(crossing);
+        return (requestClass == null ? commonBuckets : bucketsByClass.getOrDefault(requestClass, Map.of())).get(crossing);
     }
 }
--- a/src/main/java/pewtercourse/zone/Route.java
+++ b/src/main/java/pewtercourse/zone/Route.java
@@ -31,8 +31,7 @@
      */
     public static int steps(int fromHub, int toHub, int hubCount) {
         if (fromHub < 0 || toHub < 0 || fromHub >= hubCount || toHub >= hubCount) {
-            throw new IllegalArgumentException(
-                    "hub " + fromHub + " or " + toHub + " is not below the number of hubs, " + hubCount);
+            throw new IllegalArgumentException("hub " + fromHub + " or " + toHub + " is not below the number of hubs, " + hubCount);
         }
         int distance = Math.abs(fromHub - toHub);
         return Math.min(distance, hubCount - distance);
--- a/src/test/java/pewtercourse/cluster/SiteFaultTest.java
+++ b/src/test/java/pewtercourse/cluster/SiteFaultTest.java
@@ -124,10 +124,7 @@
                                     || !violation.contains(" by " + pausedHolder.clientAddress() + " got no answer"))
                             .toList());
             for (MemberProcess member : cluster.members) {
-                assertEquals(
-                        0,
-                        emulation.coldOverloadCount("s" + member.number),
-                        "overloaded cold caches at s" + member.number);
+                assertEquals(0, emulation.coldOverloadCount("s" + member.number), "overloaded cold caches at s" + member.number);
             }
             assertTrue(emulation.results(EmulationResults::orderCount) > 0, "no order was run");
         } finally {
@@ -184,8 +181,7 @@
         int attemptsBefore = emulation.results(f -> f.attemptCount(TESTED_SITE));
         awaitServed(TESTED_SITE);
         assertTrue(
-                emulation.results(f -> f.attemptCount(TESTED_SITE)) > attemptsBefore,
-                "its own caches must serve again");
+                emulation.results(f -> f.attemptCount(TESTED_SITE)) > attemptsBefore, "its own caches must serve again");
         assertTrue(cluster.logged("phase=RETURNING") && cluster.logged("step=1"), "recovery must go step by step");
     }
 
--- a/src/test/java/pewtercourse/simulator/SimulatorConnectionTest.java
+++ b/src/test/java/pewtercourse/simulator/SimulatorConnectionTest.java
@@ -50,15 +50,13 @@
     @Test
     void aRetiredInstanceSendsNothingAndCanBeStartedAgain() throws Exception {
         assertEquals("EOR\n", exchange(START + "ROUND\t101\nRETIRE\t3\nEOB\n").split("(?<=EOR\n)")[1]);
-        assertTrue(exchange(START + "ROUND\t101\nRETIRE\t3\n" + START.substring(10))
-                .contains("DEFER\t3\tsweep"));
+        assertTrue(exchange(START + "ROUND\t101\nRETIRE\t3\n" + START.substring(10)).contains("DEFER\t3\tsweep"));
     }
 
     @Test
     void writesEachActionInTheFormatOfTheProtocol() {
         StringBuilder lines = new StringBuilder();
-        SimulatorConnection.write(
-                lines, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
+        SimulatorConnection.write(lines, 3, new SendAttempt(0xc406fa035d3a91c4L, 9, 80_250, 7, 2, 1_500_000, true, true, true));
         SimulatorConnection.write(lines, 3, new CancelAttempt(1, 2));
         SimulatorConnection.write(lines, 3, new RejectRequest(1, 5));
         SimulatorConnection.write(lines, 3, new FailRequest(1));
--- a/src/test/java/pewtercourse/zone/AccountTest.java
+++ b/src/test/java/pewtercourse/zone/AccountTest.java
@@ -44,10 +44,7 @@
             bytesByLink.merge("origin", route.kind() == Kind.ORIGIN ? bytes : 0, Long::sum);
         }
         assertEquals(
-                new Cost(
-                        bytesByLink.getOrDefault("link", 0L),
-                        bytesByLink.getOrDefault("step", 0L),
-                        bytesByLink.getOrDefault("origin", 0L)),
+                new Cost(bytesByLink.getOrDefault("link", 0L), bytesByLink.getOrDefault("step", 0L), bytesByLink.getOrDefault("origin", 0L)),
                 account.totalCost());
         List<Long> answerCounts = new ArrayList<>();
         account.forEachLine(line -> answerCounts.add(line.getValue().answers()));
--- a/src/test/java/pewtercourse/zone/LedgerModelTest.java
+++ b/src/test/java/pewtercourse/zone/LedgerModelTest.java
@@ -42,8 +42,7 @@
 
     // A bucket that is deep in debt is never full, so each token must be accounted for, to the millionth.
     @Property(tries = 500, seed = "7")
-    void neitherCreatesNorLosesTokens(
-            @ForAll @Size(max = 60) List<@IntRange(max = 6) Integer> steps, @ForAll long seed) {
+    void neitherCreatesNorLosesTokens(@ForAll @Size(max = 60) List<@IntRange(max = 6) Integer> steps, @ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000;
         long latest = now;
@@ -91,8 +90,7 @@
             }
             ledger.remainingBytes(now, null, Crossing.LINK); // Refills the buckets up to now.
             assertEquals(
-                    commonLevel,
-                    BigInteger.valueOf(ledger.bucket(null, Crossing.LINK).level()));
+                    commonLevel, BigInteger.valueOf(ledger.bucket(null, Crossing.LINK).level()));
             assertEquals(
                     mediaLevel,
                     BigInteger.valueOf(ledger.bucket("media", Crossing.LINK).level()));
@@ -118,9 +116,7 @@
                     openFills.add(new OpenFill(reservation, bytes, false));
                     crossed += bytes;
                 } else {
-                    assertTrue(
-                            ledger.remainingBytes(now, null, Crossing.LINK) < bytes,
-                            "rejected although the budget was sufficient");
+                    assertTrue(ledger.remainingBytes(now, null, Crossing.LINK) < bytes, "rejected although the budget was sufficient");
                 }
             } else if (!openFills.isEmpty()) {
                 OpenFill fill = openFills.remove(random.nextInt(openFills.size()));
@@ -128,9 +124,7 @@
                 ledger.settle(now, fill.reservation, link(actual));
                 crossed += actual - fill.bytes;
             }
-            assertTrue(
-                    crossed * Ledger.UNITS_PER_BYTE <= burst * Ledger.UNITS_PER_BYTE + rate * (now - 1_000),
-                    "more bytes crossed than the budget allows");
+            assertTrue(crossed * Ledger.UNITS_PER_BYTE <= burst * Ledger.UNITS_PER_BYTE + rate * (now - 1_000), "more bytes crossed than the budget allows");
         }
     }
 
@@ -155,9 +149,7 @@
         assertNotNull(ledger.reserve(0, "media", Cost.ofFill(300, 0, true)));
         assertNotNull(ledger.reserve(0, "page", Cost.ofFill(100, 0, true)), "700 remain and 550 are needed");
         assertNotNull(ledger.reserve(0, "page", Cost.ofFill(100, 0, true)), "600 remain");
-        assertNull(
-                ledger.reserve(0, "page", Cost.ofFill(100, 0, true)),
-                "500 remain and 550 are needed, with the share left to others");
+        assertNull(ledger.reserve(0, "page", Cost.ofFill(100, 0, true)), "500 remain and 550 are needed, with the share left to others");
         assertNotNull(ledger.reserve(0, "media", Cost.ofFill(500, 0, true)));
     }
 
@@ -170,8 +162,7 @@
         ledger.settle(0, reservation, link(100_000)); // More bytes crossed than estimated.
         assertEquals(-30_000, ledger.remainingBytes(0, null, Crossing.LINK));
         ledger.reload(0, budget(1_000, 1_000_000));
-        assertEquals(
-                -30_000, ledger.remainingBytes(0, null, Crossing.LINK), "a debt remains after a change of the budget");
+        assertEquals(-30_000, ledger.remainingBytes(0, null, Crossing.LINK), "a debt remains after a change of the budget");
     }
 
     @Example
@@ -187,9 +178,7 @@
     @Example
     void chargesEachHubStep() {
         Ledger ledger = new Ledger(new Budget(Map.of(Crossing.HUB_STEP, new Bound(0, 1_000)), Map.of()), 0);
-        assertNotNull(
-                ledger.reserve(0, "page", Cost.ofFill(500, 0, false)),
-                "a fill from the hub of the zone uses no hub steps");
+        assertNotNull(ledger.reserve(0, "page", Cost.ofFill(500, 0, false)), "a fill from the hub of the zone uses no hub steps");
         assertNotNull(ledger.reserve(0, "page", Cost.ofFill(500, 2, false)));
         assertNull(ledger.reserve(0, "page", Cost.ofFill(1, 1, false)));
     }
