--- a/src/main/java/pewtercourse/experiment/SitesSim.java
+++ b/src/main/java/pewtercourse/experiment/SitesSim.java
@@ -390,25 +390,9 @@
                             connectTimesOut ? AttemptResult.CONNECT_TIMEOUT : AttemptResult.REFUSED,
                             CacheStatus.UNKNOWN);
                 case FULL ->
-                    endAt(
-                            router,
-                            s,
-                            number,
-                            attemptId,
-                            startedAt,
-                            now + MS,
-                            AttemptResult.FULL,
-                            CacheStatus.UNKNOWN);
+                    endAt(router, s, number, attemptId, startedAt, now + MS, AttemptResult.FULL, CacheStatus.UNKNOWN);
                 case MISS ->
-                    endAt(
-                            router,
-                            s,
-                            number,
-                            attemptId,
-                            startedAt,
-                            now + MS,
-                            AttemptResult.MISS,
-                            CacheStatus.UNKNOWN);
+                    endAt(router, s, number, attemptId, startedAt, now + MS, AttemptResult.MISS, CacheStatus.UNKNOWN);
                 default -> {
                     if (CLASSES[request.classIndex].uncacheable()) {
                         request.effectCount++;
@@ -465,9 +449,7 @@
                 long endsAt,
                 AttemptResult result,
                 CacheStatus cacheStatus) {
-            schedule(
-                    endsAt,
-                    () -> finishAttempt(router, s, number, attemptId, startedAt, result, cacheStatus));
+            schedule(endsAt, () -> finishAttempt(router, s, number, attemptId, startedAt, result, cacheStatus));
         }
 
         private void finishAttempt(
