--- a/src/test/java/pewtercourse/ExamplesTest.java
+++ b/src/test/java/pewtercourse/ExamplesTest.java
@@ -21,6 +21,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.AfterEach;
@@ -44,6 +45,8 @@
     private static final int HTTP_OK = 200;
     private static final int EMULATION_SECONDS = 2;
     private static final String JAR = "target/pewtercourse.jar";
+    private static final AtomicInteger TESTS = new AtomicInteger();
+    private static final int ADDRESS_STEP = 25;
     private static final Path JAVA = Path.of(System.getProperty("java.home"), "bin", "java");
 
     @TempDir
@@ -54,9 +57,11 @@
 
     @BeforeEach
     void copyExamples() throws IOException {
-        // The examples use fixed ports; an address for each test process lets two builds run at once.
+        // The examples use fixed ports. An address for each test process lets two builds run at once, and one for each
+        // test keeps a test apart from directors of an earlier one that still shut down.
         long pid = ProcessHandle.current().pid();
-        host = "127." + (100 + pid / 250 / 250 % 100) + "." + pid / 250 % 250 + "." + (1 + pid % 250);
+        long secondByte = 100 + (pid / 250 / 250 + TESTS.getAndIncrement() * ADDRESS_STEP) % 100;
+        host = "127." + secondByte + "." + pid / 250 % 250 + "." + (1 + pid % 250);
         for (String name : List.of("examples", "deploy")) {
             Files.createDirectories(folder.resolve(name));
             for (File file : Path.of(name).toFile().listFiles(File::isFile)) {
